--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -145,7 +145,7 @@
 /// An engine that answers every job at once with one row.
 pub fn engine(uid: &str) -> std::io::Result<Engine> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let engine = Engine { address: listener.local_addr()?, uid: uid.to_string(), seen: Seen::default() };
+    let engine = Engine::behind(&listener, uid);
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             std::thread::spawn(move || answers(stream));
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -1,7 +1,7 @@
 //! Small stand-ins on loopback for what the router talks to: engines, the notice board, clients.
 
 use rustix::process::{kill_process, Pid, Signal};
-use socket2::{Domain, Socket, Type};
+use socket2::{Domain, SockRef, Socket, Type};
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -67,25 +67,79 @@
     pub address: SocketAddr,
     pub uid: String,
     pub seen: Seen,
+    /// Its connections.
+    pub open: Arc<Mutex<Vec<TcpStream>>>,
+}
+
+/// Takes no connection until `open` is called.
+pub struct Door {
+    socket: TcpListener,
+    /// Fills the queue of those that wait to be accepted.
+    filler: TcpStream,
+    engine: Engine,
+}
+
+impl Door {
+    /// From now on connections come up; one that was begun before, at the system's next try.
+    pub fn open(self) {
+        let (filler, _) = self.socket.accept().unwrap();
+        drop((filler, self.filler));
+        self.engine.accepts(self.socket);
+    }
 }
 
 impl Engine {
-    fn behind(listener: &TcpListener, uid: &str) -> Engine {
-        Engine { address: listener.local_addr().unwrap(), uid: uid.to_string(), seen: Seen::default() }
+    /// What stands for an engine that is served elsewhere behind this listener.
+    pub(crate) fn behind(listener: &TcpListener, uid: &str) -> Engine {
+        let (address, uid) = (listener.local_addr().unwrap(), uid.to_string());
+        Engine { address, uid, seen: Seen::default(), open: Arc::default() }
     }
 
     pub fn start(uid: &str) -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let engine = Engine::behind(&listener, uid);
-        let served = engine.clone();
+        engine.accepts(listener);
+        engine
+    }
+
+    fn accepts(&self, listener: TcpListener) {
+        let served = self.clone();
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
                 let (served, stream) = (served.clone(), stream.unwrap());
+                served.open.lock().unwrap().push(stream.try_clone().unwrap());
                 served.seen.add(&format!("connection {number}"));
                 std::thread::spawn(move || served.serve(stream, number));
             }
         });
-        engine
+    }
+
+    /// One whose connections come up late: none does before its door is opened.
+    pub fn late(uid: &str) -> (Engine, Door) {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket.listen(0).unwrap();
+        let socket = TcpListener::from(socket);
+        let engine = Engine::behind(&socket, uid);
+        let filler = TcpStream::connect(engine.address).unwrap();
+        (engine.clone(), Door { socket, filler, engine })
+    }
+
+    /// Writes this on its connections, beside what it answers; tells on how many.
+    pub fn say(&self, bytes: &[u8]) -> usize {
+        let mut open = self.open.lock().unwrap();
+        open.iter_mut().filter_map(|stream| stream.write_all(bytes).ok()).count()
+    }
+
+    /// Ends its connections by a reset; tells how many.
+    pub fn reset(&self) -> usize {
+        let open = std::mem::take(&mut *self.open.lock().unwrap());
+        let ended = open.iter().map(|stream| {
+            SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
+            // Who reads there sees an end and lets go of it; with the last hold on it the reset goes out.
+            stream.shutdown(Shutdown::Read).is_ok()
+        });
+        ended.filter(|ended| *ended).count()
     }
 
     /// One that takes a single connection, reads from it and says nothing, like a machine that has vanished: no
