--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -40,6 +40,8 @@
 const SWEEP: f64 = 0.05;
 /// The loop turns at least so often, so that it can tell when it had no turn.
 const BEAT: f64 = 0.02;
+/// So often is asked what is ready, at most, where each look ended late.
+const MOST_LOOKS: usize = 3;
 /// Other routers are told of engines, and heard, so often.
 const WORDS: f64 = 0.25;
 /// After a planned stop, requests come for this long, and the router is killed so long after its longest job.
@@ -329,15 +331,35 @@
             let counters = server.counters();
             return Ok(counters);
         }
-        let wait = (server.wake - server.clock.read()).max(0.0);
-        match event_loop.dispatch(Some(Duration::from_secs_f64(wait)), &mut ready) {
+        wait(&mut event_loop, &mut server.clock, server.wake, &mut ready)?;
+    }
+}
+
+/// Waits until something is ready, or until then. Where we stood still behind the system's word, what has come meanwhile is
+/// asked for once more: the next turn would decide without it, and take it for new in the turn after.
+fn wait(
+    event_loop: &mut EventLoop<Ready>,
+    clock: &mut Clock,
+    wake: f64,
+    ready: &mut Ready,
+) -> io::Result<()> {
+    let mut due = wake;
+    for _ in 0..MOST_LOOKS {
+        let begun = clock.read();
+        let wait = (due - begun).max(0.0);
+        match event_loop.dispatch(Some(Duration::from_secs_f64(wait)), ready) {
             Err(calloop::Error::IoError(error)) if error.kind() != io::ErrorKind::Interrupted => {
                 return Err(error)
             }
             Err(calloop::Error::IoError(_)) | Ok(()) => {}
             Err(error) => return Err(io::Error::other(error)),
         }
+        if clock.read() < begun + wait + BEAT {
+            break;
+        }
+        due = begun;
     }
+    Ok(())
 }
 
 impl Server {
--- a/crates/router/src/transport/tests.rs
+++ b/crates/router/src/transport/tests.rs
@@ -1,4 +1,6 @@
-use super::{Clock, Steady};
+use super::{wait, watch, Clock, Ready, Source, Steady, BEAT};
+use calloop::EventLoop;
+use std::time::Duration;
 
 /// Hard case: the Unix clock is set while sessions run; no hold time ends sooner or later for it.
 #[test]
@@ -16,3 +18,25 @@
     let read: Vec<f64> = [100.0, 101.0, 41.0, 42.5, 42.0, 43.0].map(|unix| clock.at(unix)).into();
     assert_eq!(read, [100.0, 101.0, 101.0, 102.5, 102.5, 103.5]);
 }
+
+/// The process is stopped after the system has told what is ready, and before the turn.
+#[test]
+fn what_comes_while_we_stand_still_behind_the_systems_word_is_known_to_the_turn() {
+    let mut event_loop: EventLoop<Ready> = EventLoop::try_new().unwrap();
+    let (near, mut far) = std::os::unix::net::UnixStream::pair().unwrap();
+    watch(&event_loop.handle(), near, Source::Board).unwrap();
+    let (mut clock, mut ready) = (Clock::default(), Ready::default());
+    let readable = |ready: &Ready| ready.sources.iter().any(|(_, readiness)| readiness.readable);
+    let now = clock.read();
+    wait(&mut event_loop, &mut clock, now, &mut ready).unwrap();
+    assert!(!readable(&ready));
+    let stands_still = move |_, _: &mut (), _: &mut Ready| {
+        std::thread::sleep(Duration::from_secs_f64(3.0 * BEAT));
+        std::io::Write::write_all(&mut far, b"x").unwrap();
+        calloop::timer::TimeoutAction::Drop
+    };
+    event_loop.handle().insert_source(calloop::timer::Timer::immediate(), stands_still).unwrap();
+    let now = clock.read();
+    wait(&mut event_loop, &mut clock, now + BEAT, &mut ready).unwrap();
+    assert!(readable(&ready));
+}
