--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -405,6 +405,7 @@
             self.net.sessions.accept(now);
         }
         self.due(now);
+        self.net.sessions.greet(self.serving, now, &mut self.news);
         self.announce(now);
         self.meet(now);
         self.come_back(now);
--- a/crates/router/src/transport/sessions.rs
+++ b/crates/router/src/transport/sessions.rs
@@ -37,6 +37,8 @@
     /// Accepted, and waits for room.
     next: Option<TcpStream>,
     next_id: SessionId,
+    /// Accepted, and not looked at yet.
+    newcomers: Vec<SessionId>,
     /// Connections may be waiting to be accepted; none is until the next sweep, after one could not be.
     accepts: bool,
     paused: bool,
@@ -84,6 +86,7 @@
             next: None,
             // A kill meant for a session of the router before us must not meet one of ours.
             next_id: RandomState::new().hash_one(listen) as SessionId,
+            newcomers: Vec::new(),
             accepts: false,
             paused: false,
             again: Vec::new(),
@@ -145,7 +148,7 @@
         let token = watch(&self.handle, stream.clone(), Source::Session(id))?;
         self.sessions.insert(id, Session::new(token, id, stream, self.longest, now));
         self.counters.sessions += 1;
-        self.again.push(id);
+        self.newcomers.push(id);
         Ok(())
     }
 
@@ -191,6 +194,13 @@
         }
     }
 
+    /// Reads what newcomers sent ahead: a kill that came before the turn is to be known to its decisions.
+    pub fn greet(&mut self, serving: bool, now: f64, news: &mut News) {
+        for id in std::mem::take(&mut self.newcomers) {
+            self.work(id, Readiness::EMPTY, serving, now, news);
+        }
+    }
+
     pub fn work(&mut self, id: SessionId, readiness: Readiness, serving: bool, now: f64, news: &mut News) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if readiness.readable || readiness.writable {
--- a/crates/router/src/transport/sessions/tests.rs
+++ b/crates/router/src/transport/sessions/tests.rs
@@ -30,6 +30,7 @@
         for id in self.sessions.sessions.keys().copied().collect::<Vec<_>>() {
             self.sessions.work(id, READABLE, true, self.now, &mut self.news);
         }
+        self.sessions.greet(true, self.now, &mut self.news);
     }
 
     /// Turns until so many bytes have come, or the end or an error.
