--- a/crates/router/src/protocol/engine.rs
+++ b/crates/router/src/protocol/engine.rs
@@ -32,18 +32,35 @@
     out.extend(b"\r\n");
 }
 
-pub fn get(out: &mut Vec<u8>, ask: &Ask) {
-    let wait = (ask.wait * 1e3).ceil().max(1.0) as u64;
-    write!(out, "GET {} queue={},budget={wait}", ask.id, ask.category).expect("memory takes all");
-    if let Some(receipt) = ask.receipt {
-        write!(out, ",uniq={receipt}").expect("memory takes all");
+/// A request that is written but for how long the gateway waits, as that is counted from when it leaves.
+pub struct Unsent {
+    before: Vec<u8>,
+    behind: Vec<u8>,
+}
+
+impl Unsent {
+    pub fn new(ask: &Ask) -> Unsent {
+        let before = format!("GET {} queue={},budget=", ask.id, ask.category).into_bytes();
+        let mut behind = Vec::new();
+        if let Some(receipt) = ask.receipt {
+            write!(behind, ",uniq={receipt}").expect("memory takes all");
+        }
+        if ask.grant_mb > 0.0 {
+            write!(behind, ",grant={}", ask.grant_mb.ceil() as u64).expect("memory takes all");
+        }
+        line(&mut behind, format_args!(",rank={} {}", ask.lane, ask.statement.len()));
+        behind.extend(ask.statement);
+        behind.extend(b"\r\n");
+        Unsent { before, behind }
     }
-    if ask.grant_mb > 0.0 {
-        write!(out, ",grant={}", ask.grant_mb.ceil() as u64).expect("memory takes all");
+
+    /// Writes it with so many seconds to wait.
+    pub fn leaves(&self, out: &mut Vec<u8>, wait: f64) {
+        let wait = (wait * 1e3).ceil().max(1.0) as u64;
+        out.extend(&self.before);
+        write!(out, "{wait}").expect("memory takes all");
+        out.extend(&self.behind);
     }
-    line(out, format_args!(",rank={} {}", ask.lane, ask.statement.len()));
-    out.extend(ask.statement);
-    out.extend(b"\r\n");
 }
 
 pub fn give_up(out: &mut Vec<u8>, id: &str) {
--- a/crates/router/src/transport/engine.rs
+++ b/crates/router/src/transport/engine.rs
@@ -37,9 +37,11 @@
 struct Request {
     id: String,
     push: PushId,
-    bytes: Vec<u8>,
+    unsent: engine::Unsent,
     /// It has left by then, or never does.
     leave_by: f64,
+    /// For so long the gateway waits for its answer.
+    until: f64,
 }
 
 struct Leaving {
@@ -232,19 +234,21 @@
         now: f64,
         ends: &mut Vec<(PushId, Outcome)>,
     ) -> io::Result<()> {
-        let mut bytes = Vec::new();
-        engine::get(&mut bytes, ask);
-        self.waiting.push(Request { id: ask.id.to_string(), push, bytes, leave_by });
+        let (id, unsent, until) = (ask.id.to_string(), engine::Unsent::new(ask), now + ask.wait);
+        self.waiting.push(Request { id, push, unsent, leave_by, until });
         if self.up() {
             self.send_waiting(now, ends)?;
         }
         self.ask(now)
     }
 
-    fn send_waiting(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> io::Result<()> {
+    /// What waits for the connection leaves, with the time that is left for it now.
+    pub fn send_waiting(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> io::Result<()> {
         self.idle_since = now;
         self.too_late_to_leave(now, ends);
-        for Request { id, push, bytes, .. } in std::mem::take(&mut self.waiting) {
+        for Request { id, push, unsent, until, .. } in std::mem::take(&mut self.waiting) {
+            let mut bytes = Vec::new();
+            unsent.leaves(&mut bytes, until - now);
             self.put(&bytes);
             self.exchanges.insert(id, Exchange { push, end: self.put, pages: None });
         }
@@ -334,7 +338,8 @@
         }
     }
 
-    /// Reads what is ready; pushes that ended go into `ends`.
+    /// Reads what is ready; pushes that ended go into `ends`. What waits for a connection that comes up here leaves with
+    /// `send_waiting`, once all else that has come in is known.
     pub fn work(
         &mut self,
         readable: bool,
@@ -350,7 +355,6 @@
             if self.is_trial {
                 self.ask_now(now)?;
             }
-            self.send_waiting(now, ends)?;
         }
         self.flush()?;
         if !self.readable {
--- a/crates/router/src/transport/links.rs
+++ b/crates/router/src/transport/links.rs
@@ -201,6 +201,8 @@
     /// Ends on connections that we closed: news once their engines have had time to see it.
     later: VecDeque<(f64, PushId, Outcome)>,
     link_of: HashMap<PushId, u64>,
+    /// Connections that came up in this turn, on which nothing has left yet.
+    came_up: Vec<u64>,
     counters: Counters,
 }
 
@@ -215,6 +217,7 @@
             ends: Vec::new(),
             later: VecDeque::new(),
             link_of: HashMap::new(),
+            came_up: Vec::new(),
             counters: Counters::default(),
         }
     }
@@ -344,10 +347,32 @@
 
     pub fn work(&mut self, id: u64, readable: bool, now: f64) {
         let ends = &mut self.ends;
-        let worked = self
-            .links
-            .change(id, |link| guarded("a connection to an engine", || link.work(readable, now, ends)));
-        let Some(worked) = worked else { return };
+        let worked = self.links.change(id, |link| {
+            let was_up = link.up();
+            let worked = guarded("a connection to an engine", || link.work(readable, now, ends));
+            (worked, link.up() && !was_up)
+        });
+        let Some((worked, came_up)) = worked else { return };
+        self.came_up.extend(came_up.then_some(id));
+        self.went(id, worked, now);
+    }
+
+    /// What waited for connections that have come up leaves. This comes behind the decisions, which take back what is for
+    /// clients that have left and for engines that drain.
+    pub fn send_waiting(&mut self, now: f64) {
+        for id in std::mem::take(&mut self.came_up) {
+            let ends = &mut self.ends;
+            let sent = self.links.change(id, |link| {
+                guarded("a connection to an engine", || link.send_waiting(now, ends).map_err(Broken::Io))
+            });
+            if let Some(sent) = sent {
+                self.went(id, sent, now);
+            }
+        }
+    }
+
+    /// How work on a connection went; none where it failed.
+    fn went(&mut self, id: u64, worked: Option<Result<(), Broken>>, now: f64) {
         match worked {
             Some(Ok(())) => {}
             Some(Err(why)) => self.broken(id, why, now),
--- a/crates/router/src/transport/links/tests.rs
+++ b/crates/router/src/transport/links/tests.rs
@@ -85,6 +85,7 @@
         for id in self.links.links.all().map(|(id, _)| id).collect::<Vec<_>>() {
             self.links.work(id, true, self.now);
         }
+        self.links.send_waiting(self.now);
         self.links.time_passed(self.now);
     }
 
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -383,7 +383,6 @@
                 Source::Session(id) => {
                     self.net.sessions.work(id, readiness, self.serving, now, &mut self.news)
                 }
-                // On the clock as it is: a connection that has come up takes only what may still leave.
                 Source::Link(id) => self.net.links.work(id, readiness.readable, self.clock.read()),
                 Source::Board => self.board(readiness.readable, now),
                 Source::Speaker(id) => {
@@ -416,6 +415,8 @@
         let now = self.clock.read();
         self.net.now = now;
         let (unusable, wake) = self.routing.turn(now, news, &mut self.net);
+        // On the clock as it is: a connection that has come up takes only what may still leave.
+        self.net.links.send_waiting(self.clock.read());
         for (session, why) in unusable {
             self.net.sessions.unusable(session, &why, now);
         }
