--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -67,6 +67,8 @@
     pub malformed: bool,
     /// When it last did something.
     pub since: f64,
+    /// When bytes last came in.
+    read_at: f64,
     /// Since when an answer is seen not to be taken whole.
     unsent_since: Option<f64>,
     /// When its login, the packet that is coming in, or its closing began.
@@ -112,6 +114,7 @@
             closes_after: false,
             malformed: false,
             since: now,
+            read_at: now,
             unsent_since: None,
             begun_at: Some(now),
         };
@@ -145,16 +148,33 @@
 
     /// Nothing has come since it was last read. What has is kept for its next turn: a close over it would be a reset, and
     /// cost its client the request.
-    pub fn quiet(&mut self) -> bool {
-        let before = self.buffer.input().len();
-        match self.buffer.read(&*self.stream, self.longest + mysql::HEADER) {
-            Ok(reached) => (self.readable, self.ended) = (reached == Reached::More, reached == Reached::End),
+    pub fn quiet(&mut self, now: f64) -> bool {
+        match self.read(now) {
+            Ok((came, reached)) => {
+                (self.readable, self.ended) = (reached == Reached::More, reached == Reached::End);
+                self.cut_short |= came;
+            }
             Err(_) => return true,
         }
-        self.cut_short |= self.buffer.input().len() > before;
         self.state == State::Closing || !self.cut_short
     }
 
+    /// Reads what is ready; tells whether anything was.
+    fn read(&mut self, now: f64) -> io::Result<(bool, Reached)> {
+        let before = self.buffer.input().len();
+        let reached = self.buffer.read(&*self.stream, self.longest + mysql::HEADER)?;
+        let came = self.buffer.input().len() > before;
+        if came {
+            self.read_at = now;
+        }
+        Ok((came, reached))
+    }
+
+    /// How long before this what is taken now had come: it lay here, behind the request before it.
+    pub fn lay(&self, until: f64) -> f64 {
+        (until - self.read_at).max(0.0)
+    }
+
     /// Our side of it ends, so that its client reads the last answer and closes; what still comes is not taken any more.
     /// Tells whether that has just been done.
     pub fn farewell(&mut self) -> bool {
@@ -211,7 +231,7 @@
     pub fn work(&mut self, serving: bool, now: f64) -> io::Result<Option<Heard>> {
         self.flush()?;
         if self.readable && !self.ended {
-            match self.buffer.read(&*self.stream, self.longest + mysql::HEADER)? {
+            match self.read(now)?.1 {
                 Reached::Drained => self.readable = false,
                 Reached::More => {}
                 Reached::End => (self.readable, self.ended) = (false, true),
--- a/crates/router/src/transport/sessions.rs
+++ b/crates/router/src/transport/sessions.rs
@@ -161,7 +161,7 @@
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
             });
             let Some((&id, session)) = least else { return false };
-            if session.quiet() {
+            if session.quiet(now) {
                 self.counters.sessions_closed_for_room += 1;
                 self.remove(id);
                 return true;
@@ -220,7 +220,12 @@
                 self.counters.withdrawn += 1;
                 self.answer(id, Answer::Withdrawn, now);
             }
-            Some(Ok(Some(Heard::Asked(request)))) => news.asked.push((id, request)),
+            Some(Ok(Some(Heard::Asked(mut request)))) => {
+                // Its time runs from its last byte, also where that came long before its turn.
+                let lay = session.lay(news.since.unwrap_or(now));
+                request.patience = (request.patience - lay).max(0.0);
+                news.asked.push((id, request));
+            }
             Some(Ok(Some(Heard::Unusable(why)))) => self.unusable(id, &why, now),
             Some(Ok(Some(Heard::Kill { session, query_only }))) => self.kills.push((id, session, query_only)),
             Some(Ok(Some(Heard::Counters))) => self.curious.push(id),
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -313,3 +313,23 @@
     assert_eq!(client.answer(), row());
     promised.is_within(1, TTL, waited);
 }
+
+/// A client that sends its next request before it has read the answer to the last.
+#[test]
+fn a_request_sent_behind_another_has_its_time_from_its_own_last_byte() {
+    let engine = Engine::start("e");
+    let promised = Promised::by(&engine);
+    let (_board, router) = started(&[&engine]);
+    let mut client = Client::new(&router);
+    let first = heavy("once", TTL, "hold");
+    let call = first.split_once("call=").unwrap().1[..16].to_string();
+    let sent = Instant::now();
+    client.stream.write_all(&[query(&first), query(&heavy("look", TTL, "x"))].concat()).unwrap();
+    engine.seen.wait("GET", 1);
+    std::thread::sleep(LONG);
+    let waited = sent.elapsed();
+    assert_eq!(engine.say(format!("{call} BROKE - 0\r\n\r\n").as_bytes()), 1);
+    assert!(matches!(client.answer(), Answered::Error(1105, _)));
+    assert_eq!(client.answer(), row());
+    promised.is_within(2, TTL, waited);
+}
