--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -176,9 +176,9 @@
     }
 
     /// Our side of it ends, so that its client reads the last answer and closes; what still comes is not taken any more.
-    /// Tells whether that has just been done.
-    pub fn farewell(&mut self) -> bool {
-        let ends = self.state != State::Closing && self.spare();
+    /// What has come before is: an end over it would cost its client the request. Tells whether that has just been done.
+    pub fn farewell(&mut self, now: f64) -> bool {
+        let ends = self.state != State::Closing && self.spare() && self.quiet(now);
         if ends {
             self.close_after();
         }
--- a/crates/router/src/transport/sessions.rs
+++ b/crates/router/src/transport/sessions.rs
@@ -174,12 +174,20 @@
     /// The router ends: no connection is taken any more, and every session at rest is ended on our side. True once all
     /// clients have closed theirs, or have had the time to.
     pub fn farewell(&mut self, now: f64) -> bool {
+        if self.listener.is_some() {
+            // What has connected until now is still let in, and what it sent ahead is read.
+            self.accept(now);
+            if !self.newcomers.is_empty() || self.accepts_more() {
+                return false;
+            }
+        }
         if let Some((_, token)) = self.listener.take() {
             self.handle.remove(token);
         }
         let begun = *self.farewell_at.get_or_insert(now);
-        let ended = self.sessions.iter_mut().filter_map(|(id, session)| session.farewell().then_some(*id));
-        self.again.extend(ended);
+        let sessions = self.sessions.iter_mut();
+        let again = sessions.filter_map(|(id, one)| (one.farewell(now) || one.reads_on()).then_some(*id));
+        self.again.extend(again);
         self.sessions.is_empty() || now >= begun + FAREWELL
     }
 
