--- a/crates/router/src/transport/board.rs
+++ b/crates/router/src/transport/board.rs
@@ -187,7 +187,7 @@
         match reached {
             Reached::End => Err("closed".to_string()),
             Reached::More if self.buffer.input().len() >= self.longest => {
-                Err("a line without end".to_string())
+                Err(format!("a line of more than {} bytes", self.longest))
             }
             _ => Ok(()),
         }
--- a/crates/router/src/transport/board/tests.rs
+++ b/crates/router/src/transport/board/tests.rs
@@ -97,7 +97,7 @@
     assert_eq!(link.work(false, now, &mut Vec::new()), Err("silent".to_string()));
     let (_turns, mut link, mut board) = connected();
     board.write_all(&[b' '; 1500]).unwrap();
-    assert_eq!(hears(&mut link, 1000, 100.1), Err("a line without end".to_string()));
+    assert_eq!(hears(&mut link, 1000, 100.1), Err("a line of more than 1000 bytes".to_string()));
 }
 
 /// An old connection's line and the change of address are read in one turn, the change first: the line is the new board's
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -51,6 +51,10 @@
 /// The last answers are out so much sooner.
 const STOP_MARGIN: f64 = 0.3;
 
+/// A line of the discovery service may take a sixteenth of the memory, and at least this: a list of 1,024 servers of 1 KiB
+/// each, which is held only while it is read.
+const LIST_LINE: usize = 1024 * 1024;
+
 /// What the loop tells of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
@@ -297,8 +301,9 @@
         None => None,
         Some((file, seed)) => Some(Speaker::open(&handle, file, seed, 0.0)?),
     };
+    let longest_line = (place.memory / 16).max(LIST_LINE);
     let mut server = Server {
-        board: BoardLink::new(place.board, place.last_event, place.memory / 16, now),
+        board: BoardLink::new(place.board, place.last_event, longest_line, now),
         net: Net { sessions, links, now },
         handle,
         routing,
