--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -16,6 +16,8 @@
     pub known: Vec<Event>,
     pub deployment: Deployment,
     pub names: Names,
+    /// Settings that contradict each other, by their fields.
+    pub contradictions: Vec<String>,
     /// What stands for as long as the router runs, by its names.
     pub fixed: [(&'static str, Value); 4],
 }
@@ -60,6 +62,7 @@
     let pairs = Pairs::from_json(&value["settings"]);
     let within = |Complaint(words): Complaint| Complaint(format!("field settings: {words}"));
     let (deployment, names) = cleatgw_start::read(&pairs).map_err(within)?;
+    let contradictions = pairs.contradictions().map_err(within)?;
     if deployment.categories.is_empty() {
         return wrong("settings.categories", "at least one", &value["settings"]["categories"]);
     }
@@ -96,6 +99,7 @@
         known: events,
         deployment,
         names,
+        contradictions,
         fixed: ["name", "listen", "limits", "settings"].map(|field| (field, value[field].clone())),
     })
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -181,6 +181,7 @@
     };
     told.place.descriptors = descriptors(told.place.descriptors as u64) as usize;
     log::info!("{} starts, version {}", told.name, env!("CARGO_PKG_VERSION"));
+    told.contradictions.iter().for_each(|words| log::warn!("configuration: contradictory {words}"));
     let mut routing = Routing::new(told.deployment, told.names, told.seed, transport::unix_time());
     if let Some(file) = teams_file {
         routing.teams(file);
@@ -241,6 +242,7 @@
     if let Some(path) = &files.cluster {
         joining(path, &told.name, told.seed)?;
     }
+    told.contradictions.iter().for_each(|words| eprintln!("{}: contradictory {words}", told.name));
     let engines: usize =
         told.known.iter().filter_map(|event| event.list.as_ref()).map(|(_, list)| list.len()).sum();
     println!(
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -6,6 +6,7 @@
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::Path;
+use std::process::Command;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
@@ -133,6 +134,45 @@
     client.counters("reloads_refused", 1);
 }
 
+#[test]
+fn settings_that_contradict_each_other_are_named_by_their_fields_and_the_router_serves() {
+    let engine = Engine::start("e");
+    let board = Board::start();
+    board.tell(true, &[engine.entry("ready")]);
+    let contradictory = |text: String| {
+        text.replace("\"parallelism\":[1,1,1]", "\"parallelism\":[1,1]")
+            .replace("\"shapes\":[\"std\"]", "\"shapes\":[\"std\",\"big\"]")
+            .replace("\"name\":\"load\"", "\"name\":\"look\",\"confined-to\":[\"west\"]")
+            .replace("\"objective-us\":1000000", "\"objective-us\":30000000")
+            .replace("\"balancers\":1,", "\"balancers\":3,\"self-index\":3,")
+    };
+    let router = Router::changed(PROGRAM, &board, 256, &[], contradictory);
+    assert_eq!(Client::new(&router).ask(&job("look", 5000, "x")), row());
+    let file = std::env::temp_dir().join(format!("cleatgw-{}-contradictory.json", std::process::id()));
+    std::fs::write(&file, contradictory(router.configuration(&board, "{}"))).unwrap();
+    let check = Command::new(PROGRAM).arg("check").arg(&file).output().unwrap();
+    std::fs::remove_file(file).unwrap();
+    assert!(check.status.success());
+    let checked = String::from_utf8(check.stderr).unwrap();
+    let expected = [
+        "setting family-info.parallelism: expected 3 values, one for each of categories, got 2",
+        "setting family-info.cores-by-kind: expected 2 values, one for each of shapes, got 1",
+        "setting family-info.ram-of-kind-mb: expected 2 values, one for each of shapes, got 1",
+        "setting categories.1.name: expected a name of its own, got that of categories.0",
+        "setting categories.0.objective-us: expected at most categories.0.hard-limit-us (20000000), got 30000000",
+        "setting categories.1.confined-to: expected names of zones, got \"west\"",
+        "setting categories.1.objective-us: expected at most categories.1.hard-limit-us (20000000), got 30000000",
+        "setting categories.2.objective-us: expected at most categories.2.hard-limit-us (20000000), got 30000000",
+        "setting self-index: expected less than balancers (3), got 3",
+    ];
+    for words in expected {
+        router.log.wait(&format!("configuration: contradictory {words}"), 1);
+        assert!(checked.contains(&format!("contradictory {words}\n")), "{checked}");
+    }
+    let told = router.log.all().iter().filter(|line| line.contains("contradictory")).count();
+    assert_eq!((told, checked.lines().count()), (expected.len(), expected.len()));
+}
+
 /// Idle clients, half logins and waiting pings: connects until the descriptors are used up, again and again.
 fn crowds(address: SocketAddr, over: &AtomicBool, came: &AtomicU64) {
     let mut held = Vec::new();
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -1,6 +1,7 @@
 //! What a deployment states at the start: `path=value` pairs of the wire, or the same as nested JSON, read into
 //! what the decisions are told, the names behind the small indices, and what connections need to know.
 
+mod contradictions;
 mod peers;
 
 use cleatgw::{Category, ColdStart, Deployment, Effect, Kind, PushBudget, Reach};
