--- a/crates/router/src/transport/sessions/tests.rs
+++ b/crates/router/src/transport/sessions/tests.rs
@@ -121,6 +121,31 @@
     assert!(story.sessions.farewell(story.now), "all have gone, there is nothing to wait for");
 }
 
+/// What comes between the turn's reading and its end: on a session that rests, and with a connection of its own.
+#[test]
+fn at_the_end_a_request_that_came_after_the_turn_had_read_is_taken_also_with_its_login() {
+    let mut story = Story::new(8);
+    let (mut asks, asking) = story.client();
+    let (_rests, resting) = story.client();
+    asks.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    let mut newcomer = TcpStream::connect(story.address).unwrap();
+    newcomer.write_all(&[login(), query(&job("look", 5000, "x"))].concat()).unwrap();
+    assert!(!story.sessions.farewell(story.now), "one has connected");
+    story.turn();
+    let asked: Vec<SessionId> = story.news.asked.iter().map(|(id, _)| *id).collect();
+    assert!(asked.len() == 2 && asked.contains(&asking) && !asked.contains(&resting), "{asked:?}");
+    // The same where nobody has connected: what has just come is read before its session would end.
+    for id in asked {
+        story.sessions.answer(id, Answer::Terminated, story.now);
+    }
+    story.turn();
+    asks.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    assert!(!story.sessions.farewell(story.now));
+    story.turn();
+    assert_eq!(story.news.asked.last().map(|(id, _)| *id), Some(asking));
+    assert_eq!(story.news.asked.len(), 3);
+}
+
 #[test]
 fn at_the_end_a_request_that_came_before_the_shutdown_is_taken_and_a_deaf_client_holds_up_nothing() {
     let mut story = Story::new(8);
