--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -5,6 +5,7 @@
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::os::fd::AsFd;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -354,16 +355,17 @@
     done
 done"#;
 
-/// No router outlives this process, also where it is killed: a shell of its own group holds the other end of a pipe.
-fn reaped(router: u32) {
-    static REAPER: OnceLock<Mutex<Child>> = OnceLock::new();
+/// No router outlives this process, also where it is killed: a shell of its own group holds the other end of this pipe. What
+/// is to become a router writes its own id there before it does, so that there is none that the shell does not know of.
+fn reaper() -> Stdio {
+    static REAPER: OnceLock<Child> = OnceLock::new();
     let start = || {
         let mut reaper = Command::new("sh");
         reaper.args(["-c", REAPS]).stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
-        Mutex::new(reaper.process_group(0).spawn().unwrap())
+        reaper.process_group(0).spawn().unwrap()
     };
-    let mut reaper = REAPER.get_or_init(start).lock().unwrap();
-    writeln!(reaper.stdin.as_mut().unwrap(), "{router}").unwrap();
+    let pipe = REAPER.get_or_init(start).stdin.as_ref().unwrap();
+    pipe.as_fd().try_clone_to_owned().unwrap().into()
 }
 
 impl Router {
@@ -414,7 +416,7 @@
         let text = change(configuration(address, board_at, &board.known(), sockets));
         std::fs::write(&file, text).unwrap();
         let arguments = if more.is_empty() { String::new() } else { format!("serve {}", more.join(" ")) };
-        let limited = format!("ulimit -n {sockets}; exec {program} {arguments}");
+        let limited = format!("echo $$ >&0; ulimit -n {sockets}; exec {program} {arguments} < /dev/null");
         // Where many jobs are expected, a line for each would be most of the work.
         let busy = ["--teams", "--cluster", "text"].iter().any(|word| more.contains(word));
         let mut child = Command::new("sh")
@@ -422,10 +424,10 @@
             .env("BALANCER_CONFIG", &file)
             .env("RUST_LOG", if busy { "info" } else { "debug" })
             .envs(environment.iter().map(|(name, value)| (name, value)))
+            .stdin(reaper())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        reaped(child.id());
         let log = Seen::default();
         let (lines, seen) = (BufReader::new(child.stderr.take().unwrap()).lines(), log.clone());
         let reading = Arc::new(Mutex::new(()));
