--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -40,6 +40,8 @@
 const SWEEP: f64 = 0.05;
 /// The loop turns at least so often, so that it can tell when it had no turn.
 const BEAT: f64 = 0.02;
+/// So often is asked what is ready, at most, where each look ended late.
+const MOST_LOOKS: usize = 3;
 /// Other routers are told of engines, and heard, so often.
 const WORDS: f64 = 0.25;
 /// After a planned stop, requests come for this long, and the router is killed so long after its longest job.
@@ -49,6 +51,10 @@
 /// The last answers are out so much sooner.
 const STOP_MARGIN: f64 = 0.3;
 
+/// A line of the discovery service may take a sixteenth of the memory, and at least this: a list of 1,024 servers of 1 KiB
+/// each, which is held only while it is read.
+const LIST_LINE: usize = 1024 * 1024;
+
 /// What the loop tells of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
@@ -295,8 +301,9 @@
         None => None,
         Some((file, seed)) => Some(Speaker::open(&handle, file, seed, 0.0)?),
     };
+    let longest_line = (place.memory / 16).max(LIST_LINE);
     let mut server = Server {
-        board: BoardLink::new(place.board, place.last_event, place.memory / 16, now),
+        board: BoardLink::new(place.board, place.last_event, longest_line, now),
         net: Net { sessions, links, now },
         handle,
         routing,
@@ -329,15 +336,35 @@
             let counters = server.counters();
             return Ok(counters);
         }
-        let wait = (server.wake - server.clock.read()).max(0.0);
-        match event_loop.dispatch(Some(Duration::from_secs_f64(wait)), &mut ready) {
+        wait(&mut event_loop, &mut server.clock, server.wake, &mut ready)?;
+    }
+}
+
+/// Waits until something is ready, or until then. Where we stood still behind the system's word, what has come meanwhile is
+/// asked for once more: the next turn would decide without it, and take it for new in the turn after.
+fn wait(
+    event_loop: &mut EventLoop<Ready>,
+    clock: &mut Clock,
+    wake: f64,
+    ready: &mut Ready,
+) -> io::Result<()> {
+    let mut due = wake;
+    for _ in 0..MOST_LOOKS {
+        let begun = clock.read();
+        let wait = (due - begun).max(0.0);
+        match event_loop.dispatch(Some(Duration::from_secs_f64(wait)), ready) {
             Err(calloop::Error::IoError(error)) if error.kind() != io::ErrorKind::Interrupted => {
                 return Err(error)
             }
             Err(calloop::Error::IoError(_)) | Ok(()) => {}
             Err(error) => return Err(io::Error::other(error)),
         }
+        if clock.read() < begun + wait + BEAT {
+            break;
+        }
+        due = begun;
     }
+    Ok(())
 }
 
 impl Server {
@@ -361,7 +388,6 @@
                 Source::Session(id) => {
                     self.net.sessions.work(id, readiness, self.serving, now, &mut self.news)
                 }
-                // On the clock as it is: a connection that has come up takes only what may still leave.
                 Source::Link(id) => self.net.links.work(id, readiness.readable, self.clock.read()),
                 Source::Board => self.board(readiness.readable, now),
                 Source::Speaker(id) => {
@@ -383,6 +409,7 @@
             self.net.sessions.accept(now);
         }
         self.due(now);
+        self.net.sessions.greet(self.serving, now, &mut self.news);
         self.announce(now);
         self.meet(now);
         self.come_back(now);
@@ -393,6 +420,8 @@
         let now = self.clock.read();
         self.net.now = now;
         let (unusable, wake) = self.routing.turn(now, news, &mut self.net);
+        // On the clock as it is: a connection that has come up takes only what may still leave.
+        self.net.links.send_waiting(self.clock.read());
         for (session, why) in unusable {
             self.net.sessions.unusable(session, &why, now);
         }
--- a/crates/router/src/transport/sessions.rs
+++ b/crates/router/src/transport/sessions.rs
@@ -37,6 +37,8 @@
     /// Accepted, and waits for room.
     next: Option<TcpStream>,
     next_id: SessionId,
+    /// Accepted, and not looked at yet.
+    newcomers: Vec<SessionId>,
     /// Connections may be waiting to be accepted; none is until the next sweep, after one could not be.
     accepts: bool,
     paused: bool,
@@ -84,6 +86,7 @@
             next: None,
             // A kill meant for a session of the router before us must not meet one of ours.
             next_id: RandomState::new().hash_one(listen) as SessionId,
+            newcomers: Vec::new(),
             accepts: false,
             paused: false,
             again: Vec::new(),
@@ -145,7 +148,7 @@
         let token = watch(&self.handle, stream.clone(), Source::Session(id))?;
         self.sessions.insert(id, Session::new(token, id, stream, self.longest, now));
         self.counters.sessions += 1;
-        self.again.push(id);
+        self.newcomers.push(id);
         Ok(())
     }
 
@@ -158,7 +161,7 @@
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
             });
             let Some((&id, session)) = least else { return false };
-            if session.quiet() {
+            if session.quiet(now) {
                 self.counters.sessions_closed_for_room += 1;
                 self.remove(id);
                 return true;
@@ -171,12 +174,20 @@
     /// The router ends: no connection is taken any more, and every session at rest is ended on our side. True once all
     /// clients have closed theirs, or have had the time to.
     pub fn farewell(&mut self, now: f64) -> bool {
+        if self.listener.is_some() {
+            // What has connected until now is still let in, and what it sent ahead is read.
+            self.accept(now);
+            if !self.newcomers.is_empty() || self.accepts_more() {
+                return false;
+            }
+        }
         if let Some((_, token)) = self.listener.take() {
             self.handle.remove(token);
         }
         let begun = *self.farewell_at.get_or_insert(now);
-        let ended = self.sessions.iter_mut().filter_map(|(id, session)| session.farewell().then_some(*id));
-        self.again.extend(ended);
+        let sessions = self.sessions.iter_mut();
+        let again = sessions.filter_map(|(id, one)| (one.farewell(now) || one.reads_on()).then_some(*id));
+        self.again.extend(again);
         self.sessions.is_empty() || now >= begun + FAREWELL
     }
 
@@ -191,6 +202,13 @@
         }
     }
 
+    /// Reads what newcomers sent ahead: a kill that came before the turn is to be known to its decisions.
+    pub fn greet(&mut self, serving: bool, now: f64, news: &mut News) {
+        for id in std::mem::take(&mut self.newcomers) {
+            self.work(id, Readiness::EMPTY, serving, now, news);
+        }
+    }
+
     pub fn work(&mut self, id: SessionId, readiness: Readiness, serving: bool, now: f64, news: &mut News) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if readiness.readable || readiness.writable {
@@ -210,7 +228,12 @@
                 self.counters.withdrawn += 1;
                 self.answer(id, Answer::Withdrawn, now);
             }
-            Some(Ok(Some(Heard::Asked(request)))) => news.asked.push((id, request)),
+            Some(Ok(Some(Heard::Asked(mut request)))) => {
+                // Its time runs from its last byte, also where that came long before its turn.
+                let lay = session.lay(news.since.unwrap_or(now));
+                request.patience = (request.patience - lay).max(0.0);
+                news.asked.push((id, request));
+            }
             Some(Ok(Some(Heard::Unusable(why)))) => self.unusable(id, &why, now),
             Some(Ok(Some(Heard::Kill { session, query_only }))) => self.kills.push((id, session, query_only)),
             Some(Ok(Some(Heard::Counters))) => self.curious.push(id),
