--- /dev/null
+++ b/crates/bgp/src/session/ending.rs
@@ -0,0 +1,193 @@
+//! How sessions end: the drain, NOTIFICATIONs of ours, and what is kept and when the next attempt begins after a loss.
+
+use super::connection::{Connection, Phase};
+use super::timers::DRAIN_STEP_TIMEOUT;
+use super::{Act, AdminState, Path, Peer, RetryTimer, Side};
+use crate::message::Fault;
+use crate::notification::{self, Notification};
+use ipnet::IpNet;
+use std::collections::BTreeMap;
+
+/// Seconds that a connection may take to send its last message.
+const CLOSE_TIMEOUT: f64 = 1.0;
+/// Seconds between attempts to reach a peer that may keep routes of ours past a drain.
+const DRAIN_RETRY_TIME: f64 = 0.05;
+
+/// How a session was lost, as far as kept routes go.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Loss {
+    /// The connection broke off.
+    Connection,
+    /// One side sent a NOTIFICATION.
+    Notification,
+    /// For good: a hard reset (RFC 8538), or no session that could keep anything.
+    HardReset,
+}
+
+impl Loss {
+    pub fn of(notification: &Notification) -> Loss {
+        match notification.hard {
+            true => Loss::HardReset,
+            false => Loss::Notification,
+        }
+    }
+}
+
+impl Peer {
+    /// All is withdrawn for good, but for what of `lead` is out on the session that is up: that may change once more,
+    /// and goes with the next call or with the session. A peer that may keep routes of a lost session is sought, told
+    /// that there are none, and left.
+    pub fn drain(&mut self, lead: BTreeMap<IpNet, Path>, now: f64) {
+        if self.admin_state != AdminState::Running {
+            self.wanted.retain(|net, _| lead.contains_key(net));
+            return self.write_updates(now);
+        }
+        self.admin_state = AdminState::Draining;
+        let announced: Vec<IpNet> = self.told().map(|(net, _)| *net).collect();
+        self.wanted = lead.into_iter().filter(|(net, _)| announced.contains(net)).collect();
+        self.retry_timer = RetryTimer::Active { deadline: now };
+        if !self.may_retain_routes() {
+            for side in Side::BOTH {
+                self.leave_unless_established(side, "drained before the session was up", now);
+            }
+        }
+        self.shorten_attempts(now);
+        self.write_updates(now);
+    }
+
+    /// An attempt from before the drain, that may take its time, must not use up what is left of ours.
+    fn shorten_attempts(&mut self, now: f64) {
+        let latest = now + DRAIN_STEP_TIMEOUT;
+        for connection in self.connections.iter_mut().flatten() {
+            match &mut connection.phase {
+                Phase::Connecting { deadline } => *deadline = deadline.min(latest),
+                Phase::DelayOpen { deadline } => *deadline = now,
+                Phase::OpenSent | Phase::OpenConfirm => {
+                    connection.hold_deadline = connection.hold_deadline.min(latest);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn leave_unless_established(&mut self, side: Side, words: &str, now: f64) {
+        match self.connection(side).map(|connection| &connection.phase) {
+            Some(Phase::Connecting { .. } | Phase::DelayOpen { .. }) => {
+                self.close(side);
+                self.lost(side, words.to_string(), Loss::HardReset, now);
+            }
+            Some(Phase::OpenSent | Phase::OpenConfirm) => {
+                let cease = Notification::cease(notification::SHUTDOWN, words, false);
+                self.end(side, cease, None, now);
+            }
+            _ => {}
+        }
+    }
+
+    /// Ends the session with a Cease that removes our routes, also where they would be kept over a lost connection.
+    pub fn finish(&mut self, subcode: u8, words: &str, now: f64) {
+        self.drain(BTreeMap::new(), now);
+        self.admin_state = AdminState::Stopped;
+        self.retained_until = f64::NEG_INFINITY;
+        for side in Side::BOTH {
+            self.leave_unless_established(side, words, now);
+        }
+        if let Some((side, connection)) = self.established_connection() {
+            let hard = connection.keeps_over_notification();
+            self.end(side, Notification::cease(subcode, words, hard), None, now);
+        }
+    }
+
+    /// Asks the host to close a connection.
+    pub(super) fn close(&mut self, side: Side) {
+        self.actions.push_back(Act::Close(side));
+        if self.connection(side).is_some_and(Connection::is_closing) {
+            self.connections[side as usize] = None;
+        }
+    }
+
+    pub(super) fn fault(&mut self, side: Side, fault: Fault, now: f64) {
+        let why = fault.why;
+        self.end(side, fault.into(), Some(why), now);
+    }
+
+    /// Sends a last message; the connection is closed once it is written.
+    pub(super) fn end(&mut self, side: Side, last: Notification, why: Option<&str>, now: f64) {
+        let words = match why {
+            Some(why) if !why.is_empty() => format!("sent {last}: {why}"),
+            _ => format!("sent {last}"),
+        };
+        let Some(connection) = self.connection_mut(side) else { return };
+        last.put(&mut connection.output);
+        let output = std::mem::take(&mut connection.output);
+        self.counts.notifications_out += 1;
+        self.lost(side, words, Loss::of(&last), now);
+        let closing = Phase::Closing { deadline: now + CLOSE_TIMEOUT };
+        self.connections[side as usize] = Some(Connection { output, ..Connection::new(closing, now) });
+    }
+
+    /// The connection counts no more: what becomes of the routes of both sides, and when the next may begin.
+    pub(super) fn lost(&mut self, side: Side, why: String, loss: Loss, now: f64) {
+        let Some(connection) = self.connections[side as usize].take() else { return };
+        let was_established = connection.is_established();
+        if was_established {
+            self.counts.lost += 1;
+            self.keep_routes(&connection, loss, now);
+            if now >= connection.established_at + self.terms.stable {
+                self.idle_hold_time = self.terms.idle_hold;
+            }
+        }
+        self.log_loss(&connection, &why);
+        self.last_error = Some(why);
+        if was_established && self.admin_state != AdminState::Running {
+            // What was out went with the session, and does not come back with another one.
+            self.wanted.clear();
+        }
+        if !self.is_live(side.other()) {
+            self.start_retry_timer(&connection, now);
+        }
+    }
+
+    /// RFC 4724 section 4: which routes outlive a lost session, the peer's here and ours there.
+    fn keep_routes(&mut self, connection: &Connection, loss: Loss, now: f64) {
+        let kept = match loss {
+            Loss::Connection => true,
+            Loss::Notification => connection.keeps_over_notification(),
+            Loss::HardReset => false,
+        };
+        let peer = connection.peer_graceful_restart().filter(|_| kept);
+        match peer.filter(|graceful| graceful.keeps_any()) {
+            Some(graceful) => {
+                let until = now + f64::from(graceful.time).min(self.terms.believe_stale);
+                self.learned.grow_stale(graceful.families.map(|family| family.is_some()), until);
+            }
+            None => self.learned.clear(),
+        }
+        let local = connection.local_capabilities.graceful.filter(|graceful| graceful.keeps_any());
+        if let (Some(graceful), Some(_), true) = (local, peer, connection.has_announced) {
+            self.retained_until = now + f64::from(graceful.time);
+        }
+    }
+
+    fn log_loss(&mut self, connection: &Connection, why: &str) {
+        let was_established = connection.is_established();
+        // Told once while it lasts: each attempt would fill the log.
+        let again = self.last_error.as_deref() == Some(why);
+        let what = if was_established { "lost" } else { "no session" };
+        self.note(was_established || !again, format!("{what} in {:?}: {why}", connection.state()));
+    }
+
+    /// A failed session waits for IdleHoldTime, which doubles; an attempt that met no answer for ConnectRetryTime.
+    fn start_retry_timer(&mut self, connection: &Connection, now: f64) {
+        let opened = matches!(connection.phase, Phase::OpenSent | Phase::OpenConfirm | Phase::Established);
+        self.retry_timer = if self.admin_state != AdminState::Running {
+            RetryTimer::Active { deadline: now + DRAIN_RETRY_TIME }
+        } else if opened {
+            let wait = self.idle_hold_time * self.jitter();
+            self.idle_hold_time = (2.0 * self.idle_hold_time).min(self.terms.idle_hold_most);
+            RetryTimer::Idle { deadline: now + wait }
+        } else {
+            RetryTimer::Active { deadline: now + self.terms.connect_retry * self.jitter() }
+        };
+    }
+}
--- /dev/null
+++ b/crates/bgp/src/session/inbound.rs
@@ -0,0 +1,121 @@
+//! What the peer sends: messages by state, and the routes of its UPDATEs.
+
+use super::connection::Phase;
+use super::ending::Loss;
+use super::{Peer, Side};
+use crate::message::{self, Fault, Refresh};
+use crate::notification::{self, Notification};
+use crate::open::Role;
+use crate::update::{Attributes, Update};
+
+impl Peer {
+    /// Takes one message. An error ends the connection with its NOTIFICATION.
+    pub(super) fn message(&mut self, side: Side, kind: u8, body: &[u8], now: f64) -> Result<(), Fault> {
+        if self.connection(side).is_none() {
+            return Ok(());
+        }
+        if kind == message::NOTIFICATION {
+            self.notification(side, body, now);
+            return Ok(());
+        }
+        let Some(connection) = self.connection_mut(side) else { return Ok(()) };
+        if connection.hold_time > 0.0 {
+            connection.hold_deadline = now + connection.hold_time;
+        }
+        match (&connection.phase, kind) {
+            (Phase::DelayOpen { .. }, message::OPEN) => {
+                self.send_open(side, now);
+                self.open(side, body, now)
+            }
+            (Phase::OpenSent, message::OPEN) => self.open(side, body, now),
+            (Phase::OpenConfirm, message::KEEPALIVE) => {
+                self.established(side, now);
+                Ok(())
+            }
+            (Phase::Established, message::KEEPALIVE) => Ok(()),
+            (Phase::Established, message::UPDATE) => self.update(side, body),
+            (Phase::Established, message::ROUTE_REFRESH) => {
+                if let Refresh::Asked(family) = message::refresh(body) {
+                    connection.refresh[family as usize].requested = connection.speaks(family);
+                }
+                Ok(())
+            }
+            (phase, _) => Err(unexpected_message(phase)),
+        }
+    }
+
+    fn notification(&mut self, side: Side, body: &[u8], now: f64) {
+        let received = Notification::read(body);
+        self.counts.notifications_in += 1;
+        self.close(side);
+        self.lost(side, format!("received {received}"), Loss::of(&received), now);
+    }
+
+    fn update(&mut self, side: Side, body: &[u8]) -> Result<(), Fault> {
+        let Some(connection) = self.connection(side) else { return Ok(()) };
+        let update = Update::read(body, connection.encoding(self.terms.internal()))?;
+        self.counts.updates_in += 1;
+        self.counts.attributes_discarded += u64::from(update.discarded);
+        let attributes = &update.attributes;
+        let why = match update.treated_as_withdrawn {
+            Some(why) => Some(why),
+            None if update.announced.is_empty() => None,
+            None if self.is_foreign(attributes) => Some("the path does not begin with the peer's AS"),
+            None => None,
+        };
+        if let Some(why) = why {
+            self.count_treated_as_withdrawn(why);
+        }
+        for net in &update.withdrawn {
+            self.learned.remove(net);
+        }
+        let loops = attributes.times_in_path(self.terms.asn) > self.terms.own_as_allowed;
+        let usable = why.is_none() && !loops && !self.is_leaked(attributes);
+        for net in &update.announced {
+            match usable {
+                true => self.learned.insert(*net, attributes),
+                false => self.learned.remove(net),
+            }
+        }
+        if let Some(family) = update.end_of_rib {
+            self.learned.told_all(family);
+        }
+        Ok(())
+    }
+
+    /// RFC 4271 section 6.3: a path of another AS begins with the peer's, but for one that a route server passes on
+    /// (RFC 7947 section 2.2.2.1).
+    fn is_foreign(&self, attributes: &Attributes) -> bool {
+        let route_server = self.terms.role == Some(Role::RouteServerClient);
+        !self.terms.internal() && !route_server && attributes.first_as() != Some(self.terms.peer_asn)
+    }
+
+    /// RFC 9234 section 5: a route that must not come from this side has leaked.
+    fn is_leaked(&self, attributes: &Attributes) -> bool {
+        match (self.terms.role, attributes.only_to_customer) {
+            (Some(Role::Provider | Role::RouteServer), Some(_)) => true,
+            (Some(Role::Peer), Some(asn)) => asn != self.terms.peer_asn,
+            _ => false,
+        }
+    }
+
+    /// Logged at each power of two: a peer that keeps on sending such routes must not fill the log.
+    fn count_treated_as_withdrawn(&mut self, why: &str) {
+        self.counts.treated_as_withdrawn += 1;
+        let count = self.counts.treated_as_withdrawn;
+        if count.is_power_of_two() {
+            self.note(true, format!("routes treated as withdrawn: {why} ({count} times so far)"));
+        }
+    }
+}
+
+/// RFC 6608: the subcode tells the state that the message came in.
+fn unexpected_message(phase: &Phase) -> Fault {
+    let subcode = match phase {
+        Phase::OpenSent => 1,
+        Phase::OpenConfirm => 2,
+        Phase::Established => 3,
+        _ => 0,
+    };
+    Fault::new(notification::STATE, subcode, "a message that has no place in this state")
+}
--- /dev/null
+++ b/crates/bgp/src/session/mod.rs
@@ -0,0 +1,245 @@
+//! One peer: the state machine of RFC 4271 section 8 over up to two connections (ours and the peer's, until section
+//! 6.8 has settled which stays), and the routes announced on the one that is established (Adj-RIB-Out).
+//!
+//! The routes to announce are a set, not a queue: however often it changes while a peer does not read, the next UPDATE
+//! holds the difference between what was announced on this connection and what is wanted now. A new connection begins
+//! with an empty Adj-RIB-Out, so a withdrawal that was lost with the last one can't be missed.
+//!
+//! [`terms`] is the configuration, [`connection`] the state of one connection. The methods of [`Peer`] stand by job:
+//! [`timers`], [`transport`] (what the host tells of a connection), [`opening`] (OPEN, collisions, Established),
+//! [`inbound`] and [`outbound`] (messages and routes of each direction), [`ending`] (drain, NOTIFICATION, loss).
+
+mod connection;
+mod ending;
+mod inbound;
+mod opening;
+mod outbound;
+mod terms;
+mod timers;
+mod transport;
+
+pub use connection::{Side, State};
+pub use terms::{Path, PeerTerms};
+
+use crate::learned::Learned;
+use crate::message::{self, Refresh};
+use crate::open::Family;
+use connection::{Connection, Phase};
+use ipnet::IpNet;
+use std::collections::{BTreeMap, VecDeque};
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// Log entries kept until the host takes them; further ones are dropped.
+const MAX_LOG_ENTRIES: usize = 64;
+
+/// What the host is to do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Act {
+    /// Begin a connection; [`Peer::connected`] or [`Peer::closed`] tells what became of it.
+    Connect,
+    /// End the connection at once; what is unsent on it is lost.
+    Close(Side),
+}
+
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Counts {
+    pub established: u64,
+    pub lost: u64,
+    pub updates_out: u64,
+    pub updates_in: u64,
+    pub treated_as_withdrawn: u64,
+    pub attributes_discarded: u64,
+    pub notifications_out: u64,
+    pub notifications_in: u64,
+}
+
+/// What the host wants of the session.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum AdminState {
+    Running,
+    /// Nothing is announced any more; a peer that may keep routes of ours is still sought.
+    Draining,
+    /// No new connection.
+    Stopped,
+}
+
+/// When the next connection may begin, while there is none: IdleHoldTimer or ConnectRetryTimer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum RetryTimer {
+    Idle { deadline: f64 },
+    Active { deadline: f64 },
+}
+
+impl RetryTimer {
+    fn deadline(self) -> f64 {
+        match self {
+            RetryTimer::Idle { deadline } | RetryTimer::Active { deadline } => deadline,
+        }
+    }
+}
+
+/// Everything about one peer.
+#[derive(Clone, Debug)]
+pub struct Peer {
+    terms: PeerTerms,
+    seed: u64,
+    random_draws: u64,
+    admin_state: AdminState,
+    retry_timer: RetryTimer,
+    /// IdleHoldTime after the next failure.
+    idle_hold_time: f64,
+    /// By [`Side`].
+    connections: [Option<Connection>; 2],
+    /// The routes to announce, which the Adj-RIB-Out follows.
+    wanted: BTreeMap<IpNet, Path>,
+    /// Until when the peer may keep routes of ours from a lost session; minus infinity where there are none.
+    retained_until: f64,
+    /// No session has been established since the start (the Restart State bit of RFC 4724).
+    restarted: bool,
+    pub learned: Learned,
+    actions: VecDeque<Act>,
+    /// Why the last session or attempt ended.
+    pub last_error: Option<String>,
+    pub counts: Counts,
+    /// Words for the log since they were last taken, with whether they are of weight.
+    notes: VecDeque<(bool, String)>,
+}
+
+impl Peer {
+    pub fn new(terms: PeerTerms, seed: u64, now: f64) -> Peer {
+        Peer {
+            learned: Learned::new(&terms.services, terms.most_learned),
+            idle_hold_time: terms.idle_hold,
+            terms,
+            seed,
+            random_draws: 0,
+            admin_state: AdminState::Running,
+            retry_timer: RetryTimer::Idle { deadline: now },
+            connections: [None, None],
+            wanted: BTreeMap::new(),
+            retained_until: f64::NEG_INFINITY,
+            restarted: true,
+            actions: VecDeque::new(),
+            last_error: None,
+            counts: Counts::default(),
+            notes: VecDeque::new(),
+        }
+    }
+
+    /// Takes over new terms where a session need not end for them: other service addresses of the families that are
+    /// spoken. What the peer has of them is asked for again (RFC 2918). False: nothing was done.
+    pub fn change(&mut self, terms: &PeerTerms) -> bool {
+        if !self.terms.equals_except_services(terms) {
+            return false;
+        }
+        if terms.services != self.terms.services {
+            self.terms.services.clone_from(&terms.services);
+            self.learned.serve(&terms.services);
+            self.request_refresh();
+        }
+        true
+    }
+
+    /// Asks the peer for all its routes again, where a session is established and the peer can do it.
+    fn request_refresh(&mut self) {
+        let Some((_, connection)) = self.established_connection() else { return };
+        if !connection.peer_capabilities().is_some_and(|capabilities| capabilities.refresh) {
+            return;
+        }
+        for family in Family::ALL {
+            if connection.speaks(family) {
+                message::put_refresh(&mut connection.output, Refresh::Asked(family));
+            }
+        }
+    }
+
+    /// The next thing to do for the host.
+    pub fn act(&mut self) -> Option<Act> {
+        self.actions.pop_front()
+    }
+
+    pub fn noted(&mut self) -> Option<(bool, String)> {
+        self.notes.pop_front()
+    }
+
+    pub fn state(&self) -> State {
+        let furthest = self.connections.iter().flatten().map(Connection::state).max().unwrap_or(State::Idle);
+        match (furthest, self.retry_timer) {
+            (State::Idle, RetryTimer::Active { .. }) if self.admin_state == AdminState::Running => {
+                State::Active
+            }
+            _ => furthest,
+        }
+    }
+
+    /// Routes that the peer was told of on the connection that is up.
+    pub fn told(&self) -> impl Iterator<Item = (&IpNet, &Path)> {
+        let established = self.connections.iter().flatten().find(|connection| connection.is_established());
+        established.into_iter().flat_map(|connection| &connection.adj_rib_out)
+    }
+
+    /// No route of ours is left at the peer, as far as can be known: all withdrawals are written out, and nothing is
+    /// kept from a lost session.
+    pub fn cleared(&self, now: f64) -> bool {
+        let owes = |connection: &Connection| match connection.phase {
+            Phase::Established => !connection.adj_rib_out.is_empty() || !connection.output.is_empty(),
+            Phase::Closing { .. } => !connection.output.is_empty(),
+            _ => false,
+        };
+        now >= self.retained_until && !self.connections.iter().flatten().any(owes)
+    }
+
+    /// No connection is left, and none will begin.
+    pub fn over(&self) -> bool {
+        self.admin_state != AdminState::Running
+            && self.connections.iter().all(Option::is_none)
+            && !self.seeks_connection()
+    }
+
+    /// A connection is still sought.
+    fn seeks_connection(&self) -> bool {
+        match self.admin_state {
+            AdminState::Running => true,
+            AdminState::Draining => self.may_retain_routes(),
+            AdminState::Stopped => false,
+        }
+    }
+
+    /// The peer may keep routes of ours from a lost session.
+    fn may_retain_routes(&self) -> bool {
+        self.retained_until > f64::NEG_INFINITY
+    }
+
+    fn connection(&self, side: Side) -> Option<&Connection> {
+        self.connections[side as usize].as_ref()
+    }
+
+    fn connection_mut(&mut self, side: Side) -> Option<&mut Connection> {
+        self.connections[side as usize].as_mut()
+    }
+
+    /// There is a connection, and it is not about to be closed.
+    fn is_live(&self, side: Side) -> bool {
+        self.connection(side).is_some_and(|connection| !connection.is_closing())
+    }
+
+    fn established_connection(&mut self) -> Option<(Side, &mut Connection)> {
+        let is_established = |side: &Side| self.connection(*side).is_some_and(Connection::is_established);
+        let side = Side::BOTH.into_iter().find(is_established)?;
+        Some((side, self.connection_mut(side)?))
+    }
+
+    /// RFC 4271 section 10: a factor of 0.75 to 1, so that peers do not move in step.
+    fn jitter(&mut self) -> f64 {
+        self.random_draws += 1;
+        let mut hasher = DefaultHasher::new();
+        (self.seed, self.random_draws).hash(&mut hasher);
+        0.75 + 0.25 * (hasher.finish() as f64 / u64::MAX as f64)
+    }
+
+    fn note(&mut self, heavy: bool, words: String) {
+        if self.notes.len() < MAX_LOG_ENTRIES {
+            self.notes.push_back((heavy, words));
+        }
+    }
+}
--- /dev/null
+++ b/crates/bgp/src/session/opening.rs
@@ -0,0 +1,171 @@
+//! From a TCP connection to Established: OPEN, what is negotiated, and collisions of two connections.
+
+use super::connection::{Connection, Phase};
+use super::ending::Loss;
+use super::timers::DRAIN_STEP_TIMEOUT;
+use super::{AdminState, Peer, PeerTerms, Side, State};
+use crate::message::{self, Fault};
+use crate::notification::{self, Notification};
+use crate::open::{Capabilities, Family, Graceful, Open};
+
+impl Peer {
+    fn capabilities(&self) -> Capabilities {
+        // Where nothing is to be kept, no family is named: the peer then drops at once what it kept.
+        let restart_time = self.terms.graceful.filter(|_| self.admin_state == AdminState::Running);
+        let kept_families =
+            self.terms.families.map(|spoken| (spoken && restart_time.is_some()).then_some(true));
+        Capabilities {
+            families: self.terms.families,
+            four_octet: Some(self.terms.asn),
+            refresh: true,
+            enhanced_refresh: true,
+            graceful: Some(Graceful {
+                restarted: self.restarted,
+                over_notifications: true,
+                time: restart_time.unwrap_or(0),
+                families: kept_families,
+            }),
+            role: self.terms.role,
+        }
+    }
+
+    pub(super) fn send_open(&mut self, side: Side, now: f64) {
+        let capabilities = self.capabilities();
+        let open = Open {
+            asn: self.terms.asn,
+            hold: self.terms.hold,
+            id: self.terms.id,
+            capabilities: capabilities.clone(),
+        };
+        let timeout = match self.admin_state {
+            AdminState::Draining => DRAIN_STEP_TIMEOUT,
+            _ => self.terms.open_wait,
+        };
+        let Some(connection) = self.connection_mut(side) else { return };
+        open.put(&mut connection.output);
+        connection.phase = Phase::OpenSent;
+        connection.local_capabilities = capabilities;
+        connection.hold_deadline = now + timeout;
+        connection.last_progress = now;
+    }
+
+    /// The peer's OPEN: checked, and answered with a KEEPALIVE if this connection stays.
+    pub(super) fn open(&mut self, side: Side, body: &[u8], now: f64) -> Result<(), Fault> {
+        let open = Open::read(body)?;
+        check_open(&open, &self.terms)?;
+        if !self.resolve_collision(side, &open, now) {
+            return Ok(());
+        }
+        let hold_time = f64::from(self.terms.hold.min(open.hold));
+        let keepalive_deadline = now + hold_time / 3.0 * self.jitter();
+        let Some(connection) = self.connection_mut(side) else { return Ok(()) };
+        message::keepalive(&mut connection.output);
+        connection.phase = Phase::OpenConfirm;
+        connection.hold_time = hold_time;
+        connection.peer_open = Some(open);
+        if hold_time > 0.0 {
+            connection.hold_deadline = now + hold_time;
+            connection.keepalive_deadline = keepalive_deadline;
+        } else {
+            connection.hold_deadline = f64::INFINITY;
+            connection.keepalive_deadline = f64::INFINITY;
+        }
+        Ok(())
+    }
+
+    /// RFC 4271 section 6.8: of two connections one stays, the one that the higher identifier began (the higher AS
+    /// where identifiers are alike, RFC 6286). Tells whether it is this one; the other one is ended.
+    fn resolve_collision(&mut self, side: Side, open: &Open, now: f64) -> bool {
+        let other = side.other();
+        let cease = |words| Notification::cease(notification::COLLISION, words, false);
+        match self.connection(other).map(Connection::state) {
+            Some(State::Established) => {
+                if self.connection(other).and_then(Connection::peer_graceful_restart).is_some() {
+                    // RFC 4724 section 5: it restarted, and we have not heard of the end of the old one.
+                    self.close(other);
+                    self.lost(other, "the peer has connected anew".to_string(), Loss::Connection, now);
+                    return true;
+                }
+                self.end(side, cease("a session is up"), None, now);
+                false
+            }
+            Some(State::OpenConfirm) => {
+                let local = (u32::from(self.terms.id), self.terms.asn);
+                let remote = (u32::from(open.id), open.asn);
+                let stays = if local > remote { Side::Ours } else { Side::Theirs };
+                self.end(stays.other(), cease("the other connection stays"), None, now);
+                stays == side
+            }
+            _ => true,
+        }
+    }
+
+    /// The peer's first KEEPALIVE: the session is up.
+    pub(super) fn established(&mut self, side: Side, now: f64) {
+        self.give_up_other(side.other(), now);
+        self.counts.established += 1;
+        self.restarted = false;
+        let Some(connection) = self.connections[side as usize].as_mut() else { return };
+        connection.phase = Phase::Established;
+        connection.established_at = now;
+        let graceful = connection.peer_graceful_restart();
+        for family in Family::ALL {
+            connection.refresh[family as usize].end_of_rib_due =
+                connection.speaks(family) && graceful.is_some();
+            // RFC 4724 section 4.2: what it did not keep, or does not speak any more, is gone.
+            let keeps = graceful.is_some_and(|graceful| graceful.families[family as usize] == Some(true));
+            if !keeps {
+                self.learned.told_all(family);
+            }
+        }
+        let ours_kept = connection.local_capabilities.graceful.is_some_and(|graceful| graceful.keeps_any());
+        if !ours_kept || graceful.is_none() {
+            self.retained_until = f64::NEG_INFINITY;
+        }
+        let hold_time = connection.hold_time;
+        self.last_error = None;
+        self.note(true, format!("established, hold time {hold_time} s"));
+        self.write_updates(now);
+    }
+
+    /// Ends what the other connection still tries: it leads nowhere once a session is up.
+    fn give_up_other(&mut self, other: Side, now: f64) {
+        match self.connection(other).map(Connection::state) {
+            Some(State::Connect) => {
+                self.close(other);
+                self.connections[other as usize] = None;
+            }
+            Some(State::OpenSent | State::OpenConfirm) => {
+                let cease = Notification::cease(notification::COLLISION, "a session is up", false);
+                self.end(other, cease, None, now);
+            }
+            _ => {}
+        }
+    }
+}
+
+/// RFC 4271 section 6.2, RFC 5492 section 3, RFC 9234 section 4.2: whether a session may begin with this OPEN.
+fn check_open(open: &Open, terms: &PeerTerms) -> Result<(), Fault> {
+    if open.asn != terms.peer_asn {
+        return Err(Fault::new(2, 2, "the peer is of another AS").with(&open.asn.to_be_bytes()));
+    }
+    let same_id = open.id == terms.id && terms.internal();
+    if same_id || terms.peer_id.is_some_and(|id| id != open.id) {
+        return Err(Fault::new(2, 3, "the peer has another BGP identifier").with(&open.id.octets()));
+    }
+    match (terms.role, open.capabilities.role) {
+        (Some(ours), Some(theirs)) if ours.counterpart() != theirs => {
+            return Err(Fault::new(2, 11, "the peer's role does not go with ours"))
+        }
+        (Some(_), None) if terms.strict_role => return Err(Fault::new(2, 11, "the peer tells no role")),
+        _ => {}
+    }
+    let common = |family: &Family| {
+        let index = *family as usize;
+        terms.families[index] && open.capabilities.families[index]
+    };
+    if !Family::ALL.iter().any(common) {
+        return Err(Fault::new(2, 7, "no address family in common"));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/bgp/src/session/outbound.rs
@@ -0,0 +1,119 @@
+//! What is announced to the peer: the Adj-RIB-Out is brought to what is wanted, as far as the peer reads.
+
+use super::connection::{Connection, RefreshState};
+use super::{AdminState, Path, Peer};
+use crate::message::{self, Refresh};
+use crate::open::{Family, Role};
+use crate::update::{self, family_of, Attributes, Segment};
+use ipnet::IpNet;
+use std::collections::BTreeMap;
+
+/// Bytes: no more UPDATEs are written while so much is unsent, so that a peer that reads nothing costs a bounded buffer.
+const OUTPUT_LIMIT: usize = 8 * 1024;
+
+impl Peer {
+    /// What is to be out from now on. After a drain began this changes nothing: nothing is announced again.
+    pub fn announce(&mut self, wanted: BTreeMap<IpNet, Path>, now: f64) {
+        if self.admin_state == AdminState::Running && self.wanted != wanted {
+            self.wanted = wanted;
+            self.write_updates(now);
+        }
+    }
+
+    /// Writes the difference between the Adj-RIB-Out and what is wanted, withdrawals first, as far as the peer reads.
+    pub(super) fn write_updates(&mut self, now: f64) {
+        let Some((side, _)) = self.established_connection() else { return };
+        let Some(mut connection) = self.connections[side as usize].take() else { return };
+        if connection.output.len() < OUTPUT_LIMIT {
+            let was_empty = connection.output.is_empty();
+            for family in Family::ALL {
+                if connection.speaks(family) {
+                    self.write_family(&mut connection, family);
+                }
+            }
+            if was_empty && !connection.output.is_empty() {
+                connection.last_progress = now;
+            }
+        }
+        let all_written = connection.output.is_empty();
+        self.connections[side as usize] = Some(connection);
+        // A peer that was only sought to clear what it kept is left once it has been told so.
+        if self.admin_state == AdminState::Draining && all_written && self.wanted.is_empty() {
+            self.retained_until = f64::NEG_INFINITY;
+        }
+    }
+
+    fn write_family(&mut self, connection: &mut Connection, family: Family) {
+        let RefreshState { requested, end_of_rib_due } =
+            std::mem::take(&mut connection.refresh[family as usize]);
+        let enhanced =
+            connection.peer_capabilities().is_some_and(|capabilities| capabilities.enhanced_refresh);
+        if requested {
+            // What was announced is announced again; what was withdrawn meanwhile stays so.
+            connection
+                .adj_rib_out
+                .retain(|net, _| family_of(net) != family || !self.wanted.contains_key(net));
+        }
+        if requested && enhanced {
+            message::put_refresh(&mut connection.output, Refresh::Begins(family));
+        }
+        self.write_withdrawals(connection, family);
+        self.write_announcements(connection, family);
+        if requested && enhanced {
+            message::put_refresh(&mut connection.output, Refresh::Ends(family));
+        }
+        if end_of_rib_due {
+            update::end_of_rib(&mut connection.output, family);
+        }
+    }
+
+    fn write_withdrawals(&mut self, connection: &mut Connection, family: Family) {
+        let is_gone = |net: &&IpNet| family_of(net) == family && !self.wanted.contains_key(*net);
+        let gone: Vec<IpNet> = connection.adj_rib_out.keys().filter(is_gone).copied().collect();
+        if gone.is_empty() {
+            return;
+        }
+        update::withdraw(&mut connection.output, family, &gone);
+        for net in &gone {
+            connection.adj_rib_out.remove(net);
+        }
+        self.counts.updates_out += 1;
+    }
+
+    /// Prefixes that are announced alike share UPDATEs.
+    fn write_announcements(&mut self, connection: &mut Connection, family: Family) {
+        let mut new: BTreeMap<&Path, Vec<IpNet>> = BTreeMap::new();
+        for (net, path) in &self.wanted {
+            if family_of(net) == family && connection.adj_rib_out.get(net) != Some(path) {
+                new.entry(path).or_default().push(*net);
+            }
+        }
+        let encoding = connection.encoding(self.terms.internal());
+        for (path, nets) in new {
+            let Some(attributes) = self.attributes(family, path) else { continue };
+            update::announce(&mut connection.output, family, &nets, &attributes, encoding);
+            connection.has_announced = true;
+            connection.adj_rib_out.extend(nets.into_iter().map(|net| (net, path.clone())));
+            self.counts.updates_out += 1;
+        }
+    }
+
+    /// The path attributes of one announcement; none where there is no next hop of the family.
+    fn attributes(&self, family: Family, path: &Path) -> Option<Attributes> {
+        let terms = &self.terms;
+        let numbers = vec![terms.asn; 1 + usize::from(path.prepend)];
+        let own = Segment { set: false, numbers };
+        // RFC 9234 section 5: what we send to a customer or a lateral peer must go to customers only from there.
+        let to_customers_only = matches!(terms.role, Some(Role::Provider | Role::RouteServer | Role::Peer));
+        Some(Attributes {
+            origin: 0,
+            as_path: if terms.internal() { Vec::new() } else { vec![own] },
+            next_hop: Some(terms.next_hops[family as usize]?),
+            med: path.med,
+            local_pref: path.local_pref,
+            communities: path.communities.clone(),
+            large: path.large.clone(),
+            only_to_customer: to_customers_only.then_some(terms.asn),
+        })
+    }
+}
--- /dev/null
+++ b/crates/bgp/src/session/timers.rs
@@ -0,0 +1,86 @@
+//! The timers of a session: when the next one is due, and what happens when it expires.
+
+use super::connection::{Connection, Phase};
+use super::ending::Loss;
+use super::{Act, AdminState, Peer, Side};
+use crate::message::{self, Fault};
+use crate::notification::{self, Notification};
+
+/// While draining, seconds that each step towards a session may take: a peer that keeps routes of ours must be reached
+/// within the drain or not at all.
+pub(super) const DRAIN_STEP_TIMEOUT: f64 = 0.3;
+
+impl Peer {
+    /// When [`Peer::time_passed`] is to be called at the latest.
+    pub fn due(&self) -> f64 {
+        let retry = if self.may_connect() { self.retry_timer.deadline() } else { f64::INFINITY };
+        let retained = if self.may_retain_routes() { self.retained_until } else { f64::INFINITY };
+        let connections = self.connections.iter().flatten().map(Connection::due);
+        connections.chain([retry, retained, self.learned.due()]).fold(f64::INFINITY, f64::min)
+    }
+
+    pub fn time_passed(&mut self, now: f64) {
+        self.learned.time_passed(now);
+        if now >= self.retained_until {
+            self.retained_until = f64::NEG_INFINITY;
+        }
+        for side in Side::BOTH {
+            self.expire_timers(side, now);
+        }
+        if now >= self.retry_timer.deadline() && self.may_connect() {
+            self.connect(now);
+        }
+        self.write_updates(now);
+    }
+
+    /// Nothing but time stands in the way of a connection of ours.
+    fn may_connect(&self) -> bool {
+        let free = self.connection(Side::Ours).is_none() && !self.is_live(Side::Theirs);
+        free && self.seeks_connection() && !self.terms.passive
+    }
+
+    fn connect(&mut self, now: f64) {
+        let timeout = match self.admin_state {
+            AdminState::Draining => DRAIN_STEP_TIMEOUT,
+            _ => self.terms.connect_wait,
+        };
+        let connecting = Connection::new(Phase::Connecting { deadline: now + timeout }, now);
+        self.connections[Side::Ours as usize] = Some(connecting);
+        self.actions.push_back(Act::Connect);
+    }
+
+    /// Acts on what has expired on one connection.
+    fn expire_timers(&mut self, side: Side, now: f64) {
+        let Some(connection) = self.connection(side) else { return };
+        match connection.phase {
+            Phase::Closing { deadline } if now >= deadline => return self.close(side),
+            Phase::Closing { .. } => return,
+            Phase::Connecting { deadline } if now >= deadline => {
+                self.close(side);
+                return self.lost(side, "no connection came up".to_string(), Loss::Connection, now);
+            }
+            Phase::DelayOpen { deadline } if now >= deadline => return self.send_open(side, now),
+            _ => {}
+        }
+        if now >= connection.hold_deadline {
+            let expired = Notification::from(Fault::new(notification::HOLD, 0, ""));
+            return self.end(side, expired, None, now);
+        }
+        if now >= connection.send_hold_deadline() {
+            // RFC 9687: no NOTIFICATION could get through.
+            self.close(side);
+            let why = "takes no byte: send hold timer expired".to_string();
+            return self.lost(side, why, Loss::Connection, now);
+        }
+        if now >= connection.keepalive_deadline {
+            self.send_keepalive(side, now);
+        }
+    }
+
+    fn send_keepalive(&mut self, side: Side, now: f64) {
+        let jitter = self.jitter();
+        let Some(connection) = self.connection_mut(side) else { return };
+        message::keepalive(&mut connection.output);
+        connection.keepalive_deadline = now + connection.hold_time / 3.0 * jitter;
+    }
+}
