--- /dev/null
+++ b/crates/bgp/src/update/tests.rs
@@ -0,0 +1,225 @@
+//! UPDATEs as written and read, malformed and hostile ones.
+
+use super::as_path::merge_as4;
+use super::attributes::{code::*, flag::*};
+use super::encode::attribute;
+use super::*;
+use crate::message::{frame, UPDATE};
+use ipnet::Ipv4Net;
+use proptest::prelude::*;
+use std::net::Ipv4Addr;
+
+const NEW: Wire = Wire { four_octet: true, internal: false };
+
+fn whole() -> Attributes {
+    Attributes {
+        origin: 0,
+        as_path: vec![Segment { set: false, numbers: vec![64_500, 4_200_000_001, 64_500] }],
+        next_hop: Some("192.0.2.7".parse().unwrap()),
+        med: Some(50),
+        local_pref: None,
+        communities: vec![crate::GRACEFUL_SHUTDOWN, 0xfde8_0001],
+        large: vec![[64_500, 1, 7]],
+        only_to_customer: Some(64_500),
+    }
+}
+
+fn read_all(bytes: &[u8], wire: Wire) -> Vec<Update> {
+    let mut at = 0;
+    let mut updates = Vec::new();
+    while let Some(found) = frame(&bytes[at..]).unwrap() {
+        assert_eq!(found.kind, UPDATE);
+        updates.push(Update::read(found.body, wire).unwrap());
+        at += found.length();
+    }
+    assert_eq!(at, bytes.len());
+    updates
+}
+
+fn nets(words: &[&str]) -> Vec<IpNet> {
+    words.iter().map(|word| word.parse().unwrap()).collect()
+}
+
+#[test]
+fn both_families_read_as_they_were_written() {
+    let mut bytes = Vec::new();
+    let four = nets(&["198.51.100.7/32", "10.0.0.0/8", "0.0.0.0/0"]);
+    let six = nets(&["2001:db8::7/128", "2001:db8::/33"]);
+    let for_six = Attributes { next_hop: Some("2001:db8::1".parse().unwrap()), ..whole() };
+    announce(&mut bytes, Family::Ipv4, &four, &whole(), NEW);
+    announce(&mut bytes, Family::Ipv6, &six, &for_six, NEW);
+    withdraw(&mut bytes, Family::Ipv4, &four);
+    withdraw(&mut bytes, Family::Ipv6, &six);
+    end_of_rib(&mut bytes, Family::Ipv4);
+    end_of_rib(&mut bytes, Family::Ipv6);
+    let read = read_all(&bytes, NEW);
+    assert_eq!((&read[0].announced, &read[0].attributes), (&four, &whole()));
+    assert_eq!((&read[1].announced, &read[1].attributes), (&six, &for_six));
+    assert_eq!((&read[2].withdrawn, read[2].end_of_rib), (&four, None));
+    assert_eq!((&read[3].withdrawn, read[3].end_of_rib), (&six, None));
+    assert_eq!([read[4].end_of_rib, read[5].end_of_rib], [Some(Family::Ipv4), Some(Family::Ipv6)]);
+}
+
+#[test]
+fn an_old_speaker_gets_two_octets_and_the_long_numbers_come_back_whole() {
+    let mut bytes = Vec::new();
+    let old = Wire { four_octet: false, internal: false };
+    announce(&mut bytes, Family::Ipv4, &nets(&["198.51.100.7/32"]), &whole(), old);
+    assert_eq!(read_all(&bytes, old)[0].attributes.as_path, whole().as_path);
+    // Old speakers ahead of it have prepended without touching AS4_PATH.
+    let path = vec![Segment { set: false, numbers: vec![1, 2, 23456, 3] }];
+    let behind = vec![Segment { set: false, numbers: vec![4_200_000_001, 3] }];
+    assert_eq!(merge_as4(path.clone(), Some(behind))[0].numbers, [1, 2, 4_200_000_001, 3]);
+    let longer = vec![Segment { set: false, numbers: vec![9; 5] }];
+    assert_eq!(merge_as4(path.clone(), Some(longer)), path);
+}
+
+#[test]
+fn more_prefixes_than_a_message_holds_go_in_several() {
+    let many: Vec<IpNet> =
+        (0..3000u32).map(|at| Ipv4Net::new(Ipv4Addr::from(0x0a00_0000 + at), 32).unwrap().into()).collect();
+    let mut bytes = Vec::new();
+    announce(&mut bytes, Family::Ipv4, &many, &whole(), NEW);
+    withdraw(&mut bytes, Family::Ipv4, &many);
+    let read = read_all(&bytes, NEW);
+    let told: Vec<IpNet> = read.iter().flat_map(|update| update.announced.clone()).collect();
+    let gone: Vec<IpNet> = read.iter().flat_map(|update| update.withdrawn.clone()).collect();
+    assert!(told == many && gone == many && read.len() < 12);
+}
+
+/// An UPDATE that announces 198.51.100.7/32 with these attributes.
+fn update(attributes: &[(u8, u8, &[u8])]) -> Vec<u8> {
+    let mut head = Vec::new();
+    for (flagged, kind, value) in attributes {
+        attribute(&mut head, *flagged, *kind, value);
+    }
+    let mut body = vec![0, 0];
+    body.extend((head.len() as u16).to_be_bytes());
+    body.extend(head);
+    body.extend([32, 198, 51, 100, 7]);
+    body
+}
+
+const GOOD: [(u8, u8, &[u8]); 3] = [
+    (TRANSITIVE, ORIGIN, &[0]),
+    (TRANSITIVE, AS_PATH, &[2, 1, 0, 0, 0xfb, 0xf4]),
+    (TRANSITIVE, NEXT_HOP, &[192, 0, 2, 7]),
+];
+
+/// RFC 7606 section 7, attribute by attribute.
+#[test]
+fn a_malformed_attribute_costs_its_routes_or_itself_and_not_the_session() {
+    let withdrawn = |attributes: &[(u8, u8, &[u8])]| {
+        let update = Update::read(&update(attributes), NEW).unwrap();
+        (update.announced.len(), update.withdrawn.len(), update.discarded)
+    };
+    assert_eq!(withdrawn(&GOOD), (1, 0, 0));
+    let bad: [(u8, u8, &[u8]); 9] = [
+        (OPTIONAL, MULTI_EXIT_DISC, &[1, 2]),
+        (OPTIONAL | TRANSITIVE, COMMUNITIES, &[1, 2, 3, 4, 5]),
+        (OPTIONAL | TRANSITIVE, COMMUNITIES, &[]),
+        (OPTIONAL | TRANSITIVE, LARGE_COMMUNITIES, &[0; 13]),
+        (OPTIONAL | TRANSITIVE, ONLY_TO_CUSTOMER, &[0; 3]),
+        (TRANSITIVE, MULTI_EXIT_DISC, &[0; 4]),
+        (OPTIONAL, COMMUNITIES, &[0; 4]),
+        (TRANSITIVE, AGGREGATOR, &[0; 8]),
+        (OPTIONAL, ORIGIN, &[0]),
+    ];
+    for one in bad {
+        let mut all = GOOD.to_vec();
+        all.retain(|good| good.1 != one.1);
+        all.push(one);
+        assert_eq!(withdrawn(&all), (0, 1, 0), "{one:?}");
+    }
+    for (at, value) in [(0, &[3][..]), (0, &[0, 0]), (1, &[2, 2, 0, 0, 0, 1]), (1, &[3, 1, 0, 0, 0, 1])] {
+        let mut all = GOOD;
+        all[at].2 = value;
+        assert_eq!(withdrawn(&all), (0, 1, 0), "{value:?}");
+    }
+    for missing in 0..3 {
+        let mut all = GOOD.to_vec();
+        all.remove(missing);
+        assert_eq!(withdrawn(&all), (0, 1, 0));
+    }
+    let passed: [(u8, u8, &[u8]); 5] = [
+        (TRANSITIVE, ATOMIC_AGGREGATE, &[1]),
+        (OPTIONAL | TRANSITIVE, AGGREGATOR, &[1]),
+        (TRANSITIVE, LOCAL_PREF, &[1]),
+        (OPTIONAL, CLUSTER_LIST, &[]),
+        (TRANSITIVE, ORIGIN, &[1]),
+    ];
+    for one in passed {
+        let mut all = GOOD.to_vec();
+        all.push(one);
+        assert_eq!(withdrawn(&all), (1, 0, 1), "{one:?}");
+    }
+    // An attribute that is longer than the rest: the routes behind are known.
+    let mut long = update(&GOOD);
+    let length = long.len();
+    long[length - 5 - 5] = 200;
+    let read = Update::read(&long, NEW).unwrap();
+    assert_eq!((read.announced.len(), read.withdrawn.len()), (0, 1));
+}
+
+#[test]
+fn what_leaves_the_routes_unknown_ends_the_session() {
+    let fault = |attributes: &[(u8, u8, &[u8])]| Update::read(&update(attributes), NEW).unwrap_err().subcode;
+    let unreach: (u8, u8, &[u8]) = (OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1]);
+    assert_eq!(fault(&[unreach, unreach]), 1);
+    assert_eq!(fault(&[(OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1, 129])]), 9);
+    assert_eq!(fault(&[(OPTIONAL, MP_REACH_NLRI, &[0, 2, 1, 4, 1, 2, 3, 4, 0])]), 9);
+    assert_eq!(fault(&[(TRANSITIVE, MP_REACH_NLRI, &[0, 2, 1])]), 4);
+    assert_eq!(fault(&[(TRANSITIVE, 99, &[])]), 2);
+    assert_eq!(Update::read(&[0, 9, 0, 0], NEW).unwrap_err().subcode, 1);
+    assert_eq!(Update::read(&[0, 0, 0, 9], NEW).unwrap_err().subcode, 1);
+    assert_eq!(Update::read(&[0, 0, 0, 0, 33, 1, 2, 3, 4, 5], NEW).unwrap_err().subcode, 10);
+}
+
+proptest! {
+    #[test]
+    fn whatever_is_written_is_read_again(
+        four in proptest::collection::vec((any::<u32>(), 0u8..=32), 1..40),
+        numbers in proptest::collection::vec(1u32.., 1..8),
+        communities in proptest::collection::vec(any::<u32>(), 0..9),
+        large in proptest::collection::vec(any::<[u32; 3]>(), 0..5),
+        med in any::<Option<u32>>(),
+        four_octet in any::<bool>(),
+    ) {
+        let wire = Wire { four_octet, internal: false };
+        let nets: Vec<IpNet> =
+            four.iter().map(|&(bits, length)| Ipv4Net::new(bits.into(), length).unwrap().trunc().into()).collect();
+        let as_path = vec![Segment { set: false, numbers }];
+        let attributes = Attributes { as_path, communities, large, med, ..whole() };
+        let mut bytes = Vec::new();
+        announce(&mut bytes, Family::Ipv4, &nets, &attributes, wire);
+        let read = read_all(&bytes, wire);
+        prop_assert_eq!(&read[0].announced, &nets);
+        prop_assert_eq!(&read[0].attributes, &attributes);
+    }
+
+    #[test]
+    fn random_bodies_are_read_or_refused_and_never_more_than_they_name(
+        body in proptest::collection::vec(any::<u8>(), 0..4077),
+        four_octet in any::<bool>(),
+    ) {
+        if let Ok(update) = Update::read(&body, Wire { four_octet, internal: false }) {
+            prop_assert!(update.announced.len() + update.withdrawn.len() <= body.len());
+        }
+        let _ = crate::Open::read(&body);
+        let _ = crate::Notification::read(&body).to_string();
+        let _ = frame(&body);
+    }
+
+    /// Every truncation and one changed octet of a whole message: an error, or routes, and no panic.
+    #[test]
+    fn cut_and_changed_messages_do_no_harm(cut in 0usize..200, at in 0usize..200, octet in any::<u8>()) {
+        let mut bytes = Vec::new();
+        let for_six = Attributes { next_hop: Some("2001:db8::1".parse().unwrap()), ..whole() };
+        announce(&mut bytes, Family::Ipv6, &nets(&["2001:db8::7/128"]), &for_six, NEW);
+        let mut body = frame(&bytes).unwrap().unwrap().body.to_vec();
+        let at = at % body.len();
+        body[at] = octet;
+        body.truncate(cut.max(1));
+        let _ = Update::read(&body, NEW);
+    }
+}
