--- a/crates/announce/src/tests.rs
+++ b/crates/announce/src/announcer/tests.rs
@@ -1,7 +1,11 @@
 //! One instance in virtual time, one story for each trouble.
 
 use super::*;
-use cleatgw_bgp::Seen;
+use crate::paths::{Mark, Paths};
+use crate::signs::{Effect, SignTerms};
+use crate::terms::{Dear, Hold};
+use crate::Damping;
+use cleatgw_bgp::{Seen, GRACEFUL_SHUTDOWN};
 
 fn net() -> IpNet {
     "198.51.100.7/32".parse().unwrap()
--- a/crates/announce/src/paths.rs
+++ b/crates/announce/src/paths.rs
@@ -29,13 +29,30 @@
     }
 }
 
+/// Paths to one address that other instances announce.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct PathCounts {
+    /// Those that are not known to be sick.
+    pub sound: usize,
+    pub seen: usize,
+}
+
+/// What is seen of one address.
+#[derive(Clone, Debug, Default, PartialEq)]
+struct Announcers {
+    /// Instances by their marks, those that are sound and all.
+    sound: BTreeSet<u32>,
+    seen: BTreeSet<u32>,
+    /// Paths without a mark.
+    unmarked: usize,
+}
+
 /// Paths of other instances, by address.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Paths {
     /// A session is up that would show them: without one nothing is known.
     pub view: bool,
-    /// By address: the instances that are sound, all that are seen, and paths of unknown origin.
-    by_net: BTreeMap<IpNet, (BTreeSet<u32>, BTreeSet<u32>, usize)>,
+    by_net: BTreeMap<IpNet, Announcers>,
 }
 
 impl Paths {
@@ -51,26 +68,34 @@
             return;
         }
         let leaving = seen.communities.contains(&GRACEFUL_SHUTDOWN);
-        let entry = self.by_net.entry(net).or_default();
+        let announcers = self.by_net.entry(net).or_default();
         match mark.read(seen) {
             Some((instance, _)) if instance == mark.instance => {}
             Some((instance, sound)) => {
-                entry.1.insert(instance);
+                announcers.seen.insert(instance);
                 if sound && !leaving {
-                    entry.0.insert(instance);
+                    announcers.sound.insert(instance);
                 }
             }
             // Somebody else's, or a peer that strips communities: a path, and not known to be sick.
-            None => entry.2 += usize::from(!leaving),
+            None => announcers.unmarked += usize::from(!leaving),
+        }
+    }
+
+    pub(crate) fn counts(&self, net: &IpNet) -> PathCounts {
+        let Some(announcers) = self.by_net.get(net) else { return PathCounts::default() };
+        PathCounts {
+            sound: announcers.sound.len() + announcers.unmarked,
+            seen: announcers.seen.len() + announcers.unmarked,
         }
     }
 
     pub fn sound(&self, net: &IpNet) -> usize {
-        self.by_net.get(net).map_or(0, |(sound, _, other)| sound.len() + other)
+        self.counts(net).sound
     }
 
     pub fn seen(&self, net: &IpNet) -> usize {
-        self.by_net.get(net).map_or(0, |(_, seen, other)| seen.len() + other)
+        self.counts(net).seen
     }
 }
 
