--- a/crates/announce/src/damping.rs
+++ b/crates/announce/src/damping.rs
@@ -41,37 +41,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const DAMPING: Damping = Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 120.0 };
-
-    #[test]
-    fn falls_add_up_time_halves_them_and_no_penalty_lasts_for_ever() {
-        let mut penalty = Penalty::default();
-        for at in 0..3 {
-            assert!(!penalty.suppressed);
-            penalty.add(f64::from(at), &DAMPING);
-            penalty.fade(f64::from(at), &DAMPING);
-        }
-        // 2.98: the third fall came just short of the bound, the fourth is past it.
-        assert!(!penalty.suppressed);
-        penalty.add(3.0, &DAMPING);
-        assert!(penalty.suppressed);
-        // Far more falls hold it back for the longest time and no longer.
-        (0..100).for_each(|_| penalty.add(4.0, &DAMPING));
-        penalty.fade(4.0 + 119.0, &DAMPING);
-        assert!(penalty.suppressed);
-        penalty.fade(4.0 + 121.0, &DAMPING);
-        assert!(!penalty.suppressed);
-    }
-
-    #[test]
-    fn slow_falls_never_add_up() {
-        let mut penalty = Penalty::default();
-        for at in 0..1000 {
-            penalty.add(60.0 * f64::from(at), &DAMPING);
-            assert!(!penalty.suppressed);
-        }
-    }
-}
+mod tests;
--- a/crates/announce/src/paths.rs
+++ b/crates/announce/src/paths.rs
@@ -100,33 +100,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn seen(large: &[[u32; 3]], communities: &[u32], stale: bool) -> Seen {
-        Seen { communities: communities.to_vec(), large: large.to_vec(), path_length: 2, med: None, stale }
-    }
-
-    #[test]
-    fn our_own_path_shown_back_is_nobody_and_the_sick_are_no_sound_ones() {
-        let mark = Mark { asn: 64_512, sound: 1, last_resort: 2, instance: 7 };
-        let net = "198.51.100.7/32".parse().unwrap();
-        let count = |paths: &[Seen]| {
-            let mut all = Paths::default();
-            paths.iter().for_each(|path| all.add(&mark, net, path));
-            (all.sound(&net), all.seen(&net))
-        };
-        assert_eq!(count(&[seen(&[mark.write(true)], &[], false)]), (0, 0));
-        assert_eq!(count(&[seen(&[[64_512, 1, 8]], &[], false)]), (1, 1));
-        // The same instance by two peers is one.
-        assert_eq!(
-            count(&[seen(&[[64_512, 1, 8]], &[], false), seen(&[[64_512, 1, 8]], &[], false)]),
-            (1, 1)
-        );
-        assert_eq!(count(&[seen(&[[64_512, 2, 8]], &[], false)]), (0, 1));
-        assert_eq!(count(&[seen(&[[64_512, 1, 8]], &[GRACEFUL_SHUTDOWN], false)]), (0, 1));
-        assert_eq!(count(&[seen(&[[64_512, 1, 8]], &[], true)]), (0, 0));
-        // Marks of another AS or with another meaning say nothing.
-        assert_eq!(count(&[seen(&[[9, 2, 8], [64_512, 77, 8]], &[], false)]), (1, 1));
-    }
-}
+mod tests;
