--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -5,6 +5,7 @@
 //! most. [`session`] holds the states of one peer's connections (RFC 4271 section 8), [`learned`] what a peer tells of
 //! our own service addresses. Times are seconds on the host's clock, which must not go back.
 
+pub mod error;
 pub mod learned;
 pub mod message;
 pub mod notification;
@@ -12,8 +13,9 @@
 pub mod session;
 pub mod update;
 
+pub use error::{CeaseSubcode, ErrorKind, MessageError};
 pub use learned::{Learned, Seen};
-pub use message::{frame, Fault, Frame, HEADER, LONGEST};
+pub use message::{frame, Frame, MessageType, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 pub use notification::Notification;
 pub use open::{Capabilities, Family, Graceful, Open, Role};
 pub use session::{Act, Path, Peer, PeerTerms, Side, State};
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -1,120 +1,149 @@
-//! Message framing (RFC 4271 section 4.1), and what is wrong with a message (section 6).
+//! Message framing (RFC 4271 section 4.1), KEEPALIVE, and ROUTE-REFRESH (RFC 2918, RFC 7313).
 
+use crate::error::{HeaderError, MessageError};
 use crate::open::Family;
 
-/// The fixed header.
-pub const HEADER: usize = 19;
-/// No message is longer (RFC 4271 section 4.1); the extended length of RFC 8654 is not offered, so none may come.
-pub const LONGEST: usize = 4096;
+/// Octets of the fixed header: marker, length and type.
+pub const HEADER_LENGTH: usize = 19;
+/// Octets of the longest message (RFC 4271 section 4.1). The extended length of RFC 8654 is not offered, so no peer may
+/// send a longer one.
+pub const MAX_MESSAGE_LENGTH: usize = 4096;
 
-pub const OPEN: u8 = 1;
-pub const UPDATE: u8 = 2;
-pub const NOTIFICATION: u8 = 3;
-pub const KEEPALIVE: u8 = 4;
-/// RFC 2918.
-pub const ROUTE_REFRESH: u8 = 5;
+/// The marker that every message begins with.
+const MARKER: [u8; 16] = [0xff; 16];
+/// SAFI of unicast routes, the only one that is spoken (RFC 4760).
+const SAFI_UNICAST: u8 = 1;
 
-/// What ends a session: the codes of the NOTIFICATION it is ended with, and words for the log.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    pub code: u8,
-    pub subcode: u8,
-    pub data: Vec<u8>,
-    pub why: &'static str,
+/// The message types (RFC 4271 section 4.1; RFC 2918 for ROUTE-REFRESH).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MessageType {
+    /// Begins a session: see [`crate::Open`].
+    Open = 1,
+    /// Announces and withdraws routes: see [`crate::Update`].
+    Update = 2,
+    /// Ends a session: see [`crate::Notification`].
+    Notification = 3,
+    /// Restarts the peer's hold timer.
+    Keepalive = 4,
+    /// Asks for all routes again: see [`RouteRefresh`].
+    RouteRefresh = 5,
 }
 
-impl Fault {
-    pub fn new(code: u8, subcode: u8, why: &'static str) -> Fault {
-        Fault { code, subcode, data: Vec::new(), why }
+impl MessageType {
+    fn from_code(code: u8) -> Option<MessageType> {
+        match code {
+            1 => Some(MessageType::Open),
+            2 => Some(MessageType::Update),
+            3 => Some(MessageType::Notification),
+            4 => Some(MessageType::Keepalive),
+            5 => Some(MessageType::RouteRefresh),
+            _ => None,
+        }
     }
 
-    pub fn with(self, data: &[u8]) -> Fault {
-        Fault { data: data[..data.len().min(64)].to_vec(), ..self }
+    /// Whether a message of this type may have this length, header included (RFC 4271 section 6.1).
+    fn permits(self, length: usize) -> bool {
+        match self {
+            MessageType::Open => (29..=MAX_MESSAGE_LENGTH).contains(&length),
+            MessageType::Update => (23..=MAX_MESSAGE_LENGTH).contains(&length),
+            MessageType::Notification => (21..=MAX_MESSAGE_LENGTH).contains(&length),
+            MessageType::Keepalive => length == HEADER_LENGTH,
+            MessageType::RouteRefresh => length == 23,
+        }
     }
 }
 
-/// A whole message: its type and its body without the header.
+/// A whole message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    pub kind: u8,
+    /// The type in its header.
+    pub message_type: MessageType,
+    /// What follows the header.
     pub body: &'a [u8],
 }
 
 impl Frame<'_> {
+    /// Octets of the message, header included.
     pub fn length(&self) -> usize {
-        HEADER + self.body.len()
+        HEADER_LENGTH + self.body.len()
     }
 }
 
-/// The message that the input begins with, if it is there whole. What can't become one is told as early as its first
-/// wrong byte, so that a stranger's endless bytes are never collected.
+/// The message that the input begins with; `None` while it is not there whole. What can't become a message is reported
+/// as early as its first wrong octet, so that endless bytes of a stranger are never collected.
 ///
 /// # Errors
 /// RFC 4271 section 6.1: a wrong marker, length or type.
-pub fn frame(input: &[u8]) -> Result<Option<Frame<'_>>, Fault> {
-    if input.iter().take(16).any(|&byte| byte != 0xff) {
-        return Err(Fault::new(1, 1, "connection not synchronised: the marker is wrong"));
+pub fn frame(input: &[u8]) -> Result<Option<Frame<'_>>, MessageError> {
+    if input.iter().zip(MARKER).any(|(&octet, expected)| octet != expected) {
+        let reason = "connection not synchronised: the marker is wrong";
+        return Err(MessageError::new(HeaderError::ConnectionNotSynchronized, reason));
     }
-    let Some(&[high, low, kind]) = input.get(16..HEADER) else { return Ok(None) };
-    let length = usize::from(u16::from_be_bytes([high, low]));
-    let fits = match kind {
-        OPEN => (29..=LONGEST).contains(&length),
-        UPDATE => (23..=LONGEST).contains(&length),
-        NOTIFICATION => (21..=LONGEST).contains(&length),
-        KEEPALIVE => length == HEADER,
-        ROUTE_REFRESH => length == 23,
-        _ => return Err(Fault::new(1, 3, "bad message type").with(&[kind])),
+    let Some(&[high, low, code]) = input.get(MARKER.len()..HEADER_LENGTH) else { return Ok(None) };
+    let Some(message_type) = MessageType::from_code(code) else {
+        return Err(MessageError::new(HeaderError::BadMessageType, "bad message type").with(&[code]));
     };
-    if !fits {
-        return Err(Fault::new(1, 2, "bad message length").with(&[high, low]));
+    let length = usize::from(u16::from_be_bytes([high, low]));
+    if !message_type.permits(length) {
+        let error = MessageError::new(HeaderError::BadMessageLength, "bad message length");
+        return Err(error.with(&[high, low]));
     }
-    Ok(input.get(HEADER..length).map(|body| Frame { kind, body }))
+    Ok(input.get(HEADER_LENGTH..length).map(|body| Frame { message_type, body }))
 }
 
-/// Writes one message; `body` must not grow past [`LONGEST`].
-pub fn put(out: &mut Vec<u8>, kind: u8, body: impl FnOnce(&mut Vec<u8>)) {
+/// Appends one message. `body` writes what follows the header; with it the message must not grow past
+/// [`MAX_MESSAGE_LENGTH`].
+pub fn encode(out: &mut Vec<u8>, message_type: MessageType, body: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
-    out.extend([0xff; 16]);
-    out.extend([0, 0, kind]);
+    out.extend(MARKER);
+    // The length is filled in once it is known.
+    out.extend([0, 0, message_type as u8]);
     body(out);
     let length = out.len() - start;
-    debug_assert!(length <= LONGEST, "a message of {length} bytes");
-    out[start + 16..start + 18].copy_from_slice(&(length as u16).to_be_bytes());
+    debug_assert!(length <= MAX_MESSAGE_LENGTH, "a message of {length} bytes");
+    let length_field = start + MARKER.len()..start + MARKER.len() + 2;
+    out[length_field].copy_from_slice(&(length as u16).to_be_bytes());
 }
 
-pub fn keepalive(out: &mut Vec<u8>) {
-    put(out, KEEPALIVE, |_| {});
+/// Appends a KEEPALIVE.
+pub fn encode_keepalive(out: &mut Vec<u8>) {
+    encode(out, MessageType::Keepalive, |_| {});
 }
 
-/// A ROUTE-REFRESH of RFC 2918, with the subtypes of RFC 7313.
+/// A ROUTE-REFRESH (RFC 2918) with its subtype (RFC 7313).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refresh {
-    Asked(Family),
-    Begins(Family),
-    Ends(Family),
-    /// A family or subtype that we do not speak: passed over (RFC 7313 section 5).
+pub enum RouteRefresh {
+    /// Asks for all routes of the family.
+    Request(Family),
+    /// All routes of the family follow.
+    BeginOfRefresh(Family),
+    /// All routes of the family have been sent.
+    EndOfRefresh(Family),
+    /// A family or subtype that is not spoken: ignored (RFC 7313 section 5).
     Unknown,
 }
 
-pub fn refresh(body: &[u8]) -> Refresh {
-    let &[high, low, subtype, safi] = body else { return Refresh::Unknown };
+/// Reads the body of a ROUTE-REFRESH.
+pub fn decode_route_refresh(body: &[u8]) -> RouteRefresh {
+    let &[high, low, subtype, safi] = body else { return RouteRefresh::Unknown };
     match (Family::of(u16::from_be_bytes([high, low]), safi), subtype) {
-        (Some(family), 0) => Refresh::Asked(family),
-        (Some(family), 1) => Refresh::Begins(family),
-        (Some(family), 2) => Refresh::Ends(family),
-        _ => Refresh::Unknown,
+        (Some(family), 0) => RouteRefresh::Request(family),
+        (Some(family), 1) => RouteRefresh::BeginOfRefresh(family),
+        (Some(family), 2) => RouteRefresh::EndOfRefresh(family),
+        _ => RouteRefresh::Unknown,
     }
 }
 
-pub fn put_refresh(out: &mut Vec<u8>, what: Refresh) {
-    let (family, subtype) = match what {
-        Refresh::Asked(family) => (family, 0),
-        Refresh::Begins(family) => (family, 1),
-        Refresh::Ends(family) => (family, 2),
-        Refresh::Unknown => return,
+/// Appends a ROUTE-REFRESH; nothing for an unknown one.
+pub fn encode_route_refresh(out: &mut Vec<u8>, refresh: RouteRefresh) {
+    let (family, subtype) = match refresh {
+        RouteRefresh::Request(family) => (family, 0),
+        RouteRefresh::BeginOfRefresh(family) => (family, 1),
+        RouteRefresh::EndOfRefresh(family) => (family, 2),
+        RouteRefresh::Unknown => return,
     };
     let [high, low] = family.afi().to_be_bytes();
-    put(out, ROUTE_REFRESH, |out| out.extend([high, low, subtype, 1]));
+    encode(out, MessageType::RouteRefresh, |out| out.extend([high, low, subtype, SAFI_UNICAST]));
 }
 
 #[cfg(test)]
--- a/crates/bgp/src/notification.rs
+++ b/crates/bgp/src/notification.rs
@@ -1,69 +1,60 @@
 //! NOTIFICATION (RFC 4271 section 4.5), with the shutdown communication of RFC 9003 and the hard reset of RFC 8538.
 
-use crate::message::{self, Fault};
+use crate::error::{CeaseSubcode, ErrorKind, MessageError};
+use crate::message::{self, MessageType};
 use std::fmt;
 
-/// Cease (RFC 4486) and its subcodes.
-pub const CEASE: u8 = 6;
-pub const MOST_PREFIXES: u8 = 1;
-pub const SHUTDOWN: u8 = 2;
-pub const DECONFIGURED: u8 = 3;
-pub const REJECTED: u8 = 5;
-pub const CHANGED: u8 = 6;
-pub const COLLISION: u8 = 7;
-/// RFC 8538: the session ends for good, and its routes with it.
-pub const HARD_RESET: u8 = 9;
-/// Hold timer expired.
-pub const HOLD: u8 = 4;
-/// Finite state machine error (RFC 6608): a message in the wrong state.
-pub const STATE: u8 = 5;
+/// The longest shutdown communication, in octets of UTF-8 (RFC 9003 section 2).
+const MAX_SHUTDOWN_COMMUNICATION: usize = 255;
+/// Error codes that are only ever matched against what a peer sent.
+const CEASE: u8 = 6;
+const HARD_RESET: u8 = CeaseSubcode::HardReset as u8;
 
-/// The longest shutdown communication, in bytes of UTF-8 (RFC 9003 section 2).
-const LONGEST_WORDS: usize = 255;
-
-/// Why a session ends.
+/// Why a session ends. A peer may send codes that are unknown here, so they are numbers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification {
+    /// The error code; within a hard reset the one that it carries.
     pub code: u8,
+    /// The subcode that belongs to `code`.
     pub subcode: u8,
+    /// What follows the codes.
     pub data: Vec<u8>,
-    /// It came, or goes, within a hard reset.
-    pub hard: bool,
+    /// It is sent, or was received, within a hard reset.
+    pub hard_reset: bool,
 }
 
 impl Notification {
-    /// A Cease with words for the other side's operator.
-    pub fn cease(subcode: u8, words: &str, hard: bool) -> Notification {
-        let mut end = words.len().min(LONGEST_WORDS);
-        while !words.is_char_boundary(end) {
-            end -= 1;
+    /// A Cease with a shutdown communication for the operator of the other side, cut to 255 octets at the end of a
+    /// character.
+    pub fn cease(subcode: CeaseSubcode, communication: &str, hard_reset: bool) -> Notification {
+        let mut length = communication.len().min(MAX_SHUTDOWN_COMMUNICATION);
+        while !communication.is_char_boundary(length) {
+            length -= 1;
         }
-        let mut data = vec![end as u8];
-        data.extend(&words.as_bytes()[..end]);
-        Notification { code: CEASE, subcode, data, hard }
+        let mut data = vec![length as u8];
+        data.extend(&communication.as_bytes()[..length]);
+        Notification { code: CEASE, subcode: subcode as u8, data, hard_reset }
     }
 
-    /// Reads the body of a NOTIFICATION, which the framing has found to hold two bytes or more. A malformed one can
-    /// only be taken as it is (RFC 4271 section 6.4): there is no answer to it.
-    pub fn read(body: &[u8]) -> Notification {
-        let (code, subcode) = (body.first().copied().unwrap_or(0), body.get(1).copied().unwrap_or(0));
+    /// Reads the body of a NOTIFICATION, which the framing has found to hold two octets or more. A malformed one is
+    /// taken as it is (RFC 4271 section 6.4): there is no answer to it.
+    pub fn decode(body: &[u8]) -> Notification {
+        let code = body.first().copied().unwrap_or(0);
+        let subcode = body.get(1).copied().unwrap_or(0);
         let data = body.get(2..).unwrap_or(&[]);
+        let hard_reset = (code, subcode) == (CEASE, HARD_RESET);
         match data {
-            [code, subcode, inner @ ..] if (body[0], body[1]) == (CEASE, HARD_RESET) => {
-                Notification { code: *code, subcode: *subcode, data: inner.to_vec(), hard: true }
+            &[code, subcode, ref data @ ..] if hard_reset => {
+                Notification { code, subcode, data: data.to_vec(), hard_reset }
             }
-            _ => Notification {
-                code,
-                subcode,
-                data: data.to_vec(),
-                hard: (code, subcode) == (CEASE, HARD_RESET),
-            },
+            _ => Notification { code, subcode, data: data.to_vec(), hard_reset },
         }
     }
 
-    pub fn put(&self, out: &mut Vec<u8>) {
-        message::put(out, message::NOTIFICATION, |out| {
-            if self.hard {
+    /// Appends the message.
+    pub fn encode(&self, out: &mut Vec<u8>) {
+        message::encode(out, MessageType::Notification, |out| {
+            if self.hard_reset {
                 out.extend([CEASE, HARD_RESET]);
             }
             out.extend([self.code, self.subcode]);
@@ -71,29 +62,25 @@
         });
     }
 
-    /// What the other side's operator says of a shutdown; bytes that are no text are shown as such.
-    pub fn words(&self) -> Option<String> {
-        if self.code != CEASE || !matches!(self.subcode, SHUTDOWN | 4) {
+    /// What the operator of the other side says of a shutdown or reset; `None` where nothing is said or its length is
+    /// wrong. Octets that are no UTF-8 and control characters are replaced: it goes into a log line, and nothing in it
+    /// may look like another one.
+    pub fn shutdown_communication(&self) -> Option<String> {
+        let shutdown = CeaseSubcode::AdministrativeShutdown as u8;
+        let reset = CeaseSubcode::AdministrativeReset as u8;
+        if self.code != CEASE || ![shutdown, reset].contains(&self.subcode) {
             return None;
         }
         let (&length, text) = self.data.split_first()?;
         let text = text.get(..length.into())?;
-        // It goes into a log line: nothing in it may look like another one.
-        let plain = |text: char| if text.is_control() { '?' } else { text };
-        Some(String::from_utf8_lossy(text).chars().map(plain).collect())
-            .filter(|words: &String| !words.is_empty())
+        let printable = |character: char| if character.is_control() { '?' } else { character };
+        let communication: String = String::from_utf8_lossy(text).chars().map(printable).collect();
+        Some(communication).filter(|communication| !communication.is_empty())
     }
-}
-
-impl From<Fault> for Notification {
-    fn from(fault: Fault) -> Notification {
-        Notification { code: fault.code, subcode: fault.subcode, data: fault.data, hard: false }
-    }
-}
 
-impl fmt::Display for Notification {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        let name = match (self.code, self.subcode) {
+    /// The name of the code and subcode.
+    fn name(&self) -> &'static str {
+        match (self.code, self.subcode) {
             (1, _) => "message header error",
             (2, 2) => "bad peer AS",
             (2, 3) => "bad BGP identifier",
@@ -102,26 +89,46 @@
             (2, 11) => "role mismatch",
             (2, _) => "OPEN message error",
             (3, _) => "UPDATE message error",
-            (HOLD, _) => "hold timer expired",
-            (STATE, _) => "message in the wrong state",
-            (CEASE, MOST_PREFIXES) => "too many prefixes",
-            (CEASE, SHUTDOWN) => "administrative shutdown",
-            (CEASE, DECONFIGURED) => "peer no longer configured",
+            (4, _) => "hold timer expired",
+            (5, _) => "message in the wrong state",
+            (CEASE, 1) => "too many prefixes",
+            (CEASE, 2) => "administrative shutdown",
+            (CEASE, 3) => "peer no longer configured",
             (CEASE, 4) => "administrative reset",
-            (CEASE, REJECTED) => "connection rejected",
-            (CEASE, CHANGED) => "other configuration change",
-            (CEASE, COLLISION) => "connection collision resolved",
+            (CEASE, 5) => "connection rejected",
+            (CEASE, 6) => "other configuration change",
+            (CEASE, 7) => "connection collision resolved",
             (CEASE, 8) => "out of resources",
             (CEASE, HARD_RESET) => "hard reset",
             (CEASE, _) => "cease",
             (8, _) => "send hold timer expired",
             _ => "unknown error",
-        };
-        write!(to, "{name} ({}/{})", self.code, self.subcode)?;
-        if self.hard {
-            write!(to, ", hard reset")?;
         }
-        self.words().map_or(Ok(()), |words| write!(to, ": {words}"))
+    }
+}
+
+impl From<ErrorKind> for Notification {
+    fn from(kind: ErrorKind) -> Notification {
+        Notification { code: kind.code(), subcode: kind.subcode(), data: Vec::new(), hard_reset: false }
+    }
+}
+
+impl From<MessageError> for Notification {
+    fn from(error: MessageError) -> Notification {
+        Notification { data: error.data, ..Notification::from(error.kind) }
+    }
+}
+
+impl fmt::Display for Notification {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{} ({}/{})", self.name(), self.code, self.subcode)?;
+        if self.hard_reset {
+            write!(formatter, ", hard reset")?;
+        }
+        match self.shutdown_communication() {
+            Some(communication) => write!(formatter, ": {communication}"),
+            None => Ok(()),
+        }
     }
 }
 
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -1,6 +1,7 @@
 //! OPEN (RFC 4271 section 4.2) and capabilities (RFC 5492).
 
-use crate::message::{self, Fault};
+use crate::error::{MessageError, OpenError};
+use crate::message::{self, MessageType};
 use crate::Bytes;
 use std::net::Ipv4Addr;
 
@@ -100,28 +101,29 @@
     pub capabilities: Capabilities,
 }
 
-fn bad(why: &'static str) -> Fault {
-    Fault::new(2, 0, why)
+fn malformed(reason: &'static str) -> MessageError {
+    MessageError::new(OpenError::Unspecific, reason)
 }
 
 impl Open {
     /// # Errors
     /// RFC 4271 section 6.2, RFC 9234 section 4.2 (two roles that differ).
-    pub fn read(body: &[u8]) -> Result<Open, Fault> {
+    pub fn decode(body: &[u8]) -> Result<Open, MessageError> {
         let mut bytes = Bytes(body);
-        let short = || bad("an OPEN that ends too soon");
+        let short = || malformed("an OPEN that ends too soon");
         let version = bytes.u8().ok_or_else(short)?;
         if version != 4 {
-            return Err(Fault::new(2, 1, "unsupported version").with(&[0, 4]));
+            return Err(MessageError::new(OpenError::UnsupportedVersion, "unsupported version").with(&[0, 4]));
         }
         let mut asn = u32::from(bytes.u16().ok_or_else(short)?);
         let hold = bytes.u16().ok_or_else(short)?;
         if matches!(hold, 1 | 2) {
-            return Err(Fault::new(2, 6, "a hold time of 1 or 2 seconds").with(&hold.to_be_bytes()));
+            return Err(MessageError::new(OpenError::UnacceptableHoldTime, "a hold time of 1 or 2 seconds")
+                .with(&hold.to_be_bytes()));
         }
         let id = Ipv4Addr::from(bytes.u32().ok_or_else(short)?);
         if id.is_unspecified() {
-            return Err(Fault::new(2, 3, "a BGP identifier of zero"));
+            return Err(MessageError::new(OpenError::BadIdentifier, "a BGP identifier of zero"));
         }
         let length = usize::from(bytes.u8().ok_or_else(short)?);
         // RFC 9072: longer parameters are told by two octets of 255.
@@ -134,7 +136,7 @@
         };
         let mut parameters = Bytes(bytes.take(length).ok_or_else(short)?);
         if !bytes.is_empty() {
-            return Err(bad("bytes behind the parameters of an OPEN"));
+            return Err(malformed("bytes behind the parameters of an OPEN"));
         }
         let mut capabilities = Capabilities::default();
         while !parameters.is_empty() {
@@ -144,30 +146,33 @@
             } else {
                 parameters.part()
             };
-            let value = value.ok_or_else(|| bad("a parameter longer than its OPEN"))?;
+            let value = value.ok_or_else(|| malformed("a parameter longer than its OPEN"))?;
             if kind != 2 {
-                return Err(Fault::new(2, 4, "unsupported optional parameter"));
+                return Err(MessageError::new(
+                    OpenError::UnsupportedParameter,
+                    "unsupported optional parameter",
+                ));
             }
-            capabilities.read(value)?;
+            capabilities.decode(value)?;
         }
         if capabilities.families == [false; 2] {
             capabilities.families[0] = true;
         }
         asn = capabilities.four_octet.unwrap_or(asn);
         if asn == 0 {
-            return Err(Fault::new(2, 2, "AS 0 (RFC 7607)"));
+            return Err(MessageError::new(OpenError::BadPeerAs, "AS 0 (RFC 7607)"));
         }
         Ok(Open { asn, hold, id, capabilities })
     }
 
-    pub fn put(&self, out: &mut Vec<u8>) {
-        message::put(out, message::OPEN, |out| {
+    pub fn encode(&self, out: &mut Vec<u8>) {
+        message::encode(out, MessageType::Open, |out| {
             out.push(4);
             out.extend(u16::try_from(self.asn).unwrap_or(AS_TRANS).to_be_bytes());
             out.extend(self.hold.to_be_bytes());
             out.extend(self.id.octets());
             let mut values = Vec::new();
-            self.capabilities.put(&mut values);
+            self.capabilities.encode(&mut values);
             // All of ours take less than a hundred bytes.
             out.extend([values.len() as u8 + 2, 2, values.len() as u8]);
             out.extend(values);
@@ -177,12 +182,12 @@
 
 impl Capabilities {
     /// One capabilities parameter; what is unknown in it is passed over (RFC 5492 section 3).
-    fn read(&mut self, value: &[u8]) -> Result<(), Fault> {
+    fn decode(&mut self, value: &[u8]) -> Result<(), MessageError> {
         let mut bytes = Bytes(value);
         while !bytes.is_empty() {
-            let code = bytes.u8().ok_or_else(|| bad("a capability that ends too soon"))?;
-            let value = bytes.part().ok_or_else(|| bad("a capability longer than its parameter"))?;
-            let wrong = || bad("a capability of the wrong length");
+            let code = bytes.u8().ok_or_else(|| malformed("a capability that ends too soon"))?;
+            let value = bytes.part().ok_or_else(|| malformed("a capability longer than its parameter"))?;
+            let wrong = || malformed("a capability of the wrong length");
             match (code, value) {
                 (1, &[high, low, _, safi]) => {
                     if let Some(family) = Family::of(u16::from_be_bytes([high, low]), safi) {
@@ -195,7 +200,7 @@
                 (9, &[number]) => {
                     let role = Role::of(number);
                     if self.role.is_some() && self.role != role {
-                        return Err(Fault::new(2, 11, "two roles that differ"));
+                        return Err(MessageError::new(OpenError::RoleMismatch, "two roles that differ"));
                     }
                     self.role = role;
                 }
@@ -222,7 +227,7 @@
         Ok(())
     }
 
-    fn put(&self, out: &mut Vec<u8>) {
+    fn encode(&self, out: &mut Vec<u8>) {
         for family in Family::ALL.into_iter().filter(|family| self.families[*family as usize]) {
             let [high, low] = family.afi().to_be_bytes();
             out.extend([1, 4, high, low, 0, 1]);
--- a/crates/bgp/src/open/tests.rs
+++ b/crates/bgp/src/open/tests.rs
@@ -27,42 +27,42 @@
 #[test]
 fn an_open_reads_as_it_was_written_and_no_part_of_it_does() {
     let mut bytes = Vec::new();
-    whole().put(&mut bytes);
+    whole().encode(&mut bytes);
     let body = frame(&bytes).unwrap().unwrap().body;
-    assert_eq!(Open::read(body), Ok(whole()));
+    assert_eq!(Open::decode(body), Ok(whole()));
     for length in 0..body.len() {
-        assert!(Open::read(&body[..length]).is_err(), "{length}");
+        assert!(Open::decode(&body[..length]).is_err(), "{length}");
     }
 }
 
 #[test]
 fn what_no_session_can_begin_with_is_told_with_its_own_code() {
     let mut bytes = Vec::new();
-    whole().put(&mut bytes);
+    whole().encode(&mut bytes);
     let body = frame(&bytes).unwrap().unwrap().body.to_vec();
     let with = |at: usize, new: &[u8]| {
         let mut body = body.clone();
         body[at..at + new.len()].copy_from_slice(new);
-        Open::read(&body).unwrap_err().subcode
+        Open::decode(&body).unwrap_err().subcode()
     };
     assert_eq!([with(0, &[3]), with(3, &[0, 2]), with(5, &[0; 4]), with(10, &[1])], [1, 6, 3, 4]);
     // A hold time of 0 is legal: there are no keepalives then.
     let mut none = body.clone();
     none[3..5].copy_from_slice(&[0, 0]);
-    assert_eq!(Open::read(&none).unwrap().hold, 0);
+    assert_eq!(Open::decode(&none).unwrap().hold, 0);
     // AS 0, in two octets and in four.
-    assert_eq!(Open::read(&[4, 0, 0, 0, 9, 1, 1, 1, 1, 0]).unwrap_err().subcode, 2);
+    assert_eq!(Open::decode(&[4, 0, 0, 0, 9, 1, 1, 1, 1, 0]).unwrap_err().subcode(), 2);
     // Two roles that differ.
     let roles = [4, 0, 7, 0, 9, 1, 1, 1, 1, 8, 2, 6, 9, 1, 3, 9, 1, 4];
-    assert_eq!(Open::read(&roles).unwrap_err().subcode, 11);
+    assert_eq!(Open::decode(&roles).unwrap_err().subcode(), 11);
 }
 
 #[test]
 fn longer_parameters_are_read_as_well_and_ipv4_is_meant_where_none_is_named() {
     // RFC 9072, with an unknown capability inside.
     let body = [4, 0, 7, 0, 9, 1, 1, 1, 1, 255, 255, 0, 7, 2, 0, 4, 99, 2, 7, 7];
-    let open = Open::read(&body).unwrap();
+    let open = Open::decode(&body).unwrap();
     assert_eq!((open.asn, open.capabilities.families), (7, [true, false]));
     let lying = [4, 0, 7, 0, 9, 1, 1, 1, 1, 255, 255, 255, 255, 2, 0, 4, 99, 2, 7, 7];
-    assert!(Open::read(&lying).is_err());
+    assert!(Open::decode(&lying).is_err());
 }
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -3,8 +3,8 @@
 use super::connection::{Connection, Phase};
 use super::timers::DRAIN_STEP_TIMEOUT;
 use super::{Act, AdminState, Path, Peer, RetryTimer, Side};
-use crate::message::Fault;
-use crate::notification::{self, Notification};
+use crate::error::{CeaseSubcode, MessageError};
+use crate::notification::Notification;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 
 impl Loss {
     pub fn of(notification: &Notification) -> Loss {
-        match notification.hard {
+        match notification.hard_reset {
             true => Loss::HardReset,
             false => Loss::Notification,
         }
@@ -77,7 +77,7 @@
                 self.lost(side, words.to_string(), Loss::HardReset, now);
             }
             Some(Phase::OpenSent | Phase::OpenConfirm) => {
-                let cease = Notification::cease(notification::SHUTDOWN, words, false);
+                let cease = Notification::cease(CeaseSubcode::AdministrativeShutdown, words, false);
                 self.end(side, cease, None, now);
             }
             _ => {}
@@ -85,7 +85,7 @@
     }
 
     /// Ends the session with a Cease that removes our routes, also where they would be kept over a lost connection.
-    pub fn finish(&mut self, subcode: u8, words: &str, now: f64) {
+    pub fn finish(&mut self, subcode: CeaseSubcode, words: &str, now: f64) {
         self.drain(BTreeMap::new(), now);
         self.admin_state = AdminState::Stopped;
         self.retained_until = f64::NEG_INFINITY;
@@ -106,9 +106,10 @@
         }
     }
 
-    pub(super) fn fault(&mut self, side: Side, fault: Fault, now: f64) {
-        let why = fault.why;
-        self.end(side, fault.into(), Some(why), now);
+    /// Ends the connection over an error of the peer.
+    pub(super) fn report(&mut self, side: Side, error: MessageError, now: f64) {
+        let why = error.reason;
+        self.end(side, error.into(), Some(why), now);
     }
 
     /// Sends a last message; the connection is closed once it is written.
@@ -118,7 +119,7 @@
             _ => format!("sent {last}"),
         };
         let Some(connection) = self.connection_mut(side) else { return };
-        last.put(&mut connection.output);
+        last.encode(&mut connection.output);
         let output = std::mem::take(&mut connection.output);
         self.counts.notifications_out += 1;
         self.lost(side, words, Loss::of(&last), now);
--- a/crates/bgp/src/session/inbound.rs
+++ b/crates/bgp/src/session/inbound.rs
@@ -3,18 +3,25 @@
 use super::connection::Phase;
 use super::ending::Loss;
 use super::{Peer, Side};
-use crate::message::{self, Fault, Refresh};
-use crate::notification::{self, Notification};
+use crate::error::{FsmError, MessageError};
+use crate::message::{self, MessageType, RouteRefresh};
+use crate::notification::Notification;
 use crate::open::Role;
 use crate::update::{Attributes, Update};
 
 impl Peer {
     /// Takes one message. An error ends the connection with its NOTIFICATION.
-    pub(super) fn message(&mut self, side: Side, kind: u8, body: &[u8], now: f64) -> Result<(), Fault> {
+    pub(super) fn message(
+        &mut self,
+        side: Side,
+        message_type: MessageType,
+        body: &[u8],
+        now: f64,
+    ) -> Result<(), MessageError> {
         if self.connection(side).is_none() {
             return Ok(());
         }
-        if kind == message::NOTIFICATION {
+        if message_type == MessageType::Notification {
             self.notification(side, body, now);
             return Ok(());
         }
@@ -22,20 +29,20 @@
         if connection.hold_time > 0.0 {
             connection.hold_deadline = now + connection.hold_time;
         }
-        match (&connection.phase, kind) {
-            (Phase::DelayOpen { .. }, message::OPEN) => {
+        match (&connection.phase, message_type) {
+            (Phase::DelayOpen { .. }, MessageType::Open) => {
                 self.send_open(side, now);
                 self.open(side, body, now)
             }
-            (Phase::OpenSent, message::OPEN) => self.open(side, body, now),
-            (Phase::OpenConfirm, message::KEEPALIVE) => {
+            (Phase::OpenSent, MessageType::Open) => self.open(side, body, now),
+            (Phase::OpenConfirm, MessageType::Keepalive) => {
                 self.established(side, now);
                 Ok(())
             }
-            (Phase::Established, message::KEEPALIVE) => Ok(()),
-            (Phase::Established, message::UPDATE) => self.update(side, body),
-            (Phase::Established, message::ROUTE_REFRESH) => {
-                if let Refresh::Asked(family) = message::refresh(body) {
+            (Phase::Established, MessageType::Keepalive) => Ok(()),
+            (Phase::Established, MessageType::Update) => self.update(side, body),
+            (Phase::Established, MessageType::RouteRefresh) => {
+                if let RouteRefresh::Request(family) = message::decode_route_refresh(body) {
                     connection.refresh[family as usize].requested = connection.speaks(family);
                 }
                 Ok(())
@@ -45,15 +52,15 @@
     }
 
     fn notification(&mut self, side: Side, body: &[u8], now: f64) {
-        let received = Notification::read(body);
+        let received = Notification::decode(body);
         self.counts.notifications_in += 1;
         self.close(side);
         self.lost(side, format!("received {received}"), Loss::of(&received), now);
     }
 
-    fn update(&mut self, side: Side, body: &[u8]) -> Result<(), Fault> {
+    fn update(&mut self, side: Side, body: &[u8]) -> Result<(), MessageError> {
         let Some(connection) = self.connection(side) else { return Ok(()) };
-        let update = Update::read(body, connection.encoding(self.terms.internal()))?;
+        let update = Update::decode(body, connection.encoding(self.terms.internal()))?;
         self.counts.updates_in += 1;
         self.counts.attributes_discarded += u64::from(update.discarded);
         let attributes = &update.attributes;
@@ -110,12 +117,12 @@
 }
 
 /// RFC 6608: the subcode tells the state that the message came in.
-fn unexpected_message(phase: &Phase) -> Fault {
+fn unexpected_message(phase: &Phase) -> MessageError {
     let subcode = match phase {
-        Phase::OpenSent => 1,
-        Phase::OpenConfirm => 2,
-        Phase::Established => 3,
-        _ => 0,
+        Phase::OpenSent => FsmError::OpenSent,
+        Phase::OpenConfirm => FsmError::OpenConfirm,
+        Phase::Established => FsmError::Established,
+        _ => FsmError::Unspecified,
     };
-    Fault::new(notification::STATE, subcode, "a message that has no place in this state")
+    MessageError::new(subcode, "a message that has no place in this state")
 }
--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -22,7 +22,7 @@
 pub use terms::{Path, PeerTerms};
 
 use crate::learned::Learned;
-use crate::message::{self, Refresh};
+use crate::message::{self, RouteRefresh};
 use crate::open::Family;
 use connection::{Connection, Phase};
 use ipnet::IpNet;
@@ -148,7 +148,7 @@
         }
         for family in Family::ALL {
             if connection.speaks(family) {
-                message::put_refresh(&mut connection.output, Refresh::Asked(family));
+                message::encode_route_refresh(&mut connection.output, RouteRefresh::Request(family));
             }
         }
     }
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -4,8 +4,9 @@
 use super::ending::Loss;
 use super::timers::DRAIN_STEP_TIMEOUT;
 use super::{AdminState, Peer, PeerTerms, Side, State};
-use crate::message::{self, Fault};
-use crate::notification::{self, Notification};
+use crate::error::{CeaseSubcode, MessageError, OpenError};
+use crate::message;
+use crate::notification::Notification;
 use crate::open::{Capabilities, Family, Graceful, Open};
 
 impl Peer {
@@ -42,7 +43,7 @@
             _ => self.terms.open_wait,
         };
         let Some(connection) = self.connection_mut(side) else { return };
-        open.put(&mut connection.output);
+        open.encode(&mut connection.output);
         connection.phase = Phase::OpenSent;
         connection.local_capabilities = capabilities;
         connection.hold_deadline = now + timeout;
@@ -50,8 +51,8 @@
     }
 
     /// The peer's OPEN: checked, and answered with a KEEPALIVE if this connection stays.
-    pub(super) fn open(&mut self, side: Side, body: &[u8], now: f64) -> Result<(), Fault> {
-        let open = Open::read(body)?;
+    pub(super) fn open(&mut self, side: Side, body: &[u8], now: f64) -> Result<(), MessageError> {
+        let open = Open::decode(body)?;
         check_open(&open, &self.terms)?;
         if !self.resolve_collision(side, &open, now) {
             return Ok(());
@@ -59,7 +60,7 @@
         let hold_time = f64::from(self.terms.hold.min(open.hold));
         let keepalive_deadline = now + hold_time / 3.0 * self.jitter();
         let Some(connection) = self.connection_mut(side) else { return Ok(()) };
-        message::keepalive(&mut connection.output);
+        message::encode_keepalive(&mut connection.output);
         connection.phase = Phase::OpenConfirm;
         connection.hold_time = hold_time;
         connection.peer_open = Some(open);
@@ -77,7 +78,7 @@
     /// where identifiers are alike, RFC 6286). Tells whether it is this one; the other one is ended.
     fn resolve_collision(&mut self, side: Side, open: &Open, now: f64) -> bool {
         let other = side.other();
-        let cease = |words| Notification::cease(notification::COLLISION, words, false);
+        let cease = |words| Notification::cease(CeaseSubcode::ConnectionCollisionResolution, words, false);
         match self.connection(other).map(Connection::state) {
             Some(State::Established) => {
                 if self.connection(other).and_then(Connection::peer_graceful_restart).is_some() {
@@ -136,7 +137,11 @@
                 self.connections[other as usize] = None;
             }
             Some(State::OpenSent | State::OpenConfirm) => {
-                let cease = Notification::cease(notification::COLLISION, "a session is up", false);
+                let cease = Notification::cease(
+                    CeaseSubcode::ConnectionCollisionResolution,
+                    "a session is up",
+                    false,
+                );
                 self.end(other, cease, None, now);
             }
             _ => {}
@@ -145,19 +150,23 @@
 }
 
 /// RFC 4271 section 6.2, RFC 5492 section 3, RFC 9234 section 4.2: whether a session may begin with this OPEN.
-fn check_open(open: &Open, terms: &PeerTerms) -> Result<(), Fault> {
+fn check_open(open: &Open, terms: &PeerTerms) -> Result<(), MessageError> {
     if open.asn != terms.peer_asn {
-        return Err(Fault::new(2, 2, "the peer is of another AS").with(&open.asn.to_be_bytes()));
+        return Err(MessageError::new(OpenError::BadPeerAs, "the peer is of another AS")
+            .with(&open.asn.to_be_bytes()));
     }
     let same_id = open.id == terms.id && terms.internal();
     if same_id || terms.peer_id.is_some_and(|id| id != open.id) {
-        return Err(Fault::new(2, 3, "the peer has another BGP identifier").with(&open.id.octets()));
+        return Err(MessageError::new(OpenError::BadIdentifier, "the peer has another BGP identifier")
+            .with(&open.id.octets()));
     }
     match (terms.role, open.capabilities.role) {
         (Some(ours), Some(theirs)) if ours.counterpart() != theirs => {
-            return Err(Fault::new(2, 11, "the peer's role does not go with ours"))
+            return Err(MessageError::new(OpenError::RoleMismatch, "the peer's role does not go with ours"))
+        }
+        (Some(_), None) if terms.strict_role => {
+            return Err(MessageError::new(OpenError::RoleMismatch, "the peer tells no role"))
         }
-        (Some(_), None) if terms.strict_role => return Err(Fault::new(2, 11, "the peer tells no role")),
         _ => {}
     }
     let common = |family: &Family| {
@@ -165,7 +174,7 @@
         terms.families[index] && open.capabilities.families[index]
     };
     if !Family::ALL.iter().any(common) {
-        return Err(Fault::new(2, 7, "no address family in common"));
+        return Err(MessageError::new(OpenError::UnsupportedCapability, "no address family in common"));
     }
     Ok(())
 }
--- a/crates/bgp/src/session/outbound.rs
+++ b/crates/bgp/src/session/outbound.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Connection, RefreshState};
 use super::{AdminState, Path, Peer};
-use crate::message::{self, Refresh};
+use crate::message::{self, RouteRefresh};
 use crate::open::{Family, Role};
 use crate::update::{self, family_of, Attributes, Segment};
 use ipnet::IpNet;
@@ -55,12 +55,12 @@
                 .retain(|net, _| family_of(net) != family || !self.wanted.contains_key(net));
         }
         if requested && enhanced {
-            message::put_refresh(&mut connection.output, Refresh::Begins(family));
+            message::encode_route_refresh(&mut connection.output, RouteRefresh::BeginOfRefresh(family));
         }
         self.write_withdrawals(connection, family);
         self.write_announcements(connection, family);
         if requested && enhanced {
-            message::put_refresh(&mut connection.output, Refresh::Ends(family));
+            message::encode_route_refresh(&mut connection.output, RouteRefresh::EndOfRefresh(family));
         }
         if end_of_rib_due {
             update::end_of_rib(&mut connection.output, family);
--- a/crates/bgp/src/session/timers.rs
+++ b/crates/bgp/src/session/timers.rs
@@ -3,8 +3,9 @@
 use super::connection::{Connection, Phase};
 use super::ending::Loss;
 use super::{Act, AdminState, Peer, Side};
-use crate::message::{self, Fault};
-use crate::notification::{self, Notification};
+use crate::error::ErrorKind;
+use crate::message;
+use crate::notification::Notification;
 
 /// While draining, seconds that each step towards a session may take: a peer that keeps routes of ours must be reached
 /// within the drain or not at all.
@@ -63,7 +64,7 @@
             _ => {}
         }
         if now >= connection.hold_deadline {
-            let expired = Notification::from(Fault::new(notification::HOLD, 0, ""));
+            let expired = Notification::from(ErrorKind::HoldTimerExpired);
             return self.end(side, expired, None, now);
         }
         if now >= connection.send_hold_deadline() {
@@ -80,7 +81,7 @@
     fn send_keepalive(&mut self, side: Side, now: f64) {
         let jitter = self.jitter();
         let Some(connection) = self.connection_mut(side) else { return };
-        message::keepalive(&mut connection.output);
+        message::encode_keepalive(&mut connection.output);
         connection.keepalive_deadline = now + connection.hold_time / 3.0 * jitter;
     }
 }
--- a/crates/bgp/src/session/transport.rs
+++ b/crates/bgp/src/session/transport.rs
@@ -74,14 +74,14 @@
                     self.write_updates(now);
                     return (consumed, false);
                 }
-                Err(fault) => {
-                    self.fault(side, fault, now);
+                Err(error) => {
+                    self.report(side, error, now);
                     return (input.len(), false);
                 }
             };
             consumed += found.length();
-            if let Err(fault) = self.message(side, found.kind, found.body, now) {
-                self.fault(side, fault, now);
+            if let Err(error) = self.message(side, found.message_type, found.body, now) {
+                self.report(side, error, now);
             }
         }
         self.write_updates(now);
--- a/crates/bgp/src/update/decode.rs
+++ b/crates/bgp/src/update/decode.rs
@@ -3,7 +3,7 @@
 
 use super::attributes::{code, flag, required_flags};
 use super::{as_path, prefixes, Segment, Update, Wire};
-use crate::message::Fault;
+use crate::error::{MessageError, UpdateError};
 use crate::open::Family;
 use crate::Bytes;
 use ipnet::IpNet;
@@ -13,19 +13,6 @@
 const COMMUNITY_SIZE: usize = 4;
 const LARGE_COMMUNITY_SIZE: usize = 12;
 
-/// UPDATE Message Error subcodes (RFC 4271 section 6.3).
-const MALFORMED_ATTRIBUTE_LIST: u8 = 1;
-const UNRECOGNIZED_WELL_KNOWN_ATTRIBUTE: u8 = 2;
-const ATTRIBUTE_FLAGS_ERROR: u8 = 4;
-const OPTIONAL_ATTRIBUTE_ERROR: u8 = 9;
-const INVALID_NETWORK_FIELD: u8 = 10;
-
-/// An error that ends the session.
-fn session_reset(subcode: u8, why: &'static str) -> Fault {
-    const UPDATE_MESSAGE_ERROR: u8 = 3;
-    Fault::new(UPDATE_MESSAGE_ERROR, subcode, why)
-}
-
 /// The three parts of the body, not yet read.
 struct Fields<'a> {
     withdrawn: &'a [u8],
@@ -120,7 +107,7 @@
     }
 
     /// All attributes, as far as they can be told apart.
-    fn attributes(&mut self, bytes: &[u8]) -> Result<(), Fault> {
+    fn attributes(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
         let mut bytes = Bytes(bytes);
         while !bytes.is_empty() {
             let Some(attribute) = RawAttribute::next(&mut bytes) else {
@@ -133,12 +120,12 @@
         Ok(())
     }
 
-    fn attribute(&mut self, attribute: &RawAttribute) -> Result<(), Fault> {
+    fn attribute(&mut self, attribute: &RawAttribute) -> Result<(), MessageError> {
         let &RawAttribute { flags, type_code, value } = attribute;
         if self.seen.contains(&type_code) {
             if attribute.is_reachability() {
                 let why = "an attribute of reachability twice";
-                return Err(session_reset(MALFORMED_ATTRIBUTE_LIST, why));
+                return Err(MessageError::new(UpdateError::MalformedAttributeList, why));
             }
             // RFC 7606 section 3 g: all but the first are passed over.
             self.discard();
@@ -150,11 +137,16 @@
                 return Ok(());
             }
             let why = "an unknown well-known attribute";
-            return Err(session_reset(UNRECOGNIZED_WELL_KNOWN_ATTRIBUTE, why).with(&[flags, type_code]));
+            return Err(
+                MessageError::new(UpdateError::UnrecognizedWellKnownAttribute, why).with(&[flags, type_code])
+            );
         };
         if flags & (flag::OPTIONAL | flag::TRANSITIVE) != required {
             if attribute.is_reachability() {
-                return Err(session_reset(ATTRIBUTE_FLAGS_ERROR, "flags of an attribute of reachability"));
+                return Err(MessageError::new(
+                    UpdateError::AttributeFlags,
+                    "flags of an attribute of reachability",
+                ));
             }
             self.treat_as_withdrawn("the flags of an attribute");
             return Ok(());
@@ -251,8 +243,8 @@
     }
 
     /// RFC 4760 section 3. Where it can't be read, which routes are meant can't be told either: the session ends.
-    fn mp_reach(&mut self, value: &[u8]) -> Result<(), Fault> {
-        let malformed = || session_reset(OPTIONAL_ATTRIBUTE_ERROR, "malformed MP_REACH_NLRI");
+    fn mp_reach(&mut self, value: &[u8]) -> Result<(), MessageError> {
+        let malformed = || MessageError::new(UpdateError::OptionalAttribute, "malformed MP_REACH_NLRI");
         let mut bytes = Bytes(value);
         let (afi, safi) = (bytes.u16().ok_or_else(malformed)?, bytes.u8().ok_or_else(malformed)?);
         let hop = bytes.part().ok_or_else(malformed)?;
@@ -272,8 +264,8 @@
     }
 
     /// RFC 4760 section 4.
-    fn mp_unreach(&mut self, value: &[u8]) -> Result<(), Fault> {
-        let malformed = || session_reset(OPTIONAL_ATTRIBUTE_ERROR, "malformed MP_UNREACH_NLRI");
+    fn mp_unreach(&mut self, value: &[u8]) -> Result<(), MessageError> {
+        let malformed = || MessageError::new(UpdateError::OptionalAttribute, "malformed MP_UNREACH_NLRI");
         let mut bytes = Bytes(value);
         let (afi, safi) = (bytes.u16().ok_or_else(malformed)?, bytes.u8().ok_or_else(malformed)?);
         let Some(family) = Family::of(afi, safi) else { return Ok(()) };
@@ -319,9 +311,10 @@
     /// # Errors
     /// What RFC 7606 leaves to end the session: lengths that do not fit the message, prefixes that can't be read,
     /// malformed attributes of reachability, an unknown well-known attribute. All else is in the result.
-    pub fn read(body: &[u8], wire: Wire) -> Result<Update, Fault> {
-        let lengths = || session_reset(MALFORMED_ATTRIBUTE_LIST, "lengths that do not fit the UPDATE");
-        let network = || session_reset(INVALID_NETWORK_FIELD, "a prefix that can't be read");
+    pub fn decode(body: &[u8], wire: Wire) -> Result<Update, MessageError> {
+        let lengths =
+            || MessageError::new(UpdateError::MalformedAttributeList, "lengths that do not fit the UPDATE");
+        let network = || MessageError::new(UpdateError::InvalidNetworkField, "a prefix that can't be read");
         let fields = Fields::split(body).ok_or_else(lengths)?;
         let mut decoder = Decoder {
             encoding: wire,
--- a/crates/bgp/src/update/encode.rs
+++ b/crates/bgp/src/update/encode.rs
@@ -2,7 +2,7 @@
 
 use super::attributes::{code, flag};
 use super::{as_path, prefixes, Attributes, Wire};
-use crate::message::{self, HEADER, LONGEST};
+use crate::message::{self, MessageType, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 use crate::open::Family;
 use ipnet::IpNet;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -72,7 +72,8 @@
 
 /// The prefixes of one family on the wire, in parts that fit one message each beside so many octets of attributes.
 fn chunks<'a>(nets: &'a [IpNet], attributes_length: usize) -> impl Iterator<Item = Vec<u8>> + 'a {
-    let room = LONGEST.saturating_sub(HEADER + LENGTH_FIELDS + attributes_length + REACHABILITY_OVERHEAD);
+    let room = MAX_MESSAGE_LENGTH
+        .saturating_sub(HEADER_LENGTH + LENGTH_FIELDS + attributes_length + REACHABILITY_OVERHEAD);
     let mut rest = nets.iter().peekable();
     std::iter::from_fn(move || {
         rest.peek()?;
@@ -86,7 +87,7 @@
 
 /// Writes one UPDATE of these three parts.
 fn put_update(out: &mut Vec<u8>, withdrawn: &[u8], attributes: &[u8], nlri: &[u8]) {
-    message::put(out, message::UPDATE, |out| {
+    message::encode(out, MessageType::Update, |out| {
         out.extend((withdrawn.len() as u16).to_be_bytes());
         out.extend(withdrawn);
         out.extend((attributes.len() as u16).to_be_bytes());
--- a/crates/bgp/src/update/tests.rs
+++ b/crates/bgp/src/update/tests.rs
@@ -4,7 +4,7 @@
 use super::attributes::{code::*, flag::*};
 use super::encode::attribute;
 use super::*;
-use crate::message::{frame, UPDATE};
+use crate::message::{frame, MessageType};
 use ipnet::Ipv4Net;
 use proptest::prelude::*;
 use std::net::Ipv4Addr;
@@ -28,8 +28,8 @@
     let mut at = 0;
     let mut updates = Vec::new();
     while let Some(found) = frame(&bytes[at..]).unwrap() {
-        assert_eq!(found.kind, UPDATE);
-        updates.push(Update::read(found.body, wire).unwrap());
+        assert_eq!(found.message_type, MessageType::Update);
+        updates.push(Update::decode(found.body, wire).unwrap());
         at += found.length();
     }
     assert_eq!(at, bytes.len());
@@ -110,7 +110,7 @@
 #[test]
 fn a_malformed_attribute_costs_its_routes_or_itself_and_not_the_session() {
     let withdrawn = |attributes: &[(u8, u8, &[u8])]| {
-        let update = Update::read(&update(attributes), NEW).unwrap();
+        let update = Update::decode(&update(attributes), NEW).unwrap();
         (update.announced.len(), update.withdrawn.len(), update.discarded)
     };
     assert_eq!(withdrawn(&GOOD), (1, 0, 0));
@@ -157,22 +157,23 @@
     let mut long = update(&GOOD);
     let length = long.len();
     long[length - 5 - 5] = 200;
-    let read = Update::read(&long, NEW).unwrap();
+    let read = Update::decode(&long, NEW).unwrap();
     assert_eq!((read.announced.len(), read.withdrawn.len()), (0, 1));
 }
 
 #[test]
 fn what_leaves_the_routes_unknown_ends_the_session() {
-    let fault = |attributes: &[(u8, u8, &[u8])]| Update::read(&update(attributes), NEW).unwrap_err().subcode;
+    let error =
+        |attributes: &[(u8, u8, &[u8])]| Update::decode(&update(attributes), NEW).unwrap_err().subcode();
     let unreach: (u8, u8, &[u8]) = (OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1]);
-    assert_eq!(fault(&[unreach, unreach]), 1);
-    assert_eq!(fault(&[(OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1, 129])]), 9);
-    assert_eq!(fault(&[(OPTIONAL, MP_REACH_NLRI, &[0, 2, 1, 4, 1, 2, 3, 4, 0])]), 9);
-    assert_eq!(fault(&[(TRANSITIVE, MP_REACH_NLRI, &[0, 2, 1])]), 4);
-    assert_eq!(fault(&[(TRANSITIVE, 99, &[])]), 2);
-    assert_eq!(Update::read(&[0, 9, 0, 0], NEW).unwrap_err().subcode, 1);
-    assert_eq!(Update::read(&[0, 0, 0, 9], NEW).unwrap_err().subcode, 1);
-    assert_eq!(Update::read(&[0, 0, 0, 0, 33, 1, 2, 3, 4, 5], NEW).unwrap_err().subcode, 10);
+    assert_eq!(error(&[unreach, unreach]), 1);
+    assert_eq!(error(&[(OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1, 129])]), 9);
+    assert_eq!(error(&[(OPTIONAL, MP_REACH_NLRI, &[0, 2, 1, 4, 1, 2, 3, 4, 0])]), 9);
+    assert_eq!(error(&[(TRANSITIVE, MP_REACH_NLRI, &[0, 2, 1])]), 4);
+    assert_eq!(error(&[(TRANSITIVE, 99, &[])]), 2);
+    assert_eq!(Update::decode(&[0, 9, 0, 0], NEW).unwrap_err().subcode(), 1);
+    assert_eq!(Update::decode(&[0, 0, 0, 9], NEW).unwrap_err().subcode(), 1);
+    assert_eq!(Update::decode(&[0, 0, 0, 0, 33, 1, 2, 3, 4, 5], NEW).unwrap_err().subcode(), 10);
 }
 
 proptest! {
@@ -202,11 +203,11 @@
         body in proptest::collection::vec(any::<u8>(), 0..4077),
         four_octet in any::<bool>(),
     ) {
-        if let Ok(update) = Update::read(&body, Wire { four_octet, internal: false }) {
+        if let Ok(update) = Update::decode(&body, Wire { four_octet, internal: false }) {
             prop_assert!(update.announced.len() + update.withdrawn.len() <= body.len());
         }
-        let _ = crate::Open::read(&body);
-        let _ = crate::Notification::read(&body).to_string();
+        let _ = crate::Open::decode(&body);
+        let _ = crate::Notification::decode(&body).to_string();
         let _ = frame(&body);
     }
 
@@ -220,6 +221,6 @@
         let at = at % body.len();
         body[at] = octet;
         body.truncate(cut.max(1));
-        let _ = Update::read(&body, NEW);
+        let _ = Update::decode(&body, NEW);
     }
 }
--- a/crates/bgp/tests/interop.rs
+++ b/crates/bgp/tests/interop.rs
@@ -2,9 +2,11 @@
 
 use bgpkit_parser::models::{AsnLength, BgpMessage};
 use bgpkit_parser::parser::bgp::messages::parse_bgp_message;
-use cleatgw_bgp::message::{self, frame, keepalive};
+use cleatgw_bgp::message::{encode_keepalive, frame};
 use cleatgw_bgp::update::{self, Segment, Wire};
-use cleatgw_bgp::{Attributes, Capabilities, Family, Graceful, Notification, Open, Role, Update};
+use cleatgw_bgp::{
+    Attributes, Capabilities, CeaseSubcode, Family, Graceful, MessageType, Notification, Open, Role, Update,
+};
 use ipnet::IpNet;
 use rand::rngs::SmallRng;
 use rand::{RngCore, SeedableRng};
@@ -58,9 +60,11 @@
     let four = nets(&["198.51.100.7/32", "203.0.113.0/24"]);
     let six = nets(&["2001:db8:7::7/128"]);
     vec![
-        write(&|out| open().put(out)),
-        write(&keepalive),
-        write(&|out| Notification::cease(2, "planned stop", false).put(out)),
+        write(&|out| open().encode(out)),
+        write(&encode_keepalive),
+        write(&|out| {
+            Notification::cease(CeaseSubcode::AdministrativeShutdown, "planned stop", false).encode(out)
+        }),
         write(&|out| update::announce(out, Family::Ipv4, &four, &attributes("192.0.2.1"), WIRE)),
         write(&|out| update::announce(out, Family::Ipv6, &six, &attributes("2001:db8::1"), WIRE)),
         write(&|out| update::withdraw(out, Family::Ipv4, &four)),
@@ -123,10 +127,10 @@
     };
     let ours = tried(&|bytes| {
         if let Ok(Some(found)) = frame(bytes) {
-            match found.kind {
-                message::OPEN => drop(Open::read(found.body)),
-                message::UPDATE => drop(Update::read(found.body, WIRE)),
-                message::NOTIFICATION => drop(Notification::read(found.body).to_string()),
+            match found.message_type {
+                MessageType::Open => drop(Open::decode(found.body)),
+                MessageType::Update => drop(Update::decode(found.body, WIRE)),
+                MessageType::Notification => drop(Notification::decode(found.body).to_string()),
                 _ => {}
             }
         }
--- a/crates/bgp/tests/model.rs
+++ b/crates/bgp/tests/model.rs
@@ -4,12 +4,12 @@
 #[allow(dead_code)]
 mod host;
 
-use cleatgw_bgp::{notification, Capabilities, Notification, Open, PeerTerms, State};
+use cleatgw_bgp::{Capabilities, CeaseSubcode, Notification, Open, PeerTerms, State};
 use host::*;
 use stateright::{Checker, Model, Property};
 use std::fmt;
 
-/// A fault that is put in to see that it is found.
+/// A error that is put in to see that it is found.
 #[derive(Clone, Copy, PartialEq)]
 enum Planted {
     Nothing,
@@ -108,7 +108,9 @@
             }
             Step::FarNotifies => {
                 host.on?;
-                host.far.say(|out| Notification::cease(notification::SHUTDOWN, "", false).put(out));
+                host.far.say(|out| {
+                    Notification::cease(CeaseSubcode::AdministrativeShutdown, "", false).encode(out)
+                });
                 host.carry_in();
             }
             Step::FarArrives => {
@@ -129,7 +131,9 @@
                 match self.planted {
                     Planted::Nothing => host.peer.drain(wanted(&[]), host.now),
                     Planted::DrainOnlyWithdraws => host.peer.announce(wanted(&[]), host.now),
-                    Planted::DrainLeaves => host.peer.finish(notification::SHUTDOWN, "", host.now),
+                    Planted::DrainLeaves => {
+                        host.peer.finish(CeaseSubcode::AdministrativeShutdown, "", host.now)
+                    }
                 }
                 next.drained = true;
                 next.host.acts();
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -2,6 +2,7 @@
 
 mod host;
 
+use cleatgw_bgp::error::FsmError;
 use cleatgw_bgp::message::{self, frame};
 use cleatgw_bgp::update::{self, Segment, Wire};
 use cleatgw_bgp::*;
@@ -47,7 +48,9 @@
         match round % 5 {
             0 => host.reset(),
             1 => {
-                host.far.say(|out| Notification::cease(notification::SHUTDOWN, "flap", false).put(out));
+                host.far.say(|out| {
+                    Notification::cease(CeaseSubcode::AdministrativeShutdown, "flap", false).encode(out)
+                });
                 host.settle();
             }
             2 => host.far.say(|out| out.extend([0xff; 25])),
@@ -106,7 +109,7 @@
     host.run(19.0);
     assert_eq!(host.peer.state(), State::OpenSent);
     host.run(1.5);
-    assert_eq!(notified(&host).unwrap().code, notification::HOLD);
+    assert_eq!(notified(&host).unwrap().code, ErrorKind::HoldTimerExpired.code());
     host.far.mute = false;
     host.run(2.0);
     assert_eq!(host.held(), 2);
@@ -122,7 +125,7 @@
         assert_eq!(peer.act(), Some(Act::Connect));
         assert!(peer.connected(Side::Ours, 0.0) && peer.connected(Side::Theirs, 0.0));
         let mut open = Vec::new();
-        Open { id: far_id.parse().unwrap(), ..far_open() }.put(&mut open);
+        Open { id: far_id.parse().unwrap(), ..far_open() }.encode(&mut open);
         peer.bytes(Side::Ours, &open, 0.1);
         assert_eq!(peer.state(), State::OpenConfirm);
         peer.bytes(Side::Theirs, &open, 0.1);
@@ -132,14 +135,17 @@
         let mut kinds = Vec::new();
         let mut at = 0;
         while let Some(found) = frame(&last[at..]).unwrap() {
-            kinds.push((found.kind, found.body.get(1).copied()));
+            kinds.push((found.message_type, found.body.get(1).copied()));
             at += found.length();
         }
-        assert_eq!(kinds.last().unwrap(), &(message::NOTIFICATION, Some(notification::COLLISION)));
+        assert_eq!(
+            kinds.last().unwrap(),
+            &(MessageType::Notification, Some(CeaseSubcode::ConnectionCollisionResolution as u8))
+        );
         peer.written(gone, last.len(), 0.2);
         assert_eq!(peer.act(), Some(Act::Close(gone)));
         let mut alive = Vec::new();
-        message::keepalive(&mut alive);
+        message::encode_keepalive(&mut alive);
         peer.bytes(stays, &alive, 0.3);
         assert_eq!((peer.state(), peer.told().count()), (State::Established, 2));
         // A third one while it is up is turned away.
@@ -206,7 +212,7 @@
     let mut host = Host::up(terms(), far_open(), both());
     for _ in 0..20 {
         host.run(2.0);
-        host.far.say(message::keepalive);
+        host.far.say(message::encode_keepalive);
         host.settle();
     }
     assert_eq!((host.peer.state(), host.peer.counts.lost), (State::Established, 0));
@@ -236,7 +242,7 @@
         ("open confirm", |host| {
             host.far.mute = true;
             host.settle();
-            host.far.say(|out| far_open().put(out));
+            host.far.say(|out| far_open().encode(out));
             host.settle();
             assert_eq!(host.peer.state(), State::OpenConfirm);
         }),
@@ -261,13 +267,13 @@
         assert!(host.peer.cleared(host.now), "{name}");
         host.run(30.0);
         assert_eq!((host.held(), announced(&host)), (0, before), "{name}");
-        host.peer.finish(notification::SHUTDOWN, "planned stop", host.now);
+        host.peer.finish(CeaseSubcode::AdministrativeShutdown, "planned stop", host.now);
         host.settle();
         assert!(host.peer.over(), "{name}: {:?}", host.peer.state());
         assert!(!host.arrives(), "{name}");
         if name == "established" {
             let told = notified(&host).unwrap();
-            assert_eq!((told.subcode, told.words().unwrap().as_str()), (2, "planned stop"));
+            assert_eq!((told.subcode, told.shutdown_communication().unwrap().as_str()), (2, "planned stop"));
         }
     }
 }
@@ -304,9 +310,9 @@
     assert!(host.held() == 0 && host.peer.cleared(host.now));
     // Without a drain, the end of a healthy stop is a hard reset: nothing is kept.
     let mut host = Host::up(ours, theirs, both());
-    host.peer.finish(notification::SHUTDOWN, "", host.now);
+    host.peer.finish(CeaseSubcode::AdministrativeShutdown, "", host.now);
     host.settle();
-    assert!(host.held() == 0 && notified(&host).unwrap().hard && host.peer.over());
+    assert!(host.held() == 0 && notified(&host).unwrap().hard_reset && host.peer.over());
 }
 
 /// Hard case: a withdrawal is lost in a reset; what is out is compared with what is told anew.
@@ -409,8 +415,9 @@
     let mut host = Host::up(terms(), far_open(), both());
     let before = announced(&host);
     // A hundred at once are one.
-    host.far
-        .say(|out| (0..20).for_each(|_| message::put_refresh(out, message::Refresh::Asked(Family::Ipv4))));
+    host.far.say(|out| {
+        (0..20).for_each(|_| message::encode_route_refresh(out, message::RouteRefresh::Request(Family::Ipv4)))
+    });
     host.carries = false;
     let input = std::mem::take(&mut host.far.out);
     host.peer.bytes(Side::Ours, &input, host.now);
@@ -418,10 +425,13 @@
     let mut kinds = Vec::new();
     let mut at = 0;
     while let Some(found) = frame(&out[at..]).unwrap() {
-        kinds.push((found.kind, found.body[2]));
+        kinds.push((found.message_type, found.body[2]));
         at += found.length();
     }
-    assert_eq!(kinds, [(5, 1), (2, 0), (5, 2)]);
+    assert_eq!(
+        kinds,
+        [(MessageType::RouteRefresh, 1), (MessageType::Update, 0), (MessageType::RouteRefresh, 2)]
+    );
     host.carries = true;
     host.settle();
     assert_eq!(announced(&host), before + 1);
@@ -451,17 +461,17 @@
 #[test]
 fn messages_out_of_place_end_the_session_with_the_state_they_came_in() {
     let mut host = Host::up(terms(), far_open(), both());
-    host.far.say(|out| far_open().put(out));
+    host.far.say(|out| far_open().encode(out));
     host.settle();
-    let told = notified(&host).unwrap();
-    assert_eq!((told.code, told.subcode), (notification::STATE, 3));
+    let (told, error) = (notified(&host).unwrap(), ErrorKind::Fsm(FsmError::Established));
+    assert_eq!((told.code, told.subcode), (error.code(), error.subcode()));
     let mut host = Host::new(terms(), far_open());
     host.far.mute = true;
     host.settle();
-    host.far.say(message::keepalive);
+    host.far.say(message::encode_keepalive);
     host.settle();
-    let told = notified(&host).unwrap();
-    assert_eq!((told.code, told.subcode), (notification::STATE, 1));
+    let (told, error) = (notified(&host).unwrap(), ErrorKind::Fsm(FsmError::OpenSent));
+    assert_eq!((told.code, told.subcode), (error.code(), error.subcode()));
 }
 
 #[test]
@@ -525,7 +535,7 @@
     // It is asked for both families again.
     let asked = host.peer.unsent(Side::Ours).to_vec();
     let kinds: Vec<u8> = asked.chunks(23).map(|message| message[18]).collect();
-    assert_eq!(kinds, [message::ROUTE_REFRESH; 2]);
+    assert_eq!(kinds, [MessageType::RouteRefresh as u8; 2]);
     host.settle();
     told(&mut host, "198.51.100.8/32", &[THEIRS, OURS], None);
     assert_eq!((host.peer.learned.len(), host.peer.counts.lost), (1, 0));
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -3,7 +3,7 @@
 
 use cleatgw_bgp::message::{self, frame};
 use cleatgw_bgp::update::{Update, Wire};
-use cleatgw_bgp::{Attributes, Notification, Open};
+use cleatgw_bgp::{Attributes, MessageType, Notification, Open};
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
@@ -55,7 +55,7 @@
         (self.theirs, self.established) = (None, false);
         (self.input, self.out) = (Vec::new(), Vec::new());
         if !self.mute {
-            self.open.put(&mut self.out);
+            self.open.encode(&mut self.out);
         }
     }
 
@@ -72,25 +72,25 @@
         self.input.extend(bytes);
         loop {
             let Some(found) = frame(&self.input).expect("what we write is whole") else { return true };
-            let (kind, body, length) = (found.kind, found.body.to_vec(), found.length());
+            let (kind, body, length) = (found.message_type, found.body.to_vec(), found.length());
             self.input.drain(..length);
             match kind {
-                message::OPEN => {
-                    self.theirs = Some(Open::read(&body).expect("a well-formed OPEN"));
+                MessageType::Open => {
+                    self.theirs = Some(Open::decode(&body).expect("a well-formed OPEN"));
                     if !self.mute {
-                        message::keepalive(&mut self.out);
+                        message::encode_keepalive(&mut self.out);
                     }
                 }
-                message::KEEPALIVE if !self.established && self.theirs.is_some() => {
+                MessageType::Keepalive if !self.established && self.theirs.is_some() => {
                     self.established = true;
                     self.saw.push(Saw::Established);
                     let keeps = self.kept_families(true);
                     self.drop_stale(|family| !keeps[family]);
                 }
-                message::KEEPALIVE if !self.mute => message::keepalive(&mut self.out),
-                message::UPDATE => self.update(&body),
-                message::NOTIFICATION => {
-                    let told = Notification::read(&body);
+                MessageType::Keepalive if !self.mute => message::encode_keepalive(&mut self.out),
+                MessageType::Update => self.update(&body),
+                MessageType::Notification => {
+                    let told = Notification::decode(&body);
                     self.ended(Some(told));
                     return false;
                 }
@@ -103,7 +103,7 @@
         assert!(self.established, "an UPDATE before the session was up");
         let four_octet = self.open.capabilities.four_octet.is_some();
         let internal = self.theirs.as_ref().is_some_and(|open| open.asn == self.open.asn);
-        let update = Update::read(body, Wire { four_octet, internal }).expect("a well-formed UPDATE");
+        let update = Update::decode(body, Wire { four_octet, internal }).expect("a well-formed UPDATE");
         assert_eq!(update.treated_as_withdrawn, None);
         for net in update.withdrawn {
             self.table.remove(&net);
@@ -149,7 +149,7 @@
         let bit =
             |open: &Open| open.capabilities.graceful.is_some_and(|graceful| graceful.over_notifications);
         let both = bit(&self.open) && self.theirs.as_ref().is_some_and(bit);
-        let kept = told.as_ref().is_none_or(|told| both && !told.hard);
+        let kept = told.as_ref().is_none_or(|told| both && !told.hard_reset);
         let keeps = self.kept_families(false).map(|family| family && kept);
         self.table.values_mut().for_each(|(_, stale)| *stale = true);
         self.saw.push(Saw::Ended(told));
--- a/crates/lab/src/peering.rs
+++ b/crates/lab/src/peering.rs
@@ -4,7 +4,7 @@
 use crate::far::{Far, Saw};
 use cleatgw_bgp::message;
 use cleatgw_bgp::update::{self, Segment, Wire};
-use cleatgw_bgp::{notification, Attributes, Capabilities, Family, Graceful, Notification, Open};
+use cleatgw_bgp::{Attributes, Capabilities, CeaseSubcode, Family, Graceful, Notification, Open};
 use ipnet::IpNet;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
@@ -195,7 +195,7 @@
 
     /// Ends the session with a Cease.
     pub fn cease(&self) {
-        self.say(|out| Notification::cease(notification::SHUTDOWN, "flap", false).put(out));
+        self.say(|out| Notification::cease(CeaseSubcode::AdministrativeShutdown, "flap", false).encode(out));
         let mut inner = self.inner();
         if inner.open.take().is_some() {
             inner.far.ended(None);
@@ -227,7 +227,7 @@
     }
 
     pub fn keepalive(&self) {
-        self.say(message::keepalive);
+        self.say(message::encode_keepalive);
     }
 
     pub fn established(&self) -> bool {
--- a/crates/router/src/transport/speaker.rs
+++ b/crates/router/src/transport/speaker.rs
@@ -5,7 +5,7 @@
 use crate::routing::Counters;
 use calloop::{Readiness, RegistrationToken};
 use cleatgw_announce::{Announcer, Level, Note, Paths, Readings, Why};
-use cleatgw_bgp::{notification, Act, Path, Peer, Side, State, LONGEST};
+use cleatgw_bgp::{Act, CeaseSubcode, Path, Peer, Side, State, MAX_MESSAGE_LENGTH};
 use cleatgw_operator::{PeerPart, ServiceFile};
 use ipnet::IpNet;
 use rustix::io::Errno;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 /// Input that is kept of a connection: a whole message and what came with it.
-const INPUT: usize = 2 * LONGEST;
+const INPUT: usize = 2 * MAX_MESSAGE_LENGTH;
 /// Connections accepted in one turn.
 const ACCEPTED: usize = 16;
 /// How long the last messages may take at the end.
@@ -183,9 +183,9 @@
 
     /// Reads what there is room for; tells whether the connection goes on.
     fn read(&mut self) -> io::Result<bool> {
-        let mut chunk = [0; LONGEST];
+        let mut chunk = [0; MAX_MESSAGE_LENGTH];
         while self.input.len() < INPUT {
-            let room = (INPUT - self.input.len()).min(LONGEST);
+            let room = (INPUT - self.input.len()).min(MAX_MESSAGE_LENGTH);
             match (&*self.stream).read(&mut chunk[..room]) {
                 Ok(0) => return Ok(false),
                 Ok(length) => self.input.extend(&chunk[..length]),
@@ -249,7 +249,11 @@
             // Other addresses are told on the session that is up; what else is new in it ends it.
             let same = part.filter(|part| **part == speaking.part);
             if !same.is_some_and(|part| speaking.peer.change(&part.terms(&file.bgp, &file.addresses))) {
-                let subcode = if part.is_some() { notification::CHANGED } else { notification::DECONFIGURED };
+                let subcode = if part.is_some() {
+                    CeaseSubcode::OtherConfigurationChange
+                } else {
+                    CeaseSubcode::PeerDeconfigured
+                };
                 speaking.peer.finish(subcode, "new service file", now);
                 speaking.leaves = true;
             }
@@ -476,7 +480,7 @@
         if self.farewell.is_none() {
             self.farewell = Some(now);
             for at in 0..self.peers.len() {
-                self.peers[at].peer.finish(notification::SHUTDOWN, WORDS, now);
+                self.peers[at].peer.finish(CeaseSubcode::AdministrativeShutdown, WORDS, now);
                 self.carry_out(at, now);
             }
         }
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -1,6 +1,6 @@
 //! The real program between stand-ins, with routing peers: service addresses follow it.
 
-use cleatgw_bgp::{notification, Notification, GRACEFUL_SHUTDOWN};
+use cleatgw_bgp::{CeaseSubcode, MessageType, Notification, GRACEFUL_SHUTDOWN};
 use cleatgw_lab::far::Saw;
 use cleatgw_lab::peering::*;
 use cleatgw_lab::standins::*;
@@ -105,7 +105,10 @@
     assert_eq!((code, counter(&counters, "open"), counter(&counters, "bgp_established")), (Some(0), 0, 1));
     peering.wait("a goodbye", |peering| last_words(peering).is_some());
     let told = last_words(&peering).unwrap();
-    assert_eq!((told.subcode, told.words().as_deref()), (notification::SHUTDOWN, Some("planned stop")));
+    assert_eq!(
+        (told.subcode, told.shutdown_communication().as_deref()),
+        (CeaseSubcode::AdministrativeShutdown as u8, Some("planned stop"))
+    );
     assert_eq!(announced(&peering), 2);
 }
 
@@ -189,7 +192,7 @@
     peering.wait("announced for good", |peering| announced(peering) == 2);
     world.router.terminate();
     assert_eq!(world.router.ended().0, Some(0));
-    peering.wait("a goodbye", |peering| last_words(peering).is_some_and(|told| told.hard));
+    peering.wait("a goodbye", |peering| last_words(peering).is_some_and(|told| told.hard_reset));
     assert!(!has_route(&peering));
 }
 
@@ -259,7 +262,8 @@
     flooding.join().unwrap();
     Client::new(&world.router).counters("bgp_passed_over", 2000);
     // An UPDATE whose attributes do not fit: the session ends, the rest goes on.
-    peering.say(|out| cleatgw_bgp::message::put(out, 2, |out| out.extend([0, 0, 0, 99])));
+    peering
+        .say(|out| cleatgw_bgp::message::encode(out, MessageType::Update, |out| out.extend([0, 0, 0, 99])));
     peering.wait("announced again", |peering| announced(peering) == 3);
     let told = last_words(&peering).unwrap();
     assert_eq!((told.code, told.subcode), (3, 1));
@@ -280,7 +284,7 @@
     world.router.log.wait("bgp.identifier can't change while running", 1);
     second.wait("told at once", has_route);
     first.wait("left", |peering| !peering.connected());
-    assert_eq!(last_words(&first).unwrap().subcode, notification::CHANGED);
+    assert_eq!(last_words(&first).unwrap().subcode, CeaseSubcode::OtherConfigurationChange as u8);
     assert_eq!(announced(&second), 1, "an address that stays keeps its level");
     // An operator's hold withdraws it.
     world.reload(&service_file(&[&second], "\"hold\":\"withdrawn\","));
