--- a/crates/announce/src/announcer/routes.rs
+++ b/crates/announce/src/announcer/routes.rs
@@ -32,7 +32,7 @@
             prepend: dear.prepend,
             local_pref,
             communities,
-            large: vec![self.terms.mark.write(sound)],
+            large_communities: vec![self.terms.mark.write(sound)],
         }
     }
 }
--- a/crates/announce/src/announcer/tests.rs
+++ b/crates/announce/src/announcer/tests.rs
@@ -62,7 +62,13 @@
     let mut paths = Paths::new(true);
     for &(instance, sound) in marks {
         let large = vec![Mark { instance, ..terms().mark }.write(sound)];
-        let seen = Seen { communities: Vec::new(), large, path_length: 2, med: None, stale: false };
+        let seen = Seen {
+            communities: Vec::new(),
+            large_communities: large,
+            path_length: 2,
+            med: None,
+            stale: false,
+        };
         paths.add(&terms().mark, net(), &seen);
     }
     paths
@@ -121,7 +127,7 @@
     assert_eq!(world.announcer.wanted()[&net()].med, Some(200));
     world.run(5.0);
     assert_eq!((world.level(), world.moved.len()), (Level::Announced, 2));
-    assert_eq!(world.announcer.wanted()[&net()].large, [[64_512, 1, 1]]);
+    assert_eq!(world.announcer.wanted()[&net()].large_communities, [[64_512, 1, 1]]);
 }
 
 #[test]
@@ -143,7 +149,10 @@
     world.run(1.4);
     assert_eq!(world.level(), Level::LastResort);
     let shown = world.announcer.wanted()[&net()].clone();
-    assert_eq!((shown.med, shown.prepend, &shown.large[..]), (Some(400), 3, &[[64_512, 2, 1]][..]));
+    assert_eq!(
+        (shown.med, shown.prepend, &shown.large_communities[..]),
+        (Some(400), 3, &[[64_512, 2, 1]][..])
+    );
     world.run(1.0);
     assert_eq!(world.level(), Level::LastResort, "not before the settling time");
     world.run(3.0);
@@ -310,7 +319,7 @@
                 (&[GRACEFUL_SHUTDOWN][..], Some(0))
             );
             // The mark says that it is no sound path any more.
-            assert_eq!(wanted[&net()].large, [[64_512, 2, 1]]);
+            assert_eq!(wanted[&net()].large_communities, [[64_512, 2, 1]]);
             world.run(0.39);
             assert_eq!(world.level(), Level::Depreferred);
             world.run(0.02);
--- a/crates/announce/src/paths.rs
+++ b/crates/announce/src/paths.rs
@@ -23,7 +23,7 @@
 
     /// The instance that a path is from, and whether it says that it is sound; none for a path without a mark.
     fn read(&self, seen: &Seen) -> Option<(u32, bool)> {
-        let marks = seen.large.iter().filter(|[asn, _, _]| *asn == self.asn);
+        let marks = seen.large_communities.iter().filter(|[asn, _, _]| *asn == self.asn);
         let known = marks.filter(|[_, function, _]| *function == self.sound || *function == self.last_resort);
         known.map(|[_, function, instance]| (*instance, *function == self.sound)).next()
     }
--- a/crates/announce/src/paths/tests.rs
+++ b/crates/announce/src/paths/tests.rs
@@ -3,7 +3,13 @@
 use super::*;
 
 fn seen(large: &[[u32; 3]], communities: &[u32], stale: bool) -> Seen {
-    Seen { communities: communities.to_vec(), large: large.to_vec(), path_length: 2, med: None, stale }
+    Seen {
+        communities: communities.to_vec(),
+        large_communities: large.to_vec(),
+        path_length: 2,
+        med: None,
+        stale,
+    }
 }
 
 #[test]
--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -89,8 +89,12 @@
         let mut paths = Paths::new(true);
         for other in self.instances.iter() {
             for (net, path) in other.announcer.wanted() {
-                let Path { communities, large, med, .. } = path;
-                paths.add(&mark, net, &Seen { communities, large, path_length: 1, med, stale: false });
+                let Path { communities, large_communities, med, .. } = path;
+                paths.add(
+                    &mark,
+                    net,
+                    &Seen { communities, large_communities, path_length: 1, med, stale: false },
+                );
             }
         }
         paths
--- a/crates/bgp/src/learned.rs
+++ b/crates/bgp/src/learned.rs
@@ -2,7 +2,7 @@
 //! addresses: who else announces them. Bounded by count whatever a peer sends.
 
 use crate::open::Family;
-use crate::update::{family_of, Attributes};
+use crate::update::PathAttributes;
 use ipnet::IpNet;
 use prefix_trie::joint::{JointPrefixMap, JointPrefixSet};
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen {
     pub communities: Vec<u32>,
-    pub large: Vec<[u32; 3]>,
+    pub large_communities: Vec<[u32; 3]>,
     pub path_length: usize,
     pub med: Option<u32>,
     /// Its session is gone, and the peer said that it would be back (RFC 4724 section 4.2).
@@ -54,7 +54,7 @@
     }
 
     /// A route is of use where it is a service address, or a part of one that would draw its clients away.
-    pub fn insert(&mut self, net: IpNet, attributes: &Attributes) {
+    pub fn insert(&mut self, net: IpNet, attributes: &PathAttributes) {
         if self.services.get_lpm(&net).is_none() {
             self.passed_over += 1;
             return;
@@ -65,7 +65,7 @@
         }
         let seen = Seen {
             communities: attributes.communities.iter().copied().take(MOST_COMMUNITIES).collect(),
-            large: attributes.large.iter().copied().take(MOST_COMMUNITIES).collect(),
+            large_communities: attributes.large_communities.iter().copied().take(MOST_COMMUNITIES).collect(),
             path_length: attributes.path_length(),
             med: attributes.med,
             stale: false,
@@ -84,14 +84,14 @@
 
     /// The session is gone and the peer will be back: its routes stand until then at the latest.
     pub fn grow_stale(&mut self, families: [bool; 2], until: f64) {
-        self.routes.retain(|net, _| families[family_of(&net) as usize]);
+        self.routes.retain(|net, _| families[Family::of_prefix(&net) as usize]);
         self.routes.values_mut().for_each(|seen| seen.stale = true);
         self.stale_until = if self.routes.is_empty() { f64::INFINITY } else { until };
     }
 
     /// All that the peer has of a family is told: what is still stale in it is gone.
     pub fn told_all(&mut self, family: Family) {
-        self.routes.retain(|net, seen| !seen.stale || family_of(&net) != family);
+        self.routes.retain(|net, seen| !seen.stale || Family::of_prefix(&net) != family);
         if !self.routes.values().any(|seen| seen.stale) {
             self.stale_until = f64::INFINITY;
         }
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -19,7 +19,7 @@
 pub use notification::Notification;
 pub use open::{Capabilities, Family, Graceful, Open, Role};
 pub use session::{Act, Path, Peer, PeerTerms, Side, State};
-pub use update::{Attributes, Update};
+pub use update::{PathAttributes, Update};
 
 /// RFC 8326: routes that carry it are about to go.
 pub const GRACEFUL_SHUTDOWN: u32 = 0xffff_0000;
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -3,6 +3,7 @@
 use crate::error::{MessageError, OpenError};
 use crate::message::{self, MessageType};
 use crate::Bytes;
+use ipnet::IpNet;
 use std::net::Ipv4Addr;
 
 /// Stands for an AS number that two octets can't hold (RFC 6793).
@@ -28,6 +29,14 @@
         }
     }
 
+    /// The family of a prefix.
+    pub fn of_prefix(prefix: &IpNet) -> Family {
+        match prefix {
+            IpNet::V4(_) => Family::Ipv4,
+            IpNet::V6(_) => Family::Ipv6,
+        }
+    }
+
     pub fn afi(self) -> u16 {
         self as u16 + 1
     }
@@ -84,7 +93,7 @@
 pub struct Capabilities {
     /// By [`Family`]; without any, IPv4 is meant.
     pub families: [bool; 2],
-    pub four_octet: Option<u32>,
+    pub four_octet_as: Option<u32>,
     pub refresh: bool,
     pub enhanced_refresh: bool,
     pub graceful: Option<Graceful>,
@@ -158,7 +167,7 @@
         if capabilities.families == [false; 2] {
             capabilities.families[0] = true;
         }
-        asn = capabilities.four_octet.unwrap_or(asn);
+        asn = capabilities.four_octet_as.unwrap_or(asn);
         if asn == 0 {
             return Err(MessageError::new(OpenError::BadPeerAs, "AS 0 (RFC 7607)"));
         }
@@ -196,7 +205,7 @@
                 }
                 (2, []) => self.refresh = true,
                 (70, []) => self.enhanced_refresh = true,
-                (65, &[a, b, c, d]) => self.four_octet = Some(u32::from_be_bytes([a, b, c, d])),
+                (65, &[a, b, c, d]) => self.four_octet_as = Some(u32::from_be_bytes([a, b, c, d])),
                 (9, &[number]) => {
                     let role = Role::of(number);
                     if self.role.is_some() && self.role != role {
@@ -238,7 +247,7 @@
         if self.enhanced_refresh {
             out.extend([70, 0]);
         }
-        if let Some(asn) = self.four_octet {
+        if let Some(asn) = self.four_octet_as {
             out.extend([65, 4]);
             out.extend(asn.to_be_bytes());
         }
--- a/crates/bgp/src/open/tests.rs
+++ b/crates/bgp/src/open/tests.rs
@@ -10,7 +10,7 @@
         id: Ipv4Addr::new(192, 0, 2, 1),
         capabilities: Capabilities {
             families: [true, true],
-            four_octet: Some(4_200_000_001),
+            four_octet_as: Some(4_200_000_001),
             refresh: true,
             enhanced_refresh: true,
             graceful: Some(Graceful {
--- a/crates/bgp/src/session/connection.rs
+++ b/crates/bgp/src/session/connection.rs
@@ -2,7 +2,7 @@
 
 use super::Path;
 use crate::open::{Capabilities, Family, Graceful, Open};
-use crate::update::Wire;
+use crate::update::UpdateContext;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
@@ -161,10 +161,10 @@
     }
 
     /// How UPDATEs are written on it, in both directions; `internal` tells whether both sides are of one AS.
-    pub fn encoding(&self, internal: bool) -> Wire {
-        let four_octet =
-            self.peer_capabilities().is_some_and(|capabilities| capabilities.four_octet.is_some());
-        Wire { four_octet, internal }
+    pub fn encoding(&self, internal: bool) -> UpdateContext {
+        let four_octet_as =
+            self.peer_capabilities().is_some_and(|capabilities| capabilities.four_octet_as.is_some());
+        UpdateContext { four_octet_as, internal }
     }
 
     pub fn peer_graceful_restart(&self) -> Option<Graceful> {
--- a/crates/bgp/src/session/inbound.rs
+++ b/crates/bgp/src/session/inbound.rs
@@ -7,7 +7,7 @@
 use crate::message::{self, MessageType, RouteRefresh};
 use crate::notification::Notification;
 use crate::open::Role;
-use crate::update::{Attributes, Update};
+use crate::update::{PathAttributes, RouteError, Update};
 
 impl Peer {
     /// Takes one message. An error ends the connection with its NOTIFICATION.
@@ -64,20 +64,20 @@
         self.counts.updates_in += 1;
         self.counts.attributes_discarded += u64::from(update.discarded);
         let attributes = &update.attributes;
-        let why = match update.treated_as_withdrawn {
-            Some(why) => Some(why),
+        let route_error = match update.treated_as_withdrawn {
+            Some(error) => Some(error),
             None if update.announced.is_empty() => None,
-            None if self.is_foreign(attributes) => Some("the path does not begin with the peer's AS"),
+            None if self.is_foreign(attributes) => Some(RouteError::FirstAsMismatch),
             None => None,
         };
-        if let Some(why) = why {
-            self.count_treated_as_withdrawn(why);
+        if let Some(error) = route_error {
+            self.count_treated_as_withdrawn(error);
         }
         for net in &update.withdrawn {
             self.learned.remove(net);
         }
-        let loops = attributes.times_in_path(self.terms.asn) > self.terms.own_as_allowed;
-        let usable = why.is_none() && !loops && !self.is_leaked(attributes);
+        let loops = attributes.occurrences(self.terms.asn) > self.terms.own_as_allowed;
+        let usable = route_error.is_none() && !loops && !self.is_leaked(attributes);
         for net in &update.announced {
             match usable {
                 true => self.learned.insert(*net, attributes),
@@ -92,13 +92,13 @@
 
     /// RFC 4271 section 6.3: a path of another AS begins with the peer's, but for one that a route server passes on
     /// (RFC 7947 section 2.2.2.1).
-    fn is_foreign(&self, attributes: &Attributes) -> bool {
+    fn is_foreign(&self, attributes: &PathAttributes) -> bool {
         let route_server = self.terms.role == Some(Role::RouteServerClient);
         !self.terms.internal() && !route_server && attributes.first_as() != Some(self.terms.peer_asn)
     }
 
     /// RFC 9234 section 5: a route that must not come from this side has leaked.
-    fn is_leaked(&self, attributes: &Attributes) -> bool {
+    fn is_leaked(&self, attributes: &PathAttributes) -> bool {
         match (self.terms.role, attributes.only_to_customer) {
             (Some(Role::Provider | Role::RouteServer), Some(_)) => true,
             (Some(Role::Peer), Some(asn)) => asn != self.terms.peer_asn,
@@ -107,11 +107,11 @@
     }
 
     /// Logged at each power of two: a peer that keeps on sending such routes must not fill the log.
-    fn count_treated_as_withdrawn(&mut self, why: &str) {
+    fn count_treated_as_withdrawn(&mut self, error: RouteError) {
         self.counts.treated_as_withdrawn += 1;
         let count = self.counts.treated_as_withdrawn;
         if count.is_power_of_two() {
-            self.note(true, format!("routes treated as withdrawn: {why} ({count} times so far)"));
+            self.note(true, format!("routes treated as withdrawn: {error} ({count} times so far)"));
         }
     }
 }
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -17,7 +17,7 @@
             self.terms.families.map(|spoken| (spoken && restart_time.is_some()).then_some(true));
         Capabilities {
             families: self.terms.families,
-            four_octet: Some(self.terms.asn),
+            four_octet_as: Some(self.terms.asn),
             refresh: true,
             enhanced_refresh: true,
             graceful: Some(Graceful {
--- a/crates/bgp/src/session/outbound.rs
+++ b/crates/bgp/src/session/outbound.rs
@@ -4,7 +4,7 @@
 use super::{AdminState, Path, Peer};
 use crate::message::{self, RouteRefresh};
 use crate::open::{Family, Role};
-use crate::update::{self, family_of, Attributes, Segment};
+use crate::update::{self, AsPathSegment, Origin, PathAttributes};
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
@@ -52,7 +52,7 @@
             // What was announced is announced again; what was withdrawn meanwhile stays so.
             connection
                 .adj_rib_out
-                .retain(|net, _| family_of(net) != family || !self.wanted.contains_key(net));
+                .retain(|net, _| Family::of_prefix(net) != family || !self.wanted.contains_key(net));
         }
         if requested && enhanced {
             message::encode_route_refresh(&mut connection.output, RouteRefresh::BeginOfRefresh(family));
@@ -68,7 +68,7 @@
     }
 
     fn write_withdrawals(&mut self, connection: &mut Connection, family: Family) {
-        let is_gone = |net: &&IpNet| family_of(net) == family && !self.wanted.contains_key(*net);
+        let is_gone = |net: &&IpNet| Family::of_prefix(net) == family && !self.wanted.contains_key(*net);
         let gone: Vec<IpNet> = connection.adj_rib_out.keys().filter(is_gone).copied().collect();
         if gone.is_empty() {
             return;
@@ -84,7 +84,7 @@
     fn write_announcements(&mut self, connection: &mut Connection, family: Family) {
         let mut new: BTreeMap<&Path, Vec<IpNet>> = BTreeMap::new();
         for (net, path) in &self.wanted {
-            if family_of(net) == family && connection.adj_rib_out.get(net) != Some(path) {
+            if Family::of_prefix(net) == family && connection.adj_rib_out.get(net) != Some(path) {
                 new.entry(path).or_default().push(*net);
             }
         }
@@ -99,20 +99,20 @@
     }
 
     /// The path attributes of one announcement; none where there is no next hop of the family.
-    fn attributes(&self, family: Family, path: &Path) -> Option<Attributes> {
+    fn attributes(&self, family: Family, path: &Path) -> Option<PathAttributes> {
         let terms = &self.terms;
         let numbers = vec![terms.asn; 1 + usize::from(path.prepend)];
-        let own = Segment { set: false, numbers };
+        let own = AsPathSegment::sequence(numbers);
         // RFC 9234 section 5: what we send to a customer or a lateral peer must go to customers only from there.
         let to_customers_only = matches!(terms.role, Some(Role::Provider | Role::RouteServer | Role::Peer));
-        Some(Attributes {
-            origin: 0,
+        Some(PathAttributes {
+            origin: Origin::Igp,
             as_path: if terms.internal() { Vec::new() } else { vec![own] },
             next_hop: Some(terms.next_hops[family as usize]?),
             med: path.med,
             local_pref: path.local_pref,
             communities: path.communities.clone(),
-            large: path.large.clone(),
+            large_communities: path.large_communities.clone(),
             only_to_customer: to_customers_only.then_some(terms.asn),
         })
     }
--- a/crates/bgp/src/session/terms.rs
+++ b/crates/bgp/src/session/terms.rs
@@ -66,5 +66,5 @@
     /// Means nothing between two.
     pub local_pref: Option<u32>,
     pub communities: Vec<u32>,
-    pub large: Vec<[u32; 3]>,
+    pub large_communities: Vec<[u32; 3]>,
 }
--- a/crates/bgp/src/update/decode.rs
+++ b/crates/bgp/src/update/decode.rs
@@ -1,8 +1,8 @@
 //! Reads an UPDATE. Each error costs as little as RFC 7606 allows: the attribute is discarded, the routes are treated as
 //! withdrawn, or the session ends.
 
-use super::attributes::{code, flag, required_flags};
-use super::{as_path, prefixes, Segment, Update, Wire};
+use super::attributes::flag;
+use super::{as_path, prefixes, AsPathSegment, AttributeType, Origin, RouteError, Update, UpdateContext};
 use crate::error::{MessageError, UpdateError};
 use crate::open::Family;
 use crate::Bytes;
@@ -34,24 +34,19 @@
 /// One path attribute as it came.
 struct RawAttribute<'a> {
     flags: u8,
-    type_code: u8,
+    code: u8,
     value: &'a [u8],
 }
 
-impl RawAttribute<'_> {
+impl<'a> RawAttribute<'a> {
     /// The next one; none where it is longer than what is left.
-    fn next<'a>(bytes: &mut Bytes<'a>) -> Option<RawAttribute<'a>> {
-        let (flags, type_code) = (bytes.u8()?, bytes.u8()?);
+    fn next(bytes: &mut Bytes<'a>) -> Option<RawAttribute<'a>> {
+        let (flags, code) = (bytes.u8()?, bytes.u8()?);
         let length = match flags & flag::EXTENDED_LENGTH {
             0 => usize::from(bytes.u8()?),
             _ => usize::from(bytes.u16()?),
         };
-        Some(RawAttribute { flags, type_code, value: bytes.take(length)? })
-    }
-
-    /// What it says of reachability can't be told where it is malformed: the session ends.
-    fn is_reachability(&self) -> bool {
-        matches!(self.type_code, code::MP_REACH_NLRI | code::MP_UNREACH_NLRI)
+        Some(RawAttribute { flags, code, value: bytes.take(length)? })
     }
 }
 
@@ -63,13 +58,13 @@
 
 /// What an UPDATE holds so far.
 struct Decoder {
-    encoding: Wire,
-    /// The type codes that were met, in order.
+    context: UpdateContext,
+    /// The codes of the attributes that were met, in order.
     seen: Vec<u8>,
     /// The prefixes of MP_REACH_NLRI.
     reachable: Vec<IpNet>,
     unreachable: Option<Unreachable>,
-    as4_path: Option<Vec<Segment>>,
+    as4_path: Option<Vec<AsPathSegment>>,
     update: Update,
 }
 
@@ -77,31 +72,40 @@
     <[u8; 4]>::try_from(value).ok().map(u32::from_be_bytes)
 }
 
-/// The value is not a list of one or more parts of this size.
-fn is_no_list(value: &[u8], size: usize) -> bool {
-    value.is_empty() || !value.len().is_multiple_of(size)
+/// The value is a list of one or more parts of this size.
+fn is_list(value: &[u8], size: usize) -> bool {
+    !value.is_empty() && value.len().is_multiple_of(size)
+}
+
+/// An attribute of unknown type: ignored where it is optional.
+fn unknown_attribute(flags: u8, code: u8) -> Result<(), MessageError> {
+    if flags & flag::OPTIONAL != 0 {
+        return Ok(());
+    }
+    let kind = UpdateError::UnrecognizedWellKnownAttribute;
+    Err(MessageError::new(kind, "an unknown well-known attribute").with(&[flags, code]))
 }
 
 impl Decoder {
-    /// RFC 7606: an error that costs the routes alone; the first one is told.
-    fn treat_as_withdrawn(&mut self, why: &'static str) {
-        self.update.treated_as_withdrawn.get_or_insert(why);
+    /// RFC 7606: an error that costs the routes alone; the first one is reported.
+    fn treat_as_withdrawn(&mut self, error: RouteError) {
+        self.update.treated_as_withdrawn.get_or_insert(error);
     }
 
-    /// RFC 7606: an error that costs the attribute alone.
-    fn discard(&mut self) {
-        self.update.discarded += 1;
+    fn malformed(&mut self, attribute_type: AttributeType) {
+        self.treat_as_withdrawn(RouteError::Malformed(attribute_type));
     }
 
+    /// RFC 7606: an error that costs the attribute alone.
     fn discard_if(&mut self, malformed: bool) {
         self.update.discarded += u32::from(malformed);
     }
 
-    /// A number of four octets; one of another length costs the routes.
-    fn number(&mut self, value: &[u8], why: &'static str) -> Option<u32> {
+    /// A value of four octets; one of another length costs the routes.
+    fn number(&mut self, attribute_type: AttributeType, value: &[u8]) -> Option<u32> {
         let number = four_octets(value);
         if number.is_none() {
-            self.treat_as_withdrawn(why);
+            self.malformed(attribute_type);
         }
         number
     }
@@ -112,7 +116,7 @@
         while !bytes.is_empty() {
             let Some(attribute) = RawAttribute::next(&mut bytes) else {
                 // RFC 7606 section 4: the rest can't be told apart, the routes are known all the same.
-                self.treat_as_withdrawn("an attribute longer than its UPDATE");
+                self.treat_as_withdrawn(RouteError::AttributeTooLong);
                 break;
             };
             self.attribute(&attribute)?;
@@ -121,125 +125,126 @@
     }
 
     fn attribute(&mut self, attribute: &RawAttribute) -> Result<(), MessageError> {
-        let &RawAttribute { flags, type_code, value } = attribute;
-        if self.seen.contains(&type_code) {
-            if attribute.is_reachability() {
-                let why = "an attribute of reachability twice";
-                return Err(MessageError::new(UpdateError::MalformedAttributeList, why));
+        let &RawAttribute { flags, code, value } = attribute;
+        let known = AttributeType::from_code(code);
+        if self.seen.contains(&code) {
+            if known.is_some_and(AttributeType::is_reachability) {
+                let reason = "an attribute of reachability twice";
+                return Err(MessageError::new(UpdateError::MalformedAttributeList, reason));
             }
-            // RFC 7606 section 3 g: all but the first are passed over.
-            self.discard();
+            // RFC 7606 section 3 g: all but the first are discarded.
+            self.discard_if(true);
             return Ok(());
         }
-        self.seen.push(type_code);
-        let Some(required) = required_flags(type_code) else {
-            if flags & flag::OPTIONAL != 0 {
-                return Ok(());
-            }
-            let why = "an unknown well-known attribute";
-            return Err(
-                MessageError::new(UpdateError::UnrecognizedWellKnownAttribute, why).with(&[flags, type_code])
-            );
+        self.seen.push(code);
+        let Some(attribute_type) = known else {
+            return unknown_attribute(flags, code);
         };
-        if flags & (flag::OPTIONAL | flag::TRANSITIVE) != required {
-            if attribute.is_reachability() {
-                return Err(MessageError::new(
-                    UpdateError::AttributeFlags,
-                    "flags of an attribute of reachability",
-                ));
+        if flags & (flag::OPTIONAL | flag::TRANSITIVE) != attribute_type.required_flags() {
+            if attribute_type.is_reachability() {
+                let reason = "flags of an attribute of reachability";
+                return Err(MessageError::new(UpdateError::AttributeFlags, reason));
             }
-            self.treat_as_withdrawn("the flags of an attribute");
+            self.treat_as_withdrawn(RouteError::AttributeFlags);
             return Ok(());
         }
-        match type_code {
-            code::MP_REACH_NLRI => self.mp_reach(value),
-            code::MP_UNREACH_NLRI => self.mp_unreach(value),
+        match attribute_type {
+            AttributeType::MpReachNlri => self.mp_reach(value),
+            AttributeType::MpUnreachNlri => self.mp_unreach(value),
             _ => {
-                self.value(type_code, value);
+                self.value(attribute_type, value);
                 Ok(())
             }
         }
     }
 
     /// The value of an attribute whose errors never end the session (RFC 7606 section 7).
-    fn value(&mut self, type_code: u8, value: &[u8]) {
-        match type_code {
-            code::ORIGIN => self.origin(value),
-            code::AS_PATH => match as_path::decode(value, self.encoding.four_octet) {
+    fn value(&mut self, attribute_type: AttributeType, value: &[u8]) {
+        match attribute_type {
+            AttributeType::Origin => self.origin(value),
+            AttributeType::AsPath => match as_path::decode(value, self.context.four_octet_as) {
                 Some(path) => self.update.attributes.as_path = path,
-                None => self.treat_as_withdrawn("malformed AS_PATH"),
+                None => self.malformed(attribute_type),
             },
-            code::NEXT_HOP => {
-                let hop = self.number(value, "malformed NEXT_HOP").map(|hop| Ipv4Addr::from(hop).into());
+            AttributeType::NextHop => {
+                let hop = self.number(attribute_type, value).map(|hop| Ipv4Addr::from(hop).into());
                 // That of MP_REACH_NLRI, where it came first, stands.
                 self.update.attributes.next_hop = self.update.attributes.next_hop.or(hop);
             }
-            code::MULTI_EXIT_DISC => {
-                self.update.attributes.med = self.number(value, "malformed MULTI_EXIT_DISC");
+            AttributeType::MultiExitDisc => {
+                self.update.attributes.med = self.number(attribute_type, value);
             }
-            code::LOCAL_PREF | code::ORIGINATOR_ID | code::CLUSTER_LIST => {
-                self.internal_value(type_code, value);
+            AttributeType::LocalPref | AttributeType::OriginatorId | AttributeType::ClusterList => {
+                self.internal_value(attribute_type, value);
             }
-            code::ATOMIC_AGGREGATE => self.discard_if(!value.is_empty()),
-            code::AGGREGATOR => {
-                let size = if self.encoding.four_octet { 8 } else { 6 };
+            AttributeType::AtomicAggregate => self.discard_if(!value.is_empty()),
+            AttributeType::Aggregator => {
+                let size = if self.context.four_octet_as { 8 } else { 6 };
                 self.discard_if(value.len() != size);
             }
-            code::COMMUNITIES => self.communities(value),
-            code::LARGE_COMMUNITIES => self.large_communities(value),
-            code::ONLY_TO_CUSTOMER => {
-                self.update.attributes.only_to_customer = self.number(value, "malformed ONLY_TO_CUSTOMER");
+            AttributeType::Communities => self.communities(value),
+            AttributeType::LargeCommunities => self.large_communities(value),
+            AttributeType::OnlyToCustomer => {
+                self.update.attributes.only_to_customer = self.number(attribute_type, value);
             }
-            // RFC 6793 section 6: malformed ones are passed over, and so are those of a speaker that needs none.
-            code::AS4_PATH if !self.encoding.four_octet => {
+            // RFC 6793 section 6: malformed ones are discarded, and so are those of a speaker that needs none.
+            AttributeType::As4Path if !self.context.four_octet_as => {
                 self.as4_path = as_path::decode(value, true);
                 self.discard_if(self.as4_path.is_none());
             }
-            code::AS4_PATH | code::AS4_AGGREGATOR => self.discard_if(self.encoding.four_octet),
-            _ => {}
+            AttributeType::As4Path | AttributeType::As4Aggregator => {
+                self.discard_if(self.context.four_octet_as);
+            }
+            // Read by their own functions, as their errors end the session.
+            AttributeType::MpReachNlri | AttributeType::MpUnreachNlri => {}
         }
     }
 
     fn origin(&mut self, value: &[u8]) {
-        match value {
-            &[origin @ 0..=2] => self.update.attributes.origin = origin,
-            _ => self.treat_as_withdrawn("malformed ORIGIN"),
+        let origin = match value {
+            &[code] => Origin::from_code(code),
+            _ => None,
+        };
+        match origin {
+            Some(origin) => self.update.attributes.origin = origin,
+            None => self.malformed(AttributeType::Origin),
         }
     }
 
-    /// Attributes that mean something within one AS alone. From another AS they are passed over, well formed or not
+    /// Attributes that mean something within one AS alone. From another AS they are discarded, well formed or not
     /// (RFC 7606 sections 7.5, 7.9, 7.10).
-    fn internal_value(&mut self, type_code: u8, value: &[u8]) {
-        if !self.encoding.internal {
-            return self.discard();
+    fn internal_value(&mut self, attribute_type: AttributeType, value: &[u8]) {
+        if !self.context.internal {
+            return self.discard_if(true);
         }
-        match type_code {
-            code::LOCAL_PREF => {
-                self.update.attributes.local_pref = self.number(value, "malformed LOCAL_PREF");
+        match attribute_type {
+            AttributeType::LocalPref => {
+                self.update.attributes.local_pref = self.number(attribute_type, value);
             }
-            code::ORIGINATOR_ID if value.len() != 4 => self.treat_as_withdrawn("malformed ORIGINATOR_ID"),
-            code::CLUSTER_LIST if is_no_list(value, 4) => self.treat_as_withdrawn("malformed CLUSTER_LIST"),
+            AttributeType::OriginatorId if value.len() != 4 => self.malformed(attribute_type),
+            AttributeType::ClusterList if !is_list(value, 4) => self.malformed(attribute_type),
             _ => {}
         }
     }
 
     fn communities(&mut self, value: &[u8]) {
-        if is_no_list(value, COMMUNITY_SIZE) {
-            return self.treat_as_withdrawn("malformed COMMUNITIES");
+        if !is_list(value, COMMUNITY_SIZE) {
+            return self.malformed(AttributeType::Communities);
         }
         let communities = value.chunks_exact(COMMUNITY_SIZE).filter_map(four_octets);
         self.update.attributes.communities = communities.collect();
     }
 
     fn large_communities(&mut self, value: &[u8]) {
-        if is_no_list(value, LARGE_COMMUNITY_SIZE) {
-            return self.treat_as_withdrawn("malformed LARGE_COMMUNITIES");
+        if !is_list(value, LARGE_COMMUNITY_SIZE) {
+            return self.malformed(AttributeType::LargeCommunities);
         }
         let parts = |value: &[u8]| {
             let part = |at: usize| four_octets(&value[at..at + 4]).unwrap_or_default();
             [part(0), part(4), part(8)]
         };
-        self.update.attributes.large = value.chunks_exact(LARGE_COMMUNITY_SIZE).map(parts).collect();
+        let communities = value.chunks_exact(LARGE_COMMUNITY_SIZE).map(parts);
+        self.update.attributes.large_communities = communities.collect();
     }
 
     /// RFC 4760 section 3. Where it can't be read, which routes are meant can't be told either: the session ends.
@@ -278,13 +283,13 @@
     /// RFC 7606 section 3 d: announced routes without a mandatory attribute are treated as withdrawn. NEXT_HOP is
     /// mandatory for prefixes of the message's own NLRI field.
     fn check_mandatory(&mut self, has_nlri: bool) {
-        let missing = |type_code| !self.seen.contains(&type_code);
-        let any = missing(code::ORIGIN)
-            || missing(code::AS_PATH)
-            || has_nlri && missing(code::NEXT_HOP)
-            || self.encoding.internal && missing(code::LOCAL_PREF);
+        let missing = |attribute_type| !self.seen.contains(&(attribute_type as u8));
+        let any = missing(AttributeType::Origin)
+            || missing(AttributeType::AsPath)
+            || has_nlri && missing(AttributeType::NextHop)
+            || self.context.internal && missing(AttributeType::LocalPref);
         if any {
-            self.treat_as_withdrawn("a mandatory attribute is missing");
+            self.treat_as_withdrawn(RouteError::MissingMandatoryAttribute);
         }
     }
 
@@ -297,7 +302,7 @@
         match &self.unreachable {
             None => fields.attributes.is_empty().then_some(Family::Ipv4),
             Some(Unreachable { family, prefixes }) => {
-                let alone = prefixes.is_empty() && self.seen == [code::MP_UNREACH_NLRI];
+                let alone = prefixes.is_empty() && self.seen == [AttributeType::MpUnreachNlri as u8];
                 alone.then_some(*family)
             }
         }
@@ -311,13 +316,13 @@
     /// # Errors
     /// What RFC 7606 leaves to end the session: lengths that do not fit the message, prefixes that can't be read,
     /// malformed attributes of reachability, an unknown well-known attribute. All else is in the result.
-    pub fn decode(body: &[u8], wire: Wire) -> Result<Update, MessageError> {
+    pub fn decode(body: &[u8], context: UpdateContext) -> Result<Update, MessageError> {
         let lengths =
             || MessageError::new(UpdateError::MalformedAttributeList, "lengths that do not fit the UPDATE");
         let network = || MessageError::new(UpdateError::InvalidNetworkField, "a prefix that can't be read");
         let fields = Fields::split(body).ok_or_else(lengths)?;
         let mut decoder = Decoder {
-            encoding: wire,
+            context,
             seen: Vec::new(),
             reachable: Vec::new(),
             unreachable: None,
--- a/crates/bgp/src/update/encode.rs
+++ b/crates/bgp/src/update/encode.rs
@@ -1,7 +1,7 @@
 //! Writes UPDATEs: announcements, withdrawals and the End-of-RIB marker.
 
-use super::attributes::{code, flag};
-use super::{as_path, prefixes, Attributes, Wire};
+use super::attributes::{flag, AttributeType};
+use super::{as_path, prefixes, PathAttributes, UpdateContext};
 use crate::message::{self, MessageType, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 use crate::open::Family;
 use ipnet::IpNet;
@@ -18,59 +18,65 @@
 const DEFAULT_LOCAL_PREF: u32 = 100;
 
 /// Writes one path attribute, with an extended length where its value needs one.
-pub(super) fn attribute(out: &mut Vec<u8>, flags: u8, type_code: u8, value: &[u8]) {
+pub(super) fn attribute(out: &mut Vec<u8>, flags: u8, attribute_type: AttributeType, value: &[u8]) {
+    let code = attribute_type as u8;
     match u8::try_from(value.len()) {
-        Ok(length) => out.extend([flags, type_code, length]),
+        Ok(length) => out.extend([flags, code, length]),
         Err(_) => {
-            out.extend([flags | flag::EXTENDED_LENGTH, type_code]);
+            out.extend([flags | flag::EXTENDED_LENGTH, code]);
             out.extend((value.len() as u16).to_be_bytes());
         }
     }
     out.extend(value);
 }
 
-/// The attributes in the order of their type codes (RFC 4271 section 5), but those of reachability. `next_hop` is that
+/// The attributes in the order of their codes (RFC 4271 section 5), but those of reachability. `next_hop` is that
 /// of the message's own NLRI field.
-fn encode_attributes(attributes: &Attributes, wire: Wire, next_hop: Option<Ipv4Addr>) -> Vec<u8> {
+fn encode_attributes(
+    attributes: &PathAttributes,
+    context: UpdateContext,
+    next_hop: Option<Ipv4Addr>,
+) -> Vec<u8> {
     use flag::{OPTIONAL, TRANSITIVE};
     let as_path = &attributes.as_path;
     let mut out = Vec::new();
-    attribute(&mut out, TRANSITIVE, code::ORIGIN, &[attributes.origin]);
-    attribute(&mut out, TRANSITIVE, code::AS_PATH, &as_path::encode(as_path, wire.four_octet));
+    attribute(&mut out, TRANSITIVE, AttributeType::Origin, &[attributes.origin as u8]);
+    attribute(&mut out, TRANSITIVE, AttributeType::AsPath, &as_path::encode(as_path, context.four_octet_as));
     if let Some(hop) = next_hop {
-        attribute(&mut out, TRANSITIVE, code::NEXT_HOP, &hop.octets());
+        attribute(&mut out, TRANSITIVE, AttributeType::NextHop, &hop.octets());
     }
     if let Some(med) = attributes.med {
-        attribute(&mut out, OPTIONAL, code::MULTI_EXIT_DISC, &med.to_be_bytes());
+        attribute(&mut out, OPTIONAL, AttributeType::MultiExitDisc, &med.to_be_bytes());
     }
-    if wire.internal {
+    if context.internal {
         let preference = attributes.local_pref.unwrap_or(DEFAULT_LOCAL_PREF);
-        attribute(&mut out, TRANSITIVE, code::LOCAL_PREF, &preference.to_be_bytes());
+        attribute(&mut out, TRANSITIVE, AttributeType::LocalPref, &preference.to_be_bytes());
     }
     if !attributes.communities.is_empty() {
         let value: Vec<u8> = attributes.communities.iter().flat_map(|one| one.to_be_bytes()).collect();
-        attribute(&mut out, OPTIONAL | TRANSITIVE, code::COMMUNITIES, &value);
+        attribute(&mut out, OPTIONAL | TRANSITIVE, AttributeType::Communities, &value);
     }
-    if !wire.four_octet && has_four_octet_as(attributes) {
-        attribute(&mut out, OPTIONAL | TRANSITIVE, code::AS4_PATH, &as_path::encode(as_path, true));
+    if !context.four_octet_as && has_four_octet_as(attributes) {
+        attribute(&mut out, OPTIONAL | TRANSITIVE, AttributeType::As4Path, &as_path::encode(as_path, true));
     }
-    if !attributes.large.is_empty() {
-        let value: Vec<u8> = attributes.large.iter().flatten().flat_map(|part| part.to_be_bytes()).collect();
-        attribute(&mut out, OPTIONAL | TRANSITIVE, code::LARGE_COMMUNITIES, &value);
+    if !attributes.large_communities.is_empty() {
+        let value: Vec<u8> =
+            attributes.large_communities.iter().flatten().flat_map(|part| part.to_be_bytes()).collect();
+        attribute(&mut out, OPTIONAL | TRANSITIVE, AttributeType::LargeCommunities, &value);
     }
     if let Some(asn) = attributes.only_to_customer {
-        attribute(&mut out, OPTIONAL | TRANSITIVE, code::ONLY_TO_CUSTOMER, &asn.to_be_bytes());
+        attribute(&mut out, OPTIONAL | TRANSITIVE, AttributeType::OnlyToCustomer, &asn.to_be_bytes());
     }
     out
 }
 
 /// Some AS of the path does not fit two octets.
-fn has_four_octet_as(attributes: &Attributes) -> bool {
+fn has_four_octet_as(attributes: &PathAttributes) -> bool {
     let mut numbers = attributes.as_path.iter().flat_map(|segment| &segment.numbers);
     numbers.any(|&number| number > u16::MAX.into())
 }
 
-/// The prefixes of one family on the wire, in parts that fit one message each beside so many octets of attributes.
+/// The prefixes of one family on the context, in parts that fit one message each beside so many octets of attributes.
 fn chunks<'a>(nets: &'a [IpNet], attributes_length: usize) -> impl Iterator<Item = Vec<u8>> + 'a {
     let room = MAX_MESSAGE_LENGTH
         .saturating_sub(HEADER_LENGTH + LENGTH_FIELDS + attributes_length + REACHABILITY_OVERHEAD);
@@ -98,19 +104,25 @@
 
 /// Writes UPDATEs that announce prefixes of one family with the same attributes. IPv4 goes in the message's own fields,
 /// IPv6 in MP_REACH_NLRI; the next hop must be of the family.
-pub fn announce(out: &mut Vec<u8>, family: Family, nets: &[IpNet], attributes: &Attributes, wire: Wire) {
+pub fn announce(
+    out: &mut Vec<u8>,
+    family: Family,
+    nets: &[IpNet],
+    attributes: &PathAttributes,
+    context: UpdateContext,
+) {
     match (family, attributes.next_hop) {
         (Family::Ipv4, Some(IpAddr::V4(hop))) => {
-            let fixed = encode_attributes(attributes, wire, Some(hop));
+            let fixed = encode_attributes(attributes, context, Some(hop));
             for nlri in chunks(nets, fixed.len()) {
                 put_update(out, &[], &fixed, &nlri);
             }
         }
         (Family::Ipv6, Some(IpAddr::V6(hop))) => {
-            let fixed = encode_attributes(attributes, wire, None);
+            let fixed = encode_attributes(attributes, context, None);
             for nlri in chunks(nets, fixed.len()) {
                 let mut all = fixed.clone();
-                attribute(&mut all, flag::OPTIONAL, code::MP_REACH_NLRI, &mp_reach(hop, &nlri));
+                attribute(&mut all, flag::OPTIONAL, AttributeType::MpReachNlri, &mp_reach(hop, &nlri));
                 put_update(out, &[], &all, &[]);
             }
         }
@@ -143,7 +155,7 @@
         Family::Ipv6 => {
             let mut attributes = Vec::new();
             let value = [&IPV6_UNICAST, prefixes].concat();
-            attribute(&mut attributes, flag::OPTIONAL, code::MP_UNREACH_NLRI, &value);
+            attribute(&mut attributes, flag::OPTIONAL, AttributeType::MpUnreachNlri, &value);
             put_update(out, &[], &attributes, &[]);
         }
     }
--- a/crates/bgp/src/update/tests.rs
+++ b/crates/bgp/src/update/tests.rs
@@ -1,30 +1,43 @@
 //! UPDATEs as written and read, malformed and hostile ones.
 
 use super::as_path::merge_as4;
-use super::attributes::{code::*, flag::*};
-use super::encode::attribute;
+use super::attributes::flag::*;
 use super::*;
 use crate::message::{frame, MessageType};
 use ipnet::Ipv4Net;
 use proptest::prelude::*;
 use std::net::Ipv4Addr;
 
-const NEW: Wire = Wire { four_octet: true, internal: false };
+const ORIGIN: u8 = AttributeType::Origin as u8;
+const AS_PATH: u8 = AttributeType::AsPath as u8;
+const NEXT_HOP: u8 = AttributeType::NextHop as u8;
+const MULTI_EXIT_DISC: u8 = AttributeType::MultiExitDisc as u8;
+const LOCAL_PREF: u8 = AttributeType::LocalPref as u8;
+const ATOMIC_AGGREGATE: u8 = AttributeType::AtomicAggregate as u8;
+const AGGREGATOR: u8 = AttributeType::Aggregator as u8;
+const COMMUNITIES: u8 = AttributeType::Communities as u8;
+const CLUSTER_LIST: u8 = AttributeType::ClusterList as u8;
+const MP_REACH_NLRI: u8 = AttributeType::MpReachNlri as u8;
+const MP_UNREACH_NLRI: u8 = AttributeType::MpUnreachNlri as u8;
+const LARGE_COMMUNITIES: u8 = AttributeType::LargeCommunities as u8;
+const ONLY_TO_CUSTOMER: u8 = AttributeType::OnlyToCustomer as u8;
 
-fn whole() -> Attributes {
-    Attributes {
-        origin: 0,
-        as_path: vec![Segment { set: false, numbers: vec![64_500, 4_200_000_001, 64_500] }],
+const NEW: UpdateContext = UpdateContext { four_octet_as: true, internal: false };
+
+fn whole() -> PathAttributes {
+    PathAttributes {
+        origin: Origin::Igp,
+        as_path: vec![AsPathSegment::sequence(vec![64_500, 4_200_000_001, 64_500])],
         next_hop: Some("192.0.2.7".parse().unwrap()),
         med: Some(50),
         local_pref: None,
         communities: vec![crate::GRACEFUL_SHUTDOWN, 0xfde8_0001],
-        large: vec![[64_500, 1, 7]],
+        large_communities: vec![[64_500, 1, 7]],
         only_to_customer: Some(64_500),
     }
 }
 
-fn read_all(bytes: &[u8], wire: Wire) -> Vec<Update> {
+fn read_all(bytes: &[u8], wire: UpdateContext) -> Vec<Update> {
     let mut at = 0;
     let mut updates = Vec::new();
     while let Some(found) = frame(&bytes[at..]).unwrap() {
@@ -45,7 +58,7 @@
     let mut bytes = Vec::new();
     let four = nets(&["198.51.100.7/32", "10.0.0.0/8", "0.0.0.0/0"]);
     let six = nets(&["2001:db8::7/128", "2001:db8::/33"]);
-    let for_six = Attributes { next_hop: Some("2001:db8::1".parse().unwrap()), ..whole() };
+    let for_six = PathAttributes { next_hop: Some("2001:db8::1".parse().unwrap()), ..whole() };
     announce(&mut bytes, Family::Ipv4, &four, &whole(), NEW);
     announce(&mut bytes, Family::Ipv6, &six, &for_six, NEW);
     withdraw(&mut bytes, Family::Ipv4, &four);
@@ -63,14 +76,14 @@
 #[test]
 fn an_old_speaker_gets_two_octets_and_the_long_numbers_come_back_whole() {
     let mut bytes = Vec::new();
-    let old = Wire { four_octet: false, internal: false };
+    let old = UpdateContext { four_octet_as: false, internal: false };
     announce(&mut bytes, Family::Ipv4, &nets(&["198.51.100.7/32"]), &whole(), old);
     assert_eq!(read_all(&bytes, old)[0].attributes.as_path, whole().as_path);
     // Old speakers ahead of it have prepended without touching AS4_PATH.
-    let path = vec![Segment { set: false, numbers: vec![1, 2, 23456, 3] }];
-    let behind = vec![Segment { set: false, numbers: vec![4_200_000_001, 3] }];
+    let path = vec![AsPathSegment::sequence(vec![1, 2, 23456, 3])];
+    let behind = vec![AsPathSegment::sequence(vec![4_200_000_001, 3])];
     assert_eq!(merge_as4(path.clone(), Some(behind))[0].numbers, [1, 2, 4_200_000_001, 3]);
-    let longer = vec![Segment { set: false, numbers: vec![9; 5] }];
+    let longer = vec![AsPathSegment::sequence(vec![9; 5])];
     assert_eq!(merge_as4(path.clone(), Some(longer)), path);
 }
 
@@ -90,8 +103,9 @@
 /// An UPDATE that announces 198.51.100.7/32 with these attributes.
 fn update(attributes: &[(u8, u8, &[u8])]) -> Vec<u8> {
     let mut head = Vec::new();
-    for (flagged, kind, value) in attributes {
-        attribute(&mut head, *flagged, *kind, value);
+    for (flags, code, value) in attributes {
+        head.extend([*flags, *code, value.len() as u8]);
+        head.extend(*value);
     }
     let mut body = vec![0, 0];
     body.extend((head.len() as u16).to_be_bytes());
@@ -184,13 +198,13 @@
         communities in proptest::collection::vec(any::<u32>(), 0..9),
         large in proptest::collection::vec(any::<[u32; 3]>(), 0..5),
         med in any::<Option<u32>>(),
-        four_octet in any::<bool>(),
+        four_octet_as in any::<bool>(),
     ) {
-        let wire = Wire { four_octet, internal: false };
+        let wire = UpdateContext { four_octet_as, internal: false };
         let nets: Vec<IpNet> =
             four.iter().map(|&(bits, length)| Ipv4Net::new(bits.into(), length).unwrap().trunc().into()).collect();
-        let as_path = vec![Segment { set: false, numbers }];
-        let attributes = Attributes { as_path, communities, large, med, ..whole() };
+        let as_path = vec![AsPathSegment::sequence(numbers)];
+        let attributes = PathAttributes { as_path, communities, large_communities: large, med, ..whole() };
         let mut bytes = Vec::new();
         announce(&mut bytes, Family::Ipv4, &nets, &attributes, wire);
         let read = read_all(&bytes, wire);
@@ -201,9 +215,9 @@
     #[test]
     fn random_bodies_are_read_or_refused_and_never_more_than_they_name(
         body in proptest::collection::vec(any::<u8>(), 0..4077),
-        four_octet in any::<bool>(),
+        four_octet_as in any::<bool>(),
     ) {
-        if let Ok(update) = Update::decode(&body, Wire { four_octet, internal: false }) {
+        if let Ok(update) = Update::decode(&body, UpdateContext { four_octet_as, internal: false }) {
             prop_assert!(update.announced.len() + update.withdrawn.len() <= body.len());
         }
         let _ = crate::Open::decode(&body);
@@ -215,7 +229,7 @@
     #[test]
     fn cut_and_changed_messages_do_no_harm(cut in 0usize..200, at in 0usize..200, octet in any::<u8>()) {
         let mut bytes = Vec::new();
-        let for_six = Attributes { next_hop: Some("2001:db8::1".parse().unwrap()), ..whole() };
+        let for_six = PathAttributes { next_hop: Some("2001:db8::1".parse().unwrap()), ..whole() };
         announce(&mut bytes, Family::Ipv6, &nets(&["2001:db8::7/128"]), &for_six, NEW);
         let mut body = frame(&bytes).unwrap().unwrap().body.to_vec();
         let at = at % body.len();
--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -51,7 +51,7 @@
         id: Ipv4Addr::new(192, 0, 2, 99),
         capabilities: Capabilities {
             families: [true, true],
-            four_octet: Some(THEIRS),
+            four_octet_as: Some(THEIRS),
             refresh: true,
             enhanced_refresh: true,
             graceful: None,
--- a/crates/bgp/tests/interop.rs
+++ b/crates/bgp/tests/interop.rs
@@ -3,16 +3,17 @@
 use bgpkit_parser::models::{AsnLength, BgpMessage};
 use bgpkit_parser::parser::bgp::messages::parse_bgp_message;
 use cleatgw_bgp::message::{encode_keepalive, frame};
-use cleatgw_bgp::update::{self, Segment, Wire};
+use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
 use cleatgw_bgp::{
-    Attributes, Capabilities, CeaseSubcode, Family, Graceful, MessageType, Notification, Open, Role, Update,
+    Capabilities, CeaseSubcode, Family, Graceful, MessageType, Notification, Open, PathAttributes, Role,
+    Update,
 };
 use ipnet::IpNet;
 use rand::rngs::SmallRng;
 use rand::{RngCore, SeedableRng};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-const WIRE: Wire = Wire { four_octet: true, internal: false };
+const WIRE: UpdateContext = UpdateContext { four_octet_as: true, internal: false };
 
 fn theirs(bytes: &[u8]) -> Result<BgpMessage, String> {
     let mut bytes = bytes::Bytes::copy_from_slice(bytes);
@@ -23,14 +24,14 @@
     words.iter().map(|word| word.parse().unwrap()).collect()
 }
 
-fn attributes(hop: &str) -> Attributes {
-    Attributes {
-        as_path: vec![Segment { set: false, numbers: vec![4_200_000_001; 3] }],
+fn attributes(hop: &str) -> PathAttributes {
+    PathAttributes {
+        as_path: vec![AsPathSegment::sequence(vec![4_200_000_001; 3])],
         next_hop: Some(hop.parse().unwrap()),
         med: Some(400),
         communities: vec![cleatgw_bgp::GRACEFUL_SHUTDOWN],
-        large: vec![[64_512, 1, 7]],
-        ..Attributes::default()
+        large_communities: vec![[64_512, 1, 7]],
+        ..PathAttributes::default()
     }
 }
 
@@ -41,7 +42,7 @@
         id: "192.0.2.1".parse().unwrap(),
         capabilities: Capabilities {
             families: [true, true],
-            four_octet: Some(4_200_000_001),
+            four_octet_as: Some(4_200_000_001),
             refresh: true,
             enhanced_refresh: true,
             graceful: Some(Graceful { over_notifications: true, ..Graceful::default() }),
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -4,7 +4,7 @@
 
 use cleatgw_bgp::error::FsmError;
 use cleatgw_bgp::message::{self, frame};
-use cleatgw_bgp::update::{self, Segment, Wire};
+use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
 use cleatgw_bgp::*;
 use cleatgw_lab::far::Saw;
 use host::*;
@@ -170,7 +170,7 @@
         assert_eq!((host.held(), announced(&host)), (0, 0));
         notified(&host).map(|told| (told.code, told.subcode))
     };
-    assert_eq!(wrong(&|_, open| (open.asn, open.capabilities.four_octet) = (7, Some(7))), Some((2, 2)));
+    assert_eq!(wrong(&|_, open| (open.asn, open.capabilities.four_octet_as) = (7, Some(7))), Some((2, 2)));
     assert_eq!(wrong(&|terms, _| terms.peer_id = Some("192.0.2.98".parse().unwrap())), Some((2, 3)));
     assert_eq!(wrong(&|_, open| open.hold = 2), Some((2, 6)));
     assert_eq!(
@@ -194,7 +194,7 @@
     );
     // Within one AS identifiers must differ.
     let same = |terms: &mut PeerTerms, open: &mut Open| {
-        (terms.peer_asn, open.asn, open.capabilities.four_octet) = (OURS, OURS, Some(OURS));
+        (terms.peer_asn, open.asn, open.capabilities.four_octet_as) = (OURS, OURS, Some(OURS));
         open.id = terms.id;
     };
     assert_eq!(wrong(&same), Some((2, 3)));
@@ -335,13 +335,13 @@
 
 /// A route that the far end tells, with this path.
 fn told(host: &mut Host, word: &str, path: &[u32], otc: Option<u32>) {
-    let attributes = Attributes {
-        as_path: vec![Segment { set: false, numbers: path.to_vec() }],
+    let attributes = PathAttributes {
+        as_path: vec![AsPathSegment::sequence(path.to_vec())],
         next_hop: Some("192.0.2.50".parse().unwrap()),
         only_to_customer: otc,
-        ..Attributes::default()
+        ..PathAttributes::default()
     };
-    let wire = Wire { four_octet: true, internal: false };
+    let wire = UpdateContext { four_octet_as: true, internal: false };
     host.far.say(|out| update::announce(out, Family::Ipv4, &[net(word)], &attributes, wire));
     host.settle();
 }
@@ -487,7 +487,7 @@
     assert_eq!((outside.path_length(), outside.only_to_customer), (2, Some(OURS)));
     assert_eq!((outside.first_as(), outside.local_pref), (Some(OURS), None));
     let mut open = far_open();
-    (open.asn, open.capabilities.four_octet) = (OURS, Some(OURS));
+    (open.asn, open.capabilities.four_octet_as) = (OURS, Some(OURS));
     let inside = with(PeerTerms { peer_asn: OURS, ..terms() }, open);
     assert_eq!((inside.path_length(), inside.local_pref), (0, Some(10)));
     // A family that the peer does not speak is not told.
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -2,8 +2,8 @@
 //! table, and keeps that over a lost session where both sides agreed to (RFC 4724, RFC 8538). No I/O.
 
 use cleatgw_bgp::message::{self, frame};
-use cleatgw_bgp::update::{Update, Wire};
-use cleatgw_bgp::{Attributes, MessageType, Notification, Open};
+use cleatgw_bgp::update::{Update, UpdateContext};
+use cleatgw_bgp::{MessageType, Notification, Open, PathAttributes};
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Saw {
     Established,
-    Announced(IpNet, Attributes),
+    Announced(IpNet, PathAttributes),
     Withdrawn(IpNet),
     /// All that was told is told (RFC 4724 section 2).
     EndOfRib,
@@ -28,7 +28,7 @@
     pub theirs: Option<Open>,
     pub established: bool,
     /// Its table, with whether a route is only kept.
-    pub table: BTreeMap<IpNet, (Attributes, bool)>,
+    pub table: BTreeMap<IpNet, (PathAttributes, bool)>,
     pub saw: Vec<Saw>,
     input: Vec<u8>,
     pub out: Vec<u8>,
@@ -101,9 +101,10 @@
 
     fn update(&mut self, body: &[u8]) {
         assert!(self.established, "an UPDATE before the session was up");
-        let four_octet = self.open.capabilities.four_octet.is_some();
+        let four_octet_as = self.open.capabilities.four_octet_as.is_some();
         let internal = self.theirs.as_ref().is_some_and(|open| open.asn == self.open.asn);
-        let update = Update::decode(body, Wire { four_octet, internal }).expect("a well-formed UPDATE");
+        let update =
+            Update::decode(body, UpdateContext { four_octet_as, internal }).expect("a well-formed UPDATE");
         assert_eq!(update.treated_as_withdrawn, None);
         for net in update.withdrawn {
             self.table.remove(&net);
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -110,7 +110,13 @@
         let mut paths = Paths::new(true);
         for (level, instance) in best.iter().filter(|one| one.1 != self.number).take(SHOWN) {
             let large = vec![Mark { instance: *instance, ..mark }.write(*level > Level::LastResort)];
-            let seen = Seen { communities: Vec::new(), large, path_length: 2, med: None, stale: false };
+            let seen = Seen {
+                communities: Vec::new(),
+                large_communities: large,
+                path_length: 2,
+                med: None,
+                stale: false,
+            };
             paths.add(&mark, net(), &seen);
         }
         paths
--- a/crates/lab/src/peering.rs
+++ b/crates/lab/src/peering.rs
@@ -3,8 +3,8 @@
 
 use crate::far::{Far, Saw};
 use cleatgw_bgp::message;
-use cleatgw_bgp::update::{self, Segment, Wire};
-use cleatgw_bgp::{Attributes, Capabilities, CeaseSubcode, Family, Graceful, Notification, Open};
+use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
+use cleatgw_bgp::{Capabilities, CeaseSubcode, Family, Graceful, Notification, Open, PathAttributes};
 use ipnet::IpNet;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
@@ -54,7 +54,7 @@
         id: Ipv4Addr::new(192, 0, 2, 250),
         capabilities: Capabilities {
             families: [true, true],
-            four_octet: Some(FAR_AS),
+            four_octet_as: Some(FAR_AS),
             refresh: true,
             enhanced_refresh: true,
             graceful: helps.then_some(graceful),
@@ -212,13 +212,13 @@
 
     /// Shows a path to this address, as an instance with this mark announces it.
     pub fn show(&self, net: IpNet, large: [u32; 3]) {
-        let attributes = Attributes {
-            as_path: vec![Segment { set: false, numbers: vec![FAR_AS, NEAR_AS] }],
+        let attributes = PathAttributes {
+            as_path: vec![AsPathSegment::sequence(vec![FAR_AS, NEAR_AS])],
             next_hop: Some(Ipv4Addr::new(192, 0, 2, 50).into()),
-            large: vec![large],
-            ..Attributes::default()
+            large_communities: vec![large],
+            ..PathAttributes::default()
         };
-        let wire = Wire { four_octet: true, internal: false };
+        let wire = UpdateContext { four_octet_as: true, internal: false };
         self.say(|out| update::announce(out, Family::Ipv4, &[net], &attributes, wire));
     }
 
@@ -240,7 +240,7 @@
     }
 
     /// The routes that it holds, kept ones too.
-    pub fn table(&self) -> Vec<(IpNet, Attributes)> {
+    pub fn table(&self) -> Vec<(IpNet, PathAttributes)> {
         let inner = self.inner();
         inner.far.table.iter().map(|(net, (attributes, _))| (*net, attributes.clone())).collect()
     }
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -82,7 +82,7 @@
     let peering = Peering::start(open(false));
     let mut world = World::new(&service_file(&[&peering], ""));
     peering.wait("announced for good", |peering| announced(peering) == 2);
-    assert_eq!(peering.table()[0].1.large, [mark(0xc0000201, true)]);
+    assert_eq!(peering.table()[0].1.large_communities, [mark(0xc0000201, true)]);
     world.serves();
     let shown = rows(&world);
     assert!(shown.contains("address 198.51.100.7/32,announced,well, for"), "{shown}");
@@ -204,8 +204,9 @@
     let world = World::new(&service_file(&[&peering], signs));
     peering.wait("announced for good", |peering| announced(peering) == 2);
     world.board.tell(false, &[world.engine.entry("draining")]);
-    let resort =
-        |peering: &Peering| peering.table().iter().any(|(_, path)| path.large == [mark(0xc0000201, false)]);
+    let resort = |peering: &Peering| {
+        peering.table().iter().any(|(_, path)| path.large_communities == [mark(0xc0000201, false)])
+    };
     peering.wait("a last resort", resort);
     world.router.log.wait("held back by the guard of the last announcer", 1);
     peering.show(service(), mark(9, false));
