--- a/crates/announce/src/announcer/routes.rs
+++ b/crates/announce/src/announcer/routes.rs
@@ -2,18 +2,18 @@
 
 use super::{Address, Announcer};
 use crate::level::{Level, Why};
-use cleatgw_bgp::{Path, GRACEFUL_SHUTDOWN};
+use cleatgw_bgp::{Advertisement, GRACEFUL_SHUTDOWN};
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
 impl Announcer {
     /// What is to be told to peers.
-    pub fn wanted(&self) -> BTreeMap<IpNet, Path> {
+    pub fn wanted(&self) -> BTreeMap<IpNet, Advertisement> {
         let out = self.addresses.iter().filter(|address| address.level > Level::Withdrawn);
         out.map(|address| (address.net, self.path(address))).collect()
     }
 
-    fn path(&self, address: &Address) -> Path {
+    fn path(&self, address: &Address) -> Advertisement {
         let dear = match address.level {
             Level::Announced | Level::Withdrawn => &self.terms.announced,
             Level::Depreferred => &self.terms.depreferred,
@@ -27,7 +27,7 @@
         // RFC 8326 section 4.2: within one AS the preference goes to zero.
         let local_pref = if draining { Some(0) } else { dear.local_pref };
         let sound = address.level > Level::LastResort && !draining;
-        Path {
+        Advertisement {
             med: dear.med,
             prepend: dear.prepend,
             local_pref,
--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -2,7 +2,7 @@
 //! that makes them sick and well, delays what they see of each other up to a bound, kills, and drains.
 
 use cleatgw_announce::*;
-use cleatgw_bgp::{Path, Seen};
+use cleatgw_bgp::{Advertisement, Seen};
 use ipnet::IpNet;
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::fmt;
@@ -89,7 +89,7 @@
         let mut paths = Paths::new(true);
         for other in self.instances.iter() {
             for (net, path) in other.announcer.wanted() {
-                let Path { communities, large_communities, med, .. } = path;
+                let Advertisement { communities, large_communities, med, .. } = path;
                 paths.add(
                     &mark,
                     net,
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -17,8 +17,8 @@
 pub use learned::{Learned, Seen};
 pub use message::{frame, Frame, MessageType, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 pub use notification::Notification;
-pub use open::{Capabilities, Family, Graceful, Open, Role};
-pub use session::{Act, Path, Peer, PeerTerms, Side, State};
+pub use open::{Capabilities, Family, GracefulRestart, Open, Role};
+pub use session::{Act, Advertisement, Peer, PeerConfig, Side, State};
 pub use update::{PathAttributes, Update};
 
 /// RFC 8326: routes that carry it are about to go.
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -12,7 +12,7 @@
 /// The marker that every message begins with.
 const MARKER: [u8; 16] = [0xff; 16];
 /// SAFI of unicast routes, the only one that is spoken (RFC 4760).
-const SAFI_UNICAST: u8 = 1;
+pub(crate) const SAFI_UNICAST: u8 = 1;
 
 /// The message types (RFC 4271 section 4.1; RFC 2918 for ROUTE-REFRESH).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -1,30 +1,63 @@
 //! OPEN (RFC 4271 section 4.2) and capabilities (RFC 5492).
 
 use crate::error::{MessageError, OpenError};
-use crate::message::{self, MessageType};
+use crate::message::{self, MessageType, SAFI_UNICAST};
 use crate::Bytes;
 use ipnet::IpNet;
 use std::net::Ipv4Addr;
 
 /// Stands for an AS number that two octets can't hold (RFC 6793).
 pub const AS_TRANS: u16 = 23456;
-/// The longest restart time that GRACEFUL RESTART has room for, in seconds (RFC 4724 section 3).
-pub const LONGEST_RESTART: u16 = 4095;
+/// The longest restart time that the Graceful Restart capability has room for, in seconds (RFC 4724 section 3).
+pub const MAX_RESTART_TIME: u16 = 4095;
 
-/// The address families spoken, both unicast (RFC 4760).
+/// The version of BGP that is spoken.
+const VERSION: u8 = 4;
+/// The optional parameter that holds capabilities (RFC 5492 section 4); no other is known.
+const CAPABILITIES_PARAMETER: u8 = 2;
+/// In place of a length and a parameter type: longer parameters follow (RFC 9072).
+const EXTENDED_PARAMETERS: u8 = 255;
+
+/// Capability codes.
+mod capability {
+    /// RFC 4760.
+    pub const MULTIPROTOCOL: u8 = 1;
+    /// RFC 2918.
+    pub const ROUTE_REFRESH: u8 = 2;
+    /// RFC 9234.
+    pub const ROLE: u8 = 9;
+    /// RFC 4724.
+    pub const GRACEFUL_RESTART: u8 = 64;
+    /// RFC 6793.
+    pub const FOUR_OCTET_AS: u8 = 65;
+    /// RFC 7313.
+    pub const ENHANCED_ROUTE_REFRESH: u8 = 70;
+}
+
+/// Flags of the Graceful Restart capability, ahead of its restart time (RFC 4724 section 3, RFC 8538 section 2).
+const RESTART_STATE_BIT: u16 = 0x8000;
+const NOTIFICATION_BIT: u16 = 0x4000;
+/// The flag of one family in it (RFC 4724 section 3).
+const FORWARDING_STATE_BIT: u8 = 0x80;
+
+/// The address families that are spoken, both unicast (RFC 4760).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Family {
+    /// IPv4 unicast.
     Ipv4,
+    /// IPv6 unicast.
     Ipv6,
 }
 
 impl Family {
+    /// All families, in the order in which arrays by family hold them.
     pub const ALL: [Family; 2] = [Family::Ipv4, Family::Ipv6];
 
+    /// The family with this AFI and SAFI; `None` where it is not spoken.
     pub fn of(afi: u16, safi: u8) -> Option<Family> {
         match (afi, safi) {
-            (1, 1) => Some(Family::Ipv4),
-            (2, 1) => Some(Family::Ipv6),
+            (1, SAFI_UNICAST) => Some(Family::Ipv4),
+            (2, SAFI_UNICAST) => Some(Family::Ipv6),
             _ => None,
         }
     }
@@ -37,25 +70,31 @@
         }
     }
 
+    /// Its address family identifier.
     pub fn afi(self) -> u16 {
         self as u16 + 1
     }
 }
 
-/// RFC 9234: what a speaker is to its peer.
+/// What a speaker is to its peer (RFC 9234 section 3), in the order of the codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// Sells transit to the peer.
     Provider,
+    /// A route server of an exchange.
     RouteServer,
+    /// A client of such a route server.
     RouteServerClient,
+    /// Buys transit from the peer.
     Customer,
+    /// Exchanges its own and its customers' routes.
     Peer,
 }
 
 impl Role {
-    fn of(number: u8) -> Option<Role> {
+    fn from_code(code: u8) -> Option<Role> {
         use Role::*;
-        [Provider, RouteServer, RouteServerClient, Customer, Peer].get(usize::from(number)).copied()
+        [Provider, RouteServer, RouteServerClient, Customer, Peer].get(usize::from(code)).copied()
     }
 
     /// The one that the other side must have (RFC 9234 section 4.2).
@@ -70,43 +109,96 @@
     }
 }
 
-/// GRACEFUL RESTART (RFC 4724) with the notification bit of RFC 8538.
+/// The Graceful Restart capability (RFC 4724 section 3) with the N bit of RFC 8538.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Graceful {
-    /// The speaker has restarted.
-    pub restarted: bool,
-    /// It keeps routes over a NOTIFICATION too, but for a hard reset.
-    pub over_notifications: bool,
-    /// Seconds, 0 to 4095.
-    pub time: u16,
-    /// By family: absent, or whether forwarding went on while it restarted.
+pub struct GracefulRestart {
+    /// The R bit: the speaker has restarted.
+    pub restart_state: bool,
+    /// The N bit: routes are also kept over a NOTIFICATION, unless it is a hard reset.
+    pub notification_support: bool,
+    /// How long routes are to be kept for the speaker, in seconds: 0 to 4095.
+    pub restart_time: u16,
+    /// By [`Family`]: `None` where its routes are not kept, else the F bit, whether forwarding went on while the
+    /// speaker restarted.
     pub families: [Option<bool>; 2],
 }
 
-impl Graceful {
+impl GracefulRestart {
+    /// Routes of some family are kept.
     pub fn keeps_any(&self) -> bool {
         self.families.iter().any(Option::is_some)
     }
+
+    /// Reads its value; `None` where it is malformed.
+    fn decode(value: &[u8]) -> Option<GracefulRestart> {
+        let (flags, families) = value.split_at_checked(2)?;
+        if !families.len().is_multiple_of(4) {
+            return None;
+        }
+        let flags = u16::from_be_bytes([flags[0], flags[1]]);
+        let mut graceful_restart = GracefulRestart {
+            restart_state: flags & RESTART_STATE_BIT != 0,
+            notification_support: flags & NOTIFICATION_BIT != 0,
+            restart_time: flags & MAX_RESTART_TIME,
+            families: [None; 2],
+        };
+        for entry in families.chunks_exact(4) {
+            if let Some(family) = Family::of(u16::from_be_bytes([entry[0], entry[1]]), entry[2]) {
+                let forwarding = entry[3] & FORWARDING_STATE_BIT != 0;
+                graceful_restart.families[family as usize] = Some(forwarding);
+            }
+        }
+        Some(graceful_restart)
+    }
+
+    fn encode(&self, out: &mut Vec<u8>) {
+        let mut flags = self.restart_time.min(MAX_RESTART_TIME);
+        if self.restart_state {
+            flags |= RESTART_STATE_BIT;
+        }
+        if self.notification_support {
+            flags |= NOTIFICATION_BIT;
+        }
+        let mut value = flags.to_be_bytes().to_vec();
+        for family in Family::ALL {
+            if let Some(forwarding) = self.families[family as usize] {
+                let [high, low] = family.afi().to_be_bytes();
+                let flags = if forwarding { FORWARDING_STATE_BIT } else { 0 };
+                value.extend([high, low, SAFI_UNICAST, flags]);
+            }
+        }
+        out.extend([capability::GRACEFUL_RESTART, value.len() as u8]);
+        out.extend(value);
+    }
 }
 
+/// The capabilities of a speaker that are of use here (RFC 5492); others are ignored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Capabilities {
-    /// By [`Family`]; without any, IPv4 is meant.
+    /// By [`Family`], whether it is spoken; where no family is named, IPv4 is meant.
     pub families: [bool; 2],
+    /// The speaker's AS number, where it writes AS numbers in four octets (RFC 6793).
     pub four_octet_as: Option<u32>,
-    pub refresh: bool,
-    pub enhanced_refresh: bool,
-    pub graceful: Option<Graceful>,
+    /// ROUTE-REFRESH (RFC 2918).
+    pub route_refresh: bool,
+    /// ROUTE-REFRESH with marks of its beginning and end (RFC 7313).
+    pub enhanced_route_refresh: bool,
+    /// Graceful Restart (RFC 4724).
+    pub graceful_restart: Option<GracefulRestart>,
+    /// BGP Role (RFC 9234).
     pub role: Option<Role>,
 }
 
+/// The message that begins a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Open {
-    /// In four octets, where the peer can.
+    /// The speaker's AS number; from the capability, where that is there.
     pub asn: u32,
-    /// Seconds: 0, or 3 and more.
-    pub hold: u16,
-    pub id: Ipv4Addr,
+    /// The hold time that it offers, in seconds: 0, or 3 and more.
+    pub hold_time: u16,
+    /// The BGP identifier.
+    pub identifier: Ipv4Addr,
+    /// What it can do beside RFC 4271.
     pub capabilities: Capabilities,
 }
 
@@ -114,124 +206,135 @@
     MessageError::new(OpenError::Unspecific, reason)
 }
 
+fn truncated() -> MessageError {
+    malformed("an OPEN that ends too soon")
+}
+
 impl Open {
+    /// Reads the body of an OPEN.
+    ///
     /// # Errors
     /// RFC 4271 section 6.2, RFC 9234 section 4.2 (two roles that differ).
     pub fn decode(body: &[u8]) -> Result<Open, MessageError> {
         let mut bytes = Bytes(body);
-        let short = || malformed("an OPEN that ends too soon");
-        let version = bytes.u8().ok_or_else(short)?;
-        if version != 4 {
-            return Err(MessageError::new(OpenError::UnsupportedVersion, "unsupported version").with(&[0, 4]));
+        if bytes.u8().ok_or_else(truncated)? != VERSION {
+            let error = MessageError::new(OpenError::UnsupportedVersion, "unsupported version");
+            return Err(error.with(&u16::from(VERSION).to_be_bytes()));
         }
-        let mut asn = u32::from(bytes.u16().ok_or_else(short)?);
-        let hold = bytes.u16().ok_or_else(short)?;
-        if matches!(hold, 1 | 2) {
-            return Err(MessageError::new(OpenError::UnacceptableHoldTime, "a hold time of 1 or 2 seconds")
-                .with(&hold.to_be_bytes()));
+        let two_octet_as = bytes.u16().ok_or_else(truncated)?;
+        let hold_time = bytes.u16().ok_or_else(truncated)?;
+        if matches!(hold_time, 1 | 2) {
+            let error = MessageError::new(OpenError::UnacceptableHoldTime, "a hold time of 1 or 2 seconds");
+            return Err(error.with(&hold_time.to_be_bytes()));
         }
-        let id = Ipv4Addr::from(bytes.u32().ok_or_else(short)?);
-        if id.is_unspecified() {
+        let identifier = Ipv4Addr::from(bytes.u32().ok_or_else(truncated)?);
+        if identifier.is_unspecified() {
             return Err(MessageError::new(OpenError::BadIdentifier, "a BGP identifier of zero"));
         }
-        let length = usize::from(bytes.u8().ok_or_else(short)?);
-        // RFC 9072: longer parameters are told by two octets of 255.
-        let extended = length == 255 && bytes.0.first() == Some(&255);
-        let length = if extended {
-            bytes.take(1).ok_or_else(short)?;
-            usize::from(bytes.u16().ok_or_else(short)?)
-        } else {
-            length
-        };
-        let mut parameters = Bytes(bytes.take(length).ok_or_else(short)?);
-        if !bytes.is_empty() {
-            return Err(malformed("bytes behind the parameters of an OPEN"));
-        }
-        let mut capabilities = Capabilities::default();
-        while !parameters.is_empty() {
-            let kind = parameters.u8().ok_or_else(short)?;
-            let value = if extended {
-                parameters.u16().and_then(|length| parameters.take(length.into()))
-            } else {
-                parameters.part()
-            };
-            let value = value.ok_or_else(|| malformed("a parameter longer than its OPEN"))?;
-            if kind != 2 {
-                return Err(MessageError::new(
-                    OpenError::UnsupportedParameter,
-                    "unsupported optional parameter",
-                ));
-            }
-            capabilities.decode(value)?;
-        }
-        if capabilities.families == [false; 2] {
-            capabilities.families[0] = true;
-        }
-        asn = capabilities.four_octet_as.unwrap_or(asn);
+        let capabilities = decode_parameters(&mut bytes)?;
+        let asn = capabilities.four_octet_as.unwrap_or(two_octet_as.into());
         if asn == 0 {
             return Err(MessageError::new(OpenError::BadPeerAs, "AS 0 (RFC 7607)"));
         }
-        Ok(Open { asn, hold, id, capabilities })
+        Ok(Open { asn, hold_time, identifier, capabilities })
     }
 
+    /// Appends the message.
     pub fn encode(&self, out: &mut Vec<u8>) {
         message::encode(out, MessageType::Open, |out| {
-            out.push(4);
+            out.push(VERSION);
             out.extend(u16::try_from(self.asn).unwrap_or(AS_TRANS).to_be_bytes());
-            out.extend(self.hold.to_be_bytes());
-            out.extend(self.id.octets());
-            let mut values = Vec::new();
-            self.capabilities.encode(&mut values);
-            // All of ours take less than a hundred bytes.
-            out.extend([values.len() as u8 + 2, 2, values.len() as u8]);
-            out.extend(values);
+            out.extend(self.hold_time.to_be_bytes());
+            out.extend(self.identifier.octets());
+            let mut capabilities = Vec::new();
+            self.capabilities.encode(&mut capabilities);
+            // All of ours take less than a hundred octets.
+            let length = capabilities.len() as u8;
+            out.extend([length + 2, CAPABILITIES_PARAMETER, length]);
+            out.extend(capabilities);
         });
     }
 }
 
+/// The optional parameters, which end the OPEN.
+fn decode_parameters(bytes: &mut Bytes) -> Result<Capabilities, MessageError> {
+    let mut length = usize::from(bytes.u8().ok_or_else(truncated)?);
+    // RFC 9072: longer parameters are announced by two octets of 255.
+    let extended =
+        length == usize::from(EXTENDED_PARAMETERS) && bytes.0.first() == Some(&EXTENDED_PARAMETERS);
+    if extended {
+        bytes.take(1).ok_or_else(truncated)?;
+        length = usize::from(bytes.u16().ok_or_else(truncated)?);
+    }
+    let mut parameters = Bytes(bytes.take(length).ok_or_else(truncated)?);
+    if !bytes.is_empty() {
+        return Err(malformed("bytes behind the parameters of an OPEN"));
+    }
+    let mut capabilities = Capabilities::default();
+    while !parameters.is_empty() {
+        let parameter_type = parameters.u8().ok_or_else(truncated)?;
+        let value = if extended {
+            parameters.u16().and_then(|length| parameters.take(length.into()))
+        } else {
+            parameters.part()
+        };
+        let value = value.ok_or_else(|| malformed("a parameter longer than its OPEN"))?;
+        if parameter_type != CAPABILITIES_PARAMETER {
+            let reason = "unsupported optional parameter";
+            return Err(MessageError::new(OpenError::UnsupportedParameter, reason));
+        }
+        capabilities.decode(value)?;
+    }
+    if capabilities.families == [false; 2] {
+        capabilities.families[Family::Ipv4 as usize] = true;
+    }
+    Ok(capabilities)
+}
+
 impl Capabilities {
-    /// One capabilities parameter; what is unknown in it is passed over (RFC 5492 section 3).
-    fn decode(&mut self, value: &[u8]) -> Result<(), MessageError> {
-        let mut bytes = Bytes(value);
+    /// Adds those of one capabilities parameter; unknown ones are ignored (RFC 5492 section 3).
+    fn decode(&mut self, parameter: &[u8]) -> Result<(), MessageError> {
+        let mut bytes = Bytes(parameter);
         while !bytes.is_empty() {
             let code = bytes.u8().ok_or_else(|| malformed("a capability that ends too soon"))?;
             let value = bytes.part().ok_or_else(|| malformed("a capability longer than its parameter"))?;
-            let wrong = || malformed("a capability of the wrong length");
-            match (code, value) {
-                (1, &[high, low, _, safi]) => {
-                    if let Some(family) = Family::of(u16::from_be_bytes([high, low]), safi) {
-                        self.families[family as usize] = true;
-                    }
-                }
-                (2, []) => self.refresh = true,
-                (70, []) => self.enhanced_refresh = true,
-                (65, &[a, b, c, d]) => self.four_octet_as = Some(u32::from_be_bytes([a, b, c, d])),
-                (9, &[number]) => {
-                    let role = Role::of(number);
-                    if self.role.is_some() && self.role != role {
-                        return Err(MessageError::new(OpenError::RoleMismatch, "two roles that differ"));
-                    }
-                    self.role = role;
+            self.decode_one(code, value)?;
+        }
+        Ok(())
+    }
+
+    fn decode_one(&mut self, code: u8, value: &[u8]) -> Result<(), MessageError> {
+        match (code, value) {
+            (capability::MULTIPROTOCOL, &[high, low, _, safi]) => {
+                if let Some(family) = Family::of(u16::from_be_bytes([high, low]), safi) {
+                    self.families[family as usize] = true;
                 }
-                (64, &[high, low, ref families @ ..]) if families.len().is_multiple_of(4) => {
-                    let flags = u16::from_be_bytes([high, low]);
-                    let mut graceful = Graceful {
-                        restarted: flags & 0x8000 != 0,
-                        over_notifications: flags & 0x4000 != 0,
-                        time: flags & LONGEST_RESTART,
-                        families: [None; 2],
-                    };
-                    for entry in families.chunks_exact(4) {
-                        if let Some(family) = Family::of(u16::from_be_bytes([entry[0], entry[1]]), entry[2]) {
-                            graceful.families[family as usize] = Some(entry[3] & 0x80 != 0);
-                        }
-                    }
-                    self.graceful = Some(graceful);
+            }
+            (capability::ROUTE_REFRESH, []) => self.route_refresh = true,
+            (capability::ENHANCED_ROUTE_REFRESH, []) => self.enhanced_route_refresh = true,
+            (capability::FOUR_OCTET_AS, &[a, b, c, d]) => {
+                self.four_octet_as = Some(u32::from_be_bytes([a, b, c, d]));
+            }
+            (capability::ROLE, &[code]) => {
+                let role = Role::from_code(code);
+                if self.role.is_some() && self.role != role {
+                    return Err(MessageError::new(OpenError::RoleMismatch, "two roles that differ"));
                 }
-                (1 | 2 | 70 | 65 | 9, _) => return Err(wrong()),
-                // RFC 4724 section 3: a malformed one is as good as none.
-                _ => {}
+                self.role = role;
+            }
+            // RFC 4724 section 3: a malformed one is as good as none.
+            (capability::GRACEFUL_RESTART, value) => {
+                self.graceful_restart = GracefulRestart::decode(value).or(self.graceful_restart);
             }
+            (
+                capability::MULTIPROTOCOL
+                | capability::ROUTE_REFRESH
+                | capability::ENHANCED_ROUTE_REFRESH
+                | capability::FOUR_OCTET_AS
+                | capability::ROLE,
+                _,
+            ) => return Err(malformed("a capability of the wrong length")),
+            _ => {}
         }
         Ok(())
     }
@@ -239,33 +342,23 @@
     fn encode(&self, out: &mut Vec<u8>) {
         for family in Family::ALL.into_iter().filter(|family| self.families[*family as usize]) {
             let [high, low] = family.afi().to_be_bytes();
-            out.extend([1, 4, high, low, 0, 1]);
+            out.extend([capability::MULTIPROTOCOL, 4, high, low, 0, SAFI_UNICAST]);
         }
-        if self.refresh {
-            out.extend([2, 0]);
+        if self.route_refresh {
+            out.extend([capability::ROUTE_REFRESH, 0]);
         }
-        if self.enhanced_refresh {
-            out.extend([70, 0]);
+        if self.enhanced_route_refresh {
+            out.extend([capability::ENHANCED_ROUTE_REFRESH, 0]);
         }
         if let Some(asn) = self.four_octet_as {
-            out.extend([65, 4]);
+            out.extend([capability::FOUR_OCTET_AS, 4]);
             out.extend(asn.to_be_bytes());
         }
         if let Some(role) = self.role {
-            out.extend([9, 1, role as u8]);
+            out.extend([capability::ROLE, 1, role as u8]);
         }
-        if let Some(graceful) = self.graceful {
-            let kept = Family::ALL.into_iter().filter_map(|family| {
-                graceful.families[family as usize].map(|forwarding| (family, forwarding))
-            });
-            let kept: Vec<(Family, bool)> = kept.collect();
-            out.extend([64, 2 + 4 * kept.len() as u8]);
-            let flags = u16::from(graceful.restarted) << 15 | u16::from(graceful.over_notifications) << 14;
-            out.extend((flags | graceful.time.min(LONGEST_RESTART)).to_be_bytes());
-            for (family, forwarding) in kept {
-                let [high, low] = family.afi().to_be_bytes();
-                out.extend([high, low, 1, u8::from(forwarding) << 7]);
-            }
+        if let Some(graceful_restart) = self.graceful_restart {
+            graceful_restart.encode(out);
         }
     }
 }
--- a/crates/bgp/src/open/tests.rs
+++ b/crates/bgp/src/open/tests.rs
@@ -6,17 +6,17 @@
 pub fn whole() -> Open {
     Open {
         asn: 4_200_000_001,
-        hold: 9,
-        id: Ipv4Addr::new(192, 0, 2, 1),
+        hold_time: 9,
+        identifier: Ipv4Addr::new(192, 0, 2, 1),
         capabilities: Capabilities {
             families: [true, true],
             four_octet_as: Some(4_200_000_001),
-            refresh: true,
-            enhanced_refresh: true,
-            graceful: Some(Graceful {
-                restarted: true,
-                over_notifications: true,
-                time: 120,
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: Some(GracefulRestart {
+                restart_state: true,
+                notification_support: true,
+                restart_time: 120,
                 families: [Some(true), Some(false)],
             }),
             role: Some(Role::Customer),
@@ -49,7 +49,7 @@
     // A hold time of 0 is legal: there are no keepalives then.
     let mut none = body.clone();
     none[3..5].copy_from_slice(&[0, 0]);
-    assert_eq!(Open::decode(&none).unwrap().hold, 0);
+    assert_eq!(Open::decode(&none).unwrap().hold_time, 0);
     // AS 0, in two octets and in four.
     assert_eq!(Open::decode(&[4, 0, 0, 0, 9, 1, 1, 1, 1, 0]).unwrap_err().subcode(), 2);
     // Two roles that differ.
--- a/crates/bgp/src/session/connection.rs
+++ b/crates/bgp/src/session/connection.rs
@@ -1,7 +1,7 @@
 //! One TCP connection of a peer, from its attempt to its last message, with the Adj-RIB-Out that was sent on it.
 
-use super::Path;
-use crate::open::{Capabilities, Family, Graceful, Open};
+use super::Advertisement;
+use crate::open::{Capabilities, Family, GracefulRestart, Open};
 use crate::update::UpdateContext;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
@@ -86,7 +86,7 @@
     pub peer_open: Option<Open>,
     /// The capabilities in our own OPEN.
     pub local_capabilities: Capabilities,
-    pub adj_rib_out: BTreeMap<IpNet, Path>,
+    pub adj_rib_out: BTreeMap<IpNet, Advertisement>,
     /// Some route was announced on it, also if it was withdrawn since: a written withdrawal may be lost with it.
     pub has_announced: bool,
     /// By [`Family`].
@@ -167,14 +167,15 @@
         UpdateContext { four_octet_as, internal }
     }
 
-    pub fn peer_graceful_restart(&self) -> Option<Graceful> {
-        self.peer_capabilities().and_then(|capabilities| capabilities.graceful)
+    pub fn peer_graceful_restart(&self) -> Option<GracefulRestart> {
+        self.peer_capabilities().and_then(|capabilities| capabilities.graceful_restart)
     }
 
     /// RFC 8538: both sides keep routes over a NOTIFICATION.
     pub fn keeps_over_notification(&self) -> bool {
-        let supported =
-            |graceful: Option<Graceful>| graceful.is_some_and(|graceful| graceful.over_notifications);
-        supported(self.local_capabilities.graceful) && supported(self.peer_graceful_restart())
+        let supported = |graceful: Option<GracefulRestart>| {
+            graceful.is_some_and(|graceful| graceful.notification_support)
+        };
+        supported(self.local_capabilities.graceful_restart) && supported(self.peer_graceful_restart())
     }
 }
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Connection, Phase};
 use super::timers::DRAIN_STEP_TIMEOUT;
-use super::{Act, AdminState, Path, Peer, RetryTimer, Side};
+use super::{Act, AdminState, Advertisement, Peer, RetryTimer, Side};
 use crate::error::{CeaseSubcode, MessageError};
 use crate::notification::Notification;
 use ipnet::IpNet;
@@ -37,7 +37,7 @@
     /// All is withdrawn for good, but for what of `lead` is out on the session that is up: that may change once more,
     /// and goes with the next call or with the session. A peer that may keep routes of a lost session is sought, told
     /// that there are none, and left.
-    pub fn drain(&mut self, lead: BTreeMap<IpNet, Path>, now: f64) {
+    pub fn drain(&mut self, lead: BTreeMap<IpNet, Advertisement>, now: f64) {
         if self.admin_state != AdminState::Running {
             self.wanted.retain(|net, _| lead.contains_key(net));
             return self.write_updates(now);
@@ -134,8 +134,8 @@
         if was_established {
             self.counts.lost += 1;
             self.keep_routes(&connection, loss, now);
-            if now >= connection.established_at + self.terms.stable {
-                self.idle_hold_time = self.terms.idle_hold;
+            if now >= connection.established_at + self.config.stable_time {
+                self.idle_hold_time = self.config.idle_hold_time;
             }
         }
         self.log_loss(&connection, &why);
@@ -159,14 +159,14 @@
         let peer = connection.peer_graceful_restart().filter(|_| kept);
         match peer.filter(|graceful| graceful.keeps_any()) {
             Some(graceful) => {
-                let until = now + f64::from(graceful.time).min(self.terms.believe_stale);
+                let until = now + f64::from(graceful.restart_time).min(self.config.max_stale_time);
                 self.learned.grow_stale(graceful.families.map(|family| family.is_some()), until);
             }
             None => self.learned.clear(),
         }
-        let local = connection.local_capabilities.graceful.filter(|graceful| graceful.keeps_any());
+        let local = connection.local_capabilities.graceful_restart.filter(|graceful| graceful.keeps_any());
         if let (Some(graceful), Some(_), true) = (local, peer, connection.has_announced) {
-            self.retained_until = now + f64::from(graceful.time);
+            self.retained_until = now + f64::from(graceful.restart_time);
         }
     }
 
@@ -185,10 +185,10 @@
             RetryTimer::Active { deadline: now + DRAIN_RETRY_TIME }
         } else if opened {
             let wait = self.idle_hold_time * self.jitter();
-            self.idle_hold_time = (2.0 * self.idle_hold_time).min(self.terms.idle_hold_most);
+            self.idle_hold_time = (2.0 * self.idle_hold_time).min(self.config.max_idle_hold_time);
             RetryTimer::Idle { deadline: now + wait }
         } else {
-            RetryTimer::Active { deadline: now + self.terms.connect_retry * self.jitter() }
+            RetryTimer::Active { deadline: now + self.config.connect_retry_time * self.jitter() }
         };
     }
 }
--- a/crates/bgp/src/session/inbound.rs
+++ b/crates/bgp/src/session/inbound.rs
@@ -60,7 +60,7 @@
 
     fn update(&mut self, side: Side, body: &[u8]) -> Result<(), MessageError> {
         let Some(connection) = self.connection(side) else { return Ok(()) };
-        let update = Update::decode(body, connection.encoding(self.terms.internal()))?;
+        let update = Update::decode(body, connection.encoding(self.config.internal()))?;
         self.counts.updates_in += 1;
         self.counts.attributes_discarded += u64::from(update.discarded);
         let attributes = &update.attributes;
@@ -76,7 +76,7 @@
         for net in &update.withdrawn {
             self.learned.remove(net);
         }
-        let loops = attributes.occurrences(self.terms.asn) > self.terms.own_as_allowed;
+        let loops = attributes.occurrences(self.config.local_as) > self.config.allowed_own_as;
         let usable = route_error.is_none() && !loops && !self.is_leaked(attributes);
         for net in &update.announced {
             match usable {
@@ -93,15 +93,15 @@
     /// RFC 4271 section 6.3: a path of another AS begins with the peer's, but for one that a route server passes on
     /// (RFC 7947 section 2.2.2.1).
     fn is_foreign(&self, attributes: &PathAttributes) -> bool {
-        let route_server = self.terms.role == Some(Role::RouteServerClient);
-        !self.terms.internal() && !route_server && attributes.first_as() != Some(self.terms.peer_asn)
+        let route_server = self.config.role == Some(Role::RouteServerClient);
+        !self.config.internal() && !route_server && attributes.first_as() != Some(self.config.peer_as)
     }
 
     /// RFC 9234 section 5: a route that must not come from this side has leaked.
     fn is_leaked(&self, attributes: &PathAttributes) -> bool {
-        match (self.terms.role, attributes.only_to_customer) {
+        match (self.config.role, attributes.only_to_customer) {
             (Some(Role::Provider | Role::RouteServer), Some(_)) => true,
-            (Some(Role::Peer), Some(asn)) => asn != self.terms.peer_asn,
+            (Some(Role::Peer), Some(asn)) => asn != self.config.peer_as,
             _ => false,
         }
     }
--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -5,21 +5,21 @@
 //! holds the difference between what was announced on this connection and what is wanted now. A new connection begins
 //! with an empty Adj-RIB-Out, so a withdrawal that was lost with the last one can't be missed.
 //!
-//! [`terms`] is the configuration, [`connection`] the state of one connection. The methods of [`Peer`] stand by job:
+//! [`config`] is the configuration, [`connection`] the state of one connection. The methods of [`Peer`] stand by job:
 //! [`timers`], [`transport`] (what the host tells of a connection), [`opening`] (OPEN, collisions, Established),
 //! [`inbound`] and [`outbound`] (messages and routes of each direction), [`ending`] (drain, NOTIFICATION, loss).
 
+mod config;
 mod connection;
 mod ending;
 mod inbound;
 mod opening;
 mod outbound;
-mod terms;
 mod timers;
 mod transport;
 
+pub use config::{Advertisement, PeerConfig};
 pub use connection::{Side, State};
-pub use terms::{Path, PeerTerms};
 
 use crate::learned::Learned;
 use crate::message::{self, RouteRefresh};
@@ -81,7 +81,7 @@
 /// Everything about one peer.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    terms: PeerTerms,
+    config: PeerConfig,
     seed: u64,
     random_draws: u64,
     admin_state: AdminState,
@@ -91,11 +91,11 @@
     /// By [`Side`].
     connections: [Option<Connection>; 2],
     /// The routes to announce, which the Adj-RIB-Out follows.
-    wanted: BTreeMap<IpNet, Path>,
+    wanted: BTreeMap<IpNet, Advertisement>,
     /// Until when the peer may keep routes of ours from a lost session; minus infinity where there are none.
     retained_until: f64,
     /// No session has been established since the start (the Restart State bit of RFC 4724).
-    restarted: bool,
+    restart_state: bool,
     pub learned: Learned,
     actions: VecDeque<Act>,
     /// Why the last session or attempt ended.
@@ -106,11 +106,11 @@
 }
 
 impl Peer {
-    pub fn new(terms: PeerTerms, seed: u64, now: f64) -> Peer {
+    pub fn new(config: PeerConfig, seed: u64, now: f64) -> Peer {
         Peer {
-            learned: Learned::new(&terms.services, terms.most_learned),
-            idle_hold_time: terms.idle_hold,
-            terms,
+            learned: Learned::new(&config.service_prefixes, config.max_learned_routes),
+            idle_hold_time: config.idle_hold_time,
+            config,
             seed,
             random_draws: 0,
             admin_state: AdminState::Running,
@@ -118,7 +118,7 @@
             connections: [None, None],
             wanted: BTreeMap::new(),
             retained_until: f64::NEG_INFINITY,
-            restarted: true,
+            restart_state: true,
             actions: VecDeque::new(),
             last_error: None,
             counts: Counts::default(),
@@ -128,13 +128,13 @@
 
     /// Takes over new terms where a session need not end for them: other service addresses of the families that are
     /// spoken. What the peer has of them is asked for again (RFC 2918). False: nothing was done.
-    pub fn change(&mut self, terms: &PeerTerms) -> bool {
-        if !self.terms.equals_except_services(terms) {
+    pub fn change(&mut self, config: &PeerConfig) -> bool {
+        if !self.config.equals_except_services(config) {
             return false;
         }
-        if terms.services != self.terms.services {
-            self.terms.services.clone_from(&terms.services);
-            self.learned.serve(&terms.services);
+        if config.service_prefixes != self.config.service_prefixes {
+            self.config.service_prefixes.clone_from(&config.service_prefixes);
+            self.learned.serve(&config.service_prefixes);
             self.request_refresh();
         }
         true
@@ -143,7 +143,7 @@
     /// Asks the peer for all its routes again, where a session is established and the peer can do it.
     fn request_refresh(&mut self) {
         let Some((_, connection)) = self.established_connection() else { return };
-        if !connection.peer_capabilities().is_some_and(|capabilities| capabilities.refresh) {
+        if !connection.peer_capabilities().is_some_and(|capabilities| capabilities.route_refresh) {
             return;
         }
         for family in Family::ALL {
@@ -173,7 +173,7 @@
     }
 
     /// Routes that the peer was told of on the connection that is up.
-    pub fn told(&self) -> impl Iterator<Item = (&IpNet, &Path)> {
+    pub fn told(&self) -> impl Iterator<Item = (&IpNet, &Advertisement)> {
         let established = self.connections.iter().flatten().find(|connection| connection.is_established());
         established.into_iter().flat_map(|connection| &connection.adj_rib_out)
     }
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -3,44 +3,44 @@
 use super::connection::{Connection, Phase};
 use super::ending::Loss;
 use super::timers::DRAIN_STEP_TIMEOUT;
-use super::{AdminState, Peer, PeerTerms, Side, State};
+use super::{AdminState, Peer, PeerConfig, Side, State};
 use crate::error::{CeaseSubcode, MessageError, OpenError};
 use crate::message;
 use crate::notification::Notification;
-use crate::open::{Capabilities, Family, Graceful, Open};
+use crate::open::{Capabilities, Family, GracefulRestart, Open};
 
 impl Peer {
     fn capabilities(&self) -> Capabilities {
         // Where nothing is to be kept, no family is named: the peer then drops at once what it kept.
-        let restart_time = self.terms.graceful.filter(|_| self.admin_state == AdminState::Running);
+        let restart_time = self.config.restart_time.filter(|_| self.admin_state == AdminState::Running);
         let kept_families =
-            self.terms.families.map(|spoken| (spoken && restart_time.is_some()).then_some(true));
+            self.config.families.map(|spoken| (spoken && restart_time.is_some()).then_some(true));
         Capabilities {
-            families: self.terms.families,
-            four_octet_as: Some(self.terms.asn),
-            refresh: true,
-            enhanced_refresh: true,
-            graceful: Some(Graceful {
-                restarted: self.restarted,
-                over_notifications: true,
-                time: restart_time.unwrap_or(0),
+            families: self.config.families,
+            four_octet_as: Some(self.config.local_as),
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: Some(GracefulRestart {
+                restart_state: self.restart_state,
+                notification_support: true,
+                restart_time: restart_time.unwrap_or(0),
                 families: kept_families,
             }),
-            role: self.terms.role,
+            role: self.config.role,
         }
     }
 
     pub(super) fn send_open(&mut self, side: Side, now: f64) {
         let capabilities = self.capabilities();
         let open = Open {
-            asn: self.terms.asn,
-            hold: self.terms.hold,
-            id: self.terms.id,
+            asn: self.config.local_as,
+            hold_time: self.config.hold_time,
+            identifier: self.config.identifier,
             capabilities: capabilities.clone(),
         };
         let timeout = match self.admin_state {
             AdminState::Draining => DRAIN_STEP_TIMEOUT,
-            _ => self.terms.open_wait,
+            _ => self.config.open_timeout,
         };
         let Some(connection) = self.connection_mut(side) else { return };
         open.encode(&mut connection.output);
@@ -53,11 +53,11 @@
     /// The peer's OPEN: checked, and answered with a KEEPALIVE if this connection stays.
     pub(super) fn open(&mut self, side: Side, body: &[u8], now: f64) -> Result<(), MessageError> {
         let open = Open::decode(body)?;
-        check_open(&open, &self.terms)?;
+        check_open(&open, &self.config)?;
         if !self.resolve_collision(side, &open, now) {
             return Ok(());
         }
-        let hold_time = f64::from(self.terms.hold.min(open.hold));
+        let hold_time = f64::from(self.config.hold_time.min(open.hold_time));
         let keepalive_deadline = now + hold_time / 3.0 * self.jitter();
         let Some(connection) = self.connection_mut(side) else { return Ok(()) };
         message::encode_keepalive(&mut connection.output);
@@ -91,8 +91,8 @@
                 false
             }
             Some(State::OpenConfirm) => {
-                let local = (u32::from(self.terms.id), self.terms.asn);
-                let remote = (u32::from(open.id), open.asn);
+                let local = (u32::from(self.config.identifier), self.config.local_as);
+                let remote = (u32::from(open.identifier), open.asn);
                 let stays = if local > remote { Side::Ours } else { Side::Theirs };
                 self.end(stays.other(), cease("the other connection stays"), None, now);
                 stays == side
@@ -105,7 +105,7 @@
     pub(super) fn established(&mut self, side: Side, now: f64) {
         self.give_up_other(side.other(), now);
         self.counts.established += 1;
-        self.restarted = false;
+        self.restart_state = false;
         let Some(connection) = self.connections[side as usize].as_mut() else { return };
         connection.phase = Phase::Established;
         connection.established_at = now;
@@ -119,7 +119,8 @@
                 self.learned.told_all(family);
             }
         }
-        let ours_kept = connection.local_capabilities.graceful.is_some_and(|graceful| graceful.keeps_any());
+        let ours_kept =
+            connection.local_capabilities.graceful_restart.is_some_and(|graceful| graceful.keeps_any());
         if !ours_kept || graceful.is_none() {
             self.retained_until = f64::NEG_INFINITY;
         }
@@ -150,28 +151,28 @@
 }
 
 /// RFC 4271 section 6.2, RFC 5492 section 3, RFC 9234 section 4.2: whether a session may begin with this OPEN.
-fn check_open(open: &Open, terms: &PeerTerms) -> Result<(), MessageError> {
-    if open.asn != terms.peer_asn {
+fn check_open(open: &Open, config: &PeerConfig) -> Result<(), MessageError> {
+    if open.asn != config.peer_as {
         return Err(MessageError::new(OpenError::BadPeerAs, "the peer is of another AS")
             .with(&open.asn.to_be_bytes()));
     }
-    let same_id = open.id == terms.id && terms.internal();
-    if same_id || terms.peer_id.is_some_and(|id| id != open.id) {
+    let same_id = open.identifier == config.identifier && config.internal();
+    if same_id || config.peer_identifier.is_some_and(|id| id != open.identifier) {
         return Err(MessageError::new(OpenError::BadIdentifier, "the peer has another BGP identifier")
-            .with(&open.id.octets()));
+            .with(&open.identifier.octets()));
     }
-    match (terms.role, open.capabilities.role) {
+    match (config.role, open.capabilities.role) {
         (Some(ours), Some(theirs)) if ours.counterpart() != theirs => {
             return Err(MessageError::new(OpenError::RoleMismatch, "the peer's role does not go with ours"))
         }
-        (Some(_), None) if terms.strict_role => {
+        (Some(_), None) if config.strict_role => {
             return Err(MessageError::new(OpenError::RoleMismatch, "the peer tells no role"))
         }
         _ => {}
     }
     let common = |family: &Family| {
         let index = *family as usize;
-        terms.families[index] && open.capabilities.families[index]
+        config.families[index] && open.capabilities.families[index]
     };
     if !Family::ALL.iter().any(common) {
         return Err(MessageError::new(OpenError::UnsupportedCapability, "no address family in common"));
--- a/crates/bgp/src/session/outbound.rs
+++ b/crates/bgp/src/session/outbound.rs
@@ -1,7 +1,7 @@
 //! What is announced to the peer: the Adj-RIB-Out is brought to what is wanted, as far as the peer reads.
 
 use super::connection::{Connection, RefreshState};
-use super::{AdminState, Path, Peer};
+use super::{AdminState, Advertisement, Peer};
 use crate::message::{self, RouteRefresh};
 use crate::open::{Family, Role};
 use crate::update::{self, AsPathSegment, Origin, PathAttributes};
@@ -13,7 +13,7 @@
 
 impl Peer {
     /// What is to be out from now on. After a drain began this changes nothing: nothing is announced again.
-    pub fn announce(&mut self, wanted: BTreeMap<IpNet, Path>, now: f64) {
+    pub fn announce(&mut self, wanted: BTreeMap<IpNet, Advertisement>, now: f64) {
         if self.admin_state == AdminState::Running && self.wanted != wanted {
             self.wanted = wanted;
             self.write_updates(now);
@@ -47,7 +47,7 @@
         let RefreshState { requested, end_of_rib_due } =
             std::mem::take(&mut connection.refresh[family as usize]);
         let enhanced =
-            connection.peer_capabilities().is_some_and(|capabilities| capabilities.enhanced_refresh);
+            connection.peer_capabilities().is_some_and(|capabilities| capabilities.enhanced_route_refresh);
         if requested {
             // What was announced is announced again; what was withdrawn meanwhile stays so.
             connection
@@ -82,13 +82,13 @@
 
     /// Prefixes that are announced alike share UPDATEs.
     fn write_announcements(&mut self, connection: &mut Connection, family: Family) {
-        let mut new: BTreeMap<&Path, Vec<IpNet>> = BTreeMap::new();
+        let mut new: BTreeMap<&Advertisement, Vec<IpNet>> = BTreeMap::new();
         for (net, path) in &self.wanted {
             if Family::of_prefix(net) == family && connection.adj_rib_out.get(net) != Some(path) {
                 new.entry(path).or_default().push(*net);
             }
         }
-        let encoding = connection.encoding(self.terms.internal());
+        let encoding = connection.encoding(self.config.internal());
         for (path, nets) in new {
             let Some(attributes) = self.attributes(family, path) else { continue };
             update::announce(&mut connection.output, family, &nets, &attributes, encoding);
@@ -99,21 +99,21 @@
     }
 
     /// The path attributes of one announcement; none where there is no next hop of the family.
-    fn attributes(&self, family: Family, path: &Path) -> Option<PathAttributes> {
-        let terms = &self.terms;
-        let numbers = vec![terms.asn; 1 + usize::from(path.prepend)];
+    fn attributes(&self, family: Family, path: &Advertisement) -> Option<PathAttributes> {
+        let config = &self.config;
+        let numbers = vec![config.local_as; 1 + usize::from(path.prepend)];
         let own = AsPathSegment::sequence(numbers);
         // RFC 9234 section 5: what we send to a customer or a lateral peer must go to customers only from there.
-        let to_customers_only = matches!(terms.role, Some(Role::Provider | Role::RouteServer | Role::Peer));
+        let to_customers_only = matches!(config.role, Some(Role::Provider | Role::RouteServer | Role::Peer));
         Some(PathAttributes {
             origin: Origin::Igp,
-            as_path: if terms.internal() { Vec::new() } else { vec![own] },
-            next_hop: Some(terms.next_hops[family as usize]?),
+            as_path: if config.internal() { Vec::new() } else { vec![own] },
+            next_hop: Some(config.next_hops[family as usize]?),
             med: path.med,
             local_pref: path.local_pref,
             communities: path.communities.clone(),
             large_communities: path.large_communities.clone(),
-            only_to_customer: to_customers_only.then_some(terms.asn),
+            only_to_customer: to_customers_only.then_some(config.local_as),
         })
     }
 }
--- a/crates/bgp/src/session/timers.rs
+++ b/crates/bgp/src/session/timers.rs
@@ -37,13 +37,13 @@
     /// Nothing but time stands in the way of a connection of ours.
     fn may_connect(&self) -> bool {
         let free = self.connection(Side::Ours).is_none() && !self.is_live(Side::Theirs);
-        free && self.seeks_connection() && !self.terms.passive
+        free && self.seeks_connection() && !self.config.passive
     }
 
     fn connect(&mut self, now: f64) {
         let timeout = match self.admin_state {
             AdminState::Draining => DRAIN_STEP_TIMEOUT,
-            _ => self.terms.connect_wait,
+            _ => self.config.connect_timeout,
         };
         let connecting = Connection::new(Phase::Connecting { deadline: now + timeout }, now);
         self.connections[Side::Ours as usize] = Some(connecting);
--- a/crates/bgp/src/session/transport.rs
+++ b/crates/bgp/src/session/transport.rs
@@ -19,7 +19,7 @@
         if !wanted {
             return false;
         }
-        let delay = if self.admin_state == AdminState::Draining { 0.0 } else { self.terms.delay_open };
+        let delay = if self.admin_state == AdminState::Draining { 0.0 } else { self.config.delay_open_time };
         if delay > 0.0 {
             let Some(connection) = self.connection_mut(side) else { return false };
             connection.phase = Phase::DelayOpen { deadline: now + delay };
--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -1,6 +1,6 @@
 //! A host for one peer in virtual time, with the laboratory's far end behind it.
 
-use cleatgw_bgp::{Act, Capabilities, Graceful, Open, Path, Peer, PeerTerms, Side};
+use cleatgw_bgp::{Act, Advertisement, Capabilities, GracefulRestart, Open, Peer, PeerConfig, Side};
 use cleatgw_lab::far::Far;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
@@ -13,58 +13,63 @@
     word.parse().unwrap()
 }
 
-pub fn terms() -> PeerTerms {
-    PeerTerms {
-        asn: OURS,
-        peer_asn: THEIRS,
-        id: Ipv4Addr::new(192, 0, 2, 1),
-        peer_id: None,
-        hold: 9,
+pub fn config() -> PeerConfig {
+    PeerConfig {
+        local_as: OURS,
+        peer_as: THEIRS,
+        identifier: Ipv4Addr::new(192, 0, 2, 1),
+        peer_identifier: None,
+        hold_time: 9,
         families: [true, true],
         next_hops: [Some("192.0.2.1".parse().unwrap()), Some("2001:db8::1".parse().unwrap())],
         role: None,
         strict_role: false,
-        graceful: None,
-        believe_stale: 120.0,
+        restart_time: None,
+        max_stale_time: 120.0,
         passive: false,
-        connect_wait: 5.0,
-        connect_retry: 8.0,
-        delay_open: 0.0,
-        open_wait: 20.0,
-        idle_hold: 1.0,
-        idle_hold_most: 16.0,
-        stable: 30.0,
-        own_as_allowed: 1,
-        most_learned: 64,
-        services: vec![net("198.51.100.7/32"), net("2001:db8::7/128")],
+        connect_timeout: 5.0,
+        connect_retry_time: 8.0,
+        delay_open_time: 0.0,
+        open_timeout: 20.0,
+        idle_hold_time: 1.0,
+        max_idle_hold_time: 16.0,
+        stable_time: 30.0,
+        allowed_own_as: 1,
+        max_learned_routes: 64,
+        service_prefixes: vec![net("198.51.100.7/32"), net("2001:db8::7/128")],
     }
 }
 
-pub fn graceful(time: u16) -> Option<Graceful> {
-    Some(Graceful { restarted: false, over_notifications: true, time, families: [Some(true), Some(true)] })
+pub fn graceful(time: u16) -> Option<GracefulRestart> {
+    Some(GracefulRestart {
+        restart_state: false,
+        notification_support: true,
+        restart_time: time,
+        families: [Some(true), Some(true)],
+    })
 }
 
 pub fn far_open() -> Open {
     Open {
         asn: THEIRS,
-        hold: 30,
-        id: Ipv4Addr::new(192, 0, 2, 99),
+        hold_time: 30,
+        identifier: Ipv4Addr::new(192, 0, 2, 99),
         capabilities: Capabilities {
             families: [true, true],
             four_octet_as: Some(THEIRS),
-            refresh: true,
-            enhanced_refresh: true,
-            graceful: None,
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: None,
             role: None,
         },
     }
 }
 
-pub fn wanted(words: &[&str]) -> BTreeMap<IpNet, Path> {
-    words.iter().map(|word| (net(word), Path::default())).collect()
+pub fn wanted(words: &[&str]) -> BTreeMap<IpNet, Advertisement> {
+    words.iter().map(|word| (net(word), Advertisement::default())).collect()
 }
 
-pub fn both() -> BTreeMap<IpNet, Path> {
+pub fn both() -> BTreeMap<IpNet, Advertisement> {
     wanted(&["198.51.100.7/32", "2001:db8::7/128"])
 }
 
@@ -90,14 +95,14 @@
 }
 
 impl Host {
-    pub fn new(terms: PeerTerms, open: Open) -> Host {
-        let peer = Peer::new(terms, 1, 0.0);
+    pub fn new(config: PeerConfig, open: Open) -> Host {
+        let peer = Peer::new(config, 1, 0.0);
         Host { peer, far: Far::new(open), now: 0.0, net: Net::Up, on: None, carries: true }
     }
 
     /// A session that is up, with these announced.
-    pub fn up(terms: PeerTerms, open: Open, announced: BTreeMap<IpNet, Path>) -> Host {
-        let mut host = Host::new(terms, open);
+    pub fn up(config: PeerConfig, open: Open, announced: BTreeMap<IpNet, Advertisement>) -> Host {
+        let mut host = Host::new(config, open);
         host.peer.announce(announced, 0.0);
         host.run(0.1);
         assert!(host.far.established, "{:?}", host.peer.last_error);
--- a/crates/bgp/tests/interop.rs
+++ b/crates/bgp/tests/interop.rs
@@ -5,8 +5,8 @@
 use cleatgw_bgp::message::{encode_keepalive, frame};
 use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
 use cleatgw_bgp::{
-    Capabilities, CeaseSubcode, Family, Graceful, MessageType, Notification, Open, PathAttributes, Role,
-    Update,
+    Capabilities, CeaseSubcode, Family, GracefulRestart, MessageType, Notification, Open, PathAttributes,
+    Role, Update,
 };
 use ipnet::IpNet;
 use rand::rngs::SmallRng;
@@ -38,14 +38,17 @@
 fn open() -> Open {
     Open {
         asn: 4_200_000_001,
-        hold: 9,
-        id: "192.0.2.1".parse().unwrap(),
+        hold_time: 9,
+        identifier: "192.0.2.1".parse().unwrap(),
         capabilities: Capabilities {
             families: [true, true],
             four_octet_as: Some(4_200_000_001),
-            refresh: true,
-            enhanced_refresh: true,
-            graceful: Some(Graceful { over_notifications: true, ..Graceful::default() }),
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: Some(GracefulRestart {
+                notification_support: true,
+                ..GracefulRestart::default()
+            }),
             role: Some(Role::Customer),
         },
     }
--- a/crates/bgp/tests/model.rs
+++ b/crates/bgp/tests/model.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod host;
 
-use cleatgw_bgp::{Capabilities, CeaseSubcode, Notification, Open, PeerTerms, State};
+use cleatgw_bgp::{Capabilities, CeaseSubcode, Notification, Open, PeerConfig, State};
 use host::*;
 use stateright::{Checker, Model, Property};
 use std::fmt;
@@ -66,7 +66,7 @@
 }
 
 struct Session {
-    terms: PeerTerms,
+    config: PeerConfig,
     far: Open,
     planted: Planted,
 }
@@ -76,9 +76,9 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<At> {
-        let mut fresh = Host::new(self.terms.clone(), self.far.clone());
+        let mut fresh = Host::new(self.config.clone(), self.far.clone());
         fresh.peer.announce(both(), 0.0);
-        let up = Host::up(self.terms.clone(), self.far.clone(), both());
+        let up = Host::up(self.config.clone(), self.far.clone(), both());
         vec![At { host: fresh, drained: false }, At { host: up, drained: false }]
     }
 
@@ -175,9 +175,9 @@
 
 fn session(kept: bool, planted: Planted) -> Session {
     let graceful = if kept { graceful(120) } else { None };
-    let capabilities = Capabilities { graceful, ..far_open().capabilities };
-    let terms = PeerTerms { graceful: kept.then_some(120), ..terms() };
-    Session { terms, far: Open { capabilities, ..far_open() }, planted }
+    let capabilities = Capabilities { graceful_restart: graceful, ..far_open().capabilities };
+    let config = PeerConfig { restart_time: kept.then_some(120), ..config() };
+    Session { config, far: Open { capabilities, ..far_open() }, planted }
 }
 
 fn checked(session: Session, depth: usize) -> impl Checker<Session> {
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -23,9 +23,14 @@
 
 #[test]
 fn both_families_are_told_changed_and_withdrawn() {
-    let mut host = Host::up(terms(), far_open(), both());
+    let mut host = Host::up(config(), far_open(), both());
     assert!(host.has("198.51.100.7/32") && host.has("2001:db8::7/128"));
-    let dear = Path { med: Some(200), prepend: 2, communities: vec![GRACEFUL_SHUTDOWN], ..Path::default() };
+    let dear = Advertisement {
+        med: Some(200),
+        prepend: 2,
+        communities: vec![GRACEFUL_SHUTDOWN],
+        ..Advertisement::default()
+    };
     let mut changed = both();
     changed.insert(net("198.51.100.7/32"), dear);
     host.peer.announce(changed, host.now);
@@ -42,7 +47,7 @@
 /// Hard case: the session ends in each state in turn, ten times a minute; what is out is whole again after each.
 #[test]
 fn a_session_that_flaps_in_each_state_comes_back_whole_and_slower_each_time() {
-    let mut host = Host::up(terms(), far_open(), both());
+    let mut host = Host::up(config(), far_open(), both());
     let mut waits = Vec::new();
     for round in 0..20 {
         match round % 5 {
@@ -93,7 +98,7 @@
 #[test]
 fn connections_that_are_refused_never_come_up_or_stay_mute_are_tried_again() {
     for (net, until) in [(Net::Refuses, 8.1), (Net::Silent, 13.1)] {
-        let mut host = Host::new(terms(), far_open());
+        let mut host = Host::new(config(), far_open());
         host.net = net;
         host.peer.announce(both(), 0.0);
         host.run(0.5);
@@ -103,7 +108,7 @@
         assert_eq!(host.held(), 2, "{net:?}");
     }
     // An OPEN that never comes.
-    let mut host = Host::new(terms(), far_open());
+    let mut host = Host::new(config(), far_open());
     host.far.mute = true;
     host.peer.announce(both(), 0.0);
     host.run(19.0);
@@ -119,13 +124,13 @@
 #[test]
 fn of_two_connections_at_once_the_one_of_the_higher_identifier_stays() {
     for (far_id, stays) in [("192.0.2.99", Side::Theirs), ("192.0.1.1", Side::Ours)] {
-        let mut peer = Peer::new(terms(), 1, 0.0);
+        let mut peer = Peer::new(config(), 1, 0.0);
         peer.announce(both(), 0.0);
         peer.time_passed(0.0);
         assert_eq!(peer.act(), Some(Act::Connect));
         assert!(peer.connected(Side::Ours, 0.0) && peer.connected(Side::Theirs, 0.0));
         let mut open = Vec::new();
-        Open { id: far_id.parse().unwrap(), ..far_open() }.encode(&mut open);
+        Open { identifier: far_id.parse().unwrap(), ..far_open() }.encode(&mut open);
         peer.bytes(Side::Ours, &open, 0.1);
         assert_eq!(peer.state(), State::OpenConfirm);
         peer.bytes(Side::Theirs, &open, 0.1);
@@ -161,55 +166,58 @@
 /// Hard case: peers that are not who they should be.
 #[test]
 fn a_peer_of_the_wrong_as_identifier_role_or_hold_time_never_gets_a_route() {
-    let wrong = |change: &dyn Fn(&mut PeerTerms, &mut Open)| {
-        let (mut terms, mut open) = (terms(), far_open());
-        change(&mut terms, &mut open);
-        let mut host = Host::new(terms, open);
+    let wrong = |change: &dyn Fn(&mut PeerConfig, &mut Open)| {
+        let (mut config, mut open) = (config(), far_open());
+        change(&mut config, &mut open);
+        let mut host = Host::new(config, open);
         host.peer.announce(both(), 0.0);
         host.run(0.2);
         assert_eq!((host.held(), announced(&host)), (0, 0));
         notified(&host).map(|told| (told.code, told.subcode))
     };
     assert_eq!(wrong(&|_, open| (open.asn, open.capabilities.four_octet_as) = (7, Some(7))), Some((2, 2)));
-    assert_eq!(wrong(&|terms, _| terms.peer_id = Some("192.0.2.98".parse().unwrap())), Some((2, 3)));
-    assert_eq!(wrong(&|_, open| open.hold = 2), Some((2, 6)));
     assert_eq!(
-        wrong(&|terms, open| (terms.families, open.capabilities.families) = ([false, true], [true, false])),
+        wrong(&|config, _| config.peer_identifier = Some("192.0.2.98".parse().unwrap())),
+        Some((2, 3))
+    );
+    assert_eq!(wrong(&|_, open| open.hold_time = 2), Some((2, 6)));
+    assert_eq!(
+        wrong(&|config, open| (config.families, open.capabilities.families) = ([false, true], [true, false])),
         Some((2, 7))
     );
-    let customer = |terms: &mut PeerTerms| terms.role = Some(Role::Customer);
+    let customer = |config: &mut PeerConfig| config.role = Some(Role::Customer);
     assert_eq!(
-        wrong(&|terms, open| {
-            customer(terms);
+        wrong(&|config, open| {
+            customer(config);
             open.capabilities.role = Some(Role::Customer);
         }),
         Some((2, 11))
     );
     assert_eq!(
-        wrong(&|terms, _| {
-            customer(terms);
-            terms.strict_role = true;
+        wrong(&|config, _| {
+            customer(config);
+            config.strict_role = true;
         }),
         Some((2, 11))
     );
     // Within one AS identifiers must differ.
-    let same = |terms: &mut PeerTerms, open: &mut Open| {
-        (terms.peer_asn, open.asn, open.capabilities.four_octet_as) = (OURS, OURS, Some(OURS));
-        open.id = terms.id;
+    let same = |config: &mut PeerConfig, open: &mut Open| {
+        (config.peer_as, open.asn, open.capabilities.four_octet_as) = (OURS, OURS, Some(OURS));
+        open.identifier = config.identifier;
     };
     assert_eq!(wrong(&same), Some((2, 3)));
 }
 
 #[test]
 fn a_hold_time_of_nothing_asks_for_no_keepalives_and_ends_no_session() {
-    let mut host = Host::up(terms(), Open { hold: 0, ..far_open() }, both());
+    let mut host = Host::up(config(), Open { hold_time: 0, ..far_open() }, both());
     host.carries = false;
     host.run(25.0);
     // Nothing was owed, so nothing was missed.
     assert_eq!(host.peer.state(), State::Established);
     assert!(host.peer.unsent(Side::Ours).is_empty());
     // Where keepalives are agreed on they go out in time.
-    let mut host = Host::up(terms(), far_open(), both());
+    let mut host = Host::up(config(), far_open(), both());
     for _ in 0..20 {
         host.run(2.0);
         host.far.say(message::encode_keepalive);
@@ -254,7 +262,7 @@
         }),
     ];
     for (name, until) in cases {
-        let mut host = Host::new(terms(), far_open());
+        let mut host = Host::new(config(), far_open());
         host.peer.announce(both(), 0.0);
         until(&mut host);
         let before = announced(&host);
@@ -281,9 +289,9 @@
 /// Hard case: the peer keeps our routes over a lost session, and the drain begins while that is down.
 #[test]
 fn routes_that_a_peer_keeps_are_cleared_by_a_drain_that_begins_with_the_session_down() {
-    let ours = PeerTerms { graceful: Some(120), ..terms() };
+    let ours = PeerConfig { restart_time: Some(120), ..config() };
     let theirs = Open {
-        capabilities: Capabilities { graceful: graceful(120), ..far_open().capabilities },
+        capabilities: Capabilities { graceful_restart: graceful(120), ..far_open().capabilities },
         ..far_open()
     };
     let mut host = Host::up(ours.clone(), theirs.clone(), both());
@@ -318,9 +326,9 @@
 /// Hard case: a withdrawal is lost in a reset; what is out is compared with what is told anew.
 #[test]
 fn a_withdrawal_lost_in_a_reset_is_not_missed_after_the_reconnect() {
-    let ours = PeerTerms { graceful: Some(120), ..terms() };
+    let ours = PeerConfig { restart_time: Some(120), ..config() };
     let theirs = Open {
-        capabilities: Capabilities { graceful: graceful(120), ..far_open().capabilities },
+        capabilities: Capabilities { graceful_restart: graceful(120), ..far_open().capabilities },
         ..far_open()
     };
     let mut host = Host::up(ours, theirs, both());
@@ -350,11 +358,11 @@
 #[test]
 fn a_peer_that_restarts_keeps_its_routes_until_it_has_told_all_or_its_time_is_over() {
     let theirs = Open {
-        capabilities: Capabilities { graceful: graceful(20), ..far_open().capabilities },
+        capabilities: Capabilities { graceful_restart: graceful(20), ..far_open().capabilities },
         ..far_open()
     };
     let start = || {
-        let mut host = Host::up(terms(), theirs.clone(), both());
+        let mut host = Host::up(config(), theirs.clone(), both());
         told(&mut host, "198.51.100.7/32", &[THEIRS, OURS], None);
         assert_eq!(host.peer.learned.len(), 1);
         host
@@ -385,7 +393,7 @@
     host.settle();
     assert_eq!((host.peer.state(), host.held()), (State::Established, 2));
     // One that keeps nothing loses them at once.
-    let mut host = Host::up(terms(), far_open(), both());
+    let mut host = Host::up(config(), far_open(), both());
     told(&mut host, "198.51.100.7/32", &[THEIRS, OURS], None);
     host.reset();
     assert!(host.peer.learned.is_empty());
@@ -393,17 +401,17 @@
 
 #[test]
 fn learned_paths_that_loop_leak_or_come_from_elsewhere_are_not_believed() {
-    let learns = |terms: PeerTerms, path: &[u32], otc: Option<u32>| {
-        let mut host = Host::up(terms, far_open(), both());
+    let learns = |config: PeerConfig, path: &[u32], otc: Option<u32>| {
+        let mut host = Host::up(config, far_open(), both());
         told(&mut host, "198.51.100.7/32", path, otc);
         assert_eq!(host.peer.state(), State::Established);
         host.peer.learned.len()
     };
-    assert_eq!(learns(terms(), &[THEIRS, OURS], None), 1);
-    assert_eq!(learns(terms(), &[THEIRS, OURS, OURS], None), 0);
-    assert_eq!(learns(PeerTerms { own_as_allowed: 0, ..terms() }, &[THEIRS, OURS], None), 0);
-    assert_eq!(learns(terms(), &[7, THEIRS], None), 0);
-    let role = |role| PeerTerms { role: Some(role), ..terms() };
+    assert_eq!(learns(config(), &[THEIRS, OURS], None), 1);
+    assert_eq!(learns(config(), &[THEIRS, OURS, OURS], None), 0);
+    assert_eq!(learns(PeerConfig { allowed_own_as: 0, ..config() }, &[THEIRS, OURS], None), 0);
+    assert_eq!(learns(config(), &[7, THEIRS], None), 0);
+    let role = |role| PeerConfig { role: Some(role), ..config() };
     assert_eq!(learns(role(Role::Provider), &[THEIRS], Some(THEIRS)), 0);
     assert_eq!(learns(role(Role::Peer), &[THEIRS, 9], Some(9)), 0);
     assert_eq!(learns(role(Role::Peer), &[THEIRS, 9], Some(THEIRS)), 1);
@@ -412,7 +420,7 @@
 
 #[test]
 fn a_route_refresh_is_answered_with_all_routes_between_its_marks() {
-    let mut host = Host::up(terms(), far_open(), both());
+    let mut host = Host::up(config(), far_open(), both());
     let before = announced(&host);
     // A hundred at once are one.
     host.far.say(|out| {
@@ -440,7 +448,7 @@
 /// Hard case: a peer that reads nothing costs a bounded buffer, and is given up (RFC 9687).
 #[test]
 fn a_peer_that_reads_nothing_is_owed_a_difference_and_not_a_queue() {
-    let mut host = Host::up(terms(), Open { hold: 0, ..far_open() }, both());
+    let mut host = Host::up(config(), Open { hold_time: 0, ..far_open() }, both());
     host.carries = false;
     let mut most = 0;
     for at in 0..10_000 {
@@ -460,12 +468,12 @@
 
 #[test]
 fn messages_out_of_place_end_the_session_with_the_state_they_came_in() {
-    let mut host = Host::up(terms(), far_open(), both());
+    let mut host = Host::up(config(), far_open(), both());
     host.far.say(|out| far_open().encode(out));
     host.settle();
     let (told, error) = (notified(&host).unwrap(), ErrorKind::Fsm(FsmError::Established));
     assert_eq!((told.code, told.subcode), (error.code(), error.subcode()));
-    let mut host = Host::new(terms(), far_open());
+    let mut host = Host::new(config(), far_open());
     host.far.mute = true;
     host.settle();
     host.far.say(message::encode_keepalive);
@@ -476,32 +484,32 @@
 
 #[test]
 fn what_we_tell_carries_our_as_our_preference_within_one_and_the_mark_for_customers() {
-    let path = Path { med: Some(5), prepend: 1, local_pref: Some(10), ..Path::default() };
-    let with = |terms: PeerTerms, open: Open| {
+    let path = Advertisement { med: Some(5), prepend: 1, local_pref: Some(10), ..Advertisement::default() };
+    let with = |config: PeerConfig, open: Open| {
         let mut announced = both();
         announced.insert(net("198.51.100.7/32"), path.clone());
-        let host = Host::up(terms, open, announced);
+        let host = Host::up(config, open, announced);
         host.far.table[&net("198.51.100.7/32")].0.clone()
     };
-    let outside = with(PeerTerms { role: Some(Role::Provider), ..terms() }, far_open());
+    let outside = with(PeerConfig { role: Some(Role::Provider), ..config() }, far_open());
     assert_eq!((outside.path_length(), outside.only_to_customer), (2, Some(OURS)));
     assert_eq!((outside.first_as(), outside.local_pref), (Some(OURS), None));
     let mut open = far_open();
     (open.asn, open.capabilities.four_octet_as) = (OURS, Some(OURS));
-    let inside = with(PeerTerms { peer_asn: OURS, ..terms() }, open);
+    let inside = with(PeerConfig { peer_as: OURS, ..config() }, open);
     assert_eq!((inside.path_length(), inside.local_pref), (0, Some(10)));
     // A family that the peer does not speak is not told.
     let mut open = far_open();
     open.capabilities.families = [true, false];
-    assert_eq!(Host::up(terms(), open, both()).held(), 1);
+    assert_eq!(Host::up(config(), open, both()).held(), 1);
 }
 
 /// A drain with a lead shows GRACEFUL_SHUTDOWN on what is out, and only on the session that has it out.
 #[test]
 fn a_lead_changes_what_is_out_and_never_comes_back_with_a_new_session() {
-    let leaving = Path { communities: vec![GRACEFUL_SHUTDOWN], ..Path::default() };
+    let leaving = Advertisement { communities: vec![GRACEFUL_SHUTDOWN], ..Advertisement::default() };
     let lead = || both().into_keys().map(|net| (net, leaving.clone())).collect();
-    let mut host = Host::up(terms(), far_open(), wanted(&["198.51.100.7/32"]));
+    let mut host = Host::up(config(), far_open(), wanted(&["198.51.100.7/32"]));
     host.peer.drain(lead(), host.now);
     host.settle();
     assert_eq!((host.held(), announced(&host)), (1, 2));
@@ -516,7 +524,7 @@
     flapped.run(5.0);
     assert_eq!((flapped.held(), announced(&flapped)), (0, 2));
     // With no session, a lead announces nothing.
-    let mut down = Host::new(terms(), far_open());
+    let mut down = Host::new(config(), far_open());
     down.peer.announce(both(), 0.0);
     down.peer.drain(lead(), 0.0);
     down.run(5.0);
@@ -525,12 +533,12 @@
 
 #[test]
 fn other_addresses_need_no_new_session_and_their_paths_are_asked_for_again() {
-    let mut host = Host::up(terms(), far_open(), both());
+    let mut host = Host::up(config(), far_open(), both());
     told(&mut host, "198.51.100.7/32", &[THEIRS, OURS], None);
     told(&mut host, "198.51.100.8/32", &[THEIRS, OURS], None);
     assert_eq!(host.peer.learned.len(), 1, "the second is no address of ours yet");
     let services = vec![net("198.51.100.8/32"), net("2001:db8::7/128")];
-    assert!(host.peer.change(&PeerTerms { services, ..terms() }));
+    assert!(host.peer.change(&PeerConfig { service_prefixes: services, ..config() }));
     assert!(host.peer.learned.is_empty());
     // It is asked for both families again.
     let asked = host.peer.unsent(Side::Ours).to_vec();
@@ -540,5 +548,5 @@
     told(&mut host, "198.51.100.8/32", &[THEIRS, OURS], None);
     assert_eq!((host.peer.learned.len(), host.peer.counts.lost), (1, 0));
     // Anything else is another session.
-    assert!(!host.peer.change(&PeerTerms { hold: 30, ..terms() }));
+    assert!(!host.peer.change(&PeerConfig { hold_time: 30, ..config() }));
 }
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -126,8 +126,8 @@
 
     /// By family: whether the other side asked for its routes to be kept, and in a new session says it kept them too.
     fn kept_families(&self, forwarding: bool) -> [bool; 2] {
-        let graceful = self.theirs.as_ref().and_then(|open| open.capabilities.graceful);
-        let agreed = graceful.filter(|_| self.open.capabilities.graceful.is_some());
+        let graceful = self.theirs.as_ref().and_then(|open| open.capabilities.graceful_restart);
+        let agreed = graceful.filter(|_| self.open.capabilities.graceful_restart.is_some());
         let keeps = |kept: Option<bool>| kept.is_some_and(|kept| kept || !forwarding);
         agreed.map_or([false; 2], |graceful| graceful.families.map(keeps))
     }
@@ -147,8 +147,9 @@
             self.saw.push(Saw::Ended(told));
             return;
         }
-        let bit =
-            |open: &Open| open.capabilities.graceful.is_some_and(|graceful| graceful.over_notifications);
+        let bit = |open: &Open| {
+            open.capabilities.graceful_restart.is_some_and(|graceful| graceful.notification_support)
+        };
         let both = bit(&self.open) && self.theirs.as_ref().is_some_and(bit);
         let kept = told.as_ref().is_none_or(|told| both && !told.hard_reset);
         let keeps = self.kept_families(false).map(|family| family && kept);
--- a/crates/lab/src/peering.rs
+++ b/crates/lab/src/peering.rs
@@ -4,7 +4,7 @@
 use crate::far::{Far, Saw};
 use cleatgw_bgp::message;
 use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
-use cleatgw_bgp::{Capabilities, CeaseSubcode, Family, Graceful, Notification, Open, PathAttributes};
+use cleatgw_bgp::{Capabilities, CeaseSubcode, Family, GracefulRestart, Notification, Open, PathAttributes};
 use ipnet::IpNet;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
@@ -47,17 +47,18 @@
 
 /// How a peer introduces itself; it keeps routes over lost sessions for the ones that ask, if `helps`.
 pub fn open(helps: bool) -> Open {
-    let graceful = Graceful { over_notifications: true, time: 0, ..Graceful::default() };
+    let graceful =
+        GracefulRestart { notification_support: true, restart_time: 0, ..GracefulRestart::default() };
     Open {
         asn: FAR_AS,
-        hold: 30,
-        id: Ipv4Addr::new(192, 0, 2, 250),
+        hold_time: 30,
+        identifier: Ipv4Addr::new(192, 0, 2, 250),
         capabilities: Capabilities {
             families: [true, true],
             four_octet_as: Some(FAR_AS),
-            refresh: true,
-            enhanced_refresh: true,
-            graceful: helps.then_some(graceful),
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: helps.then_some(graceful),
             role: None,
         },
     }
--- a/crates/operator/src/bgp.rs
+++ b/crates/operator/src/bgp.rs
@@ -1,7 +1,7 @@
 //! The part on BGP: who we are, and our peers.
 
 use crate::{wrong, Wrong};
-use cleatgw_bgp::{PeerTerms, Role};
+use cleatgw_bgp::{PeerConfig, Role};
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -198,16 +198,16 @@
     }
 
     /// What is settled with this peer, for the session.
-    pub fn terms(&self, bgp: &BgpPart, services: &[IpNet]) -> PeerTerms {
+    pub fn terms(&self, bgp: &BgpPart, services: &[IpNet]) -> PeerConfig {
         let of = |is: fn(&IpNet) -> bool| services.iter().any(is);
         let hops = [self.next_hop_ipv4.map(IpAddr::from), self.next_hop_ipv6.map(IpAddr::from)];
         let spoken = [of(|net| matches!(net, IpNet::V4(_))), of(|net| matches!(net, IpNet::V6(_)))];
-        PeerTerms {
-            asn: bgp.asn,
-            peer_asn: self.asn,
-            id: bgp.identifier,
-            peer_id: self.identifier,
-            hold: self.hold_s,
+        PeerConfig {
+            local_as: bgp.asn,
+            peer_as: self.asn,
+            identifier: bgp.identifier,
+            peer_identifier: self.identifier,
+            hold_time: self.hold_s,
             families: [spoken[0] && hops[0].is_some(), spoken[1] && hops[1].is_some()],
             next_hops: hops,
             role: self.role.map(|role| match role {
@@ -218,19 +218,19 @@
                 RolePart::Peer => Role::Peer,
             }),
             strict_role: self.strict_role,
-            graceful: self.graceful_restart_s,
-            believe_stale: self.believe_stale_s,
+            restart_time: self.graceful_restart_s,
+            max_stale_time: self.believe_stale_s,
             passive: self.passive,
-            connect_wait: self.connect_s,
-            connect_retry: self.connect_retry_s,
-            delay_open: self.delay_open_s,
-            open_wait: self.open_s,
-            idle_hold: self.idle_hold_s,
-            idle_hold_most: self.idle_hold_most_s,
-            stable: self.stable_s,
-            own_as_allowed: self.own_as_allowed.into(),
-            most_learned: self.most_routes as usize,
-            services: services.to_vec(),
+            connect_timeout: self.connect_s,
+            connect_retry_time: self.connect_retry_s,
+            delay_open_time: self.delay_open_s,
+            open_timeout: self.open_s,
+            idle_hold_time: self.idle_hold_s,
+            max_idle_hold_time: self.idle_hold_most_s,
+            stable_time: self.stable_s,
+            allowed_own_as: self.own_as_allowed.into(),
+            max_learned_routes: self.most_routes as usize,
+            service_prefixes: services.to_vec(),
         }
     }
 }
--- a/crates/operator/src/tests.rs
+++ b/crates/operator/src/tests.rs
@@ -10,7 +10,7 @@
     let terms = file.terms();
     assert_eq!((terms.mark.instance, terms.most_changes), (u32::from(file.bgp.identifier), 6));
     let peer = file.bgp.peers[0].terms(&file.bgp, &file.addresses);
-    assert_eq!((peer.families, peer.hold), ([true, true], 9));
+    assert_eq!((peer.families, peer.hold_time), ([true, true], 9));
     let checked_in = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/service.schema.json");
     let text = std::fs::read_to_string(checked_in).unwrap();
     assert!(text == schema(), "stale: write `cleatgw schema` to deploy/service.schema.json");
--- a/crates/router/src/transport/speaker.rs
+++ b/crates/router/src/transport/speaker.rs
@@ -5,7 +5,7 @@
 use crate::routing::Counters;
 use calloop::{Readiness, RegistrationToken};
 use cleatgw_announce::{Announcer, Level, Note, Paths, Readings, Why};
-use cleatgw_bgp::{Act, CeaseSubcode, Path, Peer, Side, State, MAX_MESSAGE_LENGTH};
+use cleatgw_bgp::{Act, Advertisement, CeaseSubcode, Peer, Side, State, MAX_MESSAGE_LENGTH};
 use cleatgw_operator::{PeerPart, ServiceFile};
 use ipnet::IpNet;
 use rustix::io::Errno;
@@ -55,7 +55,7 @@
     seed: u64,
     again: Vec<Source>,
     /// What peers are to be told, and how often that has changed.
-    wanted: (u64, BTreeMap<IpNet, Path>),
+    wanted: (u64, BTreeMap<IpNet, Advertisement>),
     /// When the last messages went out.
     farewell: Option<f64>,
     /// What was counted by peers that are gone.
