--- a/crates/announce/src/announcer/tests.rs
+++ b/crates/announce/src/announcer/tests.rs
@@ -5,7 +5,7 @@
 use crate::signs::{Effect, SignTerms};
 use crate::terms::{Dear, Hold};
 use crate::Damping;
-use cleatgw_bgp::{Seen, GRACEFUL_SHUTDOWN};
+use cleatgw_bgp::{LearnedRoute, GRACEFUL_SHUTDOWN};
 
 fn net() -> IpNet {
     "198.51.100.7/32".parse().unwrap()
@@ -62,7 +62,7 @@
     let mut paths = Paths::new(true);
     for &(instance, sound) in marks {
         let large = vec![Mark { instance, ..terms().mark }.write(sound)];
-        let seen = Seen {
+        let seen = LearnedRoute {
             communities: Vec::new(),
             large_communities: large,
             path_length: 2,
--- a/crates/announce/src/paths.rs
+++ b/crates/announce/src/paths.rs
@@ -1,6 +1,6 @@
 //! Who else announces our addresses, as peers show it.
 
-use cleatgw_bgp::{Seen, GRACEFUL_SHUTDOWN};
+use cleatgw_bgp::{LearnedRoute, GRACEFUL_SHUTDOWN};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
     }
 
     /// The instance that a path is from, and whether it says that it is sound; none for a path without a mark.
-    fn read(&self, seen: &Seen) -> Option<(u32, bool)> {
+    fn read(&self, seen: &LearnedRoute) -> Option<(u32, bool)> {
         let marks = seen.large_communities.iter().filter(|[asn, _, _]| *asn == self.asn);
         let known = marks.filter(|[_, function, _]| *function == self.sound || *function == self.last_resort);
         known.map(|[_, function, instance]| (*instance, *function == self.sound)).next()
@@ -63,7 +63,7 @@
 
     /// Adds what one peer shows. Our own path, shown back to us, counts for nothing; a stale one neither: its peer may
     /// be gone. One that is about to go (RFC 8326) or a last resort is seen, and not sound.
-    pub fn add(&mut self, mark: &Mark, net: IpNet, seen: &Seen) {
+    pub fn add(&mut self, mark: &Mark, net: IpNet, seen: &LearnedRoute) {
         if seen.stale {
             return;
         }
--- a/crates/announce/src/paths/tests.rs
+++ b/crates/announce/src/paths/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn seen(large: &[[u32; 3]], communities: &[u32], stale: bool) -> Seen {
-    Seen {
+fn seen(large: &[[u32; 3]], communities: &[u32], stale: bool) -> LearnedRoute {
+    LearnedRoute {
         communities: communities.to_vec(),
         large_communities: large.to_vec(),
         path_length: 2,
@@ -16,7 +16,7 @@
 fn our_own_path_shown_back_is_nobody_and_the_sick_are_no_sound_ones() {
     let mark = Mark { asn: 64_512, sound: 1, last_resort: 2, instance: 7 };
     let net = "198.51.100.7/32".parse().unwrap();
-    let count = |paths: &[Seen]| {
+    let count = |paths: &[LearnedRoute]| {
         let mut all = Paths::default();
         paths.iter().for_each(|path| all.add(&mark, net, path));
         (all.sound(&net), all.seen(&net))
--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -2,7 +2,7 @@
 //! that makes them sick and well, delays what they see of each other up to a bound, kills, and drains.
 
 use cleatgw_announce::*;
-use cleatgw_bgp::{Advertisement, Seen};
+use cleatgw_bgp::{Advertisement, LearnedRoute};
 use ipnet::IpNet;
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::fmt;
@@ -93,7 +93,7 @@
                 paths.add(
                     &mark,
                     net,
-                    &Seen { communities, large_communities, path_length: 1, med, stale: false },
+                    &LearnedRoute { communities, large_communities, path_length: 1, med, stale: false },
                 );
             }
         }
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,24 +1,27 @@
 //! BGP-4 (RFC 4271) for a speaker that announces a few service addresses, without I/O: a host hands in bytes and the
-//! time, and takes out bytes, due times and [`Act`]s.
+//! time, and takes out bytes, due times and [`Action`]s.
 //!
 //! [`message`] is the codec: it never allocates by a length that a peer claims, and a message holds 4,096 bytes at
-//! most. [`session`] holds the states of one peer's connections (RFC 4271 section 8), [`learned`] what a peer tells of
+//! most. [`session`] holds the states of one peer's connections (RFC 4271 section 8), [`adj_rib_in`] what a peer tells of
 //! our own service addresses. Times are seconds on the host's clock, which must not go back.
 
+pub mod adj_rib_in;
 pub mod error;
-pub mod learned;
 pub mod message;
 pub mod notification;
 pub mod open;
 pub mod session;
 pub mod update;
 
+pub use adj_rib_in::{AdjRibIn, LearnedRoute};
 pub use error::{CeaseSubcode, ErrorKind, MessageError};
-pub use learned::{Learned, Seen};
 pub use message::{frame, Frame, MessageType, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 pub use notification::Notification;
 pub use open::{Capabilities, Family, GracefulRestart, Open, Role};
-pub use session::{Act, Advertisement, Peer, PeerConfig, Side, State};
+pub use session::{
+    Action, Advertisement, Direction, Importance, LogEntry, Peer, PeerConfig, Received, SessionCounters,
+    State,
+};
 pub use update::{PathAttributes, Update};
 
 /// RFC 8326: routes that carry it are about to go.
--- a/crates/bgp/src/session/connection.rs
+++ b/crates/bgp/src/session/connection.rs
@@ -9,20 +9,22 @@
 /// RFC 9687: seconds for which a peer may accept no byte, at the least. Twice the hold time if that is longer.
 const MIN_SEND_HOLD_TIME: f64 = 30.0;
 
-/// Who began a connection.
+/// Who began a connection (RFC 4271 section 8.2.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Side {
-    Ours,
-    Theirs,
+pub enum Direction {
+    /// We did.
+    Outgoing,
+    /// The peer did.
+    Incoming,
 }
 
-impl Side {
-    pub(super) const BOTH: [Side; 2] = [Side::Ours, Side::Theirs];
+impl Direction {
+    pub(super) const BOTH: [Direction; 2] = [Direction::Outgoing, Direction::Incoming];
 
-    pub(super) fn other(self) -> Side {
+    pub(super) fn other(self) -> Direction {
         match self {
-            Side::Ours => Side::Theirs,
-            Side::Theirs => Side::Ours,
+            Direction::Outgoing => Direction::Incoming,
+            Direction::Incoming => Direction::Outgoing,
         }
     }
 }
@@ -30,11 +32,17 @@
 /// The states of RFC 4271 section 8.2.2; of two connections the further one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
+    /// Connections are refused until IdleHoldTimer expires, or for good.
     Idle,
+    /// The peer may connect; ConnectRetryTimer runs.
     Active,
+    /// A TCP connection is under way, or up without an OPEN of ours (DelayOpen).
     Connect,
+    /// Our OPEN is sent, the peer's awaited.
     OpenSent,
+    /// The peer's OPEN is accepted, its KEEPALIVE awaited.
     OpenConfirm,
+    /// Routes are exchanged.
     Established,
 }
 
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Connection, Phase};
 use super::timers::DRAIN_STEP_TIMEOUT;
-use super::{Act, AdminState, Advertisement, Peer, RetryTimer, Side};
+use super::{Action, AdminState, Advertisement, Direction, Importance, Peer, RetryTimer};
 use crate::error::{CeaseSubcode, MessageError};
 use crate::notification::Notification;
 use ipnet::IpNet;
@@ -18,7 +18,7 @@
 pub(super) enum Loss {
     /// The connection broke off.
     Connection,
-    /// One side sent a NOTIFICATION.
+    /// One direction sent a NOTIFICATION.
     Notification,
     /// For good: a hard reset (RFC 8538), or no session that could keep anything.
     HardReset,
@@ -43,12 +43,12 @@
             return self.write_updates(now);
         }
         self.admin_state = AdminState::Draining;
-        let announced: Vec<IpNet> = self.told().map(|(net, _)| *net).collect();
+        let announced: Vec<IpNet> = self.adj_rib_out().map(|(net, _)| *net).collect();
         self.wanted = lead.into_iter().filter(|(net, _)| announced.contains(net)).collect();
         self.retry_timer = RetryTimer::Active { deadline: now };
         if !self.may_retain_routes() {
-            for side in Side::BOTH {
-                self.leave_unless_established(side, "drained before the session was up", now);
+            for direction in Direction::BOTH {
+                self.leave_unless_established(direction, "drained before the session was up", now);
             }
         }
         self.shorten_attempts(now);
@@ -70,69 +70,69 @@
         }
     }
 
-    fn leave_unless_established(&mut self, side: Side, words: &str, now: f64) {
-        match self.connection(side).map(|connection| &connection.phase) {
+    fn leave_unless_established(&mut self, direction: Direction, words: &str, now: f64) {
+        match self.connection(direction).map(|connection| &connection.phase) {
             Some(Phase::Connecting { .. } | Phase::DelayOpen { .. }) => {
-                self.close(side);
-                self.lost(side, words.to_string(), Loss::HardReset, now);
+                self.close(direction);
+                self.lost(direction, words.to_string(), Loss::HardReset, now);
             }
             Some(Phase::OpenSent | Phase::OpenConfirm) => {
                 let cease = Notification::cease(CeaseSubcode::AdministrativeShutdown, words, false);
-                self.end(side, cease, None, now);
+                self.end(direction, cease, None, now);
             }
             _ => {}
         }
     }
 
     /// Ends the session with a Cease that removes our routes, also where they would be kept over a lost connection.
-    pub fn finish(&mut self, subcode: CeaseSubcode, words: &str, now: f64) {
+    pub fn shut_down(&mut self, subcode: CeaseSubcode, words: &str, now: f64) {
         self.drain(BTreeMap::new(), now);
         self.admin_state = AdminState::Stopped;
         self.retained_until = f64::NEG_INFINITY;
-        for side in Side::BOTH {
-            self.leave_unless_established(side, words, now);
+        for direction in Direction::BOTH {
+            self.leave_unless_established(direction, words, now);
         }
-        if let Some((side, connection)) = self.established_connection() {
+        if let Some((direction, connection)) = self.established_connection() {
             let hard = connection.keeps_over_notification();
-            self.end(side, Notification::cease(subcode, words, hard), None, now);
+            self.end(direction, Notification::cease(subcode, words, hard), None, now);
         }
     }
 
     /// Asks the host to close a connection.
-    pub(super) fn close(&mut self, side: Side) {
-        self.actions.push_back(Act::Close(side));
-        if self.connection(side).is_some_and(Connection::is_closing) {
-            self.connections[side as usize] = None;
+    pub(super) fn close(&mut self, direction: Direction) {
+        self.actions.push_back(Action::Close(direction));
+        if self.connection(direction).is_some_and(Connection::is_closing) {
+            self.connections[direction as usize] = None;
         }
     }
 
     /// Ends the connection over an error of the peer.
-    pub(super) fn report(&mut self, side: Side, error: MessageError, now: f64) {
+    pub(super) fn report(&mut self, direction: Direction, error: MessageError, now: f64) {
         let why = error.reason;
-        self.end(side, error.into(), Some(why), now);
+        self.end(direction, error.into(), Some(why), now);
     }
 
     /// Sends a last message; the connection is closed once it is written.
-    pub(super) fn end(&mut self, side: Side, last: Notification, why: Option<&str>, now: f64) {
+    pub(super) fn end(&mut self, direction: Direction, last: Notification, why: Option<&str>, now: f64) {
         let words = match why {
             Some(why) if !why.is_empty() => format!("sent {last}: {why}"),
             _ => format!("sent {last}"),
         };
-        let Some(connection) = self.connection_mut(side) else { return };
+        let Some(connection) = self.connection_mut(direction) else { return };
         last.encode(&mut connection.output);
         let output = std::mem::take(&mut connection.output);
-        self.counts.notifications_out += 1;
-        self.lost(side, words, Loss::of(&last), now);
+        self.counters.notifications_out += 1;
+        self.lost(direction, words, Loss::of(&last), now);
         let closing = Phase::Closing { deadline: now + CLOSE_TIMEOUT };
-        self.connections[side as usize] = Some(Connection { output, ..Connection::new(closing, now) });
+        self.connections[direction as usize] = Some(Connection { output, ..Connection::new(closing, now) });
     }
 
     /// The connection counts no more: what becomes of the routes of both sides, and when the next may begin.
-    pub(super) fn lost(&mut self, side: Side, why: String, loss: Loss, now: f64) {
-        let Some(connection) = self.connections[side as usize].take() else { return };
+    pub(super) fn lost(&mut self, direction: Direction, why: String, loss: Loss, now: f64) {
+        let Some(connection) = self.connections[direction as usize].take() else { return };
         let was_established = connection.is_established();
         if was_established {
-            self.counts.lost += 1;
+            self.counters.lost += 1;
             self.keep_routes(&connection, loss, now);
             if now >= connection.established_at + self.config.stable_time {
                 self.idle_hold_time = self.config.idle_hold_time;
@@ -144,7 +144,7 @@
             // What was out went with the session, and does not come back with another one.
             self.wanted.clear();
         }
-        if !self.is_live(side.other()) {
+        if !self.is_live(direction.other()) {
             self.start_retry_timer(&connection, now);
         }
     }
@@ -160,9 +160,9 @@
         match peer.filter(|graceful| graceful.keeps_any()) {
             Some(graceful) => {
                 let until = now + f64::from(graceful.restart_time).min(self.config.max_stale_time);
-                self.learned.grow_stale(graceful.families.map(|family| family.is_some()), until);
+                self.adj_rib_in.mark_stale(graceful.families.map(|family| family.is_some()), until);
             }
-            None => self.learned.clear(),
+            None => self.adj_rib_in.clear(),
         }
         let local = connection.local_capabilities.graceful_restart.filter(|graceful| graceful.keeps_any());
         if let (Some(graceful), Some(_), true) = (local, peer, connection.has_announced) {
@@ -172,10 +172,11 @@
 
     fn log_loss(&mut self, connection: &Connection, why: &str) {
         let was_established = connection.is_established();
-        // Told once while it lasts: each attempt would fill the log.
-        let again = self.last_error.as_deref() == Some(why);
+        // Notable once while it lasts: each attempt would fill the log.
+        let repeated = self.last_error.as_deref() == Some(why);
+        let importance = if was_established || !repeated { Importance::Notable } else { Importance::Routine };
         let what = if was_established { "lost" } else { "no session" };
-        self.note(was_established || !again, format!("{what} in {:?}: {why}", connection.state()));
+        self.log(importance, format!("{what} in {:?}: {why}", connection.state()));
     }
 
     /// A failed session waits for IdleHoldTime, which doubles; an attempt that met no answer for ConnectRetryTime.
--- a/crates/bgp/src/session/inbound.rs
+++ b/crates/bgp/src/session/inbound.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Phase;
 use super::ending::Loss;
-use super::{Peer, Side};
+use super::{Direction, Importance, Peer};
 use crate::error::{FsmError, MessageError};
 use crate::message::{self, MessageType, RouteRefresh};
 use crate::notification::Notification;
@@ -13,34 +13,34 @@
     /// Takes one message. An error ends the connection with its NOTIFICATION.
     pub(super) fn message(
         &mut self,
-        side: Side,
+        direction: Direction,
         message_type: MessageType,
         body: &[u8],
         now: f64,
     ) -> Result<(), MessageError> {
-        if self.connection(side).is_none() {
+        if self.connection(direction).is_none() {
             return Ok(());
         }
         if message_type == MessageType::Notification {
-            self.notification(side, body, now);
+            self.notification(direction, body, now);
             return Ok(());
         }
-        let Some(connection) = self.connection_mut(side) else { return Ok(()) };
+        let Some(connection) = self.connection_mut(direction) else { return Ok(()) };
         if connection.hold_time > 0.0 {
             connection.hold_deadline = now + connection.hold_time;
         }
         match (&connection.phase, message_type) {
             (Phase::DelayOpen { .. }, MessageType::Open) => {
-                self.send_open(side, now);
-                self.open(side, body, now)
+                self.send_open(direction, now);
+                self.open(direction, body, now)
             }
-            (Phase::OpenSent, MessageType::Open) => self.open(side, body, now),
+            (Phase::OpenSent, MessageType::Open) => self.open(direction, body, now),
             (Phase::OpenConfirm, MessageType::Keepalive) => {
-                self.established(side, now);
+                self.established(direction, now);
                 Ok(())
             }
             (Phase::Established, MessageType::Keepalive) => Ok(()),
-            (Phase::Established, MessageType::Update) => self.update(side, body),
+            (Phase::Established, MessageType::Update) => self.update(direction, body),
             (Phase::Established, MessageType::RouteRefresh) => {
                 if let RouteRefresh::Request(family) = message::decode_route_refresh(body) {
                     connection.refresh[family as usize].requested = connection.speaks(family);
@@ -51,18 +51,18 @@
         }
     }
 
-    fn notification(&mut self, side: Side, body: &[u8], now: f64) {
+    fn notification(&mut self, direction: Direction, body: &[u8], now: f64) {
         let received = Notification::decode(body);
-        self.counts.notifications_in += 1;
-        self.close(side);
-        self.lost(side, format!("received {received}"), Loss::of(&received), now);
+        self.counters.notifications_in += 1;
+        self.close(direction);
+        self.lost(direction, format!("received {received}"), Loss::of(&received), now);
     }
 
-    fn update(&mut self, side: Side, body: &[u8]) -> Result<(), MessageError> {
-        let Some(connection) = self.connection(side) else { return Ok(()) };
+    fn update(&mut self, direction: Direction, body: &[u8]) -> Result<(), MessageError> {
+        let Some(connection) = self.connection(direction) else { return Ok(()) };
         let update = Update::decode(body, connection.encoding(self.config.internal()))?;
-        self.counts.updates_in += 1;
-        self.counts.attributes_discarded += u64::from(update.discarded);
+        self.counters.updates_in += 1;
+        self.counters.attributes_discarded += u64::from(update.discarded);
         let attributes = &update.attributes;
         let route_error = match update.treated_as_withdrawn {
             Some(error) => Some(error),
@@ -74,18 +74,18 @@
             self.count_treated_as_withdrawn(error);
         }
         for net in &update.withdrawn {
-            self.learned.remove(net);
+            self.adj_rib_in.remove(net);
         }
         let loops = attributes.occurrences(self.config.local_as) > self.config.allowed_own_as;
         let usable = route_error.is_none() && !loops && !self.is_leaked(attributes);
         for net in &update.announced {
             match usable {
-                true => self.learned.insert(*net, attributes),
-                false => self.learned.remove(net),
+                true => self.adj_rib_in.insert(*net, attributes),
+                false => self.adj_rib_in.remove(net),
             }
         }
         if let Some(family) = update.end_of_rib {
-            self.learned.told_all(family);
+            self.adj_rib_in.remove_stale(family);
         }
         Ok(())
     }
@@ -97,7 +97,7 @@
         !self.config.internal() && !route_server && attributes.first_as() != Some(self.config.peer_as)
     }
 
-    /// RFC 9234 section 5: a route that must not come from this side has leaked.
+    /// RFC 9234 section 5: a route that must not come from this direction has leaked.
     fn is_leaked(&self, attributes: &PathAttributes) -> bool {
         match (self.config.role, attributes.only_to_customer) {
             (Some(Role::Provider | Role::RouteServer), Some(_)) => true,
@@ -108,10 +108,13 @@
 
     /// Logged at each power of two: a peer that keeps on sending such routes must not fill the log.
     fn count_treated_as_withdrawn(&mut self, error: RouteError) {
-        self.counts.treated_as_withdrawn += 1;
-        let count = self.counts.treated_as_withdrawn;
+        self.counters.treated_as_withdrawn += 1;
+        let count = self.counters.treated_as_withdrawn;
         if count.is_power_of_two() {
-            self.note(true, format!("routes treated as withdrawn: {error} ({count} times so far)"));
+            self.log(
+                Importance::Notable,
+                format!("routes treated as withdrawn: {error} ({count} times so far)"),
+            );
         }
     }
 }
--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -19,9 +19,10 @@
 mod transport;
 
 pub use config::{Advertisement, PeerConfig};
-pub use connection::{Side, State};
+pub use connection::{Direction, State};
+pub use transport::Received;
 
-use crate::learned::Learned;
+use crate::adj_rib_in::AdjRibIn;
 use crate::message::{self, RouteRefresh};
 use crate::open::Family;
 use connection::{Connection, Phase};
@@ -34,15 +35,34 @@
 
 /// What the host is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Act {
+pub enum Action {
     /// Begin a connection; [`Peer::connected`] or [`Peer::closed`] tells what became of it.
     Connect,
     /// End the connection at once; what is unsent on it is lost.
-    Close(Side),
+    Close(Direction),
 }
 
+/// How much an operator needs to see a log entry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Importance {
+    /// It repeats what is known, such as one more attempt without an answer.
+    Routine,
+    /// It changes what is known of the session.
+    Notable,
+}
+
+/// One line for the log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LogEntry {
+    /// How much an operator needs to see it.
+    pub importance: Importance,
+    /// What happened.
+    pub message: String,
+}
+
+/// Events since the peer was configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct SessionCounters {
     pub established: u64,
     pub lost: u64,
     pub updates_out: u64,
@@ -88,7 +108,7 @@
     retry_timer: RetryTimer,
     /// IdleHoldTime after the next failure.
     idle_hold_time: f64,
-    /// By [`Side`].
+    /// By [`Direction`].
     connections: [Option<Connection>; 2],
     /// The routes to announce, which the Adj-RIB-Out follows.
     wanted: BTreeMap<IpNet, Advertisement>,
@@ -96,19 +116,18 @@
     retained_until: f64,
     /// No session has been established since the start (the Restart State bit of RFC 4724).
     restart_state: bool,
-    pub learned: Learned,
-    actions: VecDeque<Act>,
+    pub adj_rib_in: AdjRibIn,
+    actions: VecDeque<Action>,
     /// Why the last session or attempt ended.
     pub last_error: Option<String>,
-    pub counts: Counts,
-    /// Words for the log since they were last taken, with whether they are of weight.
-    notes: VecDeque<(bool, String)>,
+    pub counters: SessionCounters,
+    log: VecDeque<LogEntry>,
 }
 
 impl Peer {
     pub fn new(config: PeerConfig, seed: u64, now: f64) -> Peer {
         Peer {
-            learned: Learned::new(&config.service_prefixes, config.max_learned_routes),
+            adj_rib_in: AdjRibIn::new(&config.service_prefixes, config.max_learned_routes),
             idle_hold_time: config.idle_hold_time,
             config,
             seed,
@@ -121,20 +140,20 @@
             restart_state: true,
             actions: VecDeque::new(),
             last_error: None,
-            counts: Counts::default(),
-            notes: VecDeque::new(),
+            counters: SessionCounters::default(),
+            log: VecDeque::new(),
         }
     }
 
     /// Takes over new terms where a session need not end for them: other service addresses of the families that are
     /// spoken. What the peer has of them is asked for again (RFC 2918). False: nothing was done.
-    pub fn change(&mut self, config: &PeerConfig) -> bool {
+    pub fn reconfigure(&mut self, config: &PeerConfig) -> bool {
         if !self.config.equals_except_services(config) {
             return false;
         }
         if config.service_prefixes != self.config.service_prefixes {
             self.config.service_prefixes.clone_from(&config.service_prefixes);
-            self.learned.serve(&config.service_prefixes);
+            self.adj_rib_in.set_service_prefixes(&config.service_prefixes);
             self.request_refresh();
         }
         true
@@ -154,12 +173,13 @@
     }
 
     /// The next thing to do for the host.
-    pub fn act(&mut self) -> Option<Act> {
+    pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    pub fn noted(&mut self) -> Option<(bool, String)> {
-        self.notes.pop_front()
+    /// The next line for the log.
+    pub fn next_log_entry(&mut self) -> Option<LogEntry> {
+        self.log.pop_front()
     }
 
     pub fn state(&self) -> State {
@@ -173,14 +193,14 @@
     }
 
     /// Routes that the peer was told of on the connection that is up.
-    pub fn told(&self) -> impl Iterator<Item = (&IpNet, &Advertisement)> {
+    pub fn adj_rib_out(&self) -> impl Iterator<Item = (&IpNet, &Advertisement)> {
         let established = self.connections.iter().flatten().find(|connection| connection.is_established());
         established.into_iter().flat_map(|connection| &connection.adj_rib_out)
     }
 
     /// No route of ours is left at the peer, as far as can be known: all withdrawals are written out, and nothing is
     /// kept from a lost session.
-    pub fn cleared(&self, now: f64) -> bool {
+    pub fn all_withdrawn(&self, now: f64) -> bool {
         let owes = |connection: &Connection| match connection.phase {
             Phase::Established => !connection.adj_rib_out.is_empty() || !connection.output.is_empty(),
             Phase::Closing { .. } => !connection.output.is_empty(),
@@ -190,7 +210,7 @@
     }
 
     /// No connection is left, and none will begin.
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.admin_state != AdminState::Running
             && self.connections.iter().all(Option::is_none)
             && !self.seeks_connection()
@@ -210,23 +230,24 @@
         self.retained_until > f64::NEG_INFINITY
     }
 
-    fn connection(&self, side: Side) -> Option<&Connection> {
-        self.connections[side as usize].as_ref()
+    fn connection(&self, direction: Direction) -> Option<&Connection> {
+        self.connections[direction as usize].as_ref()
     }
 
-    fn connection_mut(&mut self, side: Side) -> Option<&mut Connection> {
-        self.connections[side as usize].as_mut()
+    fn connection_mut(&mut self, direction: Direction) -> Option<&mut Connection> {
+        self.connections[direction as usize].as_mut()
     }
 
     /// There is a connection, and it is not about to be closed.
-    fn is_live(&self, side: Side) -> bool {
-        self.connection(side).is_some_and(|connection| !connection.is_closing())
+    fn is_live(&self, direction: Direction) -> bool {
+        self.connection(direction).is_some_and(|connection| !connection.is_closing())
     }
 
-    fn established_connection(&mut self) -> Option<(Side, &mut Connection)> {
-        let is_established = |side: &Side| self.connection(*side).is_some_and(Connection::is_established);
-        let side = Side::BOTH.into_iter().find(is_established)?;
-        Some((side, self.connection_mut(side)?))
+    fn established_connection(&mut self) -> Option<(Direction, &mut Connection)> {
+        let is_established =
+            |direction: &Direction| self.connection(*direction).is_some_and(Connection::is_established);
+        let direction = Direction::BOTH.into_iter().find(is_established)?;
+        Some((direction, self.connection_mut(direction)?))
     }
 
     /// RFC 4271 section 10: a factor of 0.75 to 1, so that peers do not move in step.
@@ -237,9 +258,9 @@
         0.75 + 0.25 * (hasher.finish() as f64 / u64::MAX as f64)
     }
 
-    fn note(&mut self, heavy: bool, words: String) {
-        if self.notes.len() < MAX_LOG_ENTRIES {
-            self.notes.push_back((heavy, words));
+    fn log(&mut self, importance: Importance, message: String) {
+        if self.log.len() < MAX_LOG_ENTRIES {
+            self.log.push_back(LogEntry { importance, message });
         }
     }
 }
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, Phase};
 use super::ending::Loss;
 use super::timers::DRAIN_STEP_TIMEOUT;
-use super::{AdminState, Peer, PeerConfig, Side, State};
+use super::{AdminState, Direction, Importance, Peer, PeerConfig, State};
 use crate::error::{CeaseSubcode, MessageError, OpenError};
 use crate::message;
 use crate::notification::Notification;
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(super) fn send_open(&mut self, side: Side, now: f64) {
+    pub(super) fn send_open(&mut self, direction: Direction, now: f64) {
         let capabilities = self.capabilities();
         let open = Open {
             asn: self.config.local_as,
@@ -42,7 +42,7 @@
             AdminState::Draining => DRAIN_STEP_TIMEOUT,
             _ => self.config.open_timeout,
         };
-        let Some(connection) = self.connection_mut(side) else { return };
+        let Some(connection) = self.connection_mut(direction) else { return };
         open.encode(&mut connection.output);
         connection.phase = Phase::OpenSent;
         connection.local_capabilities = capabilities;
@@ -51,15 +51,15 @@
     }
 
     /// The peer's OPEN: checked, and answered with a KEEPALIVE if this connection stays.
-    pub(super) fn open(&mut self, side: Side, body: &[u8], now: f64) -> Result<(), MessageError> {
+    pub(super) fn open(&mut self, direction: Direction, body: &[u8], now: f64) -> Result<(), MessageError> {
         let open = Open::decode(body)?;
         check_open(&open, &self.config)?;
-        if !self.resolve_collision(side, &open, now) {
+        if !self.resolve_collision(direction, &open, now) {
             return Ok(());
         }
         let hold_time = f64::from(self.config.hold_time.min(open.hold_time));
         let keepalive_deadline = now + hold_time / 3.0 * self.jitter();
-        let Some(connection) = self.connection_mut(side) else { return Ok(()) };
+        let Some(connection) = self.connection_mut(direction) else { return Ok(()) };
         message::encode_keepalive(&mut connection.output);
         connection.phase = Phase::OpenConfirm;
         connection.hold_time = hold_time;
@@ -76,8 +76,8 @@
 
     /// RFC 4271 section 6.8: of two connections one stays, the one that the higher identifier began (the higher AS
     /// where identifiers are alike, RFC 6286). Tells whether it is this one; the other one is ended.
-    fn resolve_collision(&mut self, side: Side, open: &Open, now: f64) -> bool {
-        let other = side.other();
+    fn resolve_collision(&mut self, direction: Direction, open: &Open, now: f64) -> bool {
+        let other = direction.other();
         let cease = |words| Notification::cease(CeaseSubcode::ConnectionCollisionResolution, words, false);
         match self.connection(other).map(Connection::state) {
             Some(State::Established) => {
@@ -87,26 +87,26 @@
                     self.lost(other, "the peer has connected anew".to_string(), Loss::Connection, now);
                     return true;
                 }
-                self.end(side, cease("a session is up"), None, now);
+                self.end(direction, cease("a session is up"), None, now);
                 false
             }
             Some(State::OpenConfirm) => {
                 let local = (u32::from(self.config.identifier), self.config.local_as);
                 let remote = (u32::from(open.identifier), open.asn);
-                let stays = if local > remote { Side::Ours } else { Side::Theirs };
+                let stays = if local > remote { Direction::Outgoing } else { Direction::Incoming };
                 self.end(stays.other(), cease("the other connection stays"), None, now);
-                stays == side
+                stays == direction
             }
             _ => true,
         }
     }
 
     /// The peer's first KEEPALIVE: the session is up.
-    pub(super) fn established(&mut self, side: Side, now: f64) {
-        self.give_up_other(side.other(), now);
-        self.counts.established += 1;
+    pub(super) fn established(&mut self, direction: Direction, now: f64) {
+        self.give_up_other(direction.other(), now);
+        self.counters.established += 1;
         self.restart_state = false;
-        let Some(connection) = self.connections[side as usize].as_mut() else { return };
+        let Some(connection) = self.connections[direction as usize].as_mut() else { return };
         connection.phase = Phase::Established;
         connection.established_at = now;
         let graceful = connection.peer_graceful_restart();
@@ -116,7 +116,7 @@
             // RFC 4724 section 4.2: what it did not keep, or does not speak any more, is gone.
             let keeps = graceful.is_some_and(|graceful| graceful.families[family as usize] == Some(true));
             if !keeps {
-                self.learned.told_all(family);
+                self.adj_rib_in.remove_stale(family);
             }
         }
         let ours_kept =
@@ -126,12 +126,12 @@
         }
         let hold_time = connection.hold_time;
         self.last_error = None;
-        self.note(true, format!("established, hold time {hold_time} s"));
+        self.log(Importance::Notable, format!("established, hold time {hold_time} s"));
         self.write_updates(now);
     }
 
     /// Ends what the other connection still tries: it leads nowhere once a session is up.
-    fn give_up_other(&mut self, other: Side, now: f64) {
+    fn give_up_other(&mut self, other: Direction, now: f64) {
         match self.connection(other).map(Connection::state) {
             Some(State::Connect) => {
                 self.close(other);
--- a/crates/bgp/src/session/outbound.rs
+++ b/crates/bgp/src/session/outbound.rs
@@ -22,8 +22,8 @@
 
     /// Writes the difference between the Adj-RIB-Out and what is wanted, withdrawals first, as far as the peer reads.
     pub(super) fn write_updates(&mut self, now: f64) {
-        let Some((side, _)) = self.established_connection() else { return };
-        let Some(mut connection) = self.connections[side as usize].take() else { return };
+        let Some((direction, _)) = self.established_connection() else { return };
+        let Some(mut connection) = self.connections[direction as usize].take() else { return };
         if connection.output.len() < OUTPUT_LIMIT {
             let was_empty = connection.output.is_empty();
             for family in Family::ALL {
@@ -36,7 +36,7 @@
             }
         }
         let all_written = connection.output.is_empty();
-        self.connections[side as usize] = Some(connection);
+        self.connections[direction as usize] = Some(connection);
         // A peer that was only sought to clear what it kept is left once it has been told so.
         if self.admin_state == AdminState::Draining && all_written && self.wanted.is_empty() {
             self.retained_until = f64::NEG_INFINITY;
@@ -77,7 +77,7 @@
         for net in &gone {
             connection.adj_rib_out.remove(net);
         }
-        self.counts.updates_out += 1;
+        self.counters.updates_out += 1;
     }
 
     /// Prefixes that are announced alike share UPDATEs.
@@ -94,7 +94,7 @@
             update::announce(&mut connection.output, family, &nets, &attributes, encoding);
             connection.has_announced = true;
             connection.adj_rib_out.extend(nets.into_iter().map(|net| (net, path.clone())));
-            self.counts.updates_out += 1;
+            self.counters.updates_out += 1;
         }
     }
 
--- a/crates/bgp/src/session/timers.rs
+++ b/crates/bgp/src/session/timers.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Connection, Phase};
 use super::ending::Loss;
-use super::{Act, AdminState, Peer, Side};
+use super::{Action, AdminState, Direction, Peer};
 use crate::error::ErrorKind;
 use crate::message;
 use crate::notification::Notification;
@@ -12,21 +12,21 @@
 pub(super) const DRAIN_STEP_TIMEOUT: f64 = 0.3;
 
 impl Peer {
-    /// When [`Peer::time_passed`] is to be called at the latest.
+    /// When [`Peer::run_timers`] is to be called at the latest.
     pub fn due(&self) -> f64 {
         let retry = if self.may_connect() { self.retry_timer.deadline() } else { f64::INFINITY };
         let retained = if self.may_retain_routes() { self.retained_until } else { f64::INFINITY };
         let connections = self.connections.iter().flatten().map(Connection::due);
-        connections.chain([retry, retained, self.learned.due()]).fold(f64::INFINITY, f64::min)
+        connections.chain([retry, retained, self.adj_rib_in.due()]).fold(f64::INFINITY, f64::min)
     }
 
-    pub fn time_passed(&mut self, now: f64) {
-        self.learned.time_passed(now);
+    pub fn run_timers(&mut self, now: f64) {
+        self.adj_rib_in.expire_stale(now);
         if now >= self.retained_until {
             self.retained_until = f64::NEG_INFINITY;
         }
-        for side in Side::BOTH {
-            self.expire_timers(side, now);
+        for direction in Direction::BOTH {
+            self.expire_timers(direction, now);
         }
         if now >= self.retry_timer.deadline() && self.may_connect() {
             self.connect(now);
@@ -36,7 +36,7 @@
 
     /// Nothing but time stands in the way of a connection of ours.
     fn may_connect(&self) -> bool {
-        let free = self.connection(Side::Ours).is_none() && !self.is_live(Side::Theirs);
+        let free = self.connection(Direction::Outgoing).is_none() && !self.is_live(Direction::Incoming);
         free && self.seeks_connection() && !self.config.passive
     }
 
@@ -46,41 +46,41 @@
             _ => self.config.connect_timeout,
         };
         let connecting = Connection::new(Phase::Connecting { deadline: now + timeout }, now);
-        self.connections[Side::Ours as usize] = Some(connecting);
-        self.actions.push_back(Act::Connect);
+        self.connections[Direction::Outgoing as usize] = Some(connecting);
+        self.actions.push_back(Action::Connect);
     }
 
     /// Acts on what has expired on one connection.
-    fn expire_timers(&mut self, side: Side, now: f64) {
-        let Some(connection) = self.connection(side) else { return };
+    fn expire_timers(&mut self, direction: Direction, now: f64) {
+        let Some(connection) = self.connection(direction) else { return };
         match connection.phase {
-            Phase::Closing { deadline } if now >= deadline => return self.close(side),
+            Phase::Closing { deadline } if now >= deadline => return self.close(direction),
             Phase::Closing { .. } => return,
             Phase::Connecting { deadline } if now >= deadline => {
-                self.close(side);
-                return self.lost(side, "no connection came up".to_string(), Loss::Connection, now);
+                self.close(direction);
+                return self.lost(direction, "no connection came up".to_string(), Loss::Connection, now);
             }
-            Phase::DelayOpen { deadline } if now >= deadline => return self.send_open(side, now),
+            Phase::DelayOpen { deadline } if now >= deadline => return self.send_open(direction, now),
             _ => {}
         }
         if now >= connection.hold_deadline {
             let expired = Notification::from(ErrorKind::HoldTimerExpired);
-            return self.end(side, expired, None, now);
+            return self.end(direction, expired, None, now);
         }
         if now >= connection.send_hold_deadline() {
             // RFC 9687: no NOTIFICATION could get through.
-            self.close(side);
+            self.close(direction);
             let why = "takes no byte: send hold timer expired".to_string();
-            return self.lost(side, why, Loss::Connection, now);
+            return self.lost(direction, why, Loss::Connection, now);
         }
         if now >= connection.keepalive_deadline {
-            self.send_keepalive(side, now);
+            self.send_keepalive(direction, now);
         }
     }
 
-    fn send_keepalive(&mut self, side: Side, now: f64) {
+    fn send_keepalive(&mut self, direction: Direction, now: f64) {
         let jitter = self.jitter();
-        let Some(connection) = self.connection_mut(side) else { return };
+        let Some(connection) = self.connection_mut(direction) else { return };
         message::encode_keepalive(&mut connection.output);
         connection.keepalive_deadline = now + connection.hold_time / 3.0 * jitter;
     }
--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -1,6 +1,6 @@
 //! A host for one peer in virtual time, with the laboratory's far end behind it.
 
-use cleatgw_bgp::{Act, Advertisement, Capabilities, GracefulRestart, Open, Peer, PeerConfig, Side};
+use cleatgw_bgp::{Action, Advertisement, Capabilities, Direction, GracefulRestart, Open, Peer, PeerConfig};
 use cleatgw_lab::far::Far;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
     pub now: f64,
     pub net: Net,
     /// The connection that the far end is on.
-    pub on: Option<Side>,
+    pub on: Option<Direction>,
     /// Bytes are carried, both ways.
     pub carries: bool,
 }
@@ -112,22 +112,22 @@
     /// Does what the peer asks.
     pub fn acts(&mut self) -> bool {
         let mut moved = false;
-        while let Some(act) = self.peer.act() {
+        while let Some(act) = self.peer.next_action() {
             moved = true;
             match act {
-                Act::Connect => match self.net {
+                Action::Connect => match self.net {
                     Net::Up => {
-                        assert!(self.peer.connected(Side::Ours, self.now));
-                        self.begin(Side::Ours);
+                        assert!(self.peer.connected(Direction::Outgoing, self.now));
+                        self.begin(Direction::Outgoing);
                     }
-                    Net::Refuses => self.peer.closed(Side::Ours, "refused", self.now),
+                    Net::Refuses => self.peer.closed(Direction::Outgoing, "refused", self.now),
                     Net::Silent => {}
                 },
-                Act::Close(side) if self.on == Some(side) => {
+                Action::Close(side) if self.on == Some(side) => {
                     self.on = None;
                     self.far.ended(None);
                 }
-                Act::Close(_) => {}
+                Action::Close(_) => {}
             }
         }
         moved
@@ -154,9 +154,9 @@
         let input = std::mem::take(&mut self.far.out);
         let mut rest = &input[..];
         loop {
-            let (taken, more) = self.peer.bytes(side, rest, self.now);
-            rest = &rest[taken..];
-            if !more {
+            let received = self.peer.receive(side, rest, self.now);
+            rest = &rest[received.consumed..];
+            if !received.more {
                 break;
             }
         }
@@ -166,7 +166,7 @@
 
     /// A connection that the far end knows nothing of any more is reset by what is written on it.
     pub fn forgotten(&mut self) -> bool {
-        let forgotten = [Side::Ours, Side::Theirs]
+        let forgotten = [Direction::Outgoing, Direction::Incoming]
             .into_iter()
             .find(|side| self.on != Some(*side) && !self.peer.unsent(*side).is_empty());
         forgotten.inspect(|side| self.peer.closed(*side, "reset", self.now)).is_some()
@@ -174,7 +174,7 @@
 
     /// Does what the peer asks and carries what was written, until nothing is left.
     pub fn settle(&mut self) {
-        self.peer.time_passed(self.now);
+        self.peer.run_timers(self.now);
         for _ in 0..100 {
             let acted = self.acts();
             let carried = self.carries && (self.carry_out() | self.carry_in() | self.forgotten());
@@ -186,16 +186,16 @@
     }
 
     /// The far end is on this connection now.
-    pub fn begin(&mut self, side: Side) {
+    pub fn begin(&mut self, side: Direction) {
         self.on = Some(side);
         self.far.connected();
     }
 
     /// The far end connects; tells whether that is taken.
     pub fn arrives(&mut self) -> bool {
-        let taken = self.peer.connected(Side::Theirs, self.now);
+        let taken = self.peer.connected(Direction::Incoming, self.now);
         if taken {
-            self.begin(Side::Theirs);
+            self.begin(Direction::Incoming);
         }
         taken
     }
--- a/crates/bgp/tests/model.rs
+++ b/crates/bgp/tests/model.rs
@@ -96,7 +96,7 @@
         match step {
             Step::Time => {
                 host.now = host.now.max(host.peer.due().min(host.now + 60.0));
-                host.peer.time_passed(host.now);
+                host.peer.run_timers(host.now);
                 host.acts();
             }
             Step::CarryOut => return host.carry_out().then_some(next),
@@ -132,7 +132,7 @@
                     Planted::Nothing => host.peer.drain(wanted(&[]), host.now),
                     Planted::DrainOnlyWithdraws => host.peer.announce(wanted(&[]), host.now),
                     Planted::DrainLeaves => {
-                        host.peer.finish(CeaseSubcode::AdministrativeShutdown, "", host.now)
+                        host.peer.shut_down(CeaseSubcode::AdministrativeShutdown, "", host.now)
                     }
                 }
                 next.drained = true;
@@ -145,7 +145,7 @@
     fn properties(&self) -> Vec<Property<Session>> {
         vec![
             Property::always("nothing is announced once the drain has begun", |_, at: &At| {
-                let told = |host: &Host| host.peer.told().count();
+                let told = |host: &Host| host.peer.adj_rib_out().count();
                 !at.drained || told(&at.host) == 0 && told(&at.after(60.0)) == 0
             }),
             Property::always("a peer that is reachable ends with no route of ours", |_, at: &At| {
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -123,18 +123,18 @@
 /// Hard case: both sides open at once; RFC 4271 section 6.8 leaves exactly one connection, by the identifiers.
 #[test]
 fn of_two_connections_at_once_the_one_of_the_higher_identifier_stays() {
-    for (far_id, stays) in [("192.0.2.99", Side::Theirs), ("192.0.1.1", Side::Ours)] {
+    for (far_id, stays) in [("192.0.2.99", Direction::Incoming), ("192.0.1.1", Direction::Outgoing)] {
         let mut peer = Peer::new(config(), 1, 0.0);
         peer.announce(both(), 0.0);
-        peer.time_passed(0.0);
-        assert_eq!(peer.act(), Some(Act::Connect));
-        assert!(peer.connected(Side::Ours, 0.0) && peer.connected(Side::Theirs, 0.0));
+        peer.run_timers(0.0);
+        assert_eq!(peer.next_action(), Some(Action::Connect));
+        assert!(peer.connected(Direction::Outgoing, 0.0) && peer.connected(Direction::Incoming, 0.0));
         let mut open = Vec::new();
         Open { identifier: far_id.parse().unwrap(), ..far_open() }.encode(&mut open);
-        peer.bytes(Side::Ours, &open, 0.1);
+        peer.receive(Direction::Outgoing, &open, 0.1);
         assert_eq!(peer.state(), State::OpenConfirm);
-        peer.bytes(Side::Theirs, &open, 0.1);
-        let gone = if stays == Side::Ours { Side::Theirs } else { Side::Ours };
+        peer.receive(Direction::Incoming, &open, 0.1);
+        let gone = if stays == Direction::Outgoing { Direction::Incoming } else { Direction::Outgoing };
         // The one that goes is told why, and is closed once that is written.
         let last = peer.unsent(gone).to_vec();
         let mut kinds = Vec::new();
@@ -148,16 +148,16 @@
             &(MessageType::Notification, Some(CeaseSubcode::ConnectionCollisionResolution as u8))
         );
         peer.written(gone, last.len(), 0.2);
-        assert_eq!(peer.act(), Some(Act::Close(gone)));
+        assert_eq!(peer.next_action(), Some(Action::Close(gone)));
         let mut alive = Vec::new();
         message::encode_keepalive(&mut alive);
-        peer.bytes(stays, &alive, 0.3);
-        assert_eq!((peer.state(), peer.told().count()), (State::Established, 2));
+        peer.receive(stays, &alive, 0.3);
+        assert_eq!((peer.state(), peer.adj_rib_out().count()), (State::Established, 2));
         // A third one while it is up is turned away.
-        assert!(peer.connected(gone, 0.4) == (gone == Side::Theirs));
-        if gone == Side::Theirs {
-            peer.bytes(gone, &open, 0.5);
-            assert_eq!((peer.state(), peer.told().count()), (State::Established, 2));
+        assert!(peer.connected(gone, 0.4) == (gone == Direction::Incoming));
+        if gone == Direction::Incoming {
+            peer.receive(gone, &open, 0.5);
+            assert_eq!((peer.state(), peer.adj_rib_out().count()), (State::Established, 2));
             assert!(!peer.unsent(gone).is_empty());
         }
     }
@@ -215,7 +215,7 @@
     host.run(25.0);
     // Nothing was owed, so nothing was missed.
     assert_eq!(host.peer.state(), State::Established);
-    assert!(host.peer.unsent(Side::Ours).is_empty());
+    assert!(host.peer.unsent(Direction::Outgoing).is_empty());
     // Where keepalives are agreed on they go out in time.
     let mut host = Host::up(config(), far_open(), both());
     for _ in 0..20 {
@@ -223,7 +223,7 @@
         host.far.say(message::encode_keepalive);
         host.settle();
     }
-    assert_eq!((host.peer.state(), host.peer.counts.lost), (State::Established, 0));
+    assert_eq!((host.peer.state(), host.peer.counters.lost), (State::Established, 0));
 }
 
 /// Hard case: a drain in every state of the session, with and without unsent bytes. Nothing is announced again.
@@ -272,12 +272,12 @@
         (host.net, host.carries, host.far.mute) = (Net::Up, true, false);
         host.settle();
         assert_eq!((host.held(), announced(&host)), (0, before), "{name}");
-        assert!(host.peer.cleared(host.now), "{name}");
+        assert!(host.peer.all_withdrawn(host.now), "{name}");
         host.run(30.0);
         assert_eq!((host.held(), announced(&host)), (0, before), "{name}");
-        host.peer.finish(CeaseSubcode::AdministrativeShutdown, "planned stop", host.now);
+        host.peer.shut_down(CeaseSubcode::AdministrativeShutdown, "planned stop", host.now);
         host.settle();
-        assert!(host.peer.over(), "{name}: {:?}", host.peer.state());
+        assert!(host.peer.is_finished(), "{name}: {:?}", host.peer.state());
         assert!(!host.arrives(), "{name}");
         if name == "established" {
             let told = notified(&host).unwrap();
@@ -298,29 +298,29 @@
     host.reset();
     assert_eq!(host.held(), 2, "kept, as agreed");
     host.peer.drain(wanted(&[]), host.now);
-    assert!(!host.peer.cleared(host.now));
+    assert!(!host.peer.all_withdrawn(host.now));
     // It is not reached at first.
     host.net = Net::Refuses;
     host.run(0.4);
-    assert!(!host.peer.cleared(host.now) && host.held() == 2);
+    assert!(!host.peer.all_withdrawn(host.now) && host.held() == 2);
     host.net = Net::Up;
     host.run(0.1);
-    assert!(host.peer.cleared(host.now) && host.held() == 0, "{:?}", host.far.table);
+    assert!(host.peer.all_withdrawn(host.now) && host.held() == 0, "{:?}", host.far.table);
     assert_eq!(announced(&host), 2);
     // A withdrawal that was written may be lost with its connection just as well.
     let mut host = Host::up(ours.clone(), theirs.clone(), both());
     host.peer.drain(wanted(&[]), host.now);
-    let lost = host.peer.unsent(Side::Ours).len();
-    host.peer.written(Side::Ours, lost, host.now);
+    let lost = host.peer.unsent(Direction::Outgoing).len();
+    host.peer.written(Direction::Outgoing, lost, host.now);
     host.reset();
-    assert!(host.held() == 2 && !host.peer.cleared(host.now));
+    assert!(host.held() == 2 && !host.peer.all_withdrawn(host.now));
     host.run(0.2);
-    assert!(host.held() == 0 && host.peer.cleared(host.now));
+    assert!(host.held() == 0 && host.peer.all_withdrawn(host.now));
     // Without a drain, the end of a healthy stop is a hard reset: nothing is kept.
     let mut host = Host::up(ours, theirs, both());
-    host.peer.finish(CeaseSubcode::AdministrativeShutdown, "", host.now);
+    host.peer.shut_down(CeaseSubcode::AdministrativeShutdown, "", host.now);
     host.settle();
-    assert!(host.held() == 0 && notified(&host).unwrap().hard_reset && host.peer.over());
+    assert!(host.held() == 0 && notified(&host).unwrap().hard_reset && host.peer.is_finished());
 }
 
 /// Hard case: a withdrawal is lost in a reset; what is out is compared with what is told anew.
@@ -333,8 +333,8 @@
     };
     let mut host = Host::up(ours, theirs, both());
     host.peer.announce(wanted(&["2001:db8::7/128"]), host.now);
-    let lost = host.peer.unsent(Side::Ours).len();
-    host.peer.written(Side::Ours, lost, host.now);
+    let lost = host.peer.unsent(Direction::Outgoing).len();
+    host.peer.written(Direction::Outgoing, lost, host.now);
     host.reset();
     assert!(host.has("198.51.100.7/32"));
     host.run(2.0);
@@ -364,25 +364,25 @@
     let start = || {
         let mut host = Host::up(config(), theirs.clone(), both());
         told(&mut host, "198.51.100.7/32", &[THEIRS, OURS], None);
-        assert_eq!(host.peer.learned.len(), 1);
+        assert_eq!(host.peer.adj_rib_in.len(), 1);
         host
     };
     let mut host = start();
     host.reset();
-    assert!(host.peer.learned.iter().all(|(_, seen)| seen.stale) && host.peer.learned.len() == 1);
+    assert!(host.peer.adj_rib_in.iter().all(|(_, seen)| seen.stale) && host.peer.adj_rib_in.len() == 1);
     host.run(2.0);
-    assert!(host.far.established && host.peer.learned.len() == 1);
+    assert!(host.far.established && host.peer.adj_rib_in.len() == 1);
     host.far.say(|out| update::end_of_rib(out, Family::Ipv4));
     host.settle();
-    assert!(host.peer.learned.is_empty());
+    assert!(host.peer.adj_rib_in.is_empty());
     // It never comes back.
     let mut host = start();
     host.reset();
     host.net = Net::Refuses;
     host.run(19.0);
-    assert_eq!(host.peer.learned.len(), 1);
+    assert_eq!(host.peer.adj_rib_in.len(), 1);
     host.run(2.0);
-    assert!(host.peer.learned.is_empty());
+    assert!(host.peer.adj_rib_in.is_empty());
     // It comes back before we have heard of its end.
     let mut host = start();
     host.carries = false;
@@ -396,7 +396,7 @@
     let mut host = Host::up(config(), far_open(), both());
     told(&mut host, "198.51.100.7/32", &[THEIRS, OURS], None);
     host.reset();
-    assert!(host.peer.learned.is_empty());
+    assert!(host.peer.adj_rib_in.is_empty());
 }
 
 #[test]
@@ -405,7 +405,7 @@
         let mut host = Host::up(config, far_open(), both());
         told(&mut host, "198.51.100.7/32", path, otc);
         assert_eq!(host.peer.state(), State::Established);
-        host.peer.learned.len()
+        host.peer.adj_rib_in.len()
     };
     assert_eq!(learns(config(), &[THEIRS, OURS], None), 1);
     assert_eq!(learns(config(), &[THEIRS, OURS, OURS], None), 0);
@@ -428,8 +428,8 @@
     });
     host.carries = false;
     let input = std::mem::take(&mut host.far.out);
-    host.peer.bytes(Side::Ours, &input, host.now);
-    let out = host.peer.unsent(Side::Ours).to_vec();
+    host.peer.receive(Direction::Outgoing, &input, host.now);
+    let out = host.peer.unsent(Direction::Outgoing).to_vec();
     let mut kinds = Vec::new();
     let mut at = 0;
     while let Some(found) = frame(&out[at..]).unwrap() {
@@ -454,7 +454,7 @@
     for at in 0..10_000 {
         let words: &[&str] = if at % 2 == 0 { &["2001:db8::7/128"] } else { &["198.51.100.7/32"] };
         host.peer.announce(wanted(words), host.now);
-        most = most.max(host.peer.unsent(Side::Ours).len());
+        most = most.max(host.peer.unsent(Direction::Outgoing).len());
     }
     assert!(most < 10_000, "{most}");
     host.carries = true;
@@ -463,7 +463,7 @@
     host.carries = false;
     host.peer.announce(both(), host.now);
     host.run(31.0);
-    assert!(host.peer.counts.lost == 1, "{:?}", host.peer.state());
+    assert!(host.peer.counters.lost == 1, "{:?}", host.peer.state());
 }
 
 #[test]
@@ -517,7 +517,7 @@
     let mut flapped = host.clone();
     host.peer.drain(wanted(&[]), host.now);
     host.settle();
-    assert!(host.held() == 0 && host.peer.cleared(host.now));
+    assert!(host.held() == 0 && host.peer.all_withdrawn(host.now));
     // The session is lost within the lead, and the far end connects anew.
     flapped.reset();
     flapped.arrives();
@@ -536,17 +536,17 @@
     let mut host = Host::up(config(), far_open(), both());
     told(&mut host, "198.51.100.7/32", &[THEIRS, OURS], None);
     told(&mut host, "198.51.100.8/32", &[THEIRS, OURS], None);
-    assert_eq!(host.peer.learned.len(), 1, "the second is no address of ours yet");
+    assert_eq!(host.peer.adj_rib_in.len(), 1, "the second is no address of ours yet");
     let services = vec![net("198.51.100.8/32"), net("2001:db8::7/128")];
-    assert!(host.peer.change(&PeerConfig { service_prefixes: services, ..config() }));
-    assert!(host.peer.learned.is_empty());
+    assert!(host.peer.reconfigure(&PeerConfig { service_prefixes: services, ..config() }));
+    assert!(host.peer.adj_rib_in.is_empty());
     // It is asked for both families again.
-    let asked = host.peer.unsent(Side::Ours).to_vec();
+    let asked = host.peer.unsent(Direction::Outgoing).to_vec();
     let kinds: Vec<u8> = asked.chunks(23).map(|message| message[18]).collect();
     assert_eq!(kinds, [MessageType::RouteRefresh as u8; 2]);
     host.settle();
     told(&mut host, "198.51.100.8/32", &[THEIRS, OURS], None);
-    assert_eq!((host.peer.learned.len(), host.peer.counts.lost), (1, 0));
+    assert_eq!((host.peer.adj_rib_in.len(), host.peer.counters.lost), (1, 0));
     // Anything else is another session.
-    assert!(!host.peer.change(&PeerConfig { hold_time: 30, ..config() }));
+    assert!(!host.peer.reconfigure(&PeerConfig { hold_time: 30, ..config() }));
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -2,7 +2,7 @@
 //! route server with best paths alone would show it: the two best of the others', some time old.
 
 use cleatgw_announce::*;
-use cleatgw_bgp::Seen;
+use cleatgw_bgp::LearnedRoute;
 use ipnet::IpNet;
 use plotters::prelude::*;
 use rand::rngs::SmallRng;
@@ -110,7 +110,7 @@
         let mut paths = Paths::new(true);
         for (level, instance) in best.iter().filter(|one| one.1 != self.number).take(SHOWN) {
             let large = vec![Mark { instance: *instance, ..mark }.write(*level > Level::LastResort)];
-            let seen = Seen {
+            let seen = LearnedRoute {
                 communities: Vec::new(),
                 large_communities: large,
                 path_length: 2,
--- a/crates/router/src/transport/speaker.rs
+++ b/crates/router/src/transport/speaker.rs
@@ -5,7 +5,9 @@
 use crate::routing::Counters;
 use calloop::{Readiness, RegistrationToken};
 use cleatgw_announce::{Announcer, Level, Note, Paths, Readings, Why};
-use cleatgw_bgp::{Act, Advertisement, CeaseSubcode, Peer, Side, State, MAX_MESSAGE_LENGTH};
+use cleatgw_bgp::{
+    Action, Advertisement, CeaseSubcode, Direction, Importance, LogEntry, Peer, State, MAX_MESSAGE_LENGTH,
+};
 use cleatgw_operator::{PeerPart, ServiceFile};
 use ipnet::IpNet;
 use rustix::io::Errno;
@@ -99,9 +101,9 @@
         Speaking { part: part.clone(), peer, wires: [None, None], leaves: false, given: 0 }
     }
 
-    fn wire(&self, id: u64) -> Option<Side> {
-        let is = |side: &Side| self.wires[*side as usize].as_ref().is_some_and(|wire| wire.id == id);
-        [Side::Ours, Side::Theirs].into_iter().find(is)
+    fn wire(&self, id: u64) -> Option<Direction> {
+        let is = |side: &Direction| self.wires[*side as usize].as_ref().is_some_and(|wire| wire.id == id);
+        [Direction::Outgoing, Direction::Incoming].into_iter().find(is)
     }
 
     fn connect(&self, handle: &Handle, id: u64) -> io::Result<Wire> {
@@ -120,7 +122,7 @@
     }
 
     /// Reads and writes one connection. An error is why it is gone.
-    fn work(&mut self, side: Side, now: f64) -> Result<(), String> {
+    fn work(&mut self, side: Direction, now: f64) -> Result<(), String> {
         let words = |error: io::Error| error.to_string();
         let Some(wire) = &mut self.wires[side as usize] else { return Ok(()) };
         if !wire.up {
@@ -142,18 +144,18 @@
                 // What came ahead of the end is taken first.
                 Ok(false) => {
                     let input = std::mem::take(&mut wire.input);
-                    self.peer.bytes(side, &input, now);
+                    self.peer.receive(side, &input, now);
                     return Err("closed".to_string());
                 }
                 Err(why) => return Err(why),
             }
         }
-        let (taken, _) = self.peer.bytes(side, &wire.input, now);
-        wire.input.drain(..taken);
+        let received = self.peer.receive(side, &wire.input, now);
+        wire.input.drain(..received.consumed);
         self.flush(side, now)
     }
 
-    fn flush(&mut self, side: Side, now: f64) -> Result<(), String> {
+    fn flush(&mut self, side: Direction, now: f64) -> Result<(), String> {
         let Some(wire) = &mut self.wires[side as usize] else { return Ok(()) };
         while wire.up && wire.writable && !self.peer.unsent(side).is_empty() {
             match (&*wire.stream).write(self.peer.unsent(side)) {
@@ -248,13 +250,13 @@
             let part = file.bgp.peers.iter().find(|part| part.name == speaking.part.name);
             // Other addresses are told on the session that is up; what else is new in it ends it.
             let same = part.filter(|part| **part == speaking.part);
-            if !same.is_some_and(|part| speaking.peer.change(&part.terms(&file.bgp, &file.addresses))) {
+            if !same.is_some_and(|part| speaking.peer.reconfigure(&part.terms(&file.bgp, &file.addresses))) {
                 let subcode = if part.is_some() {
                     CeaseSubcode::OtherConfigurationChange
                 } else {
                     CeaseSubcode::PeerDeconfigured
                 };
-                speaking.peer.finish(subcode, "new service file", now);
+                speaking.peer.shut_down(subcode, "new service file", now);
                 speaking.leaves = true;
             }
         }
@@ -301,21 +303,23 @@
         let words = |error: io::Error| error.to_string();
         let socket = Socket::from(stream);
         prepare(&socket, &speaking.part).map_err(words)?;
-        if speaking.wires[Side::Theirs as usize].is_some() && speaking.peer.unsent(Side::Theirs).is_empty() {
+        if speaking.wires[Direction::Incoming as usize].is_some()
+            && speaking.peer.unsent(Direction::Incoming).is_empty()
+        {
             return Err("a connection of its own is open".to_string());
         }
-        if !speaking.peer.connected(Side::Theirs, now) {
+        if !speaking.peer.connected(Direction::Incoming, now) {
             return Err("not wanted now".to_string());
         }
         self.next_wire += 1;
         let id = self.next_wire;
         let wire = Wire::new(&self.handle, TcpStream::from(socket), id, true);
-        if let Some(old) = speaking.wires[Side::Theirs as usize].take() {
+        if let Some(old) = speaking.wires[Direction::Incoming as usize].take() {
             self.handle.remove(old.token);
         }
         match wire {
-            Ok(wire) => speaking.wires[Side::Theirs as usize] = Some(wire),
-            Err(error) => speaking.peer.closed(Side::Theirs, &words(error), now),
+            Ok(wire) => speaking.wires[Direction::Incoming as usize] = Some(wire),
+            Err(error) => speaking.peer.closed(Direction::Incoming, &words(error), now),
         }
         self.again.push(Source::Speaker(id));
         Ok(())
@@ -336,7 +340,7 @@
         }
     }
 
-    fn gone(&mut self, at: usize, side: Side, why: &str, now: f64) {
+    fn gone(&mut self, at: usize, side: Direction, why: &str, now: f64) {
         if let Some(wire) = self.peers[at].wires[side as usize].take() {
             self.handle.remove(wire.token);
         }
@@ -364,7 +368,7 @@
         let mut paths = Paths::new(self.peers.iter().any(|speaking| up(&speaking)));
         let mark = self.announcer.terms().mark;
         for speaking in &self.peers {
-            speaking.peer.learned.iter().for_each(|(net, seen)| paths.add(&mark, net, seen));
+            speaking.peer.adj_rib_in.iter().for_each(|(net, seen)| paths.add(&mark, net, seen));
         }
         paths
     }
@@ -387,7 +391,7 @@
             let speaking = &mut self.peers[at];
             let done = guarded("a routing peer's session", || {
                 if speaking.peer.due() <= now {
-                    speaking.peer.time_passed(now);
+                    speaking.peer.run_timers(now);
                 }
                 match draining {
                     _ if speaking.given == change => {}
@@ -402,7 +406,7 @@
         (0..self.peers.len()).for_each(|at| self.carry_out(at, now));
         let handle = &self.handle;
         self.peers.retain(|speaking| {
-            let over = speaking.leaves && speaking.peer.over();
+            let over = speaking.leaves && speaking.peer.is_finished();
             if over {
                 speaking.wires.iter().flatten().for_each(|wire| handle.remove(wire.token));
                 count(&mut self.counters, &speaking.peer);
@@ -415,31 +419,36 @@
     fn carry_out(&mut self, at: usize, now: f64) {
         // Each act may bring about another one, but no more than these: both connections ended, one begun.
         for _ in 0..8 {
-            let Some(act) = self.peers[at].peer.act() else { break };
+            let Some(act) = self.peers[at].peer.next_action() else { break };
             match act {
-                Act::Close(side) => {
+                Action::Close(side) => {
                     if let Some(wire) = self.peers[at].wires[side as usize].take() {
                         self.handle.remove(wire.token);
                     }
                 }
-                Act::Connect => {
+                Action::Connect => {
                     self.next_wire += 1;
                     match self.peers[at].connect(&self.handle, self.next_wire) {
-                        Ok(wire) => self.peers[at].wires[Side::Ours as usize] = Some(wire),
-                        Err(error) => self.peers[at].peer.closed(Side::Ours, &error.to_string(), now),
+                        Ok(wire) => self.peers[at].wires[Direction::Outgoing as usize] = Some(wire),
+                        Err(error) => {
+                            self.peers[at].peer.closed(Direction::Outgoing, &error.to_string(), now)
+                        }
                     }
                 }
             }
         }
-        for side in [Side::Ours, Side::Theirs] {
+        for side in [Direction::Outgoing, Direction::Incoming] {
             if let Err(why) = self.peers[at].flush(side, now) {
                 self.gone(at, side, &why, now);
             }
         }
         let Speaking { part, peer, .. } = &mut self.peers[at];
-        while let Some((heavy, words)) = peer.noted() {
-            let level = if heavy { log::Level::Info } else { log::Level::Debug };
-            log::log!(level, peer = part.name.as_str(), address:% = part.address; "bgp {words}");
+        while let Some(LogEntry { importance, message }) = peer.next_log_entry() {
+            let level = match importance {
+                Importance::Notable => log::Level::Info,
+                Importance::Routine => log::Level::Debug,
+            };
+            log::log!(level, peer = part.name.as_str(), address:% = part.address; "bgp {message}");
         }
     }
 
@@ -472,7 +481,7 @@
     /// No route of ours is left at any peer, as far as can be known.
     pub fn cleared(&self, now: f64) -> bool {
         let out = self.wanted.1.is_empty();
-        out && self.peers.iter().all(|speaking| speaking.peer.cleared(now))
+        out && self.peers.iter().all(|speaking| speaking.peer.all_withdrawn(now))
     }
 
     /// Says goodbye to all peers, once; tells whether that is done, or has had its time.
@@ -480,11 +489,11 @@
         if self.farewell.is_none() {
             self.farewell = Some(now);
             for at in 0..self.peers.len() {
-                self.peers[at].peer.finish(CeaseSubcode::AdministrativeShutdown, WORDS, now);
+                self.peers[at].peer.shut_down(CeaseSubcode::AdministrativeShutdown, WORDS, now);
                 self.carry_out(at, now);
             }
         }
-        let over = self.peers.iter().all(|speaking| speaking.peer.over());
+        let over = self.peers.iter().all(|speaking| speaking.peer.is_finished());
         over || self.farewell.is_some_and(|at| now >= at + FAREWELL)
     }
 
@@ -519,15 +528,15 @@
             rows.push(["sign".to_string(), "bad".to_string(), sign.to_string()]);
         }
         for Speaking { part, peer, leaves, .. } in &self.peers {
-            let counts = &peer.counts;
-            let told: Vec<String> = peer.told().map(|(net, _)| net.to_string()).collect();
+            let counts = &peer.counters;
+            let told: Vec<String> = peer.adj_rib_out().map(|(net, _)| net.to_string()).collect();
             let last = peer.last_error.as_deref().map_or(String::new(), |why| format!("; last error: {why}"));
             let leaving = if *leaves { ", leaving" } else { "" };
             let words = format!(
                 "out {} [{}], seen {}, sessions {} lost {}{leaving}{last}",
                 told.len(),
                 told.join(" "),
-                peer.learned.len(),
+                peer.adj_rib_in.len(),
                 counts.established,
                 counts.lost
             );
@@ -538,7 +547,7 @@
 }
 
 fn count(counters: &mut Counters, peer: &Peer) {
-    let counts = &peer.counts;
+    let counts = &peer.counters;
     counters.bgp_established += counts.established;
     counters.bgp_lost += counts.lost;
     counters.bgp_updates_out += counts.updates_out;
@@ -546,8 +555,8 @@
     counters.bgp_notifications_out += counts.notifications_out;
     counters.bgp_notifications_in += counts.notifications_in;
     counters.bgp_treated_as_withdrawn += counts.treated_as_withdrawn;
-    counters.bgp_passed_over += peer.learned.passed_over;
-    counters.bgp_left_out += peer.learned.left_out;
+    counters.bgp_passed_over += peer.adj_rib_in.ignored;
+    counters.bgp_left_out += peer.adj_rib_in.over_limit;
 }
 
 /// One line for each change of how an address stands.
