--- a/crates/announce/src/announcer/drain.rs
+++ b/crates/announce/src/announcer/drain.rs
@@ -1,15 +1,16 @@
 //! The drain: all addresses are withdrawn for good, after a lead in which they show that they go.
 
 use super::{Announcer, Standing};
-use crate::level::{Level, Why};
+use crate::level::{Level, Reason};
 use crate::paths::PathCounts;
 
 /// Seconds: the longest lead, so that withdrawals are out before the drain's second ends.
 const MAX_SHUTDOWN_LEAD: f64 = 0.8;
 
-/// The drain's one clock.
+/// The times of a drain, on the host's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Drain {
+    /// When it began.
     pub began: f64,
     /// All is withdrawn from then on.
     pub withdraws_at: f64,
@@ -25,6 +26,7 @@
 }
 
 impl Announcer {
+    /// The drain, once it has begun.
     pub fn draining(&self) -> Option<Drain> {
         self.drain
     }
@@ -35,18 +37,18 @@
         if let Some(drain) = self.drain {
             return drain;
         }
-        let lead = self.terms.shutdown_lead.clamp(0.0, MAX_SHUTDOWN_LEAD);
+        let lead = self.config.shutdown_lead.clamp(0.0, MAX_SHUTDOWN_LEAD);
         let drain = Drain { began: now, withdraws_at: now + lead, new_work_ends: now + new_work };
         self.drain = Some(drain);
         let next = match lead > 0.0 {
-            true => Standing::new(Level::Depreferred, Why::Draining),
-            false => Standing::new(Level::Withdrawn, Why::Drained),
+            true => Standing::new(Level::Depreferred, Reason::Draining),
+            false => Standing::new(Level::Withdrawn, Reason::Drained),
         };
         for index in 0..self.addresses.len() {
             let address = &mut self.addresses[index];
             address.pending = None;
             if address.level == Level::Withdrawn {
-                address.why = Why::Drained;
+                address.reason = Reason::Drained;
             } else {
                 self.set(index, next, now, PathCounts::default());
             }
@@ -61,7 +63,7 @@
         }
         for index in 0..self.addresses.len() {
             if self.addresses[index].level > Level::Withdrawn {
-                let drained = Standing::new(Level::Withdrawn, Why::Drained);
+                let drained = Standing::new(Level::Withdrawn, Reason::Drained);
                 self.set(index, drained, now, PathCounts::default());
             }
         }
--- a/crates/announce/src/announcer/mod.rs
+++ b/crates/announce/src/announcer/mod.rs
@@ -1,7 +1,7 @@
 //! The decisions of one instance for all its addresses.
 //!
-//! [`aim`] says where an address ought to stand, [`moves`] when it may go there, [`drain`] is the end of all, and
-//! [`routes`] what peers are told.
+//! `aim` says which level an address ought to have, `moves` when it may go there, `drain` withdraws all for good, and
+//! `routes` is what peers are told.
 
 mod aim;
 mod drain;
@@ -10,19 +10,19 @@
 
 pub use drain::Drain;
 
+use crate::config::AnnouncerConfig;
 use crate::damping::Penalty;
-use crate::level::{Level, Why};
+use crate::health::{CheckState, HealthCheck, Readings};
+use crate::level::{HeldBackBy, Level, Reason};
 use crate::paths::{PathCounts, Paths};
-use crate::signs::{Judged, Readings, Sign};
-use crate::terms::Terms;
 use ipnet::IpNet;
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Seconds: the window of the cap on changes.
 pub const MINUTE: f64 = 60.0;
-/// Notes kept until the host takes them: one for each of the 256 addresses that a service file may hold.
-const MAX_NOTES: usize = 256;
+/// Events kept until the host takes them: one for each of the 256 addresses that a service file may hold.
+const MAX_EVENTS: usize = 256;
 /// Changes of one address that are remembered: more than any cap a service file may set.
 const MAX_CHANGES: usize = 1024;
 
@@ -30,12 +30,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Standing {
     level: Level,
-    why: Why,
+    reason: Reason,
 }
 
 impl Standing {
-    fn new(level: Level, why: Why) -> Standing {
-        Standing { level, why }
+    fn new(level: Level, reason: Reason) -> Standing {
+        Standing { level, reason }
     }
 }
 
@@ -49,9 +49,9 @@
 /// One service address.
 #[derive(Clone, Debug)]
 struct Address {
-    net: IpNet,
+    prefix: IpNet,
     level: Level,
-    why: Why,
+    reason: Reason,
     since: f64,
     pending: Option<PendingMove>,
     penalty: Penalty,
@@ -59,77 +59,100 @@
     changes: VecDeque<f64>,
     /// Since when no other path was seen at all.
     alone_since: Option<f64>,
-    /// It was well for so long; counts from the last time that a sign was bad.
-    well_since: Option<f64>,
+    /// Since when no check that withdraws has failed.
+    healthy_since: Option<f64>,
     /// It has been out since the start.
     started: bool,
-    /// What stands in the way of a move, told once.
-    waits: Option<&'static str>,
+    /// What holds a move back, reported once.
+    held_back_by: Option<HeldBackBy>,
 }
 
 impl Address {
-    fn new(net: IpNet, now: f64) -> Address {
+    fn new(prefix: IpNet, now: f64) -> Address {
         Address {
-            net,
+            prefix,
             level: Level::Withdrawn,
-            why: Why::Starting,
+            reason: Reason::Starting,
             since: now,
             pending: None,
             penalty: Penalty::default(),
             changes: VecDeque::new(),
             alone_since: None,
-            well_since: None,
+            healthy_since: None,
             started: false,
-            waits: None,
+            held_back_by: None,
         }
     }
 }
 
-/// Something to tell the log and the operator.
+/// A move of an address, or one that was held back, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Note {
-    pub net: IpNet,
+pub struct AddressEvent {
+    /// The address.
+    pub prefix: IpNet,
+    /// The level that it has now.
     pub level: Level,
-    pub why: Why,
-    /// Paths of others that were seen then: sound ones and all.
-    pub sound: usize,
-    pub seen: usize,
-    /// Set where nothing moved: what it waits for.
-    pub waits: Option<&'static str>,
+    /// Why it has that level.
+    pub reason: Reason,
+    /// Paths of other instances that were seen then and are not known to be unhealthy.
+    pub healthy_paths: usize,
+    /// All paths of other instances that were seen then.
+    pub total_paths: usize,
+    /// What held the move back; `None` where the address moved.
+    pub held_back_by: Option<HeldBackBy>,
+}
+
+/// How one address stands, for the operator.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AddressStatus {
+    /// The address.
+    pub prefix: IpNet,
+    /// The level that it has now.
+    pub level: Level,
+    /// Why it has that level.
+    pub reason: Reason,
+    /// When it moved there.
+    pub since: f64,
+    /// What has held a move back since then.
+    pub held_back_by: Option<HeldBackBy>,
 }
 
 /// The decisions of one instance for all its addresses.
 #[derive(Clone, Debug)]
 pub struct Announcer {
-    terms: Terms,
+    config: AnnouncerConfig,
     seed: u64,
     random_draws: u64,
-    /// By [`Sign`].
-    signs: [Judged; Sign::COUNT],
+    /// By [`HealthCheck`].
+    checks: [CheckState; HealthCheck::COUNT],
     addresses: Vec<Address>,
-    /// When the readings are judged next.
-    judge_at: f64,
+    /// When the next reading is due.
+    next_check: f64,
     drain: Option<Drain>,
-    notes: VecDeque<Note>,
+    events: VecDeque<AddressEvent>,
+    /// Moves of addresses.
     pub changes: u64,
-    /// Moves that the guard, the damping or the cap held back, each counted once.
+    /// Moves that the guard of the last announcer held back, each counted once.
     pub guarded: u64,
+    /// Moves that damping held back, each counted once.
     pub damped: u64,
+    /// Moves that the cap on changes held back, each counted once.
     pub capped: u64,
 }
 
 impl Announcer {
-    pub fn new(terms: Terms, seed: u64, now: f64) -> Announcer {
-        let addresses = terms.addresses.iter().map(|net| Address::new(*net, now)).collect();
+    /// Decides for the addresses of this configuration, all withdrawn at first. Jitter is drawn from `seed`.
+    pub fn new(config: AnnouncerConfig, seed: u64, now: f64) -> Announcer {
+        let addresses = config.addresses.iter().map(|prefix| Address::new(*prefix, now)).collect();
         Announcer {
-            signs: [Judged::new(now); Sign::COUNT],
+            checks: [CheckState::new(now); HealthCheck::COUNT],
             addresses,
-            terms,
+            config,
             seed,
             random_draws: 0,
-            judge_at: now,
+            next_check: now,
             drain: None,
-            notes: VecDeque::new(),
+            events: VecDeque::new(),
             changes: 0,
             guarded: 0,
             damped: 0,
@@ -137,27 +160,30 @@
         }
     }
 
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    /// The configuration in force.
+    pub fn config(&self) -> &AnnouncerConfig {
+        &self.config
     }
 
-    /// New terms while running: addresses that stay keep their state, new ones start. After a drain began nothing can
+    /// Another configuration while running: addresses that stay keep their state, new ones start. After a drain began nothing can
     /// bring one back: there is no address left to announce.
-    pub fn change(&mut self, terms: Terms, now: f64) {
+    pub fn reconfigure(&mut self, config: AnnouncerConfig, now: f64) {
         let known = std::mem::take(&mut self.addresses);
-        for net in &terms.addresses {
-            let address = match known.iter().find(|address| address.net == *net) {
+        for prefix in &config.addresses {
+            let address = match known.iter().find(|address| address.prefix == *prefix) {
                 Some(address) => address.clone(),
-                None if self.drain.is_some() => Address { why: Why::Drained, ..Address::new(*net, now) },
-                None => Address::new(*net, now),
+                None if self.drain.is_some() => {
+                    Address { reason: Reason::Drained, ..Address::new(*prefix, now) }
+                }
+                None => Address::new(*prefix, now),
             };
             self.addresses.push(address);
         }
         if let Some(drain) = &mut self.drain {
-            drain.shorten(terms.shutdown_lead);
+            drain.shorten(config.shutdown_lead);
         }
-        self.terms = terms;
-        self.judge_at = now;
+        self.config = config;
+        self.next_check = now;
     }
 
     /// When [`Announcer::turn`] is to be called at the latest.
@@ -167,18 +193,18 @@
                 drain.withdraws_at
             }
             Some(_) => f64::INFINITY,
-            None => self.judge_at,
+            None => self.next_check,
         }
     }
 
-    /// Judges the readings if it is time, and moves what may move. Tells whether anything did.
+    /// Runs the checks if a reading is due, and moves what may move. Tells whether anything did.
     pub fn turn(&mut self, now: f64, readings: &Readings, paths: &Paths) -> bool {
         let before = self.changes;
         if self.drain.is_some() {
             self.end_lead(now);
-        } else if now >= self.judge_at {
-            self.judge_at = now + self.terms.every;
-            self.judge(now, readings);
+        } else if now >= self.next_check {
+            self.next_check = now + self.config.check_interval;
+            self.run_checks(now, readings);
             for index in 0..self.addresses.len() {
                 self.consider(index, now, paths);
             }
@@ -186,11 +212,11 @@
         self.changes > before
     }
 
-    fn judge(&mut self, now: f64, readings: &Readings) {
-        for sign in Sign::ALL {
-            let terms = &self.terms.signs[sign as usize];
-            if let Some(good) = readings.good(sign, terms) {
-                self.signs[sign as usize].saw(good, now, terms);
+    fn run_checks(&mut self, now: f64, readings: &Readings) {
+        for check in HealthCheck::ALL {
+            let config = &self.config.checks[check as usize];
+            if let Some(passes) = readings.passes(check, config) {
+                self.checks[check as usize].update(passes, now, config);
             }
         }
     }
@@ -206,41 +232,51 @@
     /// Moves an address.
     fn set(&mut self, index: usize, standing: Standing, now: f64, others: PathCounts) {
         let address = &mut self.addresses[index];
-        (address.level, address.why, address.since) = (standing.level, standing.why, now);
+        (address.level, address.reason, address.since) = (standing.level, standing.reason, now);
         address.started |= standing.level > Level::Withdrawn;
-        (address.pending, address.waits) = (None, None);
+        (address.pending, address.held_back_by) = (None, None);
         address.changes.push_back(now);
         if address.changes.len() > MAX_CHANGES {
             address.changes.pop_front();
         }
         self.changes += 1;
-        self.note(index, others, None);
+        self.report(index, others, None);
     }
 
-    fn note(&mut self, index: usize, others: PathCounts, waits: Option<&'static str>) {
+    fn report(&mut self, index: usize, others: PathCounts, held_back_by: Option<HeldBackBy>) {
         let address = &mut self.addresses[index];
-        address.waits = waits.or(address.waits);
-        if self.notes.len() < MAX_NOTES {
-            let Address { net, level, why, .. } = *address;
-            let PathCounts { sound, seen } = others;
-            self.notes.push_back(Note { net, level, why, sound, seen, waits });
+        address.held_back_by = held_back_by.or(address.held_back_by);
+        if self.events.len() < MAX_EVENTS {
+            self.events.push_back(AddressEvent {
+                prefix: address.prefix,
+                level: address.level,
+                reason: address.reason,
+                healthy_paths: others.healthy,
+                total_paths: others.total,
+                held_back_by,
+            });
         }
     }
 
-    pub fn noted(&mut self) -> Option<Note> {
-        self.notes.pop_front()
+    /// The next event for the log.
+    pub fn next_event(&mut self) -> Option<AddressEvent> {
+        self.events.pop_front()
     }
 
-    /// How each address stands, why, since when, and what a move waits for.
-    pub fn stands(&self) -> impl Iterator<Item = (IpNet, Level, Why, f64, Option<&'static str>)> + '_ {
-        let stands =
-            |address: &Address| (address.net, address.level, address.why, address.since, address.waits);
-        self.addresses.iter().map(stands)
+    /// How each address stands, in the order of the configuration.
+    pub fn statuses(&self) -> impl Iterator<Item = AddressStatus> + '_ {
+        self.addresses.iter().map(|address| AddressStatus {
+            prefix: address.prefix,
+            level: address.level,
+            reason: address.reason,
+            since: address.since,
+            held_back_by: address.held_back_by,
+        })
     }
 
-    /// Signs that are bad now.
-    pub fn bad(&self) -> impl Iterator<Item = Sign> + '_ {
-        Sign::ALL.into_iter().filter(|sign| !self.signs[*sign as usize].good)
+    /// The checks that fail now.
+    pub fn failing_checks(&self) -> impl Iterator<Item = HealthCheck> + '_ {
+        HealthCheck::ALL.into_iter().filter(|check| !self.checks[*check as usize].passing)
     }
 }
 
--- a/crates/announce/src/announcer/moves.rs
+++ b/crates/announce/src/announcer/moves.rs
@@ -1,18 +1,18 @@
 //! When an address may go where it ought to stand: the cap on changes, the jitter, and the penalty of a fall.
 
 use super::{Announcer, PendingMove, Standing, MINUTE};
-use crate::level::{Level, Why};
+use crate::health::Effect;
+use crate::level::{HeldBackBy, Level, Reason};
 use crate::paths::{PathCounts, Paths};
-use crate::signs::Effect;
 
 impl Announcer {
     /// Moves the address to where it ought to stand, unless something stands in the way.
     pub(super) fn consider(&mut self, index: usize, now: f64, paths: &Paths) {
-        let others = paths.counts(&self.addresses[index].net);
-        self.observe(index, now, others, paths.view);
+        let others = paths.counts(&self.addresses[index].prefix);
+        self.observe(index, now, others, paths.has_view);
         let aim = self.damp(index, self.aim(index, now, paths));
         if aim.level == self.addresses[index].level {
-            return self.stay(index, aim.why, others);
+            return self.stay(index, aim.reason, others);
         }
         self.forget_old_changes(index, now);
         if self.is_capped(index, aim) {
@@ -20,43 +20,44 @@
         }
         let due = self.move_due(index, aim, now);
         if now < due {
-            self.judge_at = self.judge_at.min(due);
+            self.next_check = self.next_check.min(due);
             return;
         }
         let down = aim.level < self.addresses[index].level;
-        if down && matches!(aim.why, Why::Sick(_) | Why::Weak(_) | Why::NobodyElse(_)) {
-            self.addresses[index].penalty.add(now, &self.terms.damping);
+        if down && matches!(aim.reason, Reason::Unhealthy(_) | Reason::Degraded(_) | Reason::NoAlternative(_))
+        {
+            self.addresses[index].penalty.add(now, &self.config.damping);
         }
-        self.damped += u64::from(aim.why == Why::Damped);
+        self.damped += u64::from(aim.reason == Reason::Damped);
         self.set(index, aim, now, others);
     }
 
     /// Keeps the times that decisions depend on.
-    fn observe(&mut self, index: usize, now: f64, others: PathCounts, view: bool) {
-        let sick = self.first_bad(Effect::Withdraw).is_some();
+    fn observe(&mut self, index: usize, now: f64, others: PathCounts, has_view: bool) {
+        let unhealthy = self.first_failing(Effect::Withdraw).is_some();
         let address = &mut self.addresses[index];
-        address.well_since = if sick { None } else { address.well_since.or(Some(now)) };
-        let alone = others.seen == 0 && view;
+        address.healthy_since = if unhealthy { None } else { address.healthy_since.or(Some(now)) };
+        let alone = others.total == 0 && has_view;
         address.alone_since = if alone { address.alone_since.or(Some(now)) } else { None };
-        address.penalty.fade(now, &self.terms.damping);
+        address.penalty.fade(now, &self.config.damping);
     }
 
     /// The level stands; what has held a move back is told where that is new.
-    fn stay(&mut self, index: usize, why: Why, others: PathCounts) {
+    fn stay(&mut self, index: usize, reason: Reason, others: PathCounts) {
         let address = &mut self.addresses[index];
         address.pending = None;
-        if why == address.why {
+        if reason == address.reason {
             return;
         }
-        address.why = why;
-        match why {
-            Why::NobodyElse(_) => {
+        address.reason = reason;
+        match reason {
+            Reason::NoAlternative(_) => {
                 self.guarded += 1;
-                self.note(index, others, Some("the guard of the last announcer"));
+                self.report(index, others, Some(HeldBackBy::Guard));
             }
-            Why::Damped => {
+            Reason::Damped => {
                 self.damped += 1;
-                self.note(index, others, Some("damping"));
+                self.report(index, others, Some(HeldBackBy::Damping));
             }
             _ => {}
         }
@@ -74,10 +75,10 @@
     fn is_capped(&self, index: usize, aim: Standing) -> bool {
         let address = &self.addresses[index];
         let down = aim.level < address.level;
-        let cap = self.terms.most_changes.max(2) as usize;
-        let leaves = aim.level == Level::Withdrawn && self.terms.guard;
-        let most = match aim.why {
-            Why::Sick(sign) if leaves && sign.may_be_shared() => cap.div_ceil(2) - 1,
+        let cap = self.config.max_changes.max(2) as usize;
+        let leaves = aim.level == Level::Withdrawn && self.config.guard;
+        let most = match aim.reason {
+            Reason::Unhealthy(check) if leaves && check.may_be_shared() => cap.div_ceil(2) - 1,
             _ if down => cap,
             _ => cap.div_ceil(2),
         };
@@ -85,10 +86,10 @@
     }
 
     fn hold_under_cap(&mut self, index: usize, others: PathCounts) {
-        const CAP: &str = "the cap on changes";
-        if self.addresses[index].waits != Some(CAP) {
+        let cap = Some(HeldBackBy::ChangeCap);
+        if self.addresses[index].held_back_by != cap {
             self.capped += 1;
-            self.note(index, others, Some(CAP));
+            self.report(index, others, cap);
         }
     }
 
@@ -100,11 +101,12 @@
             return pending.due;
         }
         let down = aim.level < address.level;
-        let own = matches!(aim.why, Why::Sick(sign) if !sign.may_be_shared()) || aim.why == Why::Held;
+        let own = matches!(aim.reason, Reason::Unhealthy(check) if !check.may_be_shared())
+            || aim.reason == Reason::Held;
         let jitter = match (down, own) {
             (true, true) => 0.0,
-            (true, false) => self.terms.jitter_down,
-            (false, _) => self.terms.jitter_up,
+            (true, false) => self.config.jitter_down,
+            (false, _) => self.config.jitter_up,
         };
         let due = now + self.draw(jitter);
         self.addresses[index].pending = Some(PendingMove { level: aim.level, due });
--- a/crates/announce/src/announcer/routes.rs
+++ b/crates/announce/src/announcer/routes.rs
@@ -1,38 +1,38 @@
 //! What peers are told: each address that is out, with the path of its level.
 
 use super::{Address, Announcer};
-use crate::level::{Level, Why};
+use crate::level::{Level, Reason};
 use cleatgw_bgp::{Advertisement, GRACEFUL_SHUTDOWN};
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
 impl Announcer {
-    /// What is to be told to peers.
-    pub fn wanted(&self) -> BTreeMap<IpNet, Advertisement> {
+    /// The routes to announce: each address that is not withdrawn, with what its level carries.
+    pub fn advertisements(&self) -> BTreeMap<IpNet, Advertisement> {
         let out = self.addresses.iter().filter(|address| address.level > Level::Withdrawn);
-        out.map(|address| (address.net, self.path(address))).collect()
+        out.map(|address| (address.prefix, self.advertisement(address))).collect()
     }
 
-    fn path(&self, address: &Address) -> Advertisement {
-        let dear = match address.level {
-            Level::Announced | Level::Withdrawn => &self.terms.announced,
-            Level::Depreferred => &self.terms.depreferred,
-            Level::LastResort => &self.terms.last_resort,
+    fn advertisement(&self, address: &Address) -> Advertisement {
+        let preference = match address.level {
+            Level::Announced | Level::Withdrawn => &self.config.announced,
+            Level::Depreferred => &self.config.depreferred,
+            Level::LastResort => &self.config.last_resort,
         };
-        let draining = address.why == Why::Draining;
-        let mut communities = dear.communities.clone();
+        let draining = address.reason == Reason::Draining;
+        let mut communities = preference.communities.clone();
         communities.extend(draining.then_some(GRACEFUL_SHUTDOWN));
         communities.sort_unstable();
         communities.dedup();
         // RFC 8326 section 4.2: within one AS the preference goes to zero.
-        let local_pref = if draining { Some(0) } else { dear.local_pref };
-        let sound = address.level > Level::LastResort && !draining;
+        let local_pref = if draining { Some(0) } else { preference.local_pref };
+        let healthy = address.level > Level::LastResort && !draining;
         Advertisement {
-            med: dear.med,
-            prepend: dear.prepend,
+            med: preference.med,
+            prepend: preference.prepend,
             local_pref,
             communities,
-            large_communities: vec![self.terms.mark.write(sound)],
+            large_communities: vec![self.config.mark.large_community(healthy)],
         }
     }
 }
--- a/crates/announce/src/announcer/tests.rs
+++ b/crates/announce/src/announcer/tests.rs
@@ -1,9 +1,9 @@
 //! One instance in virtual time, one story for each trouble.
 
 use super::*;
+use crate::config::{Hold, PathPreference};
+use crate::health::{Effect, HealthCheckConfig};
 use crate::paths::{Mark, Paths};
-use crate::signs::{Effect, SignTerms};
-use crate::terms::{Dear, Hold};
 use crate::Damping;
 use cleatgw_bgp::{LearnedRoute, GRACEFUL_SHUTDOWN};
 
@@ -11,42 +11,47 @@
     "198.51.100.7/32".parse().unwrap()
 }
 
-fn sign(effect: Effect, bound: f64) -> SignTerms {
-    SignTerms { effect, bound, rise: 2, fall: 2, least_good: 0.0, least_bad: 1.0 }
+fn sign(effect: Effect, bound: f64) -> HealthCheckConfig {
+    HealthCheckConfig { effect, threshold: bound, rise: 2, fall: 2, min_good_time: 0.0, min_bad_time: 1.0 }
 }
 
-pub fn terms() -> Terms {
-    Terms {
+pub fn terms() -> AnnouncerConfig {
+    AnnouncerConfig {
         addresses: vec![net()],
-        mark: Mark { asn: 64_512, sound: 1, last_resort: 2, instance: 1 },
-        signs: [
+        mark: Mark { asn: 64_512, healthy: 1, last_resort: 2, instance: 1 },
+        checks: [
             sign(Effect::Withdraw, 0.0),
             sign(Effect::Withdraw, 0.0),
             sign(Effect::Withdraw, 5.0),
             sign(Effect::Withdraw, 1.0),
             sign(Effect::Deprefer, 0.5),
         ],
-        announced: Dear::default(),
-        depreferred: Dear { med: Some(200), prepend: 1, ..Dear::default() },
-        last_resort: Dear { med: Some(400), prepend: 3, ..Dear::default() },
-        every: 0.25,
-        start_after: 1.0,
-        return_after: 2.0,
-        stage: 3.0,
+        announced: PathPreference::default(),
+        depreferred: PathPreference { med: Some(200), prepend: 1, ..PathPreference::default() },
+        last_resort: PathPreference { med: Some(400), prepend: 3, ..PathPreference::default() },
+        check_interval: 0.25,
+        start_delay: 1.0,
+        return_delay: 2.0,
+        depreferred_time: 3.0,
         jitter_down: 0.5,
         jitter_up: 0.5,
         guard: true,
-        settle: 2.0,
+        settle_time: 2.0,
         damping: Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 300.0 },
-        most_changes: 12,
+        max_changes: 12,
         shutdown_lead: 0.0,
         hold: None,
     }
 }
 
-const WELL: Readings =
-    Readings { listening: true, failed_ago: None, board_silent: Some(0.1), engines: 3, in_time: Some(0.99) };
-const NO_ENGINES: Readings = Readings { engines: 0, ..WELL };
+const WELL: Readings = Readings {
+    listening: true,
+    since_failure: None,
+    discovery_silence: Some(0.1),
+    usable_engines: 3,
+    in_time_share: Some(0.99),
+};
+const NO_ENGINES: Readings = Readings { usable_engines: 0, ..WELL };
 
 /// An announcer with what it reads and sees.
 struct World {
@@ -61,7 +66,7 @@
 fn others(marks: &[(u32, bool)]) -> Paths {
     let mut paths = Paths::new(true);
     for &(instance, sound) in marks {
-        let large = vec![Mark { instance, ..terms().mark }.write(sound)];
+        let large = vec![Mark { instance, ..terms().mark }.large_community(sound)];
         let seen = LearnedRoute {
             communities: Vec::new(),
             large_communities: large,
@@ -75,13 +80,13 @@
 }
 
 impl World {
-    fn new(terms: Terms) -> World {
+    fn new(terms: AnnouncerConfig) -> World {
         let paths = others(&[(2, true)]);
         World { announcer: Announcer::new(terms, 3, 0.0), now: 0.0, readings: WELL, paths, moved: Vec::new() }
     }
 
     /// One that has been announced for a while.
-    fn announced(terms: Terms) -> World {
+    fn announced(terms: AnnouncerConfig) -> World {
         let mut world = World::new(terms);
         world.run(10.0);
         assert_eq!(world.level(), Level::Announced);
@@ -90,11 +95,11 @@
     }
 
     fn level(&self) -> Level {
-        self.announcer.stands().next().unwrap().1
+        self.announcer.statuses().next().unwrap().level
     }
 
-    fn why(&self) -> Why {
-        self.announcer.stands().next().unwrap().2
+    fn why(&self) -> Reason {
+        self.announcer.statuses().next().unwrap().reason
     }
 
     fn turn(&mut self) {
@@ -119,15 +124,15 @@
     let mut world = World::new(terms());
     world.run(0.9);
     assert_eq!(
-        (world.level(), world.why(), world.announcer.wanted().len()),
-        (Level::Withdrawn, Why::Starting, 0)
+        (world.level(), world.why(), world.announcer.advertisements().len()),
+        (Level::Withdrawn, Reason::Starting, 0)
     );
     world.run(1.0);
-    assert_eq!((world.level(), world.why()), (Level::Depreferred, Why::Returning));
-    assert_eq!(world.announcer.wanted()[&net()].med, Some(200));
+    assert_eq!((world.level(), world.why()), (Level::Depreferred, Reason::Returning));
+    assert_eq!(world.announcer.advertisements()[&net()].med, Some(200));
     world.run(5.0);
     assert_eq!((world.level(), world.moved.len()), (Level::Announced, 2));
-    assert_eq!(world.announcer.wanted()[&net()].large_communities, [[64_512, 1, 1]]);
+    assert_eq!(world.announcer.advertisements()[&net()].large_communities, [[64_512, 1, 1]]);
 }
 
 #[test]
@@ -148,7 +153,7 @@
     world.readings = NO_ENGINES;
     world.run(1.4);
     assert_eq!(world.level(), Level::LastResort);
-    let shown = world.announcer.wanted()[&net()].clone();
+    let shown = world.announcer.advertisements()[&net()].clone();
     assert_eq!(
         (shown.med, shown.prepend, &shown.large_communities[..]),
         (Some(400), 3, &[[64_512, 2, 1]][..])
@@ -156,7 +161,7 @@
     world.run(1.0);
     assert_eq!(world.level(), Level::LastResort, "not before the settling time");
     world.run(3.0);
-    assert_eq!((world.level(), world.why()), (Level::Withdrawn, Why::Sick(Sign::Engines)));
+    assert_eq!((world.level(), world.why()), (Level::Withdrawn, Reason::Unhealthy(HealthCheck::Engines)));
 }
 
 /// Hard case: all engines are gone at all instances. The last path stays, and the instance says so.
@@ -166,24 +171,27 @@
         let mut world = World::announced(terms());
         (world.readings, world.paths) = (NO_ENGINES, paths);
         world.run(100.0);
-        assert_eq!((world.level(), world.why()), (Level::LastResort, Why::NobodyElse(Sign::Engines)));
+        assert_eq!(
+            (world.level(), world.why()),
+            (Level::LastResort, Reason::NoAlternative(HealthCheck::Engines))
+        );
         assert_eq!((world.announcer.guarded, world.moved.len()), (1, 1));
-        let mut notes = std::iter::from_fn(|| world.announcer.noted());
-        assert!(notes.any(|note| note.waits == Some("the guard of the last announcer")));
+        let mut notes = std::iter::from_fn(|| world.announcer.next_event());
+        assert!(notes.any(|note| note.held_back_by == Some(HeldBackBy::Guard)));
         // Well again: announced, without a dark moment.
         world.readings = WELL;
         world.run(5.0);
         assert_eq!((world.level(), world.moved.len()), (Level::Announced, 2));
     }
     // Without the guard it goes dark; and what only one can suffer from is no reason to stay.
-    let mut world = World::announced(Terms { guard: false, ..terms() });
+    let mut world = World::announced(AnnouncerConfig { guard: false, ..terms() });
     (world.readings, world.paths) = (NO_ENGINES, others(&[]));
     world.run(5.0);
     assert_eq!(world.level(), Level::Withdrawn);
     let mut world = World::announced(terms());
     (world.readings, world.paths) = (Readings { listening: false, ..WELL }, others(&[]));
     world.run(1.0);
-    assert_eq!((world.level(), world.why()), (Level::Withdrawn, Why::Sick(Sign::Listening)));
+    assert_eq!((world.level(), world.why()), (Level::Withdrawn, Reason::Unhealthy(HealthCheck::Listening)));
 }
 
 #[test]
@@ -208,7 +216,10 @@
     // It dies.
     world.paths = others(&[]);
     world.run(4.0);
-    assert_eq!((world.level(), world.why()), (Level::LastResort, Why::NobodyElse(Sign::Engines)));
+    assert_eq!(
+        (world.level(), world.why()),
+        (Level::LastResort, Reason::NoAlternative(HealthCheck::Engines))
+    );
     // An instance that is well does not wait for its return where nobody is left.
     let mut world = World::announced(terms());
     world.readings = NO_ENGINES;
@@ -221,14 +232,14 @@
 #[test]
 fn a_weak_instance_is_depreferred_and_no_more() {
     let mut world = World::announced(terms());
-    world.readings.in_time = Some(0.2);
+    world.readings.in_time_share = Some(0.2);
     world.run(60.0);
-    assert_eq!((world.level(), world.why()), (Level::Depreferred, Why::Weak(Sign::InTime)));
+    assert_eq!((world.level(), world.why()), (Level::Depreferred, Reason::Degraded(HealthCheck::InTime)));
     // Too few jobs to tell: what was believed stands.
-    world.readings.in_time = None;
+    world.readings.in_time_share = None;
     world.run(60.0);
     assert_eq!(world.level(), Level::Depreferred);
-    world.readings.in_time = Some(0.9);
+    world.readings.in_time_share = Some(0.9);
     world.run(5.0);
     assert_eq!(world.level(), Level::Announced);
 }
@@ -236,7 +247,7 @@
 /// Hard case: sickness that comes and goes at the damping limit.
 #[test]
 fn a_sickness_that_comes_and_goes_ends_damped_and_under_the_cap() {
-    let illness = |terms: Terms| {
+    let illness = |terms: AnnouncerConfig| {
         let mut world = World::announced(terms);
         for _ in 0..60 {
             world.readings = NO_ENGINES;
@@ -250,7 +261,7 @@
         (world.moved.len(), most, world.announcer.damped, world.announcer.capped, world)
     };
     let never = Damping { suppress: f64::INFINITY, ..terms().damping };
-    let (wild, ..) = illness(Terms { damping: never, most_changes: 1000, ..terms() });
+    let (wild, ..) = illness(AnnouncerConfig { damping: never, max_changes: 1000, ..terms() });
     let (damped, most, held, _, mut world) = illness(terms());
     assert!(wild > 150 && damped < wild / 2 && held > 0 && most <= 12, "{wild} {damped} {held} {most}");
     // It comes back once it has been well for long enough, and no later than the longest time.
@@ -258,28 +269,30 @@
     world.run(310.0);
     assert_eq!(world.level(), Level::Announced);
     // The cap alone.
-    let (_, most, _, capped, _) = illness(Terms { damping: never, most_changes: 4, ..terms() });
+    let (_, most, _, capped, _) = illness(AnnouncerConfig { damping: never, max_changes: 4, ..terms() });
     assert!(most <= 4 && capped > 0, "{most} {capped}");
     // While damped it is out as a last resort: neither dark nor preferred.
-    let mut world = World::announced(Terms { most_changes: 40, ..terms() });
+    let mut world = World::announced(AnnouncerConfig { max_changes: 40, ..terms() });
     for _ in 0..4 {
         world.readings = NO_ENGINES;
         world.run(8.0);
         world.readings = WELL;
         world.run(8.0);
     }
-    assert_eq!((world.level(), world.why()), (Level::LastResort, Why::Damped));
+    assert_eq!((world.level(), world.why()), (Level::LastResort, Reason::Damped));
     world.readings = NO_ENGINES;
     world.run(30.0);
-    assert_eq!((world.level(), world.why()), (Level::LastResort, Why::Damped));
+    assert_eq!((world.level(), world.why()), (Level::LastResort, Reason::Damped));
     // Under a cap that leaves no room to come back it is not withdrawn either: others have the same cap.
-    let mut world = World::announced(Terms { most_changes: 4, ..terms() });
+    let mut world = World::announced(AnnouncerConfig { max_changes: 4, ..terms() });
     world.readings = NO_ENGINES;
     world.run(30.0);
     assert_eq!((world.level(), world.announcer.capped), (Level::LastResort, 1));
     // Just under the limit of the damping: never held back.
-    let mut world =
-        World::announced(Terms { damping: Damping { half_life: 30.0, ..terms().damping }, ..terms() });
+    let mut world = World::announced(AnnouncerConfig {
+        damping: Damping { half_life: 30.0, ..terms().damping },
+        ..terms()
+    });
     for _ in 0..20 {
         world.readings = NO_ENGINES;
         world.run(8.0);
@@ -308,12 +321,12 @@
 #[test]
 fn a_drain_withdraws_for_good_whatever_is_read_seen_or_settled_afterwards() {
     for lead in [0.0, 0.4] {
-        let mut world = World::announced(Terms { shutdown_lead: lead, ..terms() });
+        let mut world = World::announced(AnnouncerConfig { shutdown_lead: lead, ..terms() });
         world.paths = others(&[]);
         let drain = world.announcer.drain(world.now, 0.9);
         assert_eq!((drain.withdraws_at, drain.new_work_ends), (world.now + lead, world.now + 0.9));
         if lead > 0.0 {
-            let wanted = world.announcer.wanted();
+            let wanted = world.announcer.advertisements();
             assert_eq!(
                 (&wanted[&net()].communities[..], wanted[&net()].local_pref),
                 (&[GRACEFUL_SHUTDOWN][..], Some(0))
@@ -326,37 +339,37 @@
         }
         assert_eq!(
             (world.level(), world.why(), world.announcer.due()),
-            (Level::Withdrawn, Why::Drained, f64::INFINITY)
+            (Level::Withdrawn, Reason::Drained, f64::INFINITY)
         );
         // Hard case: a reload while draining, with another address and a longer lead.
         let other = "198.51.100.8/32".parse().unwrap();
-        let new = Terms { addresses: vec![net(), other], shutdown_lead: 0.8, ..terms() };
-        world.announcer.change(new, world.now);
+        let new = AnnouncerConfig { addresses: vec![net(), other], shutdown_lead: 0.8, ..terms() };
+        world.announcer.reconfigure(new, world.now);
         world.run(100.0);
-        assert!(world.announcer.wanted().is_empty());
+        assert!(world.announcer.advertisements().is_empty());
         assert_eq!(
             world.announcer.drain(world.now, 0.9),
             Drain { withdraws_at: drain.began + lead, ..drain }
         );
     }
     // One that never was announced is not announced by its drain.
-    let mut world = World::new(Terms { shutdown_lead: 0.4, ..terms() });
+    let mut world = World::new(AnnouncerConfig { shutdown_lead: 0.4, ..terms() });
     world.announcer.drain(0.0, 0.9);
-    assert!(world.announcer.wanted().is_empty());
+    assert!(world.announcer.advertisements().is_empty());
 }
 
 #[test]
 fn a_reload_keeps_what_stays_and_starts_what_is_new() {
     let mut world = World::announced(terms());
     let other = "198.51.100.8/32".parse().unwrap();
-    world.announcer.change(Terms { addresses: vec![other, net()], ..terms() }, world.now);
-    let levels: Vec<Level> = world.announcer.stands().map(|stand| stand.1).collect();
+    world.announcer.reconfigure(AnnouncerConfig { addresses: vec![other, net()], ..terms() }, world.now);
+    let levels: Vec<Level> = world.announcer.statuses().map(|status| status.level).collect();
     assert_eq!(levels, [Level::Withdrawn, Level::Announced]);
-    world.announcer.change(Terms { addresses: vec![other], ..terms() }, world.now);
-    assert!(world.announcer.wanted().is_empty());
+    world.announcer.reconfigure(AnnouncerConfig { addresses: vec![other], ..terms() }, world.now);
+    assert!(world.announcer.advertisements().is_empty());
     world.run(10.0);
-    assert_eq!(world.announcer.wanted().len(), 1);
-    world.announcer.change(Terms { hold: Some(Hold::Withdrawn), ..terms() }, world.now);
+    assert_eq!(world.announcer.advertisements().len(), 1);
+    world.announcer.reconfigure(AnnouncerConfig { hold: Some(Hold::Withdrawn), ..terms() }, world.now);
     world.run(20.0);
-    assert!(world.announcer.wanted().is_empty());
+    assert!(world.announcer.advertisements().is_empty());
 }
--- a/crates/announce/src/damping.rs
+++ b/crates/announce/src/damping.rs
@@ -1,14 +1,16 @@
 //! Damping after RFC 2439, turned on ourselves: each fall of an address adds to a penalty that halves with time; above
 //! one bound it may not rise again until the penalty is under another one.
 
-/// Penalties are in units of one fall. Times are seconds.
+/// The parameters of damping. Penalties are in units of one fall. Times are seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damping {
+    /// Seconds in which a penalty halves.
     pub half_life: f64,
-    /// More than `reuse`.
+    /// The penalty from which a return is held back; more than `reuse`.
     pub suppress: f64,
+    /// The penalty under which a return is free again.
     pub reuse: f64,
-    /// The longest that a return is held back.
+    /// Seconds that a return is held back at the longest.
     pub longest: f64,
 }
 
--- a/crates/announce/src/level.rs
+++ b/crates/announce/src/level.rs
@@ -1,56 +1,66 @@
-//! The levels that an address stands on, and the reasons for each.
+//! The levels at which an address is announced, and the reasons for each.
 
-use crate::signs::Sign;
+use crate::health::HealthCheck;
 use std::fmt;
 
-/// How an address stands.
+/// How an address is announced, worst first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Level {
+    /// Not at all.
     Withdrawn,
+    /// By an unhealthy instance that says so, as no healthy path is seen.
     LastResort,
+    /// Others are to be preferred.
     Depreferred,
+    /// As usual.
     Announced,
 }
 
-/// Why it stands so.
+/// Why an address is at its level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
-    /// Not yet ready since the start.
+pub enum Reason {
+    /// Not ready since the start.
     Starting,
-    Well,
-    /// Back, but not for long.
+    /// All checks pass.
+    Healthy,
+    /// All checks pass again, but not for long.
     Returning,
-    Sick(Sign),
-    Weak(Sign),
-    /// Sick, and no sound path of another instance is seen.
-    NobodyElse(Sign),
-    /// Its penalty has to fade: neither preferred nor withdrawn meanwhile.
+    /// This check fails, and withdraws.
+    Unhealthy(HealthCheck),
+    /// This check fails, and makes it depreferred.
+    Degraded(HealthCheck),
+    /// This check fails, and no healthy path of another instance is seen.
+    NoAlternative(HealthCheck),
+    /// The penalty of damping has to decay first: neither preferred nor withdrawn meanwhile.
     Damped,
+    /// The operator holds it there.
     Held,
+    /// A drain is in its lead.
     Draining,
+    /// A drain has withdrawn it.
     Drained,
 }
 
-impl fmt::Display for Why {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+impl fmt::Display for Reason {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Why::Starting => write!(to, "starting"),
-            Why::Well => write!(to, "well"),
-            Why::Returning => write!(to, "returning"),
-            Why::Sick(sign) => write!(to, "sick: {sign}"),
-            Why::Weak(sign) => write!(to, "weak: {sign}"),
-            Why::NobodyElse(sign) => write!(to, "sick: {sign}, but no sound path is seen"),
-            Why::Damped => write!(to, "damped"),
-            Why::Held => write!(to, "held by the operator"),
-            Why::Draining => write!(to, "draining"),
-            Why::Drained => write!(to, "drained"),
+            Reason::Starting => write!(formatter, "starting"),
+            Reason::Healthy => write!(formatter, "well"),
+            Reason::Returning => write!(formatter, "returning"),
+            Reason::Unhealthy(check) => write!(formatter, "sick: {check}"),
+            Reason::Degraded(check) => write!(formatter, "weak: {check}"),
+            Reason::NoAlternative(check) => write!(formatter, "sick: {check}, but no sound path is seen"),
+            Reason::Damped => write!(formatter, "damped"),
+            Reason::Held => write!(formatter, "held by the operator"),
+            Reason::Draining => write!(formatter, "draining"),
+            Reason::Drained => write!(formatter, "drained"),
         }
     }
 }
 
 impl fmt::Display for Level {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
             Level::Withdrawn => "withdrawn",
             Level::LastResort => "last resort",
             Level::Depreferred => "depreferred",
@@ -58,3 +68,24 @@
         })
     }
 }
+
+/// What holds a move back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HeldBackBy {
+    /// The guard of the last announcer: no healthy path of another instance is seen.
+    Guard,
+    /// Route flap damping.
+    Damping,
+    /// The cap on changes in a minute.
+    ChangeCap,
+}
+
+impl fmt::Display for HeldBackBy {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            HeldBackBy::Guard => "the guard of the last announcer",
+            HeldBackBy::Damping => "damping",
+            HeldBackBy::ChangeCap => "the cap on changes",
+        })
+    }
+}
--- a/crates/announce/src/lib.rs
+++ b/crates/announce/src/lib.rs
@@ -12,19 +12,19 @@
 //! goes after the last: a contradiction. So a sickness that all share never takes the last path away, without a word
 //! between them. `tests/model.rs` checks this against the code.
 //!
-//! [`Terms`] is the configuration, [`Announcer`] the decisions; `signs` judges the readings of health, `paths` counts
+//! [`AnnouncerConfig`] is the configuration, [`Announcer`] the decisions; `signs` judges the readings of health, `paths` counts
 //! what others announce, `damping` slows an address that falls often. Times are seconds on the host's clock.
 
 mod announcer;
+mod config;
 mod damping;
+mod health;
 mod level;
 mod paths;
-mod signs;
-mod terms;
 
-pub use announcer::{Announcer, Drain, Note, MINUTE};
+pub use announcer::{AddressEvent, AddressStatus, Announcer, Drain, MINUTE};
+pub use config::{AnnouncerConfig, Hold, PathPreference};
 pub use damping::Damping;
-pub use level::{Level, Why};
+pub use health::{Effect, HealthCheck, HealthCheckConfig, InTimeShare, Readings};
+pub use level::{HeldBackBy, Level, Reason};
 pub use paths::{Mark, Paths};
-pub use signs::{Effect, Readings, Recent, Sign, SignTerms};
-pub use terms::{Dear, Hold, Terms};
--- a/crates/announce/src/paths/tests.rs
+++ b/crates/announce/src/paths/tests.rs
@@ -14,14 +14,14 @@
 
 #[test]
 fn our_own_path_shown_back_is_nobody_and_the_sick_are_no_sound_ones() {
-    let mark = Mark { asn: 64_512, sound: 1, last_resort: 2, instance: 7 };
+    let mark = Mark { asn: 64_512, healthy: 1, last_resort: 2, instance: 7 };
     let net = "198.51.100.7/32".parse().unwrap();
     let count = |paths: &[LearnedRoute]| {
         let mut all = Paths::default();
         paths.iter().for_each(|path| all.add(&mark, net, path));
-        (all.sound(&net), all.seen(&net))
+        (all.healthy(&net), all.total(&net))
     };
-    assert_eq!(count(&[seen(&[mark.write(true)], &[], false)]), (0, 0));
+    assert_eq!(count(&[seen(&[mark.large_community(true)], &[], false)]), (0, 0));
     assert_eq!(count(&[seen(&[[64_512, 1, 8]], &[], false)]), (1, 1));
     // The same instance by two peers is one.
     assert_eq!(count(&[seen(&[[64_512, 1, 8]], &[], false), seen(&[[64_512, 1, 8]], &[], false)]), (1, 1));
--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -15,28 +15,35 @@
     "198.51.100.7/32".parse().unwrap()
 }
 
-fn terms(instance: u32, settle: f64, guard: bool) -> Terms {
-    let sign = |effect| SignTerms { effect, bound: 1.0, rise: 1, fall: 1, least_good: 0.0, least_bad: 0.0 };
-    let dear = |med| Dear { med: Some(med), ..Dear::default() };
-    Terms {
+fn terms(instance: u32, settle_time: f64, guard: bool) -> AnnouncerConfig {
+    let sign = |effect| HealthCheckConfig {
+        effect,
+        threshold: 1.0,
+        rise: 1,
+        fall: 1,
+        min_good_time: 0.0,
+        min_bad_time: 0.0,
+    };
+    let dear = |med| PathPreference { med: Some(med), ..PathPreference::default() };
+    AnnouncerConfig {
         addresses: vec![net()],
-        mark: Mark { asn: 64_512, sound: 1, last_resort: 2, instance },
-        signs: [Effect::Withdraw, Effect::Withdraw, Effect::Ignore, Effect::Withdraw, Effect::Deprefer]
+        mark: Mark { asn: 64_512, healthy: 1, last_resort: 2, instance },
+        checks: [Effect::Withdraw, Effect::Withdraw, Effect::Ignore, Effect::Withdraw, Effect::Deprefer]
             .map(sign),
         announced: dear(0),
         depreferred: dear(200),
         last_resort: dear(400),
-        every: TICK,
-        start_after: 0.0,
-        return_after: 0.0,
-        stage: 0.0,
+        check_interval: TICK,
+        start_delay: 0.0,
+        return_delay: 0.0,
+        depreferred_time: 0.0,
         // The adversary chooses by whose turn it is; a lot would only hide moves from it.
         jitter_down: 0.0,
         jitter_up: 0.0,
         guard,
-        settle,
+        settle_time,
         damping: Damping { half_life: 60.0, suppress: 100.0, reuse: 2.0, longest: 300.0 },
-        most_changes: 10,
+        max_changes: 10,
         shutdown_lead: 0.0,
         hold: None,
     }
@@ -80,15 +87,15 @@
     }
 
     fn level(&self, at: usize) -> Level {
-        self.instances[at].announcer.stands().next().unwrap().1
+        self.instances[at].announcer.statuses().next().unwrap().level
     }
 
     /// What instance `at` is shown now by peers that pass everything on.
     fn shown(&self, at: usize) -> Paths {
-        let mark = self.instances[at].announcer.terms().mark;
+        let mark = self.instances[at].announcer.config().mark;
         let mut paths = Paths::new(true);
         for other in self.instances.iter() {
-            for (net, path) in other.announcer.wanted() {
+            for (net, path) in other.announcer.advertisements() {
                 let Advertisement { communities, large_communities, med, .. } = path;
                 paths.add(
                     &mark,
@@ -112,10 +119,10 @@
             }
             let readings = Readings {
                 listening: true,
-                failed_ago: None,
-                board_silent: None,
-                engines: usize::from(!instance.sick),
-                in_time: None,
+                since_failure: None,
+                discovery_silence: None,
+                usable_engines: usize::from(!instance.sick),
+                in_time_share: None,
             };
             if instance.announcer.turn(self.now, &readings, &instance.paths) {
                 instance.changes.push(self.now);
@@ -135,7 +142,7 @@
 
 struct Fleet {
     instances: usize,
-    settle: f64,
+    settle_time: f64,
     guard: bool,
     drains: bool,
     longest: usize,
@@ -147,7 +154,7 @@
 
     fn init_states(&self) -> Vec<At> {
         let instance = |at: usize| Instance {
-            announcer: Announcer::new(terms(at as u32 + 1, self.settle, self.guard), at as u64, 0.0),
+            announcer: Announcer::new(terms(at as u32 + 1, self.settle_time, self.guard), at as u64, 0.0),
             sick: false,
             paths: Paths::new(true),
             age: 0,
@@ -190,8 +197,9 @@
                 fleet.drains || (0..at.instances.len()).any(|one| at.level(one) > Level::Withdrawn)
             }),
             Property::always("who drains announces nothing", |_, at: &At| {
-                let drained =
-                    |one: &Instance| one.announcer.draining().is_none() || one.announcer.wanted().is_empty();
+                let drained = |one: &Instance| {
+                    one.announcer.draining().is_none() || one.announcer.advertisements().is_empty()
+                };
                 at.instances.iter().all(drained)
             }),
             Property::always("changes stay under the cap", |_, at: &At| {
@@ -230,7 +238,8 @@
 /// Sickness of each alone, of all, in any order, seen with any delay up to the bound.
 #[test]
 fn no_order_of_sickness_and_delay_takes_the_last_path_away() {
-    let fleet = |instances, longest| Fleet { instances, settle: 2.5, guard: true, drains: false, longest };
+    let fleet =
+        |instances, longest| Fleet { instances, settle_time: 2.5, guard: true, drains: false, longest };
     let pair = fleet(2, 10).checker().threads(4).spawn_bfs().join();
     println!("pair: {} states, {} different", pair.state_count(), pair.unique_state_count());
     assert!(pair.unique_state_count() > 1_000);
@@ -243,7 +252,7 @@
 
 #[test]
 fn who_drains_never_announces_again() {
-    let drains = Fleet { instances: 2, settle: 2.5, guard: true, drains: true, longest: 7 };
+    let drains = Fleet { instances: 2, settle_time: 2.5, guard: true, drains: true, longest: 7 };
     let done = drains.checker().threads(4).spawn_bfs().join();
     println!("drains: {} states, {} different", done.state_count(), done.unique_state_count());
     let wrong: Vec<&str> = done.discoveries().into_keys().filter(|name| !name.contains("sick one")).collect();
@@ -253,11 +262,14 @@
 /// A guard that does not settle, or none, goes dark: the checker finds how.
 #[test]
 fn planted_faults_are_found() {
-    for (settle, guard) in [(0.5, true), (2.5, false)] {
-        let fleet = Fleet { instances: 2, settle, guard, drains: false, longest: 10 };
+    for (settle_time, guard) in [(0.5, true), (2.5, false)] {
+        let fleet = Fleet { instances: 2, settle_time, guard, drains: false, longest: 10 };
         let done = fleet.checker().threads(4).spawn_bfs().join();
         let found = done.discovery("somebody announces");
-        println!("settle {settle}, guard {guard}: {:?}", found.clone().map(|path| path.into_actions()));
+        println!(
+            "settle time {settle_time}, guard {guard}: {:?}",
+            found.clone().map(|path| path.into_actions())
+        );
         assert!(found.is_some());
     }
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -44,39 +44,46 @@
     Check,
 }
 
-fn terms(instance: u32, variant: Variant) -> Terms {
-    let sign = |effect, bound| SignTerms { effect, bound, rise: 4, fall: 4, least_good: 0.0, least_bad: 3.0 };
-    let dear = |med| Dear { med: Some(med), ..Dear::default() };
+fn terms(instance: u32, variant: Variant) -> AnnouncerConfig {
+    let sign = |effect, bound| HealthCheckConfig {
+        effect,
+        threshold: bound,
+        rise: 4,
+        fall: 4,
+        min_good_time: 0.0,
+        min_bad_time: 3.0,
+    };
+    let dear = |med| PathPreference { med: Some(med), ..PathPreference::default() };
     let off = |one| variant == one || variant == Variant::Check;
     let jitter = |most| if off(Variant::NoJitter) { 0.0 } else { most };
     let damping = Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 300.0 };
-    Terms {
+    AnnouncerConfig {
         addresses: vec![net()],
-        mark: Mark { asn: 64_512, sound: 1, last_resort: 2, instance },
-        signs: [
+        mark: Mark { asn: 64_512, healthy: 1, last_resort: 2, instance },
+        checks: [
             sign(Effect::Withdraw, 0.0),
             sign(Effect::Deprefer, 10.0),
             sign(Effect::Ignore, 10.0),
             sign(Effect::Withdraw, 1.0),
             sign(Effect::Deprefer, 0.5),
         ],
-        announced: Dear::default(),
+        announced: PathPreference::default(),
         depreferred: dear(200),
         last_resort: dear(400),
-        every: TICK,
-        start_after: 1.0,
-        return_after: 5.0,
-        stage: 5.0,
+        check_interval: TICK,
+        start_delay: 1.0,
+        return_delay: 5.0,
+        depreferred_time: 5.0,
         jitter_down: jitter(1.0),
         jitter_up: jitter(5.0),
         guard: !off(Variant::NoGuard),
-        settle: 5.0,
+        settle_time: 5.0,
         damping: if off(Variant::NoDamping) {
             Damping { suppress: f64::INFINITY, ..damping }
         } else {
             damping
         },
-        most_changes: if off(Variant::NoDamping) { 1000 } else { 6 },
+        max_changes: if off(Variant::NoDamping) { 1000 } else { 6 },
         shutdown_lead: 0.0,
         hold: None,
     }
@@ -102,14 +109,15 @@
         if now < self.down_until {
             return Level::Withdrawn;
         }
-        self.announcer.stands().next().map_or(Level::Withdrawn, |stand| stand.1)
+        self.announcer.statuses().next().map_or(Level::Withdrawn, |status| status.level)
     }
 
     fn sees(&self, best: &Best) -> Paths {
-        let mark = self.announcer.terms().mark;
+        let mark = self.announcer.config().mark;
         let mut paths = Paths::new(true);
         for (level, instance) in best.iter().filter(|one| one.1 != self.number).take(SHOWN) {
-            let large = vec![Mark { instance: *instance, ..mark }.write(*level > Level::LastResort)];
+            let large =
+                vec![Mark { instance: *instance, ..mark }.large_community(*level > Level::LastResort)];
             let seen = LearnedRoute {
                 communities: Vec::new(),
                 large_communities: large,
@@ -195,10 +203,10 @@
             let paths = one.sees(&history[tick.saturating_sub(one.delay)]);
             let readings = Readings {
                 listening: true,
-                failed_ago: None,
-                board_silent: None,
-                engines: usize::from(!sick(trouble, one, now)),
-                in_time: None,
+                since_failure: None,
+                discovery_silence: None,
+                usable_engines: usize::from(!sick(trouble, one, now)),
+                in_time_share: None,
             };
             if one.announcer.turn(now, &readings, &paths) {
                 one.changes.push(now);
--- a/crates/operator/src/service.rs
+++ b/crates/operator/src/service.rs
@@ -2,7 +2,7 @@
 
 use crate::bgp::{seconds, BgpPart};
 use crate::{wrong, Wrong};
-use cleatgw_announce::{Damping, Dear, Effect, Hold, Mark, SignTerms, Terms};
+use cleatgw_announce::{AnnouncerConfig, Damping, Effect, HealthCheckConfig, Hold, Mark, PathPreference};
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -245,8 +245,8 @@
         Ok(())
     }
 
-    fn dear(&self) -> Dear {
-        Dear {
+    fn dear(&self) -> PathPreference {
+        PathPreference {
             med: self.med,
             prepend: self.prepend,
             local_pref: self.local_pref,
@@ -270,18 +270,18 @@
         seconds(&path("least_bad_s"), self.least_bad_s, 0.0, 3600.0)
     }
 
-    fn terms(&self) -> SignTerms {
-        SignTerms {
+    fn terms(&self) -> HealthCheckConfig {
+        HealthCheckConfig {
             effect: match self.effect {
                 EffectPart::Ignore => Effect::Ignore,
                 EffectPart::Deprefer => Effect::Deprefer,
                 EffectPart::Withdraw => Effect::Withdraw,
             },
-            bound: self.bound,
+            threshold: self.bound,
             rise: self.rise,
             fall: self.fall,
-            least_good: self.least_good_s,
-            least_bad: self.least_bad_s,
+            min_good_time: self.least_good_s,
+            min_bad_time: self.least_bad_s,
         }
     }
 }
@@ -347,35 +347,35 @@
     }
 
     /// What is settled for the announcing decisions.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> AnnouncerConfig {
         let SignsPart { listening, deciding, board, engines, in_time } = &self.signs;
-        Terms {
+        AnnouncerConfig {
             addresses: self.addresses.clone(),
             mark: Mark {
                 asn: self.bgp.asn,
-                sound: self.mark_functions.0,
+                healthy: self.mark_functions.0,
                 last_resort: self.mark_functions.1,
                 instance: self.bgp.identifier.into(),
             },
-            signs: [listening, deciding, board, engines, in_time].map(SignPart::terms),
+            checks: [listening, deciding, board, engines, in_time].map(SignPart::terms),
             announced: self.announced.dear(),
             depreferred: self.depreferred.dear(),
             last_resort: self.last_resort.dear(),
-            every: 0.25,
-            start_after: self.start_after_s,
-            return_after: self.return_after_s,
-            stage: self.stage_s,
+            check_interval: 0.25,
+            start_delay: self.start_after_s,
+            return_delay: self.return_after_s,
+            depreferred_time: self.stage_s,
             jitter_down: self.jitter_down_s,
             jitter_up: self.jitter_up_s,
             guard: self.guard,
-            settle: self.settle_s,
+            settle_time: self.settle_s,
             damping: Damping {
                 half_life: self.damping.half_life_s,
                 suppress: self.damping.suppress,
                 reuse: self.damping.reuse,
                 longest: self.damping.longest_s,
             },
-            most_changes: self.most_changes_a_minute,
+            max_changes: self.most_changes_a_minute,
             shutdown_lead: self.shutdown_lead_s,
             hold: self.hold.map(|hold| match hold {
                 HoldPart::Depreferred => Hold::Depreferred,
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -18,7 +18,7 @@
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
-use cleatgw_announce::{Readings, Recent};
+use cleatgw_announce::{InTimeShare, Readings};
 use cleatgw_operator::{ServiceFile, StoreFile, TeamsFile};
 use cleatgw_start::LinkLimits;
 use cluster::Cluster;
@@ -223,7 +223,7 @@
     words_at: f64,
     reread_cluster: Box<dyn Fn() -> Result<Joining, String>>,
     /// Jobs answered in time of late, and when the decisions last failed.
-    recent: Recent,
+    recent: InTimeShare,
     failed: (u64, f64),
     counters: Counters,
 }
@@ -318,7 +318,7 @@
         keeper,
         words_at: now,
         reread_cluster,
-        recent: Recent::default(),
+        recent: InTimeShare::default(),
         failed: (0, f64::NEG_INFINITY),
         counters: Counters::default(),
     };
@@ -488,10 +488,10 @@
         }
         Readings {
             listening: self.serving && self.net.sessions.takes(),
-            failed_ago: (self.failed.0 > 0).then_some(now - self.failed.1),
-            board_silent: self.board.silent_for(now),
-            engines: self.routing.sound_engines(),
-            in_time: self.recent.counted(now, in_time, answered),
+            since_failure: (self.failed.0 > 0).then_some(now - self.failed.1),
+            discovery_silence: self.board.silent_for(now),
+            usable_engines: self.routing.sound_engines(),
+            in_time_share: self.recent.update(now, in_time, answered),
         }
     }
 
--- a/crates/router/src/transport/speaker.rs
+++ b/crates/router/src/transport/speaker.rs
@@ -4,7 +4,7 @@
 use super::{guarded, Handle, Source};
 use crate::routing::Counters;
 use calloop::{Readiness, RegistrationToken};
-use cleatgw_announce::{Announcer, Level, Note, Paths, Readings, Why};
+use cleatgw_announce::{AddressEvent, AddressStatus, Announcer, Level, Paths, Readings, Reason};
 use cleatgw_bgp::{
     Action, Advertisement, CeaseSubcode, Direction, Importance, LogEntry, Peer, State, MAX_MESSAGE_LENGTH,
 };
@@ -244,7 +244,7 @@
         let mut file = new;
         let bgp = &self.file.bgp;
         (file.bgp.asn, file.bgp.identifier, file.bgp.listen) = (bgp.asn, bgp.identifier, bgp.listen);
-        self.announcer.change(file.terms(), now);
+        self.announcer.reconfigure(file.terms(), now);
         self.changed();
         for speaking in self.peers.iter_mut().filter(|speaking| !speaking.leaves) {
             let part = file.bgp.peers.iter().find(|part| part.name == speaking.part.name);
@@ -275,7 +275,7 @@
     }
 
     fn changed(&mut self) {
-        self.wanted = (self.wanted.0 + 1, self.announcer.wanted());
+        self.wanted = (self.wanted.0 + 1, self.announcer.advertisements());
     }
 
     pub fn accept(&mut self, now: f64) {
@@ -366,7 +366,7 @@
     fn paths(&self) -> Paths {
         let up = |speaking: &&Speaking| speaking.peer.state() == State::Established;
         let mut paths = Paths::new(self.peers.iter().any(|speaking| up(&speaking)));
-        let mark = self.announcer.terms().mark;
+        let mark = self.announcer.config().mark;
         for speaking in &self.peers {
             speaking.peer.adj_rib_in.iter().for_each(|(net, seen)| paths.add(&mark, net, seen));
         }
@@ -381,8 +381,8 @@
                 self.changed();
             }
         }
-        while let Some(note) = self.announcer.noted() {
-            tell(&note);
+        while let Some(event) = self.announcer.next_event() {
+            log_event(&event);
         }
         let draining = self.announcer.draining();
         let (change, wanted) = (self.wanted.0, &self.wanted.1);
@@ -517,15 +517,15 @@
             rows.push(["drain".to_string(), format!("since {:.2} s", now - drain.began), work]);
         }
         let paths = self.paths();
-        for (net, level, why, since, waits) in self.announcer.stands() {
-            let waits = waits.map_or(String::new(), |what| format!("; a move waits for {what}"));
-            let (sound, seen) = (paths.sound(&net), paths.seen(&net));
+        for AddressStatus { prefix: net, level, reason, since, held_back_by } in self.announcer.statuses() {
+            let waits = held_back_by.map_or(String::new(), |what| format!("; a move waits for {what}"));
+            let (sound, seen) = (paths.healthy(&net), paths.total(&net));
             let others = format!("{sound} sound of {seen} others seen");
-            let words = format!("{why}, for {:.1} s; {others}{waits}", now - since);
+            let words = format!("{reason}, for {:.1} s; {others}{waits}", now - since);
             rows.push([format!("address {net}"), level.to_string(), words]);
         }
-        for sign in self.announcer.bad() {
-            rows.push(["sign".to_string(), "bad".to_string(), sign.to_string()]);
+        for check in self.announcer.failing_checks() {
+            rows.push(["sign".to_string(), "bad".to_string(), check.to_string()]);
         }
         for Speaking { part, peer, leaves, .. } in &self.peers {
             let counts = &peer.counters;
@@ -560,16 +560,17 @@
 }
 
 /// One line for each change of how an address stands.
-fn tell(note: &Note) {
-    let Note { net, level, why, sound, seen, waits } = note;
-    let heavy = *level < Level::Depreferred && !matches!(why, Why::Draining | Why::Drained | Why::Starting);
+fn log_event(event: &AddressEvent) {
+    let AddressEvent { prefix: net, level, reason, healthy_paths, total_paths, held_back_by } = event;
+    let heavy = *level < Level::Depreferred
+        && !matches!(reason, Reason::Draining | Reason::Drained | Reason::Starting);
     let at = if heavy { log::Level::Warn } else { log::Level::Info };
-    match waits {
+    match held_back_by {
         None => {
-            log::log!(at, address:% = net, level:% = level, sound = *sound, seen = *seen; "announce {net} {level}: {why}")
+            log::log!(at, address:% = net, level:% = level, sound = *healthy_paths, seen = *total_paths; "announce {net} {level}: {reason}")
         }
         Some(what) => {
-            log::log!(at, address:% = net, level:% = level, sound = *sound, seen = *seen; "announce {net} stays {level}: {why}; held back by {what}")
+            log::log!(at, address:% = net, level:% = level, sound = *healthy_paths, seen = *total_paths; "announce {net} stays {level}: {reason}; held back by {what}")
         }
     }
 }
