--- a/crates/announce/src/announcer/aim.rs
+++ b/crates/announce/src/announcer/aim.rs
@@ -47,7 +47,7 @@
             return Standing::new(Level::Withdrawn, Reason::Unhealthy(check));
         }
         if address.level == Level::Withdrawn {
-            // Nobody at all is left, and has not been for a while: a sick path beats none.
+            // No other path is left, and has not been for a while: an unhealthy path beats none.
             let alone = address.alone_since.is_some_and(|since| now >= since + self.config.settle_time);
             return match alone && address.started && paths.has_view {
                 true => Standing::new(Level::LastResort, Reason::NoAlternative(check)),
--- a/crates/announce/src/announcer/mod.rs
+++ b/crates/announce/src/announcer/mod.rs
@@ -1,7 +1,7 @@
 //! The decisions of one instance for all its addresses.
 //!
 //! `aim` says which level an address ought to have, `moves` when it may go there, `drain` withdraws all for good, and
-//! `routes` is what peers are told.
+//! `routes` is what is announced to peers.
 
 mod aim;
 mod drain;
@@ -102,7 +102,7 @@
     pub held_back_by: Option<HeldBackBy>,
 }
 
-/// How one address stands, for the operator.
+/// The state of one address, for the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressStatus {
     /// The address.
@@ -263,7 +263,7 @@
         self.events.pop_front()
     }
 
-    /// How each address stands, in the order of the configuration.
+    /// The state of each address, in the order of the configuration.
     pub fn statuses(&self) -> impl Iterator<Item = AddressStatus> + '_ {
         self.addresses.iter().map(|address| AddressStatus {
             prefix: address.prefix,
--- a/crates/announce/src/announcer/moves.rs
+++ b/crates/announce/src/announcer/moves.rs
@@ -6,7 +6,7 @@
 use crate::paths::{PathCounts, Paths};
 
 impl Announcer {
-    /// Moves the address to where it ought to stand, unless something stands in the way.
+    /// Moves the address to the level that it ought to have, unless something holds it back.
     pub(super) fn consider(&mut self, index: usize, now: f64, paths: &Paths) {
         let others = paths.counts(&self.addresses[index].prefix);
         self.observe(index, now, others, paths.has_view);
@@ -42,7 +42,7 @@
         address.penalty.fade(now, &self.config.damping);
     }
 
-    /// The level stands; what has held a move back is told where that is new.
+    /// The level stays; what has held a move back is reported where that is new.
     fn stay(&mut self, index: usize, reason: Reason, others: PathCounts) {
         let address = &mut self.addresses[index];
         address.pending = None;
--- a/crates/announce/src/announcer/routes.rs
+++ b/crates/announce/src/announcer/routes.rs
@@ -1,4 +1,4 @@
-//! What peers are told: each address that is out, with the path of its level.
+//! What is announced to peers: each address that is not withdrawn, with the path of its level.
 
 use super::{Address, Announcer};
 use crate::level::{Level, Reason};
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,9 +1,12 @@
 //! BGP-4 (RFC 4271) for a speaker that announces a few service addresses, without I/O: a host hands in bytes and the
 //! time, and takes out bytes, due times and [`Action`]s.
 //!
-//! [`message`] is the codec: it never allocates by a length that a peer claims, and a message holds 4,096 bytes at
-//! most. [`session`] holds the states of one peer's connections (RFC 4271 section 8), [`adj_rib_in`] what a peer tells of
-//! our own service addresses. Times are seconds on the host's clock, which must not go back.
+//! [`message`], [`open`], [`update`] and [`notification`] are the codec: it never allocates by a length that a peer
+//! claims, and a message holds 4,096 octets at most. [`error`] names what ends a session. [`session`] holds the state
+//! machine of one peer (RFC 4271 section 8) with its Adj-RIB-Out, [`adj_rib_in`] the routes learned from it. Times are
+//! seconds on the host's clock, which must not go back.
+
+#![warn(missing_docs)]
 
 pub mod adj_rib_in;
 pub mod error;
@@ -24,10 +27,10 @@
 };
 pub use update::{PathAttributes, Update};
 
-/// RFC 8326: routes that carry it are about to go.
+/// The well-known community of routes that are about to be withdrawn (RFC 8326).
 pub const GRACEFUL_SHUTDOWN: u32 = 0xffff_0000;
 
-/// A reader over bytes that a peer sent; nothing is taken that is not there.
+/// A reader over bytes that a peer sent; each method gives `None` where too few are left.
 pub(crate) struct Bytes<'a>(pub &'a [u8]);
 
 impl<'a> Bytes<'a> {
@@ -49,7 +52,7 @@
         self.take(4).map(|bytes| u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
     }
 
-    /// A part whose length in one octet stands ahead of it.
+    /// A part that follows its length in one octet.
     pub fn part(&mut self) -> Option<&'a [u8]> {
         let length = self.u8()?;
         self.take(length.into())
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -34,9 +34,9 @@
 }
 
 impl Peer {
-    /// All is withdrawn for good, but for what of `lead` is out on the session that is up: that may change once more,
-    /// and goes with the next call or with the session. A peer that may keep routes of a lost session is sought, told
-    /// that there are none, and left.
+    /// Withdraws all routes for good, except those of `lead` that are announced on the established session: they change
+    /// once more, and are withdrawn by the next call or go with the session. A peer that may keep routes of a lost
+    /// session is connected to, told that there are none, and left.
     pub fn drain(&mut self, lead: BTreeMap<IpNet, Advertisement>, now: f64) {
         if self.admin_state != AdminState::Running {
             self.wanted.retain(|net, _| lead.contains_key(net));
--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -5,9 +5,9 @@
 //! holds the difference between what was announced on this connection and what is wanted now. A new connection begins
 //! with an empty Adj-RIB-Out, so a withdrawal that was lost with the last one can't be missed.
 //!
-//! [`config`] is the configuration, [`connection`] the state of one connection. The methods of [`Peer`] stand by job:
-//! [`timers`], [`transport`] (what the host tells of a connection), [`opening`] (OPEN, collisions, Established),
-//! [`inbound`] and [`outbound`] (messages and routes of each direction), [`ending`] (drain, NOTIFICATION, loss).
+//! `config` is the configuration, `connection` the state of one connection. The methods of [`Peer`] stand by job:
+//! `timers`, `transport` (what the host reports of a connection), `opening` (OPEN, collisions, Established), `inbound`
+//! and `outbound` (messages and routes of each direction), `ending` (drain, NOTIFICATION, loss).
 
 mod config;
 mod connection;
@@ -33,7 +33,7 @@
 /// Log entries kept until the host takes them; further ones are dropped.
 const MAX_LOG_ENTRIES: usize = 64;
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Begin a connection; [`Peer::connected`] or [`Peer::closed`] tells what became of it.
@@ -63,13 +63,21 @@
 /// Events since the peer was configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounters {
+    /// Sessions that reached Established.
     pub established: u64,
+    /// Established sessions that ended.
     pub lost: u64,
+    /// UPDATEs written; announcements that take several messages count once.
     pub updates_out: u64,
+    /// UPDATEs received.
     pub updates_in: u64,
+    /// UPDATEs whose routes were treated as withdrawn (RFC 7606).
     pub treated_as_withdrawn: u64,
+    /// Path attributes that were discarded (RFC 7606).
     pub attributes_discarded: u64,
+    /// NOTIFICATIONs written.
     pub notifications_out: u64,
+    /// NOTIFICATIONs received.
     pub notifications_in: u64,
 }
 
@@ -98,7 +106,7 @@
     }
 }
 
-/// Everything about one peer.
+/// One peer with its connections and routes. The host calls it with its clock, whose seconds must not go back.
 #[derive(Clone, Debug)]
 pub struct Peer {
     config: PeerConfig,
@@ -116,15 +124,18 @@
     retained_until: f64,
     /// No session has been established since the start (the Restart State bit of RFC 4724).
     restart_state: bool,
+    /// The routes learned from the peer.
     pub adj_rib_in: AdjRibIn,
     actions: VecDeque<Action>,
     /// Why the last session or attempt ended.
     pub last_error: Option<String>,
+    /// Events since the peer was configured.
     pub counters: SessionCounters,
     log: VecDeque<LogEntry>,
 }
 
 impl Peer {
+    /// A peer without connections; the first may begin at once. Jitter is drawn from `seed`.
     pub fn new(config: PeerConfig, seed: u64, now: f64) -> Peer {
         Peer {
             adj_rib_in: AdjRibIn::new(&config.service_prefixes, config.max_learned_routes),
@@ -145,8 +156,8 @@
         }
     }
 
-    /// Takes over new terms where a session need not end for them: other service addresses of the families that are
-    /// spoken. What the peer has of them is asked for again (RFC 2918). False: nothing was done.
+    /// Takes over another configuration where the session need not end for it: other service prefixes of the families
+    /// that are spoken. The routes of the peer are asked for again (RFC 2918). False: nothing was done.
     pub fn reconfigure(&mut self, config: &PeerConfig) -> bool {
         if !self.config.equals_except_services(config) {
             return false;
@@ -172,7 +183,7 @@
         }
     }
 
-    /// The next thing to do for the host.
+    /// The next action for the host.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
@@ -182,6 +193,7 @@
         self.log.pop_front()
     }
 
+    /// The state of the furthest connection.
     pub fn state(&self) -> State {
         let furthest = self.connections.iter().flatten().map(Connection::state).max().unwrap_or(State::Idle);
         match (furthest, self.retry_timer) {
@@ -192,14 +204,14 @@
         }
     }
 
-    /// Routes that the peer was told of on the connection that is up.
+    /// The routes that were announced to the peer on the established connection.
     pub fn adj_rib_out(&self) -> impl Iterator<Item = (&IpNet, &Advertisement)> {
         let established = self.connections.iter().flatten().find(|connection| connection.is_established());
         established.into_iter().flat_map(|connection| &connection.adj_rib_out)
     }
 
-    /// No route of ours is left at the peer, as far as can be known: all withdrawals are written out, and nothing is
-    /// kept from a lost session.
+    /// No route of ours is left at the peer, as far as can be known: all withdrawals are written, and nothing is kept
+    /// from a lost session.
     pub fn all_withdrawn(&self, now: f64) -> bool {
         let owes = |connection: &Connection| match connection.phase {
             Phase::Established => !connection.adj_rib_out.is_empty() || !connection.output.is_empty(),
--- a/crates/bgp/src/session/outbound.rs
+++ b/crates/bgp/src/session/outbound.rs
@@ -1,4 +1,4 @@
-//! What is announced to the peer: the Adj-RIB-Out is brought to what is wanted, as far as the peer reads.
+//! What is announced to the peer: the Adj-RIB-Out follows the wanted routes, as far as the peer reads.
 
 use super::connection::{Connection, RefreshState};
 use super::{AdminState, Advertisement, Peer};
@@ -12,7 +12,8 @@
 const OUTPUT_LIMIT: usize = 8 * 1024;
 
 impl Peer {
-    /// What is to be out from now on. After a drain began this changes nothing: nothing is announced again.
+    /// The routes to announce from now on; others are withdrawn. After a drain began this changes nothing: nothing is
+    /// announced again.
     pub fn announce(&mut self, wanted: BTreeMap<IpNet, Advertisement>, now: f64) {
         if self.admin_state == AdminState::Running && self.wanted != wanted {
             self.wanted = wanted;
@@ -37,7 +38,7 @@
         }
         let all_written = connection.output.is_empty();
         self.connections[direction as usize] = Some(connection);
-        // A peer that was only sought to clear what it kept is left once it has been told so.
+        // A peer that was connected to only to clear what it kept is left once it knows.
         if self.admin_state == AdminState::Draining && all_written && self.wanted.is_empty() {
             self.retained_until = f64::NEG_INFINITY;
         }
@@ -99,9 +100,9 @@
     }
 
     /// The path attributes of one announcement; none where there is no next hop of the family.
-    fn attributes(&self, family: Family, path: &Advertisement) -> Option<PathAttributes> {
+    fn attributes(&self, family: Family, advertisement: &Advertisement) -> Option<PathAttributes> {
         let config = &self.config;
-        let numbers = vec![config.local_as; 1 + usize::from(path.prepend)];
+        let numbers = vec![config.local_as; 1 + usize::from(advertisement.prepend)];
         let own = AsPathSegment::sequence(numbers);
         // RFC 9234 section 5: what we send to a customer or a lateral peer must go to customers only from there.
         let to_customers_only = matches!(config.role, Some(Role::Provider | Role::RouteServer | Role::Peer));
@@ -109,10 +110,10 @@
             origin: Origin::Igp,
             as_path: if config.internal() { Vec::new() } else { vec![own] },
             next_hop: Some(config.next_hops[family as usize]?),
-            med: path.med,
-            local_pref: path.local_pref,
-            communities: path.communities.clone(),
-            large_communities: path.large_communities.clone(),
+            med: advertisement.med,
+            local_pref: advertisement.local_pref,
+            communities: advertisement.communities.clone(),
+            large_communities: advertisement.large_communities.clone(),
             only_to_customer: to_customers_only.then_some(config.local_as),
         })
     }
--- a/crates/bgp/src/session/timers.rs
+++ b/crates/bgp/src/session/timers.rs
@@ -20,6 +20,7 @@
         connections.chain([retry, retained, self.adj_rib_in.due()]).fold(f64::INFINITY, f64::min)
     }
 
+    /// Acts on all timers that have expired, and writes what is due.
     pub fn run_timers(&mut self, now: f64) {
         self.adj_rib_in.expire_stale(now);
         if now >= self.retained_until {
@@ -34,7 +35,7 @@
         self.write_updates(now);
     }
 
-    /// Nothing but time stands in the way of a connection of ours.
+    /// A connection of ours may begin as soon as the retry timer expires.
     fn may_connect(&self) -> bool {
         let free = self.connection(Direction::Outgoing).is_none() && !self.is_live(Direction::Incoming);
         free && self.seeks_connection() && !self.config.passive
--- a/crates/bgp/src/session/transport.rs
+++ b/crates/bgp/src/session/transport.rs
@@ -18,8 +18,8 @@
 }
 
 impl Peer {
-    /// The connection that was asked for is up, or one of the peer's has come. Tells whether it is wanted; the host
-    /// closes one that is not.
+    /// The connection that was asked for is up, or the peer has begun one. Tells whether it is accepted; the host closes
+    /// one that is not.
     pub fn connected(&mut self, direction: Direction, now: f64) -> bool {
         let wanted = match direction {
             Direction::Outgoing => self.is_connecting(),
@@ -97,12 +97,12 @@
         Received { consumed, more: true }
     }
 
-    /// What is to be written on a connection.
+    /// The octets to write on a connection.
     pub fn unsent(&self, direction: Direction) -> &[u8] {
         self.connection(direction).map_or(&[], |connection| &connection.output)
     }
 
-    /// So much of it was taken.
+    /// So many octets of [`Peer::unsent`] were written.
     pub fn written(&mut self, direction: Direction, length: usize, now: f64) {
         let Some(connection) = self.connection_mut(direction) else { return };
         connection.output.drain(..length);
--- a/crates/bgp/src/update/decode.rs
+++ b/crates/bgp/src/update/decode.rs
@@ -110,12 +110,12 @@
         number
     }
 
-    /// All attributes, as far as they can be told apart.
+    /// All attributes, as far as their bounds are known.
     fn attributes(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
         let mut bytes = Bytes(bytes);
         while !bytes.is_empty() {
             let Some(attribute) = RawAttribute::next(&mut bytes) else {
-                // RFC 7606 section 4: the rest can't be told apart, the routes are known all the same.
+                // RFC 7606 section 4: the bounds of the rest are unknown, the routes are known all the same.
                 self.treat_as_withdrawn(RouteError::AttributeTooLong);
                 break;
             };
@@ -168,7 +168,7 @@
             },
             AttributeType::NextHop => {
                 let hop = self.number(attribute_type, value).map(|hop| Ipv4Addr::from(hop).into());
-                // That of MP_REACH_NLRI, where it came first, stands.
+                // That of MP_REACH_NLRI, where it came first, is kept.
                 self.update.attributes.next_hop = self.update.attributes.next_hop.or(hop);
             }
             AttributeType::MultiExitDisc => {
@@ -247,7 +247,7 @@
         self.update.attributes.large_communities = communities.collect();
     }
 
-    /// RFC 4760 section 3. Where it can't be read, which routes are meant can't be told either: the session ends.
+    /// RFC 4760 section 3. Where it can't be read, the routes that are meant are unknown: the session ends.
     fn mp_reach(&mut self, value: &[u8]) -> Result<(), MessageError> {
         let malformed = || MessageError::new(UpdateError::OptionalAttribute, "malformed MP_REACH_NLRI");
         let mut bytes = Bytes(value);
