--- a/crates/announce/src/announcer/tests.rs
+++ b/crates/announce/src/announcer/tests.rs
@@ -1,4 +1,4 @@
-//! One instance in virtual time, one story for each trouble.
+//! One instance in virtual time, one test for each failure.
 
 use super::*;
 use crate::config::{Hold, PathPreference};
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_start_waits_is_depreferred_for_a_stage_and_then_announced() {
+fn after_a_start_is_withdrawn_then_depreferred_then_announced() {
     let mut world = World::new(terms());
     world.run(0.9);
     assert_eq!(
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn one_bad_reading_moves_nothing_and_a_short_illness_is_outlasted() {
+fn single_failing_readings_change_nothing() {
     let mut world = World::announced(terms());
     for _ in 0..40 {
         world.readings = NO_ENGINES;
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_sick_instance_shows_itself_so_and_goes_only_while_a_sound_path_is_seen() {
+fn an_unhealthy_instance_is_last_resort_until_a_healthy_path_has_been_seen_for_the_settle_time() {
     let mut world = World::announced(terms());
     world.readings = NO_ENGINES;
     world.run(1.4);
@@ -164,9 +164,9 @@
     assert_eq!((world.level(), world.why()), (Level::Withdrawn, Reason::Unhealthy(HealthCheck::Engines)));
 }
 
-/// Hard case: all engines are gone at all instances. The last path stays, and the instance says so.
+/// All engines are gone at all instances. The last path stays, and the instance says so.
 #[test]
-fn what_all_suffer_from_takes_no_last_path_away() {
+fn a_failure_shared_by_all_keeps_the_last_path() {
     for paths in [others(&[]), others(&[(2, false), (3, false)])] {
         let mut world = World::announced(terms());
         (world.readings, world.paths) = (NO_ENGINES, paths);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn without_a_session_that_shows_others_nobody_goes() {
+fn without_a_view_of_others_no_address_is_withdrawn() {
     let mut world = World::announced(terms());
     world.paths = Paths::default();
     world.readings = NO_ENGINES;
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_sick_instance_comes_back_as_last_resort_when_nobody_is_left() {
+fn returns_as_last_resort_when_no_other_path_is_left() {
     let mut world = World::announced(terms());
     world.readings = NO_ENGINES;
     world.run(10.0);
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_weak_instance_is_depreferred_and_no_more() {
+fn a_failing_check_that_deprefers_does_not_withdraw() {
     let mut world = World::announced(terms());
     world.readings.in_time_share = Some(0.2);
     world.run(60.0);
@@ -244,9 +244,9 @@
     assert_eq!(world.level(), Level::Announced);
 }
 
-/// Hard case: sickness that comes and goes at the damping limit.
+/// A failure that comes and goes at the damping limit.
 #[test]
-fn a_sickness_that_comes_and_goes_ends_damped_and_under_the_cap() {
+fn a_flapping_failure_is_damped_and_stays_under_the_cap() {
     let illness = |terms: AnnouncerConfig| {
         let mut world = World::announced(terms);
         for _ in 0..60 {
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn instances_that_see_the_same_illness_do_not_move_as_one() {
+fn jitter_spreads_the_moves_of_instances_that_fail_together() {
     let moved = |seed| {
         let mut world = World::announced(terms());
         world.announcer.seed = seed;
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_drain_withdraws_for_good_whatever_is_read_seen_or_settled_afterwards() {
+fn a_drain_withdraws_for_good_whatever_readings_paths_or_configuration_follow() {
     for lead in [0.0, 0.4] {
         let mut world = World::announced(AnnouncerConfig { shutdown_lead: lead, ..terms() });
         world.paths = others(&[]);
@@ -341,7 +341,7 @@
             (world.level(), world.why(), world.announcer.due()),
             (Level::Withdrawn, Reason::Drained, f64::INFINITY)
         );
-        // Hard case: a reload while draining, with another address and a longer lead.
+        // A reload while draining, with another address and a longer lead.
         let other = "198.51.100.8/32".parse().unwrap();
         let new = AnnouncerConfig { addresses: vec![net(), other], shutdown_lead: 0.8, ..terms() };
         world.announcer.reconfigure(new, world.now);
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn a_reload_keeps_what_stays_and_starts_what_is_new() {
+fn reconfiguring_keeps_known_addresses_and_starts_new_ones() {
     let mut world = World::announced(terms());
     let other = "198.51.100.8/32".parse().unwrap();
     world.announcer.reconfigure(AnnouncerConfig { addresses: vec![other, net()], ..terms() }, world.now);
--- a/crates/announce/src/damping/tests.rs
+++ b/crates/announce/src/damping/tests.rs
@@ -5,7 +5,7 @@
 const DAMPING: Damping = Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 120.0 };
 
 #[test]
-fn falls_add_up_time_halves_them_and_no_penalty_lasts_for_ever() {
+fn penalties_add_up_decay_and_expire_after_the_longest_time() {
     let mut penalty = Penalty::default();
     for at in 0..3 {
         assert!(!penalty.suppressed);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn slow_falls_never_add_up() {
+fn falls_a_half_life_apart_never_suppress() {
     let mut penalty = Penalty::default();
     for at in 0..1000 {
         penalty.add(60.0 * f64::from(at), &DAMPING);
--- a/crates/announce/src/health/tests.rs
+++ b/crates/announce/src/health/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn few_jobs_tell_nothing_and_old_ones_are_forgotten() {
+fn the_share_needs_enough_requests_and_forgets_old_ones() {
     let mut recent = InTimeShare::default();
     assert_eq!(recent.update(0.0, 5, 9), None);
     assert_eq!(recent.update(0.0, 10, 20), Some(0.5));
--- a/crates/announce/src/paths/tests.rs
+++ b/crates/announce/src/paths/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn our_own_path_shown_back_is_nobody_and_the_sick_are_no_sound_ones() {
+fn ignores_our_own_path_and_does_not_count_unhealthy_paths_as_healthy() {
     let mark = Mark { asn: 64_512, healthy: 1, last_resort: 2, instance: 7 };
     let net = "198.51.100.7/32".parse().unwrap();
     let count = |paths: &[LearnedRoute]| {
--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -237,21 +237,21 @@
 
 /// Sickness of each alone, of all, in any order, seen with any delay up to the bound.
 #[test]
-fn no_order_of_sickness_and_delay_takes_the_last_path_away() {
+fn no_order_of_failures_and_delays_withdraws_the_last_path() {
     let fleet =
         |instances, longest| Fleet { instances, settle_time: 2.5, guard: true, drains: false, longest };
     let pair = fleet(2, 10).checker().threads(4).spawn_bfs().join();
     println!("pair: {} states, {} different", pair.state_count(), pair.unique_state_count());
     assert!(pair.unique_state_count() > 1_000);
     pair.assert_properties();
-    // Longer stories of three, by lot from a fixed seed.
+    // Longer runs of three, at random from a fixed seed.
     let three = fleet(3, 60).checker().target_state_count(20_000).spawn_simulation(7, UniformChooser).join();
     println!("three: {} states", three.state_count());
     three.assert_properties();
 }
 
 #[test]
-fn who_drains_never_announces_again() {
+fn a_drained_instance_never_announces_again() {
     let drains = Fleet { instances: 2, settle_time: 2.5, guard: true, drains: true, longest: 7 };
     let done = drains.checker().threads(4).spawn_bfs().join();
     println!("drains: {} states, {} different", done.state_count(), done.unique_state_count());
--- a/crates/bgp/src/adj_rib_in/tests.rs
+++ b/crates/bgp/src/adj_rib_in/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_million_foreign_prefixes_and_a_flood_within_ours_stay_bounded() {
+fn bounds_routes_and_communities_and_ignores_foreign_prefixes() {
     let mut learned = AdjRibIn::new(&[net("198.51.100.0/24"), net("2001:db8::7/128")], 8);
     for at in 0..100_000u32 {
         let address = std::net::Ipv4Addr::from(0x0b00_0000 + at);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn stale_routes_go_with_the_end_of_the_table_or_with_time() {
+fn removes_stale_routes_at_end_of_rib_or_when_their_time_is_over() {
     let mut learned = AdjRibIn::new(&[net("198.51.100.7/32"), net("2001:db8::7/128")], 8);
     let both = [net("198.51.100.7/32"), net("2001:db8::7/128")];
     both.iter().for_each(|net| learned.insert(*net, &PathAttributes::default()));
--- a/crates/bgp/src/message/tests.rs
+++ b/crates/bgp/src/message/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_frame_is_known_when_it_is_whole_and_refused_at_its_first_wrong_byte() {
+fn returns_a_frame_once_whole_and_rejects_it_at_the_first_wrong_byte() {
     let mut bytes = Vec::new();
     encode_keepalive(&mut bytes);
     for length in 0..bytes.len() {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_refresh_reads_as_it_was_written_and_an_unknown_one_is_passed_over() {
+fn a_route_refresh_round_trips_and_an_unknown_one_is_ignored() {
     for what in [
         RouteRefresh::Request(Family::Ipv4),
         RouteRefresh::BeginOfRefresh(Family::Ipv6),
--- a/crates/bgp/src/notification/tests.rs
+++ b/crates/bgp/src/notification/tests.rs
@@ -4,7 +4,7 @@
 use crate::message::frame;
 
 #[test]
-fn a_cease_carries_its_words_plain_and_within_a_hard_reset() {
+fn a_cease_round_trips_its_shutdown_communication_also_in_a_hard_reset() {
     for hard in [false, true] {
         let told = Notification::cease(CeaseSubcode::AdministrativeShutdown, &"ä".repeat(200), hard);
         let mut bytes = Vec::new();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn words_that_would_forge_a_log_line_or_lie_about_their_length_do_no_harm() {
+fn a_shutdown_communication_replaces_control_characters_and_checks_its_length() {
     let forged = Notification::cease(CeaseSubcode::AdministrativeShutdown, "bye\nWARN all is lost", false);
     assert_eq!(forged.shutdown_communication().unwrap(), "bye?WARN all is lost");
     let lying = Notification {
--- a/crates/bgp/src/open/tests.rs
+++ b/crates/bgp/src/open/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_open_reads_as_it_was_written_and_no_part_of_it_does() {
+fn an_open_round_trips_and_every_truncation_is_rejected() {
     let mut bytes = Vec::new();
     whole().encode(&mut bytes);
     let body = frame(&bytes).unwrap().unwrap().body;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_no_session_can_begin_with_is_told_with_its_own_code() {
+fn rejects_unacceptable_fields_with_their_subcodes() {
     let mut bytes = Vec::new();
     whole().encode(&mut bytes);
     let body = frame(&bytes).unwrap().unwrap().body.to_vec();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn longer_parameters_are_read_as_well_and_ipv4_is_meant_where_none_is_named() {
+fn reads_extended_parameters_and_assumes_ipv4_without_a_family() {
     // RFC 9072, with an unknown capability inside.
     let body = [4, 0, 7, 0, 9, 1, 1, 1, 1, 255, 255, 0, 7, 2, 0, 4, 99, 2, 7, 7];
     let open = Open::decode(&body).unwrap();
--- a/crates/bgp/src/update/tests.rs
+++ b/crates/bgp/src/update/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn both_families_read_as_they_were_written() {
+fn updates_of_both_families_round_trip() {
     let mut bytes = Vec::new();
     let four = nets(&["198.51.100.7/32", "10.0.0.0/8", "0.0.0.0/0"]);
     let six = nets(&["2001:db8::7/128", "2001:db8::/33"]);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_old_speaker_gets_two_octets_and_the_long_numbers_come_back_whole() {
+fn merges_as4_path_for_a_speaker_with_two_octet_as_numbers() {
     let mut bytes = Vec::new();
     let old = UpdateContext { four_octet_as: false, internal: false };
     announce(&mut bytes, Family::Ipv4, &nets(&["198.51.100.7/32"]), &whole(), old);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn more_prefixes_than_a_message_holds_go_in_several() {
+fn splits_prefixes_that_do_not_fit_one_message() {
     let many: Vec<IpNet> =
         (0..3000u32).map(|at| Ipv4Net::new(Ipv4Addr::from(0x0a00_0000 + at), 32).unwrap().into()).collect();
     let mut bytes = Vec::new();
@@ -122,7 +122,7 @@
 
 /// RFC 7606 section 7, attribute by attribute.
 #[test]
-fn a_malformed_attribute_costs_its_routes_or_itself_and_not_the_session() {
+fn a_malformed_attribute_is_discarded_or_its_routes_treated_as_withdrawn() {
     let withdrawn = |attributes: &[(u8, u8, &[u8])]| {
         let update = Update::decode(&update(attributes), NEW).unwrap();
         (update.announced.len(), update.withdrawn.len(), update.discarded)
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn what_leaves_the_routes_unknown_ends_the_session() {
+fn errors_that_leave_the_routes_unknown_end_the_session() {
     let error =
         |attributes: &[(u8, u8, &[u8])]| Update::decode(&update(attributes), NEW).unwrap_err().subcode();
     let unreach: (u8, u8, &[u8]) = (OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1]);
@@ -192,7 +192,7 @@
 
 proptest! {
     #[test]
-    fn whatever_is_written_is_read_again(
+    fn random_updates_round_trip(
         four in proptest::collection::vec((any::<u32>(), 0u8..=32), 1..40),
         numbers in proptest::collection::vec(1u32.., 1..8),
         communities in proptest::collection::vec(any::<u32>(), 0..9),
@@ -213,7 +213,7 @@
     }
 
     #[test]
-    fn random_bodies_are_read_or_refused_and_never_more_than_they_name(
+    fn random_bodies_yield_an_error_or_no_more_prefixes_than_octets(
         body in proptest::collection::vec(any::<u8>(), 0..4077),
         four_octet_as in any::<bool>(),
     ) {
@@ -227,7 +227,7 @@
 
     /// Every truncation and one changed octet of a whole message: an error, or routes, and no panic.
     #[test]
-    fn cut_and_changed_messages_do_no_harm(cut in 0usize..200, at in 0usize..200, octet in any::<u8>()) {
+    fn truncated_and_changed_updates_cause_no_panic(cut in 0usize..200, at in 0usize..200, octet in any::<u8>()) {
         let mut bytes = Vec::new();
         let for_six = PathAttributes { next_hop: Some("2001:db8::1".parse().unwrap()), ..whole() };
         announce(&mut bytes, Family::Ipv6, &nets(&["2001:db8::7/128"]), &for_six, NEW);
--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -1,4 +1,4 @@
-//! A host for one peer in virtual time, with the laboratory's far end behind it.
+//! A host for one peer in virtual time, with the far end of the test bed behind it.
 
 use cleatgw_bgp::{Action, Advertisement, Capabilities, Direction, GracefulRestart, Open, Peer, PeerConfig};
 use cleatgw_lab::far::Far;
--- a/crates/bgp/tests/interop.rs
+++ b/crates/bgp/tests/interop.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn another_codec_reads_what_we_write() {
+fn bgpkit_parser_reads_our_messages() {
     let all = all();
     match theirs(&all[0]).unwrap() {
         BgpMessage::Open(open) => {
@@ -108,7 +108,7 @@
 
 /// The same hostile messages for both: cut, and with a few octets changed, from a fixed seed.
 #[test]
-fn hostile_messages_never_bring_ours_down() {
+fn hostile_messages_cause_no_panic() {
     let mut chance = SmallRng::seed_from_u64(1);
     let all = all();
     let hostile: Vec<Vec<u8>> = (0..20_000)
--- a/crates/bgp/tests/model.rs
+++ b/crates/bgp/tests/model.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn whatever_the_far_end_and_the_network_do_a_drain_ends_with_no_route() {
+fn a_drain_leaves_no_route_in_any_reachable_state() {
     for kept in [false, true] {
         let done = checked(session(kept, Planted::Nothing), 6);
         println!(
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -1,4 +1,4 @@
-//! One session between the real state machine and the laboratory's far end, one story for each failure.
+//! One session between the real state machine and the far end of the test bed, one test for each failure.
 
 mod host;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn both_families_are_told_changed_and_withdrawn() {
+fn announces_changes_and_withdraws_prefixes_of_both_families() {
     let mut host = Host::up(config(), far_open(), both());
     assert!(host.has("198.51.100.7/32") && host.has("2001:db8::7/128"));
     let dear = Advertisement {
@@ -44,9 +44,9 @@
     assert!(!host.has("198.51.100.7/32") && host.has("2001:db8::7/128"));
 }
 
-/// Hard case: the session ends in each state in turn, ten times a minute; what is out is whole again after each.
+/// The session ends in each state in turn, ten times a minute; what is out is whole again after each.
 #[test]
-fn a_session_that_flaps_in_each_state_comes_back_whole_and_slower_each_time() {
+fn restores_all_routes_after_each_flap_with_a_growing_idle_hold_time() {
     let mut host = Host::up(config(), far_open(), both());
     let mut waits = Vec::new();
     for round in 0..20 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn connections_that_are_refused_never_come_up_or_stay_mute_are_tried_again() {
+fn retries_connections_that_are_refused_time_out_or_send_no_open() {
     for (net, until) in [(Net::Refuses, 8.1), (Net::Silent, 13.1)] {
         let mut host = Host::new(config(), far_open());
         host.net = net;
@@ -120,9 +120,9 @@
     assert_eq!(host.held(), 2);
 }
 
-/// Hard case: both sides open at once; RFC 4271 section 6.8 leaves exactly one connection, by the identifiers.
+/// Both sides open at once; RFC 4271 section 6.8 leaves exactly one connection, by the identifiers.
 #[test]
-fn of_two_connections_at_once_the_one_of_the_higher_identifier_stays() {
+fn resolves_a_collision_in_favour_of_the_higher_identifier() {
     for (far_id, stays) in [("192.0.2.99", Direction::Incoming), ("192.0.1.1", Direction::Outgoing)] {
         let mut peer = Peer::new(config(), 1, 0.0);
         peer.announce(both(), 0.0);
@@ -163,9 +163,9 @@
     }
 }
 
-/// Hard case: peers that are not who they should be.
+/// Peers that are not who they should be.
 #[test]
-fn a_peer_of_the_wrong_as_identifier_role_or_hold_time_never_gets_a_route() {
+fn announces_nothing_to_a_peer_whose_open_is_unacceptable() {
     let wrong = |change: &dyn Fn(&mut PeerConfig, &mut Open)| {
         let (mut config, mut open) = (config(), far_open());
         change(&mut config, &mut open);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_hold_time_of_nothing_asks_for_no_keepalives_and_ends_no_session() {
+fn a_hold_time_of_zero_sends_no_keepalives_and_never_expires() {
     let mut host = Host::up(config(), Open { hold_time: 0, ..far_open() }, both());
     host.carries = false;
     host.run(25.0);
@@ -226,9 +226,9 @@
     assert_eq!((host.peer.state(), host.peer.counters.lost), (State::Established, 0));
 }
 
-/// Hard case: a drain in every state of the session, with and without unsent bytes. Nothing is announced again.
+/// A drain in every state of the session, with and without unsent bytes. Nothing is announced again.
 #[test]
-fn a_drain_in_any_state_never_announces_and_leaves_no_route() {
+fn a_drain_in_any_state_announces_nothing_and_leaves_no_route() {
     type Case = (&'static str, fn(&mut Host));
     let cases: [Case; 7] = [
         ("idle", |host| {
@@ -286,9 +286,9 @@
     }
 }
 
-/// Hard case: the peer keeps our routes over a lost session, and the drain begins while that is down.
+/// The peer keeps our routes over a lost session, and the drain begins while that is down.
 #[test]
-fn routes_that_a_peer_keeps_are_cleared_by_a_drain_that_begins_with_the_session_down() {
+fn a_drain_with_the_session_down_clears_routes_that_the_peer_retains() {
     let ours = PeerConfig { restart_time: Some(120), ..config() };
     let theirs = Open {
         capabilities: Capabilities { graceful_restart: graceful(120), ..far_open().capabilities },
@@ -323,9 +323,9 @@
     assert!(host.held() == 0 && notified(&host).unwrap().hard_reset && host.peer.is_finished());
 }
 
-/// Hard case: a withdrawal is lost in a reset; what is out is compared with what is told anew.
+/// A withdrawal is lost in a reset; what is out is compared with what is told anew.
 #[test]
-fn a_withdrawal_lost_in_a_reset_is_not_missed_after_the_reconnect() {
+fn repeats_a_withdrawal_lost_in_a_reset_after_the_reconnect() {
     let ours = PeerConfig { restart_time: Some(120), ..config() };
     let theirs = Open {
         capabilities: Capabilities { graceful_restart: graceful(120), ..far_open().capabilities },
@@ -354,9 +354,9 @@
     host.settle();
 }
 
-/// Hard case: the peer restarts and says that it will be back.
+/// The peer restarts and says that it will be back.
 #[test]
-fn a_peer_that_restarts_keeps_its_routes_until_it_has_told_all_or_its_time_is_over() {
+fn keeps_routes_of_a_restarting_peer_until_end_of_rib_or_the_restart_time() {
     let theirs = Open {
         capabilities: Capabilities { graceful_restart: graceful(20), ..far_open().capabilities },
         ..far_open()
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn learned_paths_that_loop_leak_or_come_from_elsewhere_are_not_believed() {
+fn does_not_learn_routes_that_loop_leak_or_begin_with_another_as() {
     let learns = |config: PeerConfig, path: &[u32], otc: Option<u32>| {
         let mut host = Host::up(config, far_open(), both());
         told(&mut host, "198.51.100.7/32", path, otc);
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_route_refresh_is_answered_with_all_routes_between_its_marks() {
+fn answers_a_route_refresh_with_all_routes_between_its_markers() {
     let mut host = Host::up(config(), far_open(), both());
     let before = announced(&host);
     // A hundred at once are one.
@@ -445,9 +445,9 @@
     assert_eq!(announced(&host), before + 1);
 }
 
-/// Hard case: a peer that reads nothing costs a bounded buffer, and is given up (RFC 9687).
+/// A peer that reads nothing costs a bounded buffer, and is given up (RFC 9687).
 #[test]
-fn a_peer_that_reads_nothing_is_owed_a_difference_and_not_a_queue() {
+fn output_for_a_peer_that_reads_nothing_is_bounded_and_the_session_ends() {
     let mut host = Host::up(config(), Open { hold_time: 0, ..far_open() }, both());
     host.carries = false;
     let mut most = 0;
@@ -467,7 +467,7 @@
 }
 
 #[test]
-fn messages_out_of_place_end_the_session_with_the_state_they_came_in() {
+fn reports_the_state_in_which_an_unexpected_message_arrived() {
     let mut host = Host::up(config(), far_open(), both());
     host.far.say(|out| far_open().encode(out));
     host.settle();
@@ -483,7 +483,7 @@
 }
 
 #[test]
-fn what_we_tell_carries_our_as_our_preference_within_one_and_the_mark_for_customers() {
+fn sends_as_path_local_pref_and_only_to_customer_as_the_session_requires() {
     let path = Advertisement { med: Some(5), prepend: 1, local_pref: Some(10), ..Advertisement::default() };
     let with = |config: PeerConfig, open: Open| {
         let mut announced = both();
@@ -506,7 +506,7 @@
 
 /// A drain with a lead shows GRACEFUL_SHUTDOWN on what is out, and only on the session that has it out.
 #[test]
-fn a_lead_changes_what_is_out_and_never_comes_back_with_a_new_session() {
+fn a_drain_lead_changes_announced_routes_only_and_ends_with_the_session() {
     let leaving = Advertisement { communities: vec![GRACEFUL_SHUTDOWN], ..Advertisement::default() };
     let lead = || both().into_keys().map(|net| (net, leaving.clone())).collect();
     let mut host = Host::up(config(), far_open(), wanted(&["198.51.100.7/32"]));
@@ -532,7 +532,7 @@
 }
 
 #[test]
-fn other_addresses_need_no_new_session_and_their_paths_are_asked_for_again() {
+fn reconfigures_service_prefixes_without_a_new_session_and_requests_a_refresh() {
     let mut host = Host::up(config(), far_open(), both());
     told(&mut host, "198.51.100.7/32", &[THEIRS, OURS], None);
     told(&mut host, "198.51.100.8/32", &[THEIRS, OURS], None);
