--- /dev/null
+++ b/crates/bgp/src/message/tests.rs
@@ -0,0 +1,37 @@
+//! Frames and ROUTE-REFRESH, written and read.
+
+use super::*;
+
+#[test]
+fn returns_a_frame_once_whole_and_rejects_it_at_the_first_wrong_byte() {
+    let mut bytes = Vec::new();
+    encode_keepalive(&mut bytes);
+    for length in 0..bytes.len() {
+        assert_eq!(frame(&bytes[..length]), Ok(None));
+    }
+    assert_eq!(frame(&bytes).unwrap().unwrap().message_type, MessageType::Keepalive);
+    assert_eq!(frame(b"GET / HTTP/1.1").unwrap_err().subcode(), 1);
+    let (keepalive, update) = (MessageType::Keepalive as u8, MessageType::Update as u8);
+    for (length, code, subcode) in
+        [(18u16, keepalive, 2), (20, keepalive, 2), (4097, update, 2), (22, update, 2), (19, 9, 3)]
+    {
+        bytes[16..18].copy_from_slice(&length.to_be_bytes());
+        bytes[18] = code;
+        assert_eq!(frame(&bytes).unwrap_err().subcode(), subcode, "{length} {code}");
+    }
+}
+
+#[test]
+fn a_route_refresh_round_trips_and_an_unknown_one_is_ignored() {
+    for what in [
+        RouteRefresh::Request(Family::Ipv4),
+        RouteRefresh::BeginOfRefresh(Family::Ipv6),
+        RouteRefresh::EndOfRefresh(Family::Ipv6),
+    ] {
+        let mut bytes = Vec::new();
+        encode_route_refresh(&mut bytes, what);
+        assert_eq!(decode_route_refresh(frame(&bytes).unwrap().unwrap().body), what);
+    }
+    assert_eq!(decode_route_refresh(&[0, 9, 0, 1]), RouteRefresh::Unknown);
+    assert_eq!(decode_route_refresh(&[0, 1, 7, 1]), RouteRefresh::Unknown);
+}
--- /dev/null
+++ b/crates/bgp/src/notification/tests.rs
@@ -0,0 +1,31 @@
+//! NOTIFICATIONs, written, read and shown.
+
+use super::*;
+use crate::message::frame;
+
+#[test]
+fn a_cease_round_trips_its_shutdown_communication_also_in_a_hard_reset() {
+    for hard in [false, true] {
+        let told = Notification::cease(CeaseSubcode::AdministrativeShutdown, &"ä".repeat(200), hard);
+        let mut bytes = Vec::new();
+        told.encode(&mut bytes);
+        let read = Notification::decode(frame(&bytes).unwrap().unwrap().body);
+        assert_eq!(read, told);
+        // 255 bytes do not end within a letter.
+        assert_eq!(read.shutdown_communication().unwrap().chars().count(), 127);
+    }
+}
+
+#[test]
+fn a_shutdown_communication_replaces_control_characters_and_checks_its_length() {
+    let forged = Notification::cease(CeaseSubcode::AdministrativeShutdown, "bye\nWARN all is lost", false);
+    assert_eq!(forged.shutdown_communication().unwrap(), "bye?WARN all is lost");
+    let lying = Notification {
+        code: CEASE,
+        subcode: CeaseSubcode::AdministrativeShutdown as u8,
+        data: vec![200, b'x'],
+        hard_reset: false,
+    };
+    assert_eq!(lying.shutdown_communication(), None);
+    assert_eq!(Notification::decode(&[CEASE, HARD_RESET]).subcode, HARD_RESET);
+}
--- /dev/null
+++ b/crates/bgp/src/open/tests.rs
@@ -0,0 +1,68 @@
+//! OPEN and its capabilities, written and read.
+
+use super::*;
+use crate::message::frame;
+
+pub fn whole() -> Open {
+    Open {
+        asn: 4_200_000_001,
+        hold_time: 9,
+        identifier: Ipv4Addr::new(192, 0, 2, 1),
+        capabilities: Capabilities {
+            families: [true, true],
+            four_octet_as: Some(4_200_000_001),
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: Some(GracefulRestart {
+                restart_state: true,
+                notification_support: true,
+                restart_time: 120,
+                families: [Some(true), Some(false)],
+            }),
+            role: Some(Role::Customer),
+        },
+    }
+}
+
+#[test]
+fn an_open_round_trips_and_every_truncation_is_rejected() {
+    let mut bytes = Vec::new();
+    whole().encode(&mut bytes);
+    let body = frame(&bytes).unwrap().unwrap().body;
+    assert_eq!(Open::decode(body), Ok(whole()));
+    for length in 0..body.len() {
+        assert!(Open::decode(&body[..length]).is_err(), "{length}");
+    }
+}
+
+#[test]
+fn rejects_unacceptable_fields_with_their_subcodes() {
+    let mut bytes = Vec::new();
+    whole().encode(&mut bytes);
+    let body = frame(&bytes).unwrap().unwrap().body.to_vec();
+    let with = |at: usize, new: &[u8]| {
+        let mut body = body.clone();
+        body[at..at + new.len()].copy_from_slice(new);
+        Open::decode(&body).unwrap_err().subcode()
+    };
+    assert_eq!([with(0, &[3]), with(3, &[0, 2]), with(5, &[0; 4]), with(10, &[1])], [1, 6, 3, 4]);
+    // A hold time of 0 is legal: there are no keepalives then.
+    let mut none = body.clone();
+    none[3..5].copy_from_slice(&[0, 0]);
+    assert_eq!(Open::decode(&none).unwrap().hold_time, 0);
+    // AS 0, in two octets and in four.
+    assert_eq!(Open::decode(&[4, 0, 0, 0, 9, 1, 1, 1, 1, 0]).unwrap_err().subcode(), 2);
+    // Two roles that differ.
+    let roles = [4, 0, 7, 0, 9, 1, 1, 1, 1, 8, 2, 6, 9, 1, 3, 9, 1, 4];
+    assert_eq!(Open::decode(&roles).unwrap_err().subcode(), 11);
+}
+
+#[test]
+fn reads_extended_parameters_and_assumes_ipv4_without_a_family() {
+    // RFC 9072, with an unknown capability inside.
+    let body = [4, 0, 7, 0, 9, 1, 1, 1, 1, 255, 255, 0, 7, 2, 0, 4, 99, 2, 7, 7];
+    let open = Open::decode(&body).unwrap();
+    assert_eq!((open.asn, open.capabilities.families), (7, [true, false]));
+    let lying = [4, 0, 7, 0, 9, 1, 1, 1, 1, 255, 255, 255, 255, 2, 0, 4, 99, 2, 7, 7];
+    assert!(Open::decode(&lying).is_err());
+}
--- a/crates/bgp/tests/interop.rs
+++ b/crates/bgp/tests/interop.rs
@@ -2,15 +2,18 @@
 
 use bgpkit_parser::models::{AsnLength, BgpMessage};
 use bgpkit_parser::parser::bgp::messages::parse_bgp_message;
-use cleatgw_bgp::message::{self, frame, keepalive};
-use cleatgw_bgp::update::{self, Segment, Wire};
-use cleatgw_bgp::{Attributes, Capabilities, Family, Graceful, Notification, Open, Role, Update};
+use cleatgw_bgp::message::{encode_keepalive, frame};
+use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
+use cleatgw_bgp::{
+    Capabilities, CeaseSubcode, Family, GracefulRestart, MessageType, Notification, Open, PathAttributes,
+    Role, Update,
+};
 use ipnet::IpNet;
 use rand::rngs::SmallRng;
 use rand::{RngCore, SeedableRng};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-const WIRE: Wire = Wire { four_octet: true, internal: false };
+const WIRE: UpdateContext = UpdateContext { four_octet_as: true, internal: false };
 
 fn theirs(bytes: &[u8]) -> Result<BgpMessage, String> {
     let mut bytes = bytes::Bytes::copy_from_slice(bytes);
@@ -21,28 +24,31 @@
     words.iter().map(|word| word.parse().unwrap()).collect()
 }
 
-fn attributes(hop: &str) -> Attributes {
-    Attributes {
-        as_path: vec![Segment { set: false, numbers: vec![4_200_000_001; 3] }],
+fn attributes(hop: &str) -> PathAttributes {
+    PathAttributes {
+        as_path: vec![AsPathSegment::sequence(vec![4_200_000_001; 3])],
         next_hop: Some(hop.parse().unwrap()),
         med: Some(400),
         communities: vec![cleatgw_bgp::GRACEFUL_SHUTDOWN],
-        large: vec![[64_512, 1, 7]],
-        ..Attributes::default()
+        large_communities: vec![[64_512, 1, 7]],
+        ..PathAttributes::default()
     }
 }
 
 fn open() -> Open {
     Open {
         asn: 4_200_000_001,
-        hold: 9,
-        id: "192.0.2.1".parse().unwrap(),
+        hold_time: 9,
+        identifier: "192.0.2.1".parse().unwrap(),
         capabilities: Capabilities {
             families: [true, true],
-            four_octet: Some(4_200_000_001),
-            refresh: true,
-            enhanced_refresh: true,
-            graceful: Some(Graceful { over_notifications: true, ..Graceful::default() }),
+            four_octet_as: Some(4_200_000_001),
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: Some(GracefulRestart {
+                notification_support: true,
+                ..GracefulRestart::default()
+            }),
             role: Some(Role::Customer),
         },
     }
@@ -58,9 +64,11 @@
     let four = nets(&["198.51.100.7/32", "203.0.113.0/24"]);
     let six = nets(&["2001:db8:7::7/128"]);
     vec![
-        write(&|out| open().put(out)),
-        write(&keepalive),
-        write(&|out| Notification::cease(2, "planned stop", false).put(out)),
+        write(&|out| open().encode(out)),
+        write(&encode_keepalive),
+        write(&|out| {
+            Notification::cease(CeaseSubcode::AdministrativeShutdown, "planned stop", false).encode(out)
+        }),
         write(&|out| update::announce(out, Family::Ipv4, &four, &attributes("192.0.2.1"), WIRE)),
         write(&|out| update::announce(out, Family::Ipv6, &six, &attributes("2001:db8::1"), WIRE)),
         write(&|out| update::withdraw(out, Family::Ipv4, &four)),
@@ -70,7 +78,7 @@
 }
 
 #[test]
-fn another_codec_reads_what_we_write() {
+fn bgpkit_parser_reads_our_messages() {
     let all = all();
     match theirs(&all[0]).unwrap() {
         BgpMessage::Open(open) => {
@@ -100,7 +108,7 @@
 
 /// The same hostile messages for both: cut, and with a few octets changed, from a fixed seed.
 #[test]
-fn hostile_messages_never_bring_ours_down() {
+fn hostile_messages_cause_no_panic() {
     let mut chance = SmallRng::seed_from_u64(1);
     let all = all();
     let hostile: Vec<Vec<u8>> = (0..20_000)
@@ -123,10 +131,10 @@
     };
     let ours = tried(&|bytes| {
         if let Ok(Some(found)) = frame(bytes) {
-            match found.kind {
-                message::OPEN => drop(Open::read(found.body)),
-                message::UPDATE => drop(Update::read(found.body, WIRE)),
-                message::NOTIFICATION => drop(Notification::read(found.body).to_string()),
+            match found.message_type {
+                MessageType::Open => drop(Open::decode(found.body)),
+                MessageType::Update => drop(Update::decode(found.body, WIRE)),
+                MessageType::Notification => drop(Notification::decode(found.body).to_string()),
                 _ => {}
             }
         }
--- a/crates/bgp/tests/model.rs
+++ b/crates/bgp/tests/model.rs
@@ -4,12 +4,12 @@
 #[allow(dead_code)]
 mod host;
 
-use cleatgw_bgp::{notification, Capabilities, Notification, Open, PeerTerms, State};
+use cleatgw_bgp::{Capabilities, CeaseSubcode, Notification, Open, PeerConfig, State};
 use host::*;
 use stateright::{Checker, Model, Property};
 use std::fmt;
 
-/// A fault that is put in to see that it is found.
+/// A error that is put in to see that it is found.
 #[derive(Clone, Copy, PartialEq)]
 enum Planted {
     Nothing,
@@ -66,7 +66,7 @@
 }
 
 struct Session {
-    terms: PeerTerms,
+    config: PeerConfig,
     far: Open,
     planted: Planted,
 }
@@ -76,9 +76,9 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<At> {
-        let mut fresh = Host::new(self.terms.clone(), self.far.clone());
+        let mut fresh = Host::new(self.config.clone(), self.far.clone());
         fresh.peer.announce(both(), 0.0);
-        let up = Host::up(self.terms.clone(), self.far.clone(), both());
+        let up = Host::up(self.config.clone(), self.far.clone(), both());
         vec![At { host: fresh, drained: false }, At { host: up, drained: false }]
     }
 
@@ -96,7 +96,7 @@
         match step {
             Step::Time => {
                 host.now = host.now.max(host.peer.due().min(host.now + 60.0));
-                host.peer.time_passed(host.now);
+                host.peer.run_timers(host.now);
                 host.acts();
             }
             Step::CarryOut => return host.carry_out().then_some(next),
@@ -108,7 +108,9 @@
             }
             Step::FarNotifies => {
                 host.on?;
-                host.far.say(|out| Notification::cease(notification::SHUTDOWN, "", false).put(out));
+                host.far.say(|out| {
+                    Notification::cease(CeaseSubcode::AdministrativeShutdown, "", false).encode(out)
+                });
                 host.carry_in();
             }
             Step::FarArrives => {
@@ -129,7 +131,9 @@
                 match self.planted {
                     Planted::Nothing => host.peer.drain(wanted(&[]), host.now),
                     Planted::DrainOnlyWithdraws => host.peer.announce(wanted(&[]), host.now),
-                    Planted::DrainLeaves => host.peer.finish(notification::SHUTDOWN, "", host.now),
+                    Planted::DrainLeaves => {
+                        host.peer.shut_down(CeaseSubcode::AdministrativeShutdown, "", host.now)
+                    }
                 }
                 next.drained = true;
                 next.host.acts();
@@ -141,7 +145,7 @@
     fn properties(&self) -> Vec<Property<Session>> {
         vec![
             Property::always("nothing is announced once the drain has begun", |_, at: &At| {
-                let told = |host: &Host| host.peer.told().count();
+                let told = |host: &Host| host.peer.adj_rib_out().count();
                 !at.drained || told(&at.host) == 0 && told(&at.after(60.0)) == 0
             }),
             Property::always("a peer that is reachable ends with no route of ours", |_, at: &At| {
@@ -171,9 +175,9 @@
 
 fn session(kept: bool, planted: Planted) -> Session {
     let graceful = if kept { graceful(120) } else { None };
-    let capabilities = Capabilities { graceful, ..far_open().capabilities };
-    let terms = PeerTerms { graceful: kept.then_some(120), ..terms() };
-    Session { terms, far: Open { capabilities, ..far_open() }, planted }
+    let capabilities = Capabilities { graceful_restart: graceful, ..far_open().capabilities };
+    let config = PeerConfig { restart_time: kept.then_some(120), ..config() };
+    Session { config, far: Open { capabilities, ..far_open() }, planted }
 }
 
 fn checked(session: Session, depth: usize) -> impl Checker<Session> {
@@ -181,7 +185,7 @@
 }
 
 #[test]
-fn whatever_the_far_end_and_the_network_do_a_drain_ends_with_no_route() {
+fn a_drain_leaves_no_route_in_any_reachable_state() {
     for kept in [false, true] {
         let done = checked(session(kept, Planted::Nothing), 6);
         println!(
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -2,8 +2,8 @@
 //! table, and keeps that over a lost session where both sides agreed to (RFC 4724, RFC 8538). No I/O.
 
 use cleatgw_bgp::message::{self, frame};
-use cleatgw_bgp::update::{Update, Wire};
-use cleatgw_bgp::{Attributes, Notification, Open};
+use cleatgw_bgp::update::{Update, UpdateContext};
+use cleatgw_bgp::{MessageType, Notification, Open, PathAttributes};
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Saw {
     Established,
-    Announced(IpNet, Attributes),
+    Announced(IpNet, PathAttributes),
     Withdrawn(IpNet),
     /// All that was told is told (RFC 4724 section 2).
     EndOfRib,
@@ -28,7 +28,7 @@
     pub theirs: Option<Open>,
     pub established: bool,
     /// Its table, with whether a route is only kept.
-    pub table: BTreeMap<IpNet, (Attributes, bool)>,
+    pub table: BTreeMap<IpNet, (PathAttributes, bool)>,
     pub saw: Vec<Saw>,
     input: Vec<u8>,
     pub out: Vec<u8>,
@@ -55,7 +55,7 @@
         (self.theirs, self.established) = (None, false);
         (self.input, self.out) = (Vec::new(), Vec::new());
         if !self.mute {
-            self.open.put(&mut self.out);
+            self.open.encode(&mut self.out);
         }
     }
 
@@ -72,25 +72,25 @@
         self.input.extend(bytes);
         loop {
             let Some(found) = frame(&self.input).expect("what we write is whole") else { return true };
-            let (kind, body, length) = (found.kind, found.body.to_vec(), found.length());
+            let (kind, body, length) = (found.message_type, found.body.to_vec(), found.length());
             self.input.drain(..length);
             match kind {
-                message::OPEN => {
-                    self.theirs = Some(Open::read(&body).expect("a well-formed OPEN"));
+                MessageType::Open => {
+                    self.theirs = Some(Open::decode(&body).expect("a well-formed OPEN"));
                     if !self.mute {
-                        message::keepalive(&mut self.out);
+                        message::encode_keepalive(&mut self.out);
                     }
                 }
-                message::KEEPALIVE if !self.established && self.theirs.is_some() => {
+                MessageType::Keepalive if !self.established && self.theirs.is_some() => {
                     self.established = true;
                     self.saw.push(Saw::Established);
                     let keeps = self.kept_families(true);
                     self.drop_stale(|family| !keeps[family]);
                 }
-                message::KEEPALIVE if !self.mute => message::keepalive(&mut self.out),
-                message::UPDATE => self.update(&body),
-                message::NOTIFICATION => {
-                    let told = Notification::read(&body);
+                MessageType::Keepalive if !self.mute => message::encode_keepalive(&mut self.out),
+                MessageType::Update => self.update(&body),
+                MessageType::Notification => {
+                    let told = Notification::decode(&body);
                     self.ended(Some(told));
                     return false;
                 }
@@ -101,9 +101,10 @@
 
     fn update(&mut self, body: &[u8]) {
         assert!(self.established, "an UPDATE before the session was up");
-        let four_octet = self.open.capabilities.four_octet.is_some();
+        let four_octet_as = self.open.capabilities.four_octet_as.is_some();
         let internal = self.theirs.as_ref().is_some_and(|open| open.asn == self.open.asn);
-        let update = Update::read(body, Wire { four_octet, internal }).expect("a well-formed UPDATE");
+        let update =
+            Update::decode(body, UpdateContext { four_octet_as, internal }).expect("a well-formed UPDATE");
         assert_eq!(update.treated_as_withdrawn, None);
         for net in update.withdrawn {
             self.table.remove(&net);
@@ -125,8 +126,8 @@
 
     /// By family: whether the other side asked for its routes to be kept, and in a new session says it kept them too.
     fn kept_families(&self, forwarding: bool) -> [bool; 2] {
-        let graceful = self.theirs.as_ref().and_then(|open| open.capabilities.graceful);
-        let agreed = graceful.filter(|_| self.open.capabilities.graceful.is_some());
+        let graceful = self.theirs.as_ref().and_then(|open| open.capabilities.graceful_restart);
+        let agreed = graceful.filter(|_| self.open.capabilities.graceful_restart.is_some());
         let keeps = |kept: Option<bool>| kept.is_some_and(|kept| kept || !forwarding);
         agreed.map_or([false; 2], |graceful| graceful.families.map(keeps))
     }
@@ -146,10 +147,11 @@
             self.saw.push(Saw::Ended(told));
             return;
         }
-        let bit =
-            |open: &Open| open.capabilities.graceful.is_some_and(|graceful| graceful.over_notifications);
+        let bit = |open: &Open| {
+            open.capabilities.graceful_restart.is_some_and(|graceful| graceful.notification_support)
+        };
         let both = bit(&self.open) && self.theirs.as_ref().is_some_and(bit);
-        let kept = told.as_ref().is_none_or(|told| both && !told.hard);
+        let kept = told.as_ref().is_none_or(|told| both && !told.hard_reset);
         let keeps = self.kept_families(false).map(|family| family && kept);
         self.table.values_mut().for_each(|(_, stale)| *stale = true);
         self.saw.push(Saw::Ended(told));
--- a/crates/lab/src/peering.rs
+++ b/crates/lab/src/peering.rs
@@ -3,8 +3,8 @@
 
 use crate::far::{Far, Saw};
 use cleatgw_bgp::message;
-use cleatgw_bgp::update::{self, Segment, Wire};
-use cleatgw_bgp::{notification, Attributes, Capabilities, Family, Graceful, Notification, Open};
+use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
+use cleatgw_bgp::{Capabilities, CeaseSubcode, Family, GracefulRestart, Notification, Open, PathAttributes};
 use ipnet::IpNet;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
@@ -47,17 +47,18 @@
 
 /// How a peer introduces itself; it keeps routes over lost sessions for the ones that ask, if `helps`.
 pub fn open(helps: bool) -> Open {
-    let graceful = Graceful { over_notifications: true, time: 0, ..Graceful::default() };
+    let graceful =
+        GracefulRestart { notification_support: true, restart_time: 0, ..GracefulRestart::default() };
     Open {
         asn: FAR_AS,
-        hold: 30,
-        id: Ipv4Addr::new(192, 0, 2, 250),
+        hold_time: 30,
+        identifier: Ipv4Addr::new(192, 0, 2, 250),
         capabilities: Capabilities {
             families: [true, true],
-            four_octet: Some(FAR_AS),
-            refresh: true,
-            enhanced_refresh: true,
-            graceful: helps.then_some(graceful),
+            four_octet_as: Some(FAR_AS),
+            route_refresh: true,
+            enhanced_route_refresh: true,
+            graceful_restart: helps.then_some(graceful),
             role: None,
         },
     }
@@ -195,7 +196,7 @@
 
     /// Ends the session with a Cease.
     pub fn cease(&self) {
-        self.say(|out| Notification::cease(notification::SHUTDOWN, "flap", false).put(out));
+        self.say(|out| Notification::cease(CeaseSubcode::AdministrativeShutdown, "flap", false).encode(out));
         let mut inner = self.inner();
         if inner.open.take().is_some() {
             inner.far.ended(None);
@@ -212,13 +213,13 @@
 
     /// Shows a path to this address, as an instance with this mark announces it.
     pub fn show(&self, net: IpNet, large: [u32; 3]) {
-        let attributes = Attributes {
-            as_path: vec![Segment { set: false, numbers: vec![FAR_AS, NEAR_AS] }],
+        let attributes = PathAttributes {
+            as_path: vec![AsPathSegment::sequence(vec![FAR_AS, NEAR_AS])],
             next_hop: Some(Ipv4Addr::new(192, 0, 2, 50).into()),
-            large: vec![large],
-            ..Attributes::default()
+            large_communities: vec![large],
+            ..PathAttributes::default()
         };
-        let wire = Wire { four_octet: true, internal: false };
+        let wire = UpdateContext { four_octet_as: true, internal: false };
         self.say(|out| update::announce(out, Family::Ipv4, &[net], &attributes, wire));
     }
 
@@ -227,7 +228,7 @@
     }
 
     pub fn keepalive(&self) {
-        self.say(message::keepalive);
+        self.say(message::encode_keepalive);
     }
 
     pub fn established(&self) -> bool {
@@ -240,7 +241,7 @@
     }
 
     /// The routes that it holds, kept ones too.
-    pub fn table(&self) -> Vec<(IpNet, Attributes)> {
+    pub fn table(&self) -> Vec<(IpNet, PathAttributes)> {
         let inner = self.inner();
         inner.far.table.iter().map(|(net, (attributes, _))| (*net, attributes.clone())).collect()
     }
