--- a/crates/members/src/duty.rs
+++ b/crates/members/src/duty.rs
@@ -5,7 +5,7 @@
 //! better ranked sooner. So a duty stays where it is while its holder lives, has one natural successor when it does not,
 //! and what is asked does not grow with the number of routers.
 
-use crate::lease::{Epoch, Leases, Thing, LONGEST};
+use crate::lease::{Epoch, Leases, Resource, MAX_TERM};
 use crate::view::Allowed;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -19,14 +19,14 @@
 const RENEW: f64 = 0.4;
 
 /// What a duty's lease is for: tied to its name, so that routers whose files list duties in another order agree.
-pub fn thing(name: &str) -> Thing {
+pub fn thing(name: &str) -> Resource {
     // The same in every build; other things have the lower half of the numbers.
     crc32fast::hash(name.as_bytes()) | 1 << 31
 }
 
 #[derive(Clone, Debug)]
 struct Duty {
-    thing: Thing,
+    thing: Resource,
     ask_at: f64,
 }
 
@@ -48,12 +48,12 @@
 }
 
 impl Duties {
-    pub fn new(cluster: u64, things: &[Thing], now: f64) -> Duties {
+    pub fn new(cluster: u64, things: &[Resource], now: f64) -> Duties {
         let things = things.iter().take(MOST_DUTIES);
         Duties { cluster, all: things.map(|&thing| Duty { thing, ask_at: now }).collect() }
     }
 
-    pub fn things(&self) -> impl Iterator<Item = Thing> + '_ {
+    pub fn things(&self) -> impl Iterator<Item = Resource> + '_ {
         self.all.iter().map(|duty| duty.thing)
     }
 
@@ -74,11 +74,11 @@
     ) {
         for duty in self.all.iter_mut().filter(|duty| now >= duty.ask_at) {
             let spread = 0.75 + 0.5 * chance;
-            if let Some(left) = leases.left(duty.thing, now) {
+            if let Some(left) = leases.remaining(duty.thing, now) {
                 // Ours: time on it needs no view, as a majority either grants that or does not.
-                let renews = left < LONGEST * (1.0 - RENEW);
+                let renews = left < MAX_TERM * (1.0 - RENEW);
                 if renews && allowed.asks_for_leases {
-                    leases.ask(duty.thing, now);
+                    leases.request(duty.thing, now);
                 }
                 duty.ask_at = now + EVERY * spread;
                 continue;
@@ -87,13 +87,13 @@
             duty.ask_at = now + EVERY * (1.0 + rank.min(8) as f64) * spread;
             let other = leases.granted_to(duty.thing, now).is_some_and(|holder| holder != me);
             if rank < ASKING && allowed.takes_over && !other {
-                leases.ask(duty.thing, now);
+                leases.request(duty.thing, now);
             }
         }
     }
 
-    pub fn stands(&self, thing: Thing, me: u16, leases: &Leases, now: f64) -> Stands {
-        match (leases.holds(thing, now), leases.left(thing, now)) {
+    pub fn stands(&self, thing: Resource, me: u16, leases: &Leases, now: f64) -> Stands {
+        match (leases.holds(thing, now), leases.remaining(thing, now)) {
             (Some(epoch), Some(left)) => Stands::Ours(epoch, left),
             _ => match leases.granted_to(thing, now).filter(|holder| *holder != me) {
                 Some(holder) => Stands::Held(holder),
@@ -104,7 +104,7 @@
 }
 
 /// How many of those present come before this router for a thing.
-pub fn rank(cluster: u64, thing: Thing, me: u16, present: &[u16]) -> usize {
+pub fn rank(cluster: u64, thing: Resource, me: u16, present: &[u16]) -> usize {
     let weight = |router: u16| {
         let mut hasher = DefaultHasher::new();
         (cluster, thing, router).hash(&mut hasher);
--- a/crates/members/src/lease/grantor.rs
+++ b/crates/members/src/lease/grantor.rs
@@ -1,60 +1,76 @@
-//! The grantor's part: what this router has promised and granted to others, and to itself.
+//! The grantor's part: what this router has promised and granted, to others and to itself.
 
-use super::{Epoch, Leases, Planted, Say, Thing, LONGEST, MOST_THINGS};
+use super::{Epoch, InjectedFault, Leases, Message, Resource, MAX_RESOURCES, MAX_TERM};
 
-/// What a grantor remembers of one thing.
+/// A lease that this grantor has granted.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct Granted {
+    epoch: Epoch,
+    holder: u16,
+    /// On the grantor's clock, in seconds.
+    expires_at: f64,
+}
+
+/// What a grantor remembers of one resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Grant {
-    pub(super) promised: Epoch,
-    /// Epoch, holder, and until when on our clock.
-    pub(super) given: Option<(Epoch, u16, f64)>,
+    /// Nothing older than this is accepted.
+    promised: Epoch,
+    granted: Option<Granted>,
+}
+
+impl Grant {
+    fn holder(&self, now: f64) -> Option<u16> {
+        self.granted.filter(|granted| now < granted.expires_at).map(|granted| granted.holder)
+    }
 }
 
 impl Leases {
-    /// Whom this router itself has granted it to, if that has not run out: the view of one grantor, no more.
-    pub fn granted_to(&self, thing: Thing, now: f64) -> Option<u16> {
-        let given = self.granted.get(&thing).and_then(|grant| grant.given);
-        given.filter(|(.., until)| now < *until).map(|(_, holder, _)| holder)
+    /// The router to which this router itself has granted the lease, if that has not expired: the knowledge of one
+    /// grantor alone.
+    pub fn granted_to(&self, resource: Resource, now: f64) -> Option<u16> {
+        self.grants.get(&resource).and_then(|grant| grant.holder(now))
     }
 
-    /// What we may grant by; none where we must not, or for more things than we keep.
-    fn grant(&mut self, thing: Thing, now: f64) -> Option<&mut Grant> {
-        if now < self.grants_from && self.planted != Planted::GrantsAtOnce {
+    /// The record to grant by. `None` while this router must not grant, or where it keeps too many resources.
+    fn grant_mut(&mut self, resource: Resource, now: f64) -> Option<&mut Grant> {
+        if now < self.grants_from && self.injected != InjectedFault::GrantsAtOnce {
             return None;
         }
-        if !self.granted.contains_key(&thing) && self.granted.len() >= MOST_THINGS {
+        if !self.grants.contains_key(&resource) && self.grants.len() >= MAX_RESOURCES {
             return None;
         }
-        let grant = self.granted.entry(thing).or_default();
-        grant.given = grant.given.filter(|(.., until)| now < *until);
+        let grant = self.grants.entry(resource).or_default();
+        grant.granted = grant.granted.filter(|granted| now < granted.expires_at);
         Some(grant)
     }
 
-    pub(super) fn prepared(&mut self, from: u16, thing: Thing, epoch: Epoch, now: f64) {
-        let Some(grant) = self.grant(thing, now) else { return };
-        let say = if epoch <= grant.promised {
-            Say::Refuse { thing, epoch, promised: grant.promised }
+    pub(super) fn on_prepare(&mut self, from: u16, resource: Resource, epoch: Epoch, now: f64) {
+        let Some(grant) = self.grant_mut(resource, now) else { return };
+        let reply = if epoch <= grant.promised {
+            Message::Refuse { resource, epoch, promised: grant.promised }
         } else {
             grant.promised = epoch;
-            Say::Promise { thing, epoch, held: grant.given.map(|(_, holder, _)| holder) }
+            Message::Promise { resource, epoch, held: grant.holder(now) }
         };
-        self.answer(from, say, now);
+        self.reply(from, reply, now);
     }
 
-    pub(super) fn proposed(&mut self, from: u16, thing: Thing, epoch: Epoch, now: f64) {
-        let Some(grant) = self.grant(thing, now) else { return };
-        let say = if epoch < grant.promised {
-            Say::Refuse { thing, epoch, promised: grant.promised }
+    pub(super) fn on_propose(&mut self, from: u16, resource: Resource, epoch: Epoch, now: f64) {
+        let Some(grant) = self.grant_mut(resource, now) else { return };
+        let reply = if epoch < grant.promised {
+            Message::Refuse { resource, epoch, promised: grant.promised }
         } else {
-            *grant = Grant { promised: epoch, given: Some((epoch, from, now + LONGEST)) };
-            Say::Accept { thing, epoch }
+            let granted = Granted { epoch, holder: from, expires_at: now + MAX_TERM };
+            *grant = Grant { promised: epoch, granted: Some(granted) };
+            Message::Accept { resource, epoch }
         };
-        self.answer(from, say, now);
+        self.reply(from, reply, now);
     }
 
-    /// The sender uses nothing any more that it asked for under this epoch or an older one.
-    pub(super) fn released(&mut self, from: u16, thing: Thing, epoch: Epoch) {
-        let Some(grant) = self.granted.get_mut(&thing) else { return };
-        grant.given = grant.given.filter(|(given, holder, _)| *holder != from || *given > epoch);
+    /// The sender no longer uses what it requested under this epoch or an older one.
+    pub(super) fn on_release(&mut self, from: u16, resource: Resource, epoch: Epoch) {
+        let Some(grant) = self.grants.get_mut(&resource) else { return };
+        grant.granted = grant.granted.filter(|granted| granted.holder != from || granted.epoch > epoch);
     }
 }
--- a/crates/members/src/lease/mod.rs
+++ b/crates/members/src/lease/mod.rs
@@ -1,12 +1,13 @@
-//! Leases: what only one router may do at a time, granted by a majority of those expected, each with an epoch that only
-//! grows. After PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) and Gray and Cheriton (1989): no log, no disk.
+//! Leases on what only one router may do at a time, granted by a majority of the expected routers, each under an epoch
+//! that only grows. After PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) and Gray and Cheriton (1989): without a log and
+//! without a disk.
 //!
-//! **What it rests on.** Clocks are only ever compared with themselves. For two routers' clocks, one second of one is
-//! at most `1 + 2 * DRIFT` seconds of the other (a bound on rates, not on what they show; steps of the Unix clock do not
-//! matter, as none is read). A grantor that has lost its memory grants nothing for [`LONGEST`] after its start. A holder
-//! looks at [`Leases::holds`] before each use, in the same turn, and a use has taken effect [`MOST_PAUSE`] after that look
-//! or never: what a freeze between the two lets through later is stopped by the epoch, where the other side checks that.
-//! Epochs go back only if a majority loses its memory at once *and* the Unix clocks that they start from were set back.
+//! **Assumptions.** A clock is only ever compared with itself. Of two routers' clocks, one second of one is at most
+//! `1 + 2 * DRIFT` seconds of the other: a bound on their rates, not on what they show. Steps of the Unix clock do not matter,
+//! as it is not read. A grantor that has lost its memory grants nothing for [`MAX_TERM`] after its start. A holder checks
+//! [`Leases::holds`] before each use, in the same turn, and a use takes effect within [`MAX_USE_DELAY`] of that check or
+//! never; what a freeze between the two lets through later is stopped by the epoch, where the other side checks it. Epochs
+//! go back only if a majority loses its memory at once *and* the Unix clocks that they start from were set back.
 
 mod grantor;
 mod message;
@@ -15,54 +16,68 @@
 mod tests;
 
 use grantor::Grant;
-pub use message::Say;
+pub use message::Message;
 use requester::Attempt;
 use std::collections::BTreeMap;
 
-/// By how much a clock's rate may differ from true time.
+/// By how much the rate of a clock may differ from true time.
 pub const DRIFT: f64 = 0.01;
-/// No lease lasts longer, in seconds of the grantor's clock.
-pub const LONGEST: f64 = 2.0;
-/// From the holder's look to the effect of what it does, in seconds.
-pub const MOST_PAUSE: f64 = 0.1;
-/// Things that leases are kept for; more are refused.
-const MOST_THINGS: usize = 1024;
-/// An attempt that has no majority by then is over, in seconds.
-const PATIENCE: f64 = 0.5;
+/// The term of a lease on the grantor's clock, in seconds: how long a resource stays unused after its holder has died.
+pub const MAX_TERM: f64 = 2.0;
+/// The longest time from the holder's check to the effect of what it does, in seconds.
+pub const MAX_USE_DELAY: f64 = 0.1;
+/// Resources that are kept at most, so that a faulty router can't fill the memory; more are refused.
+const MAX_RESOURCES: usize = 1024;
+/// An attempt without a majority after this time is given up, in seconds: several round trips between far regions.
+const ATTEMPT_TIMEOUT: f64 = 0.5;
+/// The low bits of an epoch that hold the number of the router.
+const ROUTER_BITS: u32 = 16;
 
 /// What a lease is for.
-pub type Thing = u32;
+pub type Resource = u32;
+
+/// The former name of [`Resource`], until the test bed uses the new one.
+#[doc(hidden)]
+pub type Thing = Resource;
 
 /// Grows with each attempt: a counter, then the number of the router that made it, so that no two are alike.
 pub type Epoch = u64;
 
 fn epoch(counter: u64, router: u16) -> Epoch {
-    counter << 16 | u64::from(router)
+    counter << ROUTER_BITS | u64::from(router)
+}
+
+/// A lease that this router holds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Held {
+    epoch: Epoch,
+    /// On the holder's clock, in seconds.
+    expires_at: f64,
 }
 
-/// One router's part, as holder and as grantor.
+/// The part of one router, as holder and as grantor.
 #[derive(Clone, Debug)]
 pub struct Leases {
     me: u16,
     expected: usize,
-    /// Before this nothing is granted: what was granted in a former life has run out by then.
+    /// Nothing is granted before this time: what was granted in a former life has expired by then.
     grants_from: f64,
     counter: u64,
-    granted: BTreeMap<Thing, Grant>,
-    attempts: BTreeMap<Thing, Attempt>,
-    /// Epoch, and until when on our clock we may use it.
-    held: BTreeMap<Thing, (Epoch, f64)>,
-    out: Vec<(u16, Say)>,
-    /// Left out only to see that the model checker finds what it is for.
-    pub planted: Planted,
+    grants: BTreeMap<Resource, Grant>,
+    attempts: BTreeMap<Resource, Attempt>,
+    held: BTreeMap<Resource, Held>,
+    outgoing: Vec<(u16, Message)>,
+    /// What is left out on purpose, so that a test of the model checker can see that it is found.
+    pub injected: InjectedFault,
 }
 
-/// Faults for the model checker.
+/// Faults for the model checker to find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
+    /// The code as it is.
     #[default]
     None,
-    /// A holder counts its lease from when it was granted, not from when it asked.
+    /// A holder counts its term from the grant in place of the request.
     CountsFromGrant,
     /// A router that has lost its memory grants at once.
     GrantsAtOnce,
@@ -71,19 +86,19 @@
 }
 
 impl Leases {
-    /// A router's part after its start. `counter` must be larger than any it had in a former life: the Unix time of the
-    /// start in milliseconds is.
+    /// The part of router `me` among `expected` routers after its start. `counter` must be larger than in any former life:
+    /// the Unix time of the start in milliseconds is.
     pub fn new(me: u16, expected: usize, counter: u64, now: f64) -> Leases {
         Leases {
             me,
             expected,
-            grants_from: now + LONGEST * (1.0 + 2.0 * DRIFT),
+            grants_from: now + MAX_TERM * (1.0 + 2.0 * DRIFT),
             counter,
-            granted: BTreeMap::new(),
+            grants: BTreeMap::new(),
             attempts: BTreeMap::new(),
             held: BTreeMap::new(),
-            out: Vec::new(),
-            planted: Planted::None,
+            outgoing: Vec::new(),
+            injected: InjectedFault::None,
         }
     }
 
@@ -91,75 +106,81 @@
         crate::view::majority(self.expected)
     }
 
-    fn say_to_all(&mut self, say: Say, now: f64) {
+    fn broadcast(&mut self, message: Message, now: f64) {
         for router in (0..self.expected as u16).filter(|router| *router != self.me) {
-            self.out.push((router, say));
+            self.outgoing.push((router, message));
         }
-        // Our own part as a grantor is asked like any other.
-        self.heard(self.me, say, now);
+        // This router's own part as a grantor is asked like any other.
+        self.receive(self.me, message, now);
     }
 
-    /// Asks for a lease, or for more time on one that we hold. One attempt at a time is under way for a thing.
-    pub fn ask(&mut self, thing: Thing, now: f64) {
-        if self.attempts.contains_key(&thing) || self.attempts.len() >= MOST_THINGS {
+    /// Requests a lease, or an extension of one that is held. One attempt at a time is made for a resource.
+    pub fn request(&mut self, resource: Resource, now: f64) {
+        if self.attempts.contains_key(&resource) || self.attempts.len() >= MAX_RESOURCES {
             return;
         }
         self.counter += 1;
         let epoch = epoch(self.counter, self.me);
-        self.attempts.insert(thing, Attempt::Preparing { epoch, began: now, promises: Vec::new() });
-        self.say_to_all(Say::Prepare { thing, epoch }, now);
+        self.attempts.insert(resource, Attempt::Preparing { epoch, began: now, promises: Vec::new() });
+        self.broadcast(Message::Prepare { resource, epoch }, now);
     }
 
-    /// The epoch under which we hold a lease that may be used now: look before each use, in the same turn.
-    pub fn holds(&self, thing: Thing, now: f64) -> Option<Epoch> {
-        self.held.get(&thing).filter(|(_, until)| now < until - MOST_PAUSE).map(|(epoch, _)| *epoch)
+    /// The epoch of a lease that is held and may be used now. To be checked before each use, in the same turn.
+    pub fn holds(&self, resource: Resource, now: f64) -> Option<Epoch> {
+        let held = self.held.get(&resource)?;
+        (now < held.expires_at - MAX_USE_DELAY).then_some(held.epoch)
     }
 
-    /// For how many seconds more a lease that we hold may be used, if it may be now.
-    pub fn left(&self, thing: Thing, now: f64) -> Option<f64> {
-        self.held.get(&thing).map(|(_, until)| until - MOST_PAUSE - now).filter(|left| *left > 0.0)
+    /// For how many seconds more a lease that is held may be used, if it may be used now.
+    pub fn remaining(&self, resource: Resource, now: f64) -> Option<f64> {
+        let held = self.held.get(&resource)?;
+        Some(held.expires_at - MAX_USE_DELAY - now).filter(|remaining| *remaining > 0.0)
     }
 
-    /// We have stopped: others need not wait for its end. What they granted may be younger than what we hold: an attempt
-    /// is under way, or its answers were lost. So all that we have asked for until now is given up.
-    pub fn release(&mut self, thing: Thing, now: f64) {
-        let (asked, held) = (self.attempts.remove(&thing), self.held.remove(&thing));
-        if asked.is_some() || held.is_some() {
-            self.say_to_all(Say::Release { thing, epoch: epoch(self.counter, self.me) }, now);
+    /// Gives up a lease, so that others need not wait for its end. What the grantors have granted may be later than what is
+    /// held, as an attempt is under way or its replies were lost: all that was requested until now is given up.
+    pub fn release(&mut self, resource: Resource, now: f64) {
+        let attempt = self.attempts.remove(&resource);
+        let held = self.held.remove(&resource);
+        if attempt.is_some() || held.is_some() {
+            let epoch = epoch(self.counter, self.me);
+            self.broadcast(Message::Release { resource, epoch }, now);
         }
     }
 
-    /// Gives up attempts that found no majority, and forgets what has run out.
+    /// Gives up attempts that have timed out, and forgets leases that have expired.
     pub fn turn(&mut self, now: f64) {
-        self.attempts.retain(|_, attempt| now < attempt.began() + PATIENCE);
-        self.held.retain(|_, (_, until)| now < *until);
+        self.attempts.retain(|_, attempt| now < attempt.began() + ATTEMPT_TIMEOUT);
+        self.held.retain(|_, held| now < held.expires_at);
     }
 
-    pub fn outgoing(&mut self) -> Vec<(u16, Say)> {
-        std::mem::take(&mut self.out)
+    /// The messages to send, each with its receiver.
+    pub fn outgoing(&mut self) -> Vec<(u16, Message)> {
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// What another router, or we ourselves, said.
-    pub fn heard(&mut self, from: u16, say: Say, now: f64) {
-        match say {
-            Say::Prepare { thing, epoch } => self.prepared(from, thing, epoch, now),
-            Say::Propose { thing, epoch } => self.proposed(from, thing, epoch, now),
-            Say::Release { thing, epoch } => self.released(from, thing, epoch),
-            Say::Promise { thing, epoch, held } => self.promised(from, thing, epoch, held, now),
-            Say::Accept { thing, epoch } => self.accepted(from, thing, epoch, now),
-            Say::Refuse { thing, epoch, promised } => self.refused(thing, epoch, promised),
+    /// Takes a message of another router, or of this one.
+    pub fn receive(&mut self, from: u16, message: Message, now: f64) {
+        match message {
+            Message::Prepare { resource, epoch } => self.on_prepare(from, resource, epoch, now),
+            Message::Propose { resource, epoch } => self.on_propose(from, resource, epoch, now),
+            Message::Release { resource, epoch } => self.on_release(from, resource, epoch),
+            Message::Promise { resource, epoch, held } => self.on_promise(from, resource, epoch, held, now),
+            Message::Accept { resource, epoch } => self.on_accept(from, resource, epoch, now),
+            Message::Refuse { resource, epoch, promised } => self.on_refuse(resource, epoch, promised),
         }
     }
 
-    fn answer(&mut self, to: u16, say: Say, now: f64) {
-        match to == self.me {
-            true => self.heard(to, say, now),
-            false => self.out.push((to, say)),
+    fn reply(&mut self, to: u16, message: Message, now: f64) {
+        if to == self.me {
+            self.receive(to, message, now);
+        } else {
+            self.outgoing.push((to, message));
         }
     }
 
-    /// All that what follows depends on, for a model checker.
+    /// The whole state that later behaviour depends on, as text for a model checker.
     pub fn digest(&self) -> String {
-        format!("{:?}", (self.grants_from, self.counter, &self.granted, &self.attempts, &self.held))
+        format!("{:?}", (self.grants_from, self.counter, &self.grants, &self.attempts, &self.held))
     }
 }
--- a/crates/members/src/lease/tests.rs
+++ b/crates/members/src/lease/tests.rs
@@ -1,38 +1,38 @@
 use super::*;
 
-/// Routers on one clock, whose words arrive at once unless they are cut off.
-struct Story {
+/// Routers on one clock, whose messages arrive at once unless they are cut off.
+struct Cluster {
     now: f64,
     routers: Vec<Leases>,
     cut_off: Vec<u16>,
 }
 
-impl Story {
-    fn new(routers: u16) -> Story {
+impl Cluster {
+    fn new(routers: u16) -> Cluster {
         let routers = (0..routers).map(|me| Leases::new(me, routers.into(), 1000, 0.0)).collect();
-        Story { now: 10.0, routers, cut_off: Vec::new() }
+        Cluster { now: 10.0, routers, cut_off: Vec::new() }
     }
 
-    fn ask(&mut self, router: usize) -> Option<Epoch> {
+    fn request(&mut self, router: usize) -> Option<Epoch> {
         self.routers[router].turn(self.now);
-        self.routers[router].ask(7, self.now);
+        self.routers[router].request(7, self.now);
         self.settle();
         self.holds(router)
     }
 
     fn settle(&mut self) {
-        while let Some((from, to, say)) = self.next() {
+        while let Some((from, to, message)) = self.next() {
             let reached = !self.cut_off.contains(&from) && !self.cut_off.contains(&to);
             if reached {
-                self.routers[usize::from(to)].heard(from, say, self.now);
+                self.routers[usize::from(to)].receive(from, message, self.now);
             }
         }
     }
 
-    fn next(&mut self) -> Option<(u16, u16, Say)> {
-        let from = self.routers.iter().position(|router| !router.out.is_empty())?;
-        let (to, say) = self.routers[from].out.remove(0);
-        Some((from as u16, to, say))
+    fn next(&mut self) -> Option<(u16, u16, Message)> {
+        let from = self.routers.iter().position(|router| !router.outgoing.is_empty())?;
+        let (to, message) = self.routers[from].outgoing.remove(0);
+        Some((from as u16, to, message))
     }
 
     fn holds(&self, router: usize) -> Option<Epoch> {
@@ -41,88 +41,88 @@
 }
 
 #[test]
-fn one_holds_it_at_a_time_and_the_next_has_a_younger_epoch() {
-    let mut story = Story::new(3);
-    let first = story.ask(0).expect("all are there");
-    assert_eq!(story.ask(1), None);
-    story.now += LONGEST + 0.01;
-    assert_eq!(story.holds(0), None);
-    let second = story.ask(1).expect("it has run out");
+fn grants_to_one_holder_at_a_time_under_growing_epochs() {
+    let mut cluster = Cluster::new(3);
+    let first = cluster.request(0).expect("all are there");
+    assert_eq!(cluster.request(1), None);
+    cluster.now += MAX_TERM + 0.01;
+    assert_eq!(cluster.holds(0), None);
+    let second = cluster.request(1).expect("it has expired");
     assert!(second > first);
 }
 
 #[test]
-fn a_holder_that_asks_again_goes_on_and_one_that_releases_makes_room_at_once() {
-    let mut story = Story::new(3);
-    let first = story.ask(2).unwrap();
-    story.now += 1.0;
-    let again = story.ask(2).unwrap();
+fn extends_on_renewal_and_frees_at_once_on_release() {
+    let mut cluster = Cluster::new(3);
+    let first = cluster.request(2).unwrap();
+    cluster.now += 1.0;
+    let again = cluster.request(2).unwrap();
     assert!(again > first);
-    story.now += 1.5;
-    assert_eq!(story.holds(2), Some(again), "counted from when it asked again");
-    let now = story.now;
-    story.routers[2].release(7, now);
-    story.settle();
-    assert_eq!(story.holds(2), None);
-    assert_eq!(story.ask(0), None, "it is told that younger ones were promised");
-    assert!(story.ask(0).is_some_and(|epoch| epoch > again));
+    cluster.now += 1.5;
+    assert_eq!(cluster.holds(2), Some(again), "counted from when it asked again");
+    let now = cluster.now;
+    cluster.routers[2].release(7, now);
+    cluster.settle();
+    assert_eq!(cluster.holds(2), None);
+    assert_eq!(cluster.request(0), None, "it is told that later ones were promised");
+    assert!(cluster.request(0).is_some_and(|epoch| epoch > again));
 }
 
 #[test]
-fn without_a_majority_there_is_none_and_two_halves_have_none_either() {
-    let mut story = Story::new(4);
-    story.cut_off = vec![2, 3];
-    assert_eq!(story.ask(0), None, "two of four are no majority");
-    assert_eq!(story.ask(2), None);
-    story.cut_off.clear();
-    story.now += 1.0;
-    assert!(story.ask(0).is_some());
+fn grants_nothing_without_a_majority_or_to_either_half() {
+    let mut cluster = Cluster::new(4);
+    cluster.cut_off = vec![2, 3];
+    assert_eq!(cluster.request(0), None, "two of four are no majority");
+    assert_eq!(cluster.request(2), None);
+    cluster.cut_off.clear();
+    cluster.now += 1.0;
+    assert!(cluster.request(0).is_some());
 }
 
 /// Hard case: all that granted it are restarted, and forget.
 #[test]
-fn who_has_lost_its_memory_grants_nothing_until_what_it_granted_has_run_out() {
-    let mut story = Story::new(3);
-    let first = story.ask(0).unwrap();
+fn restarted_grantor_grants_nothing_until_former_grants_expire() {
+    let mut cluster = Cluster::new(3);
+    let first = cluster.request(0).unwrap();
     for router in [1, 2] {
-        story.routers[router] = Leases::new(router as u16, 3, 2000, story.now);
+        cluster.routers[router] = Leases::new(router as u16, 3, 2000, cluster.now);
     }
-    story.now += 0.1;
-    assert_eq!(story.ask(1), None);
-    assert_eq!(story.holds(0), Some(first));
-    story.now += LONGEST * 1.05;
-    assert!(story.ask(1).unwrap() > first);
+    cluster.now += 0.1;
+    assert_eq!(cluster.request(1), None);
+    assert_eq!(cluster.holds(0), Some(first));
+    cluster.now += MAX_TERM * 1.05;
+    assert!(cluster.request(1).unwrap() > first);
 }
 
 /// Hard case: frozen with a lease, and woken after its end with everything in its socket buffers.
 #[test]
-fn a_holder_that_wakes_after_its_lease_holds_nothing_and_the_words_it_slept_through_give_none_back() {
-    let mut story = Story::new(3);
-    story.routers[0].ask(7, story.now);
-    // All but the last of the others' words reach it; then it is frozen.
-    let mut slept_through = Vec::new();
-    while let Some((from, to, say)) = story.next() {
-        match (to, say) {
-            (0, Say::Accept { .. }) => slept_through.push((from, say)),
-            _ => story.routers[usize::from(to)].heard(from, say, story.now),
+fn late_accepts_do_not_revive_an_expired_lease() {
+    let mut cluster = Cluster::new(3);
+    cluster.routers[0].request(7, cluster.now);
+    // All but the last of the others' messages reach it; then it is frozen.
+    let mut late_accepts = Vec::new();
+    while let Some((from, to, message)) = cluster.next() {
+        match (to, message) {
+            (0, Message::Accept { .. }) => late_accepts.push((from, message)),
+            _ => cluster.routers[usize::from(to)].receive(from, message, cluster.now),
         }
     }
-    assert_eq!(slept_through.len(), 2);
-    story.now += 5.0;
-    let other = story.ask(1).expect("it has run out");
-    let now = story.now;
-    slept_through.into_iter().for_each(|(from, say)| story.routers[0].heard(from, say, now));
-    assert_eq!((story.holds(0), story.holds(1)), (None, Some(other)));
+    assert_eq!(late_accepts.len(), 2);
+    cluster.now += 5.0;
+    let other = cluster.request(1).expect("it has expired");
+    let now = cluster.now;
+    late_accepts.into_iter().for_each(|(from, message)| cluster.routers[0].receive(from, message, now));
+    assert_eq!((cluster.holds(0), cluster.holds(1)), (None, Some(other)));
 }
 
 #[test]
-fn a_router_that_made_up_things_costs_bounded_memory() {
+fn bounds_memory_for_invented_resources() {
     let mut router = Leases::new(0, 3, 0, 0.0);
-    for thing in 0..5000 {
-        router.heard(1, Say::Prepare { thing, epoch: 1 << 16 | 1 }, 10.0);
+    for resource in 0..5000 {
+        router.receive(1, Message::Prepare { resource, epoch: 1 << 16 | 1 }, 10.0);
     }
-    assert_eq!(router.granted.len(), MOST_THINGS);
-    router.heard(1, Say::Refuse { thing: 1, epoch: 1, promised: u64::MAX }, 10.0);
-    router.ask(1, 10.0);
+    assert_eq!(router.grants.len(), MAX_RESOURCES);
+    router.receive(1, Message::Refuse { resource: 1, epoch: 1, promised: u64::MAX }, 10.0);
+    router.request(1, 10.0);
     assert_eq!(router.holds(1, 10.0), None);
 }
--- a/crates/members/src/membership/receive.rs
+++ b/crates/members/src/membership/receive.rs
@@ -3,7 +3,7 @@
 use super::send::HELLO;
 use super::Members;
 use crate::digest;
-use crate::lease::Say;
+use crate::lease::Message;
 use crate::quiet::MOST_NAMED;
 use crate::swim::YOUNGEST;
 use crate::wire::{self, Dropped, Envelope, Kind, HEARD_UNIT};
@@ -183,13 +183,13 @@
     }
 
     fn take_lease(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
-        let (say, rest): (Say, _) = postcard::take_from_bytes(body).map_err(|_| Dropped::Body)?;
+        let (message, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| Dropped::Body)?;
         if !rest.is_empty() {
             return Err(Dropped::Body);
         }
         let grants = self.allowed().grants_leases;
-        if grants || !matches!(say, Say::Prepare { .. } | Say::Propose { .. }) {
-            self.leases.heard(from as u16, say, now);
+        if grants || !matches!(message, Message::Prepare { .. } | Message::Propose { .. }) {
+            self.leases.receive(from as u16, message, now);
         }
         Ok(())
     }
--- a/crates/members/src/membership/send.rs
+++ b/crates/members/src/membership/send.rs
@@ -44,8 +44,8 @@
         for (to, bytes) in self.swim.outgoing() {
             self.put(to, Kind::Swim, &bytes, now);
         }
-        for (to, say) in self.leases.outgoing() {
-            let bytes = postcard::to_extend(&say, Vec::new()).unwrap_or_default();
+        for (to, message) in self.leases.outgoing() {
+            let bytes = postcard::to_extend(&message, Vec::new()).unwrap_or_default();
             self.put(to, Kind::Lease, &bytes, now);
         }
     }
--- a/crates/members/tests/lease_model.rs
+++ b/crates/members/tests/lease_model.rs
@@ -1,12 +1,12 @@
-//! Model checking (stateright) of the real leases: an adversary that delays, loses and repeats words, freezes holders,
+//! Model checking (stateright) of the real leases: an adversary that delays, loses and repeats messages, freezes holders,
 //! restarts grantors without their memory, and runs the clocks apart as far as the bound allows.
 
 use cleatgw_lab::told_by_digest;
-use cleatgw_members::lease::{Epoch, Leases, Planted, Say, DRIFT, LONGEST, MOST_PAUSE};
+use cleatgw_members::lease::{Epoch, InjectedFault, Leases, Message, DRIFT, MAX_TERM, MAX_USE_DELAY};
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::fmt;
 
-const THING: u32 = 1;
+const RESOURCE: u32 = 1;
 /// How far time may move at once, in hundredths of a second: a little, and just about to or past a lease's end.
 const MOVES: [u64; 4] = [2, 40, 156, 198];
 /// The slowest, a true, and the fastest clock that the bound allows.
@@ -33,7 +33,7 @@
     asks: Vec<u8>,
     restarts: u8,
     repeats: u8,
-    on_the_way: Vec<(usize, usize, Say)>,
+    on_the_way: Vec<(usize, usize, Message)>,
     /// Until when what each did last may take effect, in true seconds, and under which epoch.
     effects: Vec<Option<(f64, Epoch)>>,
     /// The youngest epoch that was ever used.
@@ -75,14 +75,14 @@
     routers: usize,
     /// Whose clock runs at which of the rates.
     rates: Vec<usize>,
-    planted: Planted,
+    injected: InjectedFault,
     asks: u8,
     restarts: u8,
     repeats: u8,
     deliver_weight: usize,
     loses: bool,
     moves: Vec<u64>,
-    /// All words but those to and from the last router are lost, which is a majority with either of the others.
+    /// All messages but those to and from the last router are lost, which is a majority with either of the others.
     by_one: bool,
     /// No time passes after this.
     until: u64,
@@ -99,16 +99,16 @@
         out.retain(|(to, _)| {
             !self.by_one || router == self.routers - 1 || usize::from(*to) == self.routers - 1
         });
-        at.on_the_way.extend(out.into_iter().map(|(to, say)| (router, usize::from(to), say)));
-        at.on_the_way.sort_by_key(|word| format!("{word:?}"));
+        at.on_the_way.extend(out.into_iter().map(|(to, message)| (router, usize::from(to), message)));
+        at.on_the_way.sort_by_key(|message| format!("{message:?}"));
         at.on_the_way.dedup();
     }
 
-    fn hears(&self, at: &mut At, word: (usize, usize, Say)) {
-        let (from, to, say) = word;
+    fn deliver(&self, at: &mut At, message: (usize, usize, Message)) {
+        let (from, to, message) = message;
         let now = self.local(at, to);
         at.routers[to].turn(now);
-        at.routers[to].heard(from as u16, say, now);
+        at.routers[to].receive(from as u16, message, now);
         self.collect(at, to);
     }
 }
@@ -134,7 +134,7 @@
             // They have run for long.
             let began = self.local(&first, router) - 100.0;
             let mut leases = Leases::new(router as u16, self.routers, 10, began);
-            leases.planted = self.planted;
+            leases.injected = self.injected;
             first.routers.push(leases);
         }
         vec![first]
@@ -159,7 +159,7 @@
             steps.push(Step::Restart(self.routers - 1));
         }
         let uses =
-            asking.filter(|router| at.routers[*router].holds(THING, self.local(at, *router)).is_some());
+            asking.filter(|router| at.routers[*router].holds(RESOURCE, self.local(at, *router)).is_some());
         for router in uses {
             steps.extend(std::iter::repeat_n(Step::Use(router), 2 * self.deliver_weight - 1));
         }
@@ -172,17 +172,17 @@
                 let now = self.local(&at, router);
                 at.asks[router] += 1;
                 at.routers[router].turn(now);
-                at.routers[router].ask(THING, now);
+                at.routers[router].request(RESOURCE, now);
                 self.collect(&mut at, router);
             }
             Step::Deliver(number) => {
-                let word = at.on_the_way.remove(number);
-                self.hears(&mut at, word);
+                let message = at.on_the_way.remove(number);
+                self.deliver(&mut at, message);
             }
             Step::Repeat(number) => {
                 at.repeats += 1;
-                let word = at.on_the_way[number];
-                self.hears(&mut at, word);
+                let message = at.on_the_way[number];
+                self.deliver(&mut at, message);
             }
             Step::Lose(number) => {
                 at.on_the_way.remove(number);
@@ -191,17 +191,17 @@
             Step::Restart(router) => {
                 at.restarts += 1;
                 let mut leases = Leases::new(router as u16, self.routers, 10, self.local(&at, router));
-                leases.planted = self.planted;
+                leases.injected = self.injected;
                 at.routers[router] = leases;
             }
             Step::Use(router) => {
-                let epoch = at.routers[router].holds(THING, self.local(&at, router))?;
+                let epoch = at.routers[router].holds(RESOURCE, self.local(&at, router))?;
                 let now = at.time as f64 / 100.0;
                 let others = at.effects.iter().enumerate().filter(|(other, _)| *other != router);
                 at.two |= others.flat_map(|(_, effect)| effect).any(|(until, _)| now < *until);
                 at.back |= epoch < at.youngest;
                 at.youngest = at.youngest.max(epoch);
-                at.effects[router] = Some((now + MOST_PAUSE / RATES[self.rates[router]], epoch));
+                at.effects[router] = Some((now + MAX_USE_DELAY / RATES[self.rates[router]], epoch));
             }
         }
         Some(at)
@@ -218,11 +218,11 @@
     }
 }
 
-fn checked(planted: Planted, rates: [usize; 3]) -> Checked {
+fn checked(injected: InjectedFault, rates: [usize; 3]) -> Checked {
     Checked {
         routers: 3,
         rates: rates.to_vec(),
-        planted,
+        injected,
         asks: 1,
         restarts: 1,
         repeats: 0,
@@ -249,52 +249,52 @@
 }
 
 #[test]
-fn two_never_hold_one_lease_and_epochs_never_go_back_whatever_is_lost_frozen_or_restarted() {
+fn keeps_one_holder_and_growing_epochs_under_loss_freezes_and_restarts() {
     // The holder's clock is the slowest and the grantors' the fastest, or the other way about, or all are alike.
     for rates in [[0, 2, 2], [2, 0, 0], [0, 0, 2], [1, 1, 1]] {
-        let model = Checked { repeats: 2, asks: 3, deliver_weight: 3, ..checked(Planted::None, rates) };
+        let model = Checked { repeats: 2, asks: 3, deliver_weight: 3, ..checked(InjectedFault::None, rates) };
         assert_eq!(found(model, 300_000), ["both hold it in turn"], "{rates:?}");
     }
 }
 
 #[test]
-fn every_path_of_nine_steps_is_walked_for_the_clocks_that_are_furthest_apart() {
-    let model = checked(Planted::None, [0, 2, 2]);
+fn keeps_one_holder_on_every_path_of_nine_steps_with_clocks_furthest_apart() {
+    let model = checked(InjectedFault::None, [0, 2, 2]);
     let checker = model.checker().threads(4).target_max_depth(9).spawn_bfs().join();
     assert!(checker.discoveries().is_empty());
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
 }
 
 #[test]
-fn each_planted_fault_is_found() {
+fn finds_each_injected_fault() {
     // With the moves of time that each of them needs, and nothing lost: what is lost is only late.
     let faults = [
-        (Planted::CountsFromGrant, vec![40, 160], 0),
-        (Planted::GrantsAtOnce, vec![], 1),
-        (Planted::NoDrift, vec![190, 9], 0),
+        (InjectedFault::CountsFromGrant, vec![40, 160], 0),
+        (InjectedFault::GrantsAtOnce, vec![], 1),
+        (InjectedFault::NoDrift, vec![190, 9], 0),
     ];
-    for (planted, moves, restarts) in faults {
-        let walked = |planted| {
+    for (injected, moves, restarts) in faults {
+        let walked = |injected| {
             let model = Checked {
                 by_one: true,
                 loses: false,
                 restarts,
                 moves: moves.clone(),
                 until: 199,
-                ..checked(planted, [0, 2, 2])
+                ..checked(injected, [0, 2, 2])
             };
             let checker = model.checker().threads(4).target_max_depth(16).spawn_bfs().join();
             checker.discoveries().contains_key("two never hold one lease")
         };
-        assert!(walked(planted), "{planted:?}");
-        assert!(!walked(Planted::None), "without {planted:?}");
+        assert!(walked(injected), "{injected:?}");
+        assert!(!walked(InjectedFault::None), "without {injected:?}");
     }
 }
 
 #[test]
-fn the_bounds_fit_each_other() {
+fn holder_term_ends_before_grantor_term_at_the_drift_bound() {
     // A holder's time, by the slowest clock, is over before a grantor's by the fastest.
-    let holder = LONGEST / (1.0 + 2.0 * DRIFT) / RATES[0];
-    let grantor = LONGEST / RATES[2];
+    let holder = MAX_TERM / (1.0 + 2.0 * DRIFT) / RATES[0];
+    let grantor = MAX_TERM / RATES[2];
     assert!(holder <= grantor + 1e-3, "{holder} against {grantor}");
 }
