--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -7,7 +7,7 @@
 //! Nothing here says where a request goes, and no request waits for any of it.
 
 pub mod digest;
-pub mod duty;
+pub mod leader;
 pub mod lease;
 mod member;
 mod membership;
@@ -19,3 +19,9 @@
 pub use member::{Change, Counts, Member, State};
 pub use membership::{cluster_hash, Members, MOST_ROUTERS};
 pub use swim::{Defences, YOUNGEST};
+
+/// The former names of [`leader`], until the test bed uses the new ones.
+#[doc(hidden)]
+pub mod duty {
+    pub use crate::leader::role_resource as thing;
+}
--- a/crates/members/src/membership/leases.rs
+++ b/crates/members/src/membership/leases.rs
@@ -1,53 +1,61 @@
-//! What only one router does at a time: leases that the host asks for, and duties that are asked for here.
+//! What only one router does at a time: leases that the host requests, and leader roles that are requested here.
 
 use super::Members;
-use crate::duty::{Duties, Stands};
+use crate::leader::{Candidate, LeaderRoles, RoleStatus};
 use crate::lease::{Epoch, Resource};
 use crate::view::Standing;
 
 impl Members {
-    /// Asks for a lease where the view allows that; whether it came is seen by [`Members::holds`].
-    pub fn ask(&mut self, thing: Resource, now: f64) {
+    /// Requests a lease where the view allows that; whether it was granted is seen by [`Members::holds`].
+    pub fn request_lease(&mut self, resource: Resource, now: f64) {
         if self.allowed().asks_for_leases {
-            self.leases.request(thing, now);
+            self.leases.request(resource, now);
         }
     }
 
-    /// The epoch under which we hold it: to be looked at before each use, in the same turn.
-    pub fn holds(&self, thing: Resource, now: f64) -> Option<Epoch> {
-        self.leases.holds(thing, now)
+    /// The epoch of a lease that is held and may be used now. To be checked before each use, in the same turn.
+    pub fn holds(&self, resource: Resource, now: f64) -> Option<Epoch> {
+        self.leases.holds(resource, now)
     }
 
-    pub fn release(&mut self, thing: Resource, now: f64) {
-        self.leases.release(thing, now);
+    /// Gives up a lease.
+    pub fn release(&mut self, resource: Resource, now: f64) {
+        self.leases.release(resource, now);
     }
 
-    /// These are for one router at a time from now on ([`duty::thing`]); what was held of others is released.
-    pub fn take_on(&mut self, things: &[Resource], now: f64) {
-        let left: Vec<Resource> = self.duties.things().filter(|thing| !things.contains(thing)).collect();
-        left.into_iter().for_each(|thing| self.leases.release(thing, now));
-        self.duties = Duties::new(self.cluster, things, now);
+    /// Sets the leader roles of the cluster, by their resources ([`crate::leader::role_resource`]). What is held of others
+    /// is released.
+    pub fn take_on(&mut self, resources: &[Resource], now: f64) {
+        let dropped: Vec<Resource> =
+            self.roles.resources().filter(|resource| !resources.contains(resource)).collect();
+        for resource in dropped {
+            self.leases.release(resource, now);
+        }
+        self.roles = LeaderRoles::new(self.cluster, resources, now);
     }
 
-    /// How a duty stands; the holder looks before each use, in the same turn.
-    pub fn duty(&self, thing: Resource, now: f64) -> Stands {
+    /// Who holds a leader role, as far as this router knows. The holder checks before each use, in the same turn.
+    pub fn role_status(&self, resource: Resource, now: f64) -> RoleStatus {
         match self.standing {
             // Which of two processes a grant was meant for can't be known.
-            Standing::Doubled => Stands::Unknown,
-            _ => self.duties.stands(thing, self.me, &self.leases, now),
+            Standing::Doubled => RoleStatus::Unknown,
+            _ => self.roles.status(resource, self.me, &self.leases, now),
         }
     }
 
-    /// Asks for the duties whose turn it is.
-    pub(super) fn ask_for_duties(&mut self, now: f64) {
+    /// Requests the leases of the roles that are due.
+    pub(super) fn request_roles(&mut self, now: f64) {
         let present: Vec<u16> = self.present().map(|router| router as u16).collect();
-        let (chance, allowed) = (self.chance_from_0_to_1(), self.allowed());
-        self.duties.turn(self.me, &present, allowed, &mut self.leases, chance, now);
+        let chance = self.chance_from_0_to_1();
+        let candidate = Candidate { me: self.me, present: &present, allowed: self.allowed(), chance };
+        self.roles.turn(candidate, &mut self.leases, now);
     }
 
-    /// Releases all duties: others need not wait for their ends.
-    pub(super) fn release_duties(&mut self, now: f64) {
-        let things: Vec<Resource> = self.duties.things().collect();
-        things.into_iter().for_each(|thing| self.leases.release(thing, now));
+    /// Releases all roles, so that others need not wait for the ends of their leases.
+    pub(super) fn release_roles(&mut self, now: f64) {
+        let held: Vec<Resource> = self.roles.resources().collect();
+        for resource in held {
+            self.leases.release(resource, now);
+        }
     }
 }
--- a/crates/members/src/membership/mod.rs
+++ b/crates/members/src/membership/mod.rs
@@ -6,7 +6,7 @@
 mod send;
 
 use crate::digest::{EngineLife, Heard, Said, Word};
-use crate::duty::Duties;
+use crate::leader::LeaderRoles;
 use crate::lease::Leases;
 use crate::member::{Change, Counts, Member, State};
 use crate::quiet::Quiet;
@@ -32,7 +32,7 @@
     kept: u64,
     shown: Option<u64>,
     leases: Leases,
-    duties: Duties,
+    roles: LeaderRoles,
     quiet: Quiet,
     heard: Heard,
     telling: Vec<Word>,
@@ -105,7 +105,7 @@
             kept: 0,
             shown: None,
             leases: Leases::new(me as u16, routers, born, now),
-            duties: Duties::default(),
+            roles: LeaderRoles::default(),
             quiet: Quiet::default(),
             heard: Heard::default(),
             telling: Vec::new(),
@@ -164,8 +164,8 @@
         self.wakes(now);
         self.swim.turn(now, MOST_TIMERS);
         self.leases.turn(now);
-        if now >= self.duties.due() {
-            self.ask_for_duties(now);
+        if now >= self.roles.due() {
+            self.request_roles(now);
         }
         if now >= self.observe_at {
             self.observe_at = now + observe::LOOKS;
@@ -216,7 +216,7 @@
             self.hello_at = now;
             // At once: what is released below is not asked for again ahead of the next look.
             self.standing = view::standing(&self.count(now));
-            self.release_duties(now);
+            self.release_roles(now);
         }
     }
 
@@ -245,7 +245,7 @@
     pub fn due(&self) -> f64 {
         let observed_at = self.observe_at + observe::LOOKS;
         let own = self.hello_at.min(self.seek_at).min(observed_at).min(self.quiet.due());
-        self.swim.due().min(own).min(self.duties.due())
+        self.swim.due().min(own).min(self.roles.due())
     }
 
     /// The epoch of our store's last put, which others are shown from now on.
--- a/crates/members/tests/agree_model.rs
+++ b/crates/members/tests/agree_model.rs
@@ -3,7 +3,7 @@
 
 use cleatgw_lab::virtual_members::World;
 use cleatgw_lab::weather::Act;
-use cleatgw_members::duty::thing;
+use cleatgw_members::leader::role_resource;
 use cleatgw_members::swim::{Defences, Pace};
 use cleatgw_members::view::Standing;
 use stateright::{Checker, Model, Property};
@@ -33,7 +33,7 @@
 impl Views {
     fn play(&self, path: &Path) -> World {
         let mut world = World::new(ROUTERS, Pace { defences: self.defences, ..Pace::default() }, 5);
-        world.duty = Some(thing("one"));
+        world.duty = Some(role_resource("one"));
         world.rates = vec![0.99, 1.01, 1.0];
         (0..ROUTERS).for_each(|router| world.at(0.0, Act::Start(router)));
         let mut at = 6.0;
--- a/crates/members/tests/handover.rs
+++ b/crates/members/tests/handover.rs
@@ -3,7 +3,7 @@
 
 use cleatgw_lab::virtual_members::World;
 use cleatgw_lab::weather::Act;
-use cleatgw_members::duty::thing;
+use cleatgw_members::leader::role_resource;
 use cleatgw_members::swim::Pace;
 
 /// A lease ends by itself after two seconds: who is told that it is free needs none of that.
@@ -11,7 +11,7 @@
 
 fn holder(world: &World) -> Option<usize> {
     let holds = |router: &usize| {
-        world.members(*router).is_some_and(|one| one.holds(thing("nightly"), world.now).is_some())
+        world.members(*router).is_some_and(|one| one.holds(role_resource("nightly"), world.now).is_some())
     };
     (0..world.routers()).find(holds)
 }
@@ -23,7 +23,7 @@
     let (mut longest, mut again) = (0.0f64, 0);
     for moment in 0..moments {
         let mut world = World::new(5, Pace::default(), seed);
-        world.duty = Some(thing("nightly"));
+        world.duty = Some(role_resource("nightly"));
         world.weather.all(|link| link.delay = delay);
         (0..5).for_each(|router| world.at(0.0, Act::Start(router)));
         world.run_until(8.0 + moment as f64 * step);
--- a/crates/members/tests/stories.rs
+++ b/crates/members/tests/stories.rs
@@ -384,10 +384,10 @@
 /// Frozen, cut off and killed in turn, on clocks as far apart as the bound allows: one holder at a time, and never none for
 /// long while a majority is there.
 #[test]
-fn a_duty_has_one_holder_at_a_time_whatever_becomes_of_it() {
+fn leader_role_has_one_holder_at_a_time_and_a_successor_under_faults() {
     for seed in 0..6 {
         let mut world = World::new(7, Pace::default(), seed);
-        world.duty = Some(cleatgw_members::duty::thing("nightly"));
+        world.duty = Some(cleatgw_members::leader::role_resource("nightly"));
         world.rates = [0.99, 1.01, 1.0, 1.01, 0.99, 1.0, 1.01].into();
         (0..7).for_each(|router| world.at(0.0, Act::Start(router)));
         world.run_until(8.0);
--- a/crates/operator/src/cluster.rs
+++ b/crates/operator/src/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::bgp::seconds;
 use crate::{parse, wrong, Wrong, LONGEST};
-use cleatgw_members::duty::{thing, MOST_DUTIES};
+use cleatgw_members::leader::{role_resource, MAX_ROLES};
 use cleatgw_members::swim::{Defences, Pace};
 use cleatgw_members::{cluster_hash, MOST_ROUTERS};
 use ipnet::IpNet;
@@ -124,13 +124,13 @@
                 return wrong(field("address"), "one in the `networks`", router.address);
             }
         }
-        if self.duties.len() > MOST_DUTIES {
+        if self.duties.len() > MAX_ROLES {
             return wrong("duties", "at most 64", self.duties.len());
         }
         let mut things = BTreeSet::new();
         for (at, duty) in self.duties.iter().enumerate() {
             name(&format!("duties[{at}]"), duty)?;
-            if !things.insert(thing(duty)) {
+            if !things.insert(role_resource(duty)) {
                 return wrong(format!("duties[{at}]"), "a name of its own", duty);
             }
         }
--- a/crates/router/src/transport/cluster.rs
+++ b/crates/router/src/transport/cluster.rs
@@ -5,7 +5,7 @@
 use crate::routing::Counters;
 use calloop::RegistrationToken;
 use cleatgw_members::digest::{EngineLife, Said, Word};
-use cleatgw_members::duty::{self, Stands};
+use cleatgw_members::leader::{role_resource, RoleStatus};
 use cleatgw_members::view::Standing;
 use cleatgw_members::wire::{Dropped, LONGEST};
 use cleatgw_members::Members;
@@ -51,7 +51,7 @@
 /// The part of a file that is `Members`'.
 fn members(file: &ClusterFile, place: usize, born: u64, seed: u64, now: f64) -> Members {
     let mut members = Members::new(file.hash(), file.routers.len(), place, born, &file.pace(), seed, now);
-    let things: Vec<_> = file.duties.iter().map(|name| duty::thing(name)).collect();
+    let things: Vec<_> = file.duties.iter().map(|name| role_resource(name)).collect();
     members.take_on(&things, now);
     members
 }
@@ -206,12 +206,12 @@
     fn look_at_duties(&mut self, now: f64) {
         self.ours.resize(self.file.duties.len(), false);
         for (at, name) in self.file.duties.iter().enumerate() {
-            let stands = self.members.duty(duty::thing(name), now);
-            match (std::mem::replace(&mut self.ours[at], matches!(stands, Stands::Ours(..))), stands) {
-                (false, Stands::Ours(epoch, _)) => {
+            let stands = self.members.role_status(role_resource(name), now);
+            match (std::mem::replace(&mut self.ours[at], matches!(stands, RoleStatus::Held { .. })), stands) {
+                (false, RoleStatus::Held { epoch, .. }) => {
                     log::info!(duty = name.as_str(), epoch = epoch; "duty {name} is ours, epoch {epoch}")
                 }
-                (true, Stands::Held(_) | Stands::Unknown) => {
+                (true, RoleStatus::HeldBy(_) | RoleStatus::Unknown) => {
                     log::info!(duty = name.as_str(); "duty {name} is no longer ours")
                 }
                 _ => {}
@@ -223,17 +223,17 @@
     /// turn in seconds, which the row tells.
     pub fn duties(&self, now: f64, unix: f64) -> Vec<[String; 3]> {
         let row = |name: &String| {
-            let stands = self.members.duty(duty::thing(name), now);
+            let stands = self.members.role_status(role_resource(name), now);
             let (state, why) = match stands {
-                Stands::Ours(epoch, left) => {
-                    ("ours".to_string(), format!("epoch {epoch} at {unix:.6} for {left:.3} s"))
+                RoleStatus::Held { epoch, remaining } => {
+                    ("ours".to_string(), format!("epoch {epoch} at {unix:.6} for {remaining:.3} s"))
                 }
-                Stands::Held(router) => {
+                RoleStatus::HeldBy(router) => {
                     let holder = self.file.routers.get(usize::from(router));
                     let holder = holder.map_or("another", |router| router.name.as_str());
                     (format!("held by {holder}"), "by this router's own grant".to_string())
                 }
-                Stands::Unknown => {
+                RoleStatus::Unknown => {
                     ("not known".to_string(), "not granted by this router of late".to_string())
                 }
             };
