--- a/crates/members/src/membership/mod.rs
+++ b/crates/members/src/membership/mod.rs
@@ -10,7 +10,7 @@
 use crate::lease::Leases;
 use crate::member::{Change, Counts, Member, State};
 use crate::quiet::Quiet;
-use crate::swim::{Life, Pace, Swim};
+use crate::swim::{DetectorCounts, Life, Pace, Swim};
 use crate::view::{self, Allowed, Standing};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -27,7 +27,7 @@
     cluster: u64,
     members: Vec<Member>,
     swim: Swim,
-    told_lives: bool,
+    adopt_younger_life: bool,
     /// The epoch of our own store, and the latest of it that another says it was shown, once one has said anything.
     kept: u64,
     shown: Option<u64>,
@@ -101,7 +101,7 @@
             cluster,
             members: vec![never; routers],
             swim: Swim::new(life, routers, pace, seed, now),
-            told_lives: pace.defences.told_lives,
+            adopt_younger_life: pace.defences.adopt_younger_life,
             kept: 0,
             shown: None,
             leases: Leases::new(me as u16, routers, born, now),
@@ -169,7 +169,7 @@
         }
         if now >= self.observe_at {
             self.observe_at = now + observe::LOOKS;
-            self.swim.ripen(now);
+            self.swim.expire_suspicions(now);
             self.observe(now);
         }
         if now >= self.hello_at {
@@ -211,7 +211,7 @@
     pub fn leave(&mut self, now: f64) {
         if self.leaving_since.replace(self.leaving_since.unwrap_or(now)).is_none() {
             let born = self.swim.me().born;
-            self.swim.live_anew(born + 1, true, now);
+            self.swim.begin_life(born + 1, true, now);
             self.round.clear();
             self.hello_at = now;
             // At once: what is released below is not asked for again ahead of the next look.
@@ -264,7 +264,7 @@
     }
 
     pub fn counts(&self) -> Counts {
-        let (refutations, new_lives, contradicted) = self.swim.counts();
+        let DetectorCounts { refutations, new_lives, contradicted } = self.swim.counts();
         Counts { refutations, new_lives, contradicted, ..self.counts.clone() }
     }
 }
--- a/crates/members/src/membership/observe.rs
+++ b/crates/members/src/membership/observe.rs
@@ -3,7 +3,7 @@
 use super::receive::{DOUBLED, DOUBLED_WITHIN};
 use super::Members;
 use crate::member::{Change, Member, State};
-use crate::swim::{Life, Told};
+use crate::swim::{DetectorState, Life};
 use crate::view::{self, Count};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -17,11 +17,11 @@
 impl Members {
     /// Puts together what the detector tells and what we hear, and notes who came to another state.
     pub(super) fn observe(&mut self, now: f64) {
-        let told: Vec<(Life, Told)> = self.swim.told().collect();
-        for (life, told) in told {
+        let states: Vec<(Life, DetectorState)> = self.swim.states().collect();
+        for (life, detected) in states {
             let router = usize::from(life.router);
             if life.router != self.me && router < self.members.len() {
-                self.comes(router, self.state_of(life, told, now), life.born, now);
+                self.comes(router, self.state_of(life, detected, now), life.born, now);
             }
         }
         self.members[usize::from(self.me)].born = self.swim.me().born;
@@ -31,15 +31,15 @@
     }
 
     /// The state of a router by the detector's word, and by when it was heard.
-    fn state_of(&self, life: Life, told: Told, now: f64) -> State {
+    fn state_of(&self, life: Life, detected: DetectorState, now: f64) -> State {
         let member = &self.members[usize::from(life.router)];
         let heard_ago = now - member.heard_at;
-        match told {
-            _ if life.leaving || (member.leaving && told == Told::Down) => State::Left,
-            Told::Down => State::Failed,
-            Told::Suspect => State::Suspected,
-            Told::Alive if heard_ago > self.deaf_after() => State::SeenByOthers,
-            Told::Alive => State::Present,
+        match detected {
+            _ if life.leaving || (member.leaving && detected == DetectorState::Down) => State::Left,
+            DetectorState::Down => State::Failed,
+            DetectorState::Suspect => State::Suspected,
+            DetectorState::Alive if heard_ago > self.deaf_after() => State::SeenByOthers,
+            DetectorState::Alive => State::Present,
         }
     }
 
--- a/crates/members/src/membership/receive.rs
+++ b/crates/members/src/membership/receive.rs
@@ -37,7 +37,7 @@
         self.renew_life(&envelope, now);
         self.answer_one_that_does_not_count(from, &envelope, now);
         match envelope.kind {
-            Kind::Swim => self.swim.data(body, now).map_err(|_| Dropped::Body),
+            Kind::Swim => self.swim.receive(body, now).map_err(|_| Dropped::Body),
             Kind::Hello => self.take_hello(from, body, now),
             Kind::Ask => {
                 self.answer_ask(from, now);
@@ -67,13 +67,13 @@
     /// Notes that it was heard, in which life, and what it tells of the two stores.
     fn hear(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), Dropped> {
         {
-            let mut ears = self.swim.ears.borrow_mut();
-            ears.now = now;
-            if !ears.hear(from, envelope.born) {
+            let mut contacts = self.swim.contacts.borrow_mut();
+            contacts.now = now;
+            if !contacts.record(from, envelope.born) {
                 return Err(Dropped::FormerLife);
             }
         }
-        self.swim.hears(now);
+        self.swim.heard(now);
         let member = &mut self.members[from];
         if member.born < envelope.born {
             self.heard.forget(from as u16);
@@ -109,15 +109,15 @@
     fn renew_life(&mut self, envelope: &Envelope, now: f64) {
         let leaving = self.leaving_since.is_some();
         // Our name was in a younger life: our clock was set back before our start, or another goes by our name.
-        if envelope.yours > self.swim.me().born && self.told_lives {
+        if envelope.yours > self.swim.me().born && self.adopt_younger_life {
             self.younger.retain(|at| now < at + DOUBLED_WITHIN);
             if self.younger.len() < DOUBLED {
                 self.younger.push(now);
-                self.swim.live_anew(envelope.yours.saturating_add(1), leaving, now);
+                self.swim.begin_life(envelope.yours.saturating_add(1), leaving, now);
             }
         }
         if envelope.failed && envelope.yours == self.swim.me().born && !leaving {
-            self.swim.live_anew(envelope.yours + 1, false, now);
+            self.swim.begin_life(envelope.yours + 1, false, now);
         }
     }
 
--- a/crates/members/src/membership/send.rs
+++ b/crates/members/src/membership/send.rs
@@ -108,7 +108,7 @@
     pub(super) fn put(&mut self, to: u16, kind: Kind, body: &[u8], now: f64) {
         let Some(member) = self.members.get(usize::from(to)).filter(|_| to != self.me) else { return };
         let ago = (now - member.heard_at) / HEARD_UNIT;
-        let yours = self.swim.ears.borrow().heard(usize::from(to)).map_or(0, |(born, _)| born);
+        let yours = self.swim.contacts.borrow().born(to).unwrap_or(0);
         let envelope = Envelope {
             cluster: self.cluster,
             from: self.me,
--- a/crates/members/src/swim/codec.rs
+++ b/crates/members/src/swim/codec.rs
@@ -1,19 +1,20 @@
 //! The codec of the library, which weighs the word of others against what this router hears.
 
-use super::{Ears, Life, YOUNGEST};
+use super::{Contacts, Life, YOUNGEST};
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, PostcardCodec, State};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The library's codec, with another's word that a router is down weighed against our own ears.
-pub(super) struct Weighed {
-    pub(super) ears: Rc<RefCell<Ears>>,
+/// Reads the word of others that a router is down as a suspicion, where that router is heard directly.
+pub(super) struct EvidenceCodec {
+    pub(super) contacts: Rc<RefCell<Contacts>>,
     pub(super) me: u16,
+    /// How often the word of others was outweighed.
     pub(super) contradicted: Rc<RefCell<u64>>,
 }
 
-impl Codec<Life> for Weighed {
+impl Codec<Life> for EvidenceCodec {
     type Error = postcard::Error;
 
     fn encode_header(&mut self, header: &Header<Life>, buf: impl BufMut) -> Result<(), Self::Error> {
@@ -22,7 +23,7 @@
 
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Life>, Self::Error> {
         let header: Header<Life> = PostcardCodec.decode_header(buf)?;
-        known_life(&header.src)?;
+        check_life(&header.src)?;
         Ok(header)
     }
 
@@ -32,21 +33,23 @@
 
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Life>, Self::Error> {
         let member: Member<Life> = PostcardCodec.decode_member(buf)?;
-        known_life(member.id())?;
-        let ears = self.ears.borrow();
-        if usize::from(member.id().router) >= ears.heard.len() {
+        let life = *member.id();
+        check_life(&life)?;
+        let contacts = self.contacts.borrow();
+        if !contacts.knows(life.router) {
             return Err(postcard::Error::SerdeDeCustom);
         }
-        let accused = member.state() == State::Down && !member.id().leaving && member.id().router != self.me;
-        if accused && ears.hears(member.id()) {
+        let failed = member.state() == State::Down && !life.leaving && life.router != self.me;
+        if failed && contacts.refutes(&life) {
             *self.contradicted.borrow_mut() += 1;
-            return Ok(Member::new(*member.id(), member.incarnation(), State::Suspect));
+            return Ok(Member::new(life, member.incarnation(), State::Suspect));
         }
         Ok(member)
     }
 }
 
-fn known_life(life: &Life) -> Result<(), postcard::Error> {
+/// A life beyond the youngest could never be followed by another.
+fn check_life(life: &Life) -> Result<(), postcard::Error> {
     if life.born > YOUNGEST {
         Err(postcard::Error::SerdeDeCustom)
     } else {
--- a/crates/members/src/swim/mod.rs
+++ b/crates/members/src/swim/mod.rs
@@ -1,242 +1,271 @@
-//! SWIM with suspicion (Das, Gupta and Motivala, 2002) by the library `foca`, with what it leaves to its host: clock,
-//! bytes, chance. Two defences are ours, both in what the library hands through us:
+//! SWIM with suspicion (Das, Gupta and Motivala, 2002) by the library `foca`, with what that leaves to its host: clock,
+//! bytes, chance. Two defences against false failures are added in what the library hands through its host:
 //!
-//! - **Local health** (Dadgar, Phillips and Currey, 2018): its timers pass through us, and are stretched while there is
-//!   evidence that it is we who are slow or deaf ([`Health`]).
-//! - **Our own ears before rumour** ([`Ears`]): what we hear from a router ourselves outweighs another's word that it is
-//!   down. Such a word is read as a suspicion, and a suspicion does not ripen while its object is heard.
+//! - **Local health** (Dadgar, Phillips and Currey, 2018): its timers are stretched while there is evidence that this router
+//!   itself is slow or deaf.
+//! - **Direct contact before rumour**: what is heard from a router directly outweighs the word of others that it is down. Such
+//!   a word is read as a suspicion, and a suspicion does not time out while its subject is heard.
 
 mod codec;
-mod ears;
+mod contacts;
 mod health;
 mod life;
 mod runtime;
 mod settings;
 
-use codec::Weighed;
-pub use ears::Ears;
+use codec::EvidenceCodec;
+pub(crate) use contacts::Contacts;
 use foca::{Foca, Header, Member, Message, NoCustomBroadcast, State, Timer};
-pub use health::Health;
+use health::{LocalHealth, ProbeEnd};
 pub use life::{Life, YOUNGEST};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use runtime::Desk;
+use runtime::HostRuntime;
 pub use settings::{Defences, Pace};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::fmt;
 use std::rc::Rc;
 
-/// How a router stands by the library's word.
+/// The state of a router by the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum DetectorState {
+    /// It answers, or has refuted a suspicion.
     Alive,
+    /// It has not answered.
     Suspect,
+    /// Its suspicion has timed out, or it has left.
     Down,
 }
 
 /// The detector's part of a datagram can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unread;
+pub struct Malformed;
 
+impl std::error::Error for Malformed {}
+
+impl fmt::Display for Malformed {
+    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+        to.write_str("a message of the failure detector can't be read")
+    }
+}
+
+/// What the detector has counted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DetectorCounts {
+    /// Suspicions of this router that it refuted.
+    pub refutations: u64,
+    /// Lives that it had to begin anew.
+    pub new_lives: u64,
+    /// Words of others that a router is down which direct contact outweighed.
+    pub contradicted: u64,
+}
+
+/// A suspicion that this router has noted.
+#[derive(Clone, Copy, Debug)]
+struct Suspicion {
+    life: Life,
+    incarnation: foca::Incarnation,
+    /// By this router's clock, in seconds.
+    since: f64,
+}
+
+/// The failure detector of one router.
 pub struct Swim {
-    foca: Foca<Life, Weighed, SmallRng, NoCustomBroadcast>,
-    desk: Desk,
-    pub ears: Rc<RefCell<Ears>>,
+    foca: Foca<Life, EvidenceCodec, SmallRng, NoCustomBroadcast>,
+    runtime: HostRuntime,
+    pub(crate) contacts: Rc<RefCell<Contacts>>,
     contradicted: Rc<RefCell<u64>>,
     me: u16,
-    /// A suspicion ripens after this, in seconds.
+    /// How long a suspicion lasts, in seconds.
     suspicion: f64,
-    /// Who is suspected, in which life and by which incarnation, since when by our clock.
-    suspects: BTreeMap<u16, (Life, foca::Incarnation, f64)>,
+    suspicions: BTreeMap<u16, Suspicion>,
 }
 
 impl Swim {
+    /// The detector of the router with this life, among so many.
     pub fn new(me: Life, routers: usize, pace: &Pace, seed: u64, now: f64) -> Swim {
-        let ears = Ears { now, on: pace.defences.own_ears, heard: vec![None; routers] };
-        let ears = Rc::new(RefCell::new(ears));
+        let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.own_ears, now)));
         let contradicted = Rc::new(RefCell::new(0));
-        let codec = Weighed { ears: ears.clone(), me: me.router, contradicted: contradicted.clone() };
-        let foca = Foca::new(me, pace.foca(routers), SmallRng::seed_from_u64(seed), codec);
-        let health = Health { on: pace.defences.local_health, ..Health::default() };
-        let desk = Desk { now, health, ..Desk::default() };
-        let suspicion = pace.suspicion_for(routers);
-        Swim { foca, desk, ears, contradicted, me: me.router, suspicion, suspects: BTreeMap::new() }
+        let codec =
+            EvidenceCodec { contacts: contacts.clone(), me: me.router, contradicted: contradicted.clone() };
+        let health = LocalHealth::new(pace.defences.local_health);
+        Swim {
+            foca: Foca::new(me, pace.foca(routers), SmallRng::seed_from_u64(seed), codec),
+            runtime: HostRuntime::new(health, now),
+            contacts,
+            contradicted,
+            me: me.router,
+            suspicion: pace.suspicion_for(routers),
+            suspicions: BTreeMap::new(),
+        }
     }
 
+    /// The present life of this router.
     pub fn me(&self) -> Life {
         *self.foca.identity()
     }
 
+    /// How slow or deaf this router finds itself, from 0 to 4.
     pub fn health(&self) -> u32 {
-        self.desk.health.score
+        self.runtime.health.score
     }
 
-    /// How often we were accused and refuted it, how often we had to begin a new life, and how often others' word
-    /// was outweighed by what we heard.
-    pub fn counts(&self) -> (u64, u64, u64) {
-        (self.desk.accused, self.desk.renewed, *self.contradicted.borrow())
+    /// What was counted since the start.
+    pub fn counts(&self) -> DetectorCounts {
+        DetectorCounts {
+            refutations: self.runtime.refutations,
+            new_lives: self.runtime.new_lives,
+            contradicted: *self.contradicted.borrow(),
+        }
     }
 
-    fn at(&mut self, now: f64) {
-        self.desk.now = now;
-        self.ears.borrow_mut().now = now;
+    fn set_time(&mut self, now: f64) {
+        self.runtime.now = now;
+        self.contacts.borrow_mut().now = now;
     }
 
-    /// Asks a router for who is there.
+    /// Asks a router for all members that it knows.
     pub fn announce(&mut self, router: u16, now: f64) {
-        self.at(now);
+        self.set_time(now);
         let to = Life { router, born: 0, leaving: false };
         // An address is all that it takes; which life answers is learned from the answer.
-        let _ = self.foca.announce(to, &mut self.desk);
+        let _ = self.foca.announce(to, &mut self.runtime);
     }
 
-    /// The library's part of a datagram.
+    /// Takes the detector's part of a datagram.
     ///
     /// # Errors
-    /// [`Unread`]; what could be read of it may have been taken.
-    pub fn data(&mut self, bytes: &[u8], now: f64) -> Result<(), Unread> {
-        self.at(now);
+    /// [`Malformed`]; what could be read of it may have been taken.
+    pub fn receive(&mut self, bytes: &[u8], now: f64) -> Result<(), Malformed> {
+        self.set_time(now);
         if let Ok((header, _)) = postcard::take_from_bytes::<Header<Life>>(bytes) {
             let answers = match header.message {
                 Message::Ack(_) => Some(header.src.router),
                 Message::ForwardedAck { origin, .. } => Some(origin.router),
                 _ => None,
             };
-            self.desk.health.awaited.take_if(|awaited| answers == Some(*awaited));
+            self.runtime.health.awaited.take_if(|awaited| answers == Some(*awaited));
         }
-        match self.foca.handle_data(bytes, &mut self.desk) {
-            // It was meant for a former life of ours, or tells what is known better.
+        match self.foca.handle_data(bytes, &mut self.runtime) {
+            // It was meant for a former life of this router, or tells what is known better.
             Ok(()) | Err(foca::Error::DataFromOurselves) => Ok(()),
             Err(foca::Error::NotConnected) => Ok(()),
-            Err(_) => Err(Unread),
+            Err(_) => Err(Malformed),
         }
     }
 
-    /// Another way than its own probes found that this router does not answer.
+    /// Notes that a router does not answer, which was found by other means than the detector's own probes.
     pub fn suspect(&mut self, router: u16, now: f64) {
-        self.at(now);
+        self.set_time(now);
         let known = self.foca.iter_membership_state().find(|member| member.id().router == router);
         let Some(known) = known.filter(|known| known.state() == State::Alive).cloned() else { return };
         let update = Member::new(*known.id(), known.incarnation(), State::Suspect);
-        let _ = self.foca.apply_many(std::iter::once(update), true, &mut self.desk);
+        let _ = self.foca.apply_many(std::iter::once(update), true, &mut self.runtime);
     }
 
-    /// Whom we have held suspected for as long as a suspicion takes is failed, whoever suspected it first: the library
-    /// leaves that to the first, which may be dead by now, and whose news may go to the dead.
-    pub fn ripen(&mut self, now: f64) {
-        self.at(now);
-        let lasts = self.suspicion * (0.5 + 0.5 * self.desk.health.stretch());
-        let ears = self.ears.borrow();
-        let (mut suspects, mut down) = (BTreeMap::new(), Vec::new());
+    /// Holds failed whoever was suspected here for as long as a suspicion lasts, whichever router suspected it first. The
+    /// library leaves that to the first, which may be dead by now, and whose news may be gossiped to the dead.
+    pub fn expire_suspicions(&mut self, now: f64) {
+        self.set_time(now);
+        let lasts = self.suspicion * self.runtime.health.suspicion_stretch();
+        let mut suspicions = BTreeMap::new();
+        let mut down = Vec::new();
+        let contacts = self.contacts.borrow();
         for member in self.foca.iter_membership_state().filter(|member| member.state() == State::Suspect) {
-            let (life, incarnation) = (*member.id(), member.incarnation());
-            let known =
-                self.suspects.get(&life.router).filter(|known| (known.0, known.1) == (life, incarnation));
-            let since = known.map_or(now, |known| known.2);
-            suspects.insert(life.router, (life, incarnation, since));
-            if now >= since + lasts && !ears.hears(&life) {
-                down.push(Member::new(life, incarnation, State::Down));
+            let suspicion = self.suspicion_of(member, now);
+            suspicions.insert(suspicion.life.router, suspicion);
+            if now >= suspicion.since + lasts && !contacts.refutes(&suspicion.life) {
+                down.push(Member::new(suspicion.life, suspicion.incarnation, State::Down));
             }
         }
-        drop(ears);
-        self.suspects = suspects;
+        drop(contacts);
+        self.suspicions = suspicions;
         if !down.is_empty() {
-            let _ = self.foca.apply_many(down.into_iter(), true, &mut self.desk);
+            let _ = self.foca.apply_many(down.into_iter(), true, &mut self.runtime);
         }
     }
 
-    /// When anything was last heard.
+    /// The suspicion of this member: the one that is noted, or a new one.
+    fn suspicion_of(&self, member: &Member<Life>, now: f64) -> Suspicion {
+        let (life, incarnation) = (*member.id(), member.incarnation());
+        let same = |noted: &&Suspicion| noted.life == life && noted.incarnation == incarnation;
+        let noted = self.suspicions.get(&life.router).filter(same);
+        noted.copied().unwrap_or(Suspicion { life, incarnation, since: now })
+    }
+
+    /// When anything was last heard, from any router.
     pub fn heard_at(&self) -> f64 {
-        self.desk.health.heard_at
+        self.runtime.health.heard_at
     }
 
-    /// Something came, whatever it is: we are not deaf.
-    pub fn hears(&mut self, now: f64) {
-        self.desk.health.heard_at = now;
+    /// Notes that something was heard, whatever it is: this router is not deaf.
+    pub fn heard(&mut self, now: f64) {
+        self.runtime.health.heard_at = now;
     }
 
-    /// A new life, in which we leave, or that is younger than what others hold for ours.
-    pub fn live_anew(&mut self, born: u64, leaving: bool, now: f64) {
-        self.at(now);
+    /// Begins a new life: one in which this router leaves, or one that is younger than what others know of it.
+    pub fn begin_life(&mut self, born: u64, leaving: bool, now: f64) {
+        self.set_time(now);
         let life = Life { router: self.me, born: born.min(YOUNGEST), leaving };
         if life != self.me() {
-            let _ = self.foca.change_identity(life, &mut self.desk);
+            let _ = self.foca.change_identity(life, &mut self.runtime);
         }
     }
 
-    /// Serves what is due, at most so many timers.
-    pub fn turn(&mut self, now: f64, most: usize) {
-        self.at(now);
-        for _ in 0..most {
-            let Some(entry) = self.desk.timers.first_entry() else { return };
-            let due = f64::from_bits(entry.key().0);
-            if due > now {
-                return;
-            }
-            let timer = entry.remove();
+    /// Serves the timers that are due, at most so many.
+    pub fn turn(&mut self, now: f64, max_timers: usize) {
+        self.set_time(now);
+        for _ in 0..max_timers {
+            let Some((due, timer)) = self.runtime.take_due() else { return };
             match &timer {
-                Timer::ChangeSuspectToDown { member_id, .. } if self.ears.borrow().hears(member_id) => {
-                    // It is heard: the suspicion does not ripen yet.
-                    self.desk.later(Ears::FRESH / 2.0, timer);
+                Timer::ChangeSuspectToDown { member_id, .. } if self.contacts.borrow().refutes(member_id) => {
+                    // It is heard: the suspicion does not time out yet.
+                    self.runtime.schedule(Contacts::RECENT / 2.0, timer);
                     continue;
                 }
-                Timer::ProbeRandomMember(_) => self.probe_over(due),
+                Timer::ProbeRandomMember(_) => self.probe_ended(due),
                 _ => {}
             }
-            // A timer of before a change of life is none of the library's business any more, which it says.
-            let _ = self.foca.handle_timer(timer, &mut self.desk);
+            // A timer from before a change of life no longer concerns the library, which it says by an error.
+            let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
     }
 
-    /// A probe's time is over and the next begins. Was nothing heard for long, or is this turn late, or have two in a row
-    /// that are not the same not answered us though we heard them of late, then the fault may be ours: those that fell
-    /// silent may be dead, however many they are.
-    fn probe_over(&mut self, due: f64) {
-        let ears = self.ears.borrow();
-        // Of so many, each says something to us about so often.
-        let lately = (ears.heard.len() as f64 * Ears::EACH).max(Ears::FRESH);
-        let alive =
-            |router: u16| ears.heard(router.into()).is_some_and(|(_, at)| self.desk.now - at < lately);
-        let health = &mut self.desk.health;
-        let late = self.desk.now - due > Health::LATE;
-        let deaf = self.desk.now - health.heard_at > Health::DEAF;
-        let silent = health.awaited.take();
-        let missed = silent.filter(|router| alive(*router));
-        let again = missed.is_some() && health.missed.is_some() && health.missed != missed;
-        if late || deaf || again {
-            health.worse();
-        } else if silent.is_none() {
-            health.score = health.score.saturating_sub(1);
-        }
-        health.missed = missed;
+    /// The time of a probe is over, and the next one begins.
+    fn probe_ended(&mut self, due: f64) {
+        let contacts = self.contacts.borrow();
+        let awaited = self.runtime.health.awaited;
+        let target_alive = awaited.is_some_and(|router| contacts.heard_lately(router));
+        self.runtime.health.probe_ended(ProbeEnd { due, now: self.runtime.now, target_alive });
     }
 
-    /// We had no turn for so long: nobody is to be blamed for what we did not hear meanwhile.
-    pub fn paused(&mut self, gap: f64) {
-        self.suspects.values_mut().for_each(|(.., since)| *since += gap);
-        let timers = std::mem::take(&mut self.desk.timers);
-        let moved = |((due, number), timer)| ((((f64::from_bits(due)) + gap).to_bits(), number), timer);
-        self.desk.timers = timers.into_iter().map(moved).collect();
-        self.desk.health.worse();
+    /// This router had no turn for so many seconds: nobody is to be blamed for what was not heard meanwhile.
+    pub fn paused(&mut self, seconds: f64) {
+        self.suspicions.values_mut().for_each(|suspicion| suspicion.since += seconds);
+        self.runtime.postpone(seconds);
+        self.runtime.health.worsen();
     }
 
+    /// When [`Swim::turn`] is to be called next, in seconds.
     pub fn due(&self) -> f64 {
-        self.desk.timers.first_key_value().map_or(f64::INFINITY, |((due, _), _)| f64::from_bits(*due))
+        self.runtime.due()
     }
 
+    /// The messages to send, each with its receiver.
     pub fn outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
-        std::mem::take(&mut self.desk.out)
+        std::mem::take(&mut self.runtime.outgoing)
     }
 
-    /// What the library holds of each router that it has heard of.
-    pub fn told(&self) -> impl Iterator<Item = (Life, Told)> + '_ {
+    /// The life and the state of each router that was heard of.
+    pub fn states(&self) -> impl Iterator<Item = (Life, DetectorState)> + '_ {
         self.foca.iter_membership_state().map(|member| {
-            let told = match member.state() {
-                State::Alive => Told::Alive,
-                State::Suspect => Told::Suspect,
-                State::Down => Told::Down,
+            let state = match member.state() {
+                State::Alive => DetectorState::Alive,
+                State::Suspect => DetectorState::Suspect,
+                State::Down => DetectorState::Down,
             };
-            (*member.id(), told)
+            (*member.id(), state)
         })
     }
 }
--- a/crates/members/tests/agree_model.rs
+++ b/crates/members/tests/agree_model.rs
@@ -129,7 +129,7 @@
 /// again: the checker finds a schedule.
 #[test]
 fn a_planted_fault_is_found() {
-    let defences = Defences { told_lives: false, ..Defences::default() };
+    let defences = Defences { adopt_younger_life: false, ..Defences::default() };
     let checker = Views { defences }.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery("views agree after the last fault");
     assert!(found.is_some(), "{} states", checker.unique_state_count());
