--- a/crates/members/src/direct_probe.rs
+++ b/crates/members/src/direct_probe.rs
@@ -1,120 +1,143 @@
-//! Asks those that have fallen silent, many at once. The detector probes one router a period, which is enough while few die;
-//! where many die together, their deaths would be found one after another, and the news of each would go to the dead.
+//! Direct probes of many silent routers at once. The failure detector probes one router a period, which is enough while few
+//! fail; where many fail together, they would be found one after another, and the news of each would be gossiped to the dead.
 //!
-//! A router that was not heard for long, or for a moment while others are being suspected, is asked by us, and some of
-//! the others are asked whether they hear it. Unanswered by all, though we hear somebody, it is suspected, which it may
-//! refute like any suspicion. So a link that is cut between two routers accuses neither of them.
+//! A router that was not heard for long, or for a moment while others are being suspected, is probed directly, and some of
+//! the others are asked whether they hear it (SWIM's indirect probe, for many at a time). Where nobody answers, though this
+//! router hears somebody, it is suspected, which it may refute like any suspicion. So a link that is cut between two
+//! routers accuses neither of them.
 
 use std::collections::BTreeMap;
 
-/// Between two questions to the same router, in seconds.
-const EVERY: f64 = 0.25;
-/// So many questions go unanswered before it is suspected.
-const QUESTIONS: u32 = 3;
-/// Routers that are asked in one step.
-const MOST: usize = 32;
-/// While others are suspected, one that was not heard for so long is asked, in seconds.
-const MOMENT: f64 = 0.5;
-/// A suspicion counts as news for so long, in seconds.
-const NEWS: f64 = 2.0;
-/// A router heard by others within the last second lives, whatever we hear.
-const FRESH: f64 = 1.0;
-
-/// Routers that one question, or one answer, names.
-pub const MOST_NAMED: usize = MOST;
+/// Between two probes of the same router, in seconds.
+const PROBE_INTERVAL: f64 = 0.25;
+/// A probe is due again after this part of the interval, so that a turn that comes a little early is not lost.
+const INTERVAL_TOLERANCE: f64 = 0.9;
+/// So many probes go unanswered before a router is suspected: one or two may be lost by a bad link.
+const PROBES_BEFORE_SUSPICION: u32 = 3;
+/// Routers that are probed in one turn, so that a great silence does not become a burst of datagrams.
+const MAX_PROBES: usize = 32;
+/// While others are suspected, a router that was not heard for so long is probed, in seconds.
+const SILENCE_DURING_FAILURES: f64 = 0.5;
+/// A suspicion counts as recent for so long, in seconds.
+const RECENT: f64 = 2.0;
+/// Recent suspicions that tell of a common fault: one for so many routers, and at least the second number.
+const ROUTERS_PER_SUSPICION: usize = 50;
+const MIN_RECENT_SUSPICIONS: usize = 2;
+/// A router that others have heard within this time is alive, whatever is heard here. Seconds.
+const HEARD_RECENTLY: f64 = 1.0;
+
+/// Routers that one indirect probe, or the answer to it, names at most.
+pub const MAX_NAMED: usize = MAX_PROBES;
+
+/// What is known of one router that counts as present.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Peer {
+    /// Its place in the cluster file.
+    pub router: u16,
+    /// When it was last heard directly, in seconds.
+    pub heard_at: f64,
+    /// It is suspected already. It is still probed, so that one that is alive is heard before the suspicion times out.
+    pub suspected: bool,
+}
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    questions: u32,
-    first: f64,
-    last: f64,
+struct Probed {
+    probes: u32,
+    first_at: f64,
+    last_at: f64,
+}
+
+impl Probed {
+    fn none(now: f64) -> Probed {
+        Probed { probes: 0, first_at: now, last_at: f64::NEG_INFINITY }
+    }
 }
 
-/// Who was asked, and what came of it.
+/// Which routers were probed, and how often.
 #[derive(Clone, Debug, Default)]
-pub struct Quiet {
-    asked: BTreeMap<u16, Asked>,
-    /// When routers came to be suspected or failed of late.
-    news: Vec<f64>,
-    next: f64,
+pub struct DirectProbes {
+    probed: BTreeMap<u16, Probed>,
+    /// When routers were suspected, or failed, of late.
+    suspicions: Vec<f64>,
+    next_turn: f64,
 }
 
 /// What is to be done now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Todo {
-    /// To be asked themselves, and asked after.
-    pub ask: Vec<u16>,
+pub struct ProbeActions {
+    /// Routers to be probed, directly and through others.
+    pub probe: Vec<u16>,
+    /// Routers that have not answered.
     pub suspect: Vec<u16>,
 }
 
-impl Quiet {
-    /// A router was newly suspected, or failed.
+impl DirectProbes {
+    /// Notes that a router was newly suspected, or failed.
     pub fn suspected(&mut self, now: f64) {
-        self.news.retain(|at| now < at + NEWS);
-        self.news.push(now);
+        self.suspicions.retain(|at| now < at + RECENT);
+        self.suspicions.push(now);
     }
 
-    /// We had no turn for long: what went unanswered meanwhile says nothing.
+    /// This router was frozen: what went unanswered meanwhile says nothing.
     pub fn paused(&mut self) {
-        self.asked.clear();
-        self.news.clear();
+        self.probed.clear();
+        self.suspicions.clear();
     }
 
+    /// When [`DirectProbes::turn`] is to be called next, in seconds.
     pub fn due(&self) -> f64 {
-        self.next
+        self.next_turn
     }
 
-    /// Another router heard this one so long ago.
-    pub fn seen(&mut self, router: u16, ago: f64) {
-        if ago < FRESH {
-            self.asked.remove(&router);
+    /// Another router has heard this one so many seconds ago.
+    pub fn heard_by_other(&mut self, router: u16, ago: f64) {
+        if ago < HEARD_RECENTLY {
+            self.probed.remove(&router);
         }
     }
 
-    /// Looks at those that count: each with when we last heard it, and whether it is suspected already: such a one is asked
-    /// on, so that one that lives is heard ahead of the end of its time. `long` is how long one is usually not heard at
-    /// most; `anyone` when we last heard anybody.
-    pub fn turn(
-        &mut self,
-        counted: impl Iterator<Item = (u16, f64, bool)>,
-        long: f64,
-        anyone: f64,
-        now: f64,
-    ) -> Todo {
-        self.next = now + EVERY;
-        self.news.retain(|at| now < at + NEWS);
-        let mut todo = Todo::default();
-        let mut kept = BTreeMap::new();
-        let mut all = 0;
-        let many = |all: usize| self.news.len() >= (all / 50).max(2);
-        let counted: Vec<(u16, f64, bool)> = counted.inspect(|_| all += 1).collect();
-        let after = if many(all) { MOMENT } else { long };
-        for (router, heard_at, suspected) in counted {
-            let after = if suspected { EVERY } else { after };
-            let asked = self.asked.get(&router).copied().filter(|asked| heard_at < asked.first);
-            let Some(mut asked) = asked.or_else(|| {
-                let none = Asked { questions: 0, first: now, last: f64::NEG_INFINITY };
-                (now - heard_at > after).then_some(none)
-            }) else {
-                continue;
-            };
-            let due = now >= asked.last + EVERY * 0.9;
-            if due && asked.questions >= QUESTIONS && !suspected {
-                // Nobody answers: it may be we who are cut off.
-                if anyone > asked.first {
-                    todo.suspect.push(router);
+    /// Looks at the routers that count as present. `max_silence` is how long one that is alive is usually not heard at most,
+    /// in seconds; `heard_any_at` is when any router was last heard.
+    pub fn turn(&mut self, peers: &[Peer], max_silence: f64, heard_any_at: f64, now: f64) -> ProbeActions {
+        self.next_turn = now + PROBE_INTERVAL;
+        self.suspicions.retain(|at| now < at + RECENT);
+        let silence = if self.many_suspected(peers.len()) { SILENCE_DURING_FAILURES } else { max_silence };
+        let mut actions = ProbeActions::default();
+        let mut still_probed = BTreeMap::new();
+        for peer in peers {
+            let Some(mut probed) = self.probes_of(peer, silence, now) else { continue };
+            let due = now >= probed.last_at + PROBE_INTERVAL * INTERVAL_TOLERANCE;
+            if due && probed.probes >= PROBES_BEFORE_SUSPICION && !peer.suspected {
+                // Where nobody is heard, it may be this router that is cut off.
+                if heard_any_at > probed.first_at {
+                    actions.suspect.push(peer.router);
                 }
                 continue;
             }
-            if due && todo.ask.len() < MOST {
-                asked.questions += 1;
-                asked.last = now;
-                todo.ask.push(router);
+            if due && actions.probe.len() < MAX_PROBES {
+                probed.probes += 1;
+                probed.last_at = now;
+                actions.probe.push(peer.router);
             }
-            kept.insert(router, asked);
+            still_probed.insert(peer.router, probed);
+        }
+        self.probed = still_probed;
+        actions
+    }
+
+    fn many_suspected(&self, routers: usize) -> bool {
+        let many = (routers / ROUTERS_PER_SUSPICION).max(MIN_RECENT_SUSPICIONS);
+        self.suspicions.len() >= many
+    }
+
+    /// The probes that a router has not answered; `None` for one that needs none.
+    fn probes_of(&self, peer: &Peer, silence: f64, now: f64) -> Option<Probed> {
+        let unanswered = self.probed.get(&peer.router).filter(|probed| peer.heard_at < probed.first_at);
+        if let Some(probed) = unanswered {
+            return Some(*probed);
         }
-        self.asked = kept;
-        todo
+        let silence = if peer.suspected { PROBE_INTERVAL } else { silence };
+        (now - peer.heard_at > silence).then(|| Probed::none(now))
     }
 }
 
--- a/crates/members/src/direct_probe/tests.rs
+++ b/crates/members/src/direct_probe/tests.rs
@@ -1,69 +1,81 @@
 use super::*;
 
-fn step(quiet: &mut Quiet, heard: &[(u16, f64)], now: f64) -> Todo {
+fn step(probes: &mut DirectProbes, heard: &[(u16, f64)], now: f64) -> ProbeActions {
     let anyone = heard.iter().map(|(_, at)| *at).fold(0.0, f64::max);
-    quiet.turn(heard.iter().map(|(router, at)| (*router, *at, false)), 3.0, anyone, now)
+    let peer =
+        |(router, heard_at): &(u16, f64)| Peer { router: *router, heard_at: *heard_at, suspected: false };
+    let peers: Vec<Peer> = heard.iter().map(peer).collect();
+    probes.turn(&peers, 3.0, anyone, now)
 }
 
-fn todo(ask: &[u16], suspect: &[u16]) -> Todo {
-    Todo { ask: ask.to_vec(), suspect: suspect.to_vec() }
+fn actions(probe: &[u16], suspect: &[u16]) -> ProbeActions {
+    ProbeActions { probe: probe.to_vec(), suspect: suspect.to_vec() }
 }
 
 #[test]
-fn one_that_is_silent_for_long_is_asked_three_times_and_then_suspected() {
-    let mut quiet = Quiet::default();
-    assert_eq!(step(&mut quiet, &[(1, 9.9), (2, 8.0)], 10.0), todo(&[], &[]));
+fn probes_a_silent_router_three_times_then_suspects_it() {
+    let mut probes = DirectProbes::default();
+    assert_eq!(step(&mut probes, &[(1, 9.9), (2, 8.0)], 10.0), actions(&[], &[]));
     for at in [11.25, 11.5, 11.75] {
-        assert_eq!(step(&mut quiet, &[(1, at), (2, 8.0)], at), todo(&[2], &[]));
+        assert_eq!(step(&mut probes, &[(1, at), (2, 8.0)], at), actions(&[2], &[]));
     }
-    assert_eq!(step(&mut quiet, &[(1, 12.0), (2, 8.0)], 12.0), todo(&[], &[2]));
+    assert_eq!(step(&mut probes, &[(1, 12.0), (2, 8.0)], 12.0), actions(&[], &[2]));
 }
 
 #[test]
-fn one_that_answers_or_that_others_hear_is_not_suspected() {
-    let mut quiet = Quiet::default();
-    (0..2)
-        .for_each(|at| drop(step(&mut quiet, &[(1, 11.5), (2, 8.0), (3, 8.0)], 11.5 + f64::from(at) * 0.25)));
-    quiet.seen(3, 0.2);
+fn does_not_suspect_a_router_that_answers_or_that_others_hear() {
+    let mut probes = DirectProbes::default();
+    (0..2).for_each(|at| {
+        drop(step(&mut probes, &[(1, 11.5), (2, 8.0), (3, 8.0)], 11.5 + f64::from(at) * 0.25))
+    });
+    probes.heard_by_other(3, 0.2);
     let heard = [(1, 12.0), (2, 11.9), (3, 8.0)];
-    assert_eq!(step(&mut quiet, &heard, 12.0), todo(&[3], &[]), "the third is asked after anew");
-    quiet.seen(3, 5.0);
-    assert_eq!(step(&mut quiet, &heard, 12.25), todo(&[3], &[]), "that it was heard long ago is no sign");
+    assert_eq!(step(&mut probes, &heard, 12.0), actions(&[3], &[]), "the third is probed anew");
+    probes.heard_by_other(3, 5.0);
+    assert_eq!(step(&mut probes, &heard, 12.25), actions(&[3], &[]), "that it was heard long ago is no sign");
 }
 
 #[test]
-fn while_others_are_suspected_a_moment_of_silence_is_enough_to_be_asked() {
-    let mut quiet = Quiet::default();
+fn probes_after_a_shorter_silence_while_others_are_suspected() {
+    let mut probes = DirectProbes::default();
     let heard = [(1, 9.9), (2, 9.2), (3, 9.2)];
-    assert_eq!(step(&mut quiet, &heard, 10.0), todo(&[], &[]));
-    quiet.suspected(10.0);
-    quiet.suspected(10.1);
-    assert_eq!(step(&mut quiet, &heard, 10.25), todo(&[2, 3], &[]));
-    assert_eq!(step(&mut quiet, &[(1, 12.0), (2, 11.4), (3, 11.4)], 12.2), todo(&[], &[]), "old news");
+    assert_eq!(step(&mut probes, &heard, 10.0), actions(&[], &[]));
+    probes.suspected(10.0);
+    probes.suspected(10.1);
+    assert_eq!(step(&mut probes, &heard, 10.25), actions(&[2, 3], &[]));
+    assert_eq!(step(&mut probes, &[(1, 12.0), (2, 11.4), (3, 11.4)], 12.2), actions(&[], &[]), "old news");
 }
 
 #[test]
-fn one_that_is_suspected_is_asked_on_for_as_long_as_it_is() {
-    let mut quiet = Quiet::default();
+fn keeps_probing_a_suspected_router() {
+    let mut probes = DirectProbes::default();
     for step in 0..9 {
         let now = 10.0 + f64::from(step) * 0.25;
-        let todo = quiet.turn([(1, now, false), (2, 9.5, true)].into_iter(), 3.0, now, now);
-        assert_eq!(todo, Todo { ask: vec![2], suspect: Vec::new() });
+        let peers = [
+            Peer { router: 1, heard_at: now, suspected: false },
+            Peer { router: 2, heard_at: 9.5, suspected: true },
+        ];
+        let actions = probes.turn(&peers, 3.0, now, now);
+        assert_eq!(actions, ProbeActions { probe: vec![2], suspect: Vec::new() });
     }
 }
 
-/// Hard case: we are the one that is cut off.
+/// Hard case: this router is the one that is cut off.
 #[test]
-fn who_hears_nobody_suspects_nobody() {
-    let mut quiet = Quiet::default();
+fn suspects_nobody_while_hearing_nobody() {
+    let mut probes = DirectProbes::default();
     let heard = [(1, 8.0), (2, 8.0)];
-    let all: Vec<Todo> = (0..40).map(|at| step(&mut quiet, &heard, 12.0 + f64::from(at) * 0.25)).collect();
-    assert!(all.iter().any(|todo| !todo.ask.is_empty()) && all.iter().all(|todo| todo.suspect.is_empty()));
+    let all: Vec<ProbeActions> =
+        (0..40).map(|at| step(&mut probes, &heard, 12.0 + f64::from(at) * 0.25)).collect();
+    assert!(
+        all.iter().any(|actions| !actions.probe.is_empty())
+            && all.iter().all(|actions| actions.suspect.is_empty())
+    );
 }
 
 #[test]
-fn a_great_silence_is_asked_into_by_and_by() {
-    let mut quiet = Quiet::default();
+fn limits_probes_of_one_turn() {
+    let mut probes = DirectProbes::default();
     let heard: Vec<(u16, f64)> = (0..300).map(|router| (router, 1.0)).collect();
-    assert_eq!(step(&mut quiet, &heard, 10.0).ask.len(), MOST);
+    assert_eq!(step(&mut probes, &heard, 10.0).probe.len(), MAX_PROBES);
 }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -7,11 +7,11 @@
 //! Nothing here says where a request goes, and no request waits for any of it.
 
 pub mod digest;
+pub mod direct_probe;
 pub mod leader;
 pub mod lease;
 mod member;
 mod membership;
-pub mod quiet;
 pub mod swim;
 pub mod view;
 pub mod wire;
--- a/crates/members/src/member.rs
+++ b/crates/members/src/member.rs
@@ -1,24 +1,27 @@
-//! What is known of one router, how it came to that, and what is counted of all.
+//! What is known of one router, how its state changes, and what is counted of all.
 
 use crate::wire::Dropped;
 use std::collections::BTreeMap;
 
-/// How one router stands by this router's view.
+/// The state of one router in this router's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// Never heard of.
     Unseen,
+    /// Alive, and heard here.
     Present,
-    /// Others hear it, and we do not.
+    /// Alive by the word of others, and not heard here.
     SeenByOthers,
     /// It has not answered; it is told so, and may refute it.
     Suspected,
+    /// Its suspicion has timed out.
     Failed,
     /// It left by plan.
     Left,
 }
 
 impl State {
+    /// The word for logs and status.
     pub fn word(self) -> &'static str {
         match self {
             State::Unseen => "unseen",
@@ -30,60 +33,109 @@
         }
     }
 
-    /// It counts in our view.
+    /// Whether it counts as present in this router's view.
     pub fn counts(self) -> bool {
         matches!(self, State::Present | State::SeenByOthers | State::Suspected)
     }
 }
 
-/// What is known of one router.
+/// Which routers one router holds present, in short, so that two views can be compared.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct ViewDigest {
+    /// How many they are.
+    pub(crate) present: u16,
+    /// The hash of which they are.
+    pub(crate) hash: u32,
+}
+
+/// What is known of one router. Times are in seconds of the host's clock, and minus infinity for never.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
+    /// Its present state.
     pub state: State,
     /// Its life, 0 where none is known.
     pub born: u64,
-    /// When it came to this state, and when we last heard it ourselves.
+    /// When it came to this state.
     pub since: f64,
+    /// When it was last heard here.
     pub heard_at: f64,
-    /// When, by its own word, it last heard us.
+    /// When, by its own word, it last heard this router.
     pub hears_us_at: f64,
-    /// How many it holds present, and the hash of who; when it said so; since when that differs from ours.
-    pub(crate) told: (u16, u32),
-    pub(crate) told_at: f64,
-    pub(crate) differs_since: Option<f64>,
+    /// The view that it has told of.
+    pub(crate) view: ViewDigest,
+    /// When it told of that view.
+    pub(crate) view_at: f64,
+    /// Since when its view differs from this router's.
+    pub(crate) view_differs_since: Option<f64>,
+    /// It has said that it leaves.
     pub(crate) leaving: bool,
-    /// When it was last told that we do not count it, that we are there, and whom we hear.
-    pub(crate) answered_at: f64,
-    pub(crate) replied_at: f64,
-    pub(crate) sought_at: f64,
-    /// The latest epoch of its store that we were shown, over all its lives.
-    pub(crate) kept: u64,
+    /// When it was last told that it does not count as present.
+    pub(crate) notified_at: f64,
+    /// When its direct probe was last answered.
+    pub(crate) probe_answered_at: f64,
+    /// When its indirect probe was last answered.
+    pub(crate) indirect_probe_answered_at: f64,
+    /// The latest epoch of its store that this router was shown, over all its lives.
+    pub(crate) store_epoch: u64,
+}
+
+impl Member {
+    /// A router that was never heard of.
+    pub(crate) fn unseen(now: f64) -> Member {
+        Member {
+            state: State::Unseen,
+            born: 0,
+            since: now,
+            heard_at: f64::NEG_INFINITY,
+            hears_us_at: f64::NEG_INFINITY,
+            view: ViewDigest::default(),
+            view_at: f64::NEG_INFINITY,
+            view_differs_since: None,
+            leaving: false,
+            notified_at: f64::NEG_INFINITY,
+            probe_answered_at: f64::NEG_INFINITY,
+            indirect_probe_answered_at: f64::NEG_INFINITY,
+            store_epoch: 0,
+        }
+    }
 }
 
 /// A router came to another state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
+    /// When, in seconds of the host's clock.
     pub at: f64,
+    /// The router, by its place in the cluster file.
     pub router: usize,
+    /// The former state.
     pub from: State,
+    /// The new state.
     pub to: State,
+    /// Its life.
     pub born: u64,
-    /// Seconds since we last heard it ourselves; infinite for never.
+    /// Seconds since it was last heard here; infinite for never.
     pub heard_ago: f64,
 }
 
-/// What happened, counted.
+/// What was counted since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Datagrams that came in.
     pub received: u64,
+    /// Datagrams that went out.
     pub sent: u64,
+    /// Bytes of those.
     pub sent_bytes: u64,
+    /// Datagrams that were dropped, by the reason.
     pub dropped: BTreeMap<Dropped, u64>,
-    /// We suspected another; we refuted others' suspicions of us; we had to begin a new life; another's word that a
-    /// router is down was outweighed by what we heard.
+    /// Suspicions of others, by this router or by others.
     pub accusations: u64,
+    /// Suspicions of this router that it refuted.
     pub refutations: u64,
+    /// Lives that it had to begin anew.
     pub new_lives: u64,
+    /// Words of others that a router is down which direct contact outweighed.
     pub contradicted: u64,
+    /// Pauses in which this router had no turn.
     pub pauses: u64,
 }
--- a/crates/members/src/membership/leases.rs
+++ b/crates/members/src/membership/leases.rs
@@ -46,7 +46,7 @@
     /// Requests the leases of the roles that are due.
     pub(super) fn request_roles(&mut self, now: f64) {
         let present: Vec<u16> = self.present().map(|router| router as u16).collect();
-        let chance = self.chance_from_0_to_1();
+        let chance = self.draw_fraction();
         let candidate = Candidate { me: self.me, present: &present, allowed: self.allowed(), chance };
         self.roles.turn(candidate, &mut self.leases, now);
     }
--- a/crates/members/src/membership/mod.rs
+++ b/crates/members/src/membership/mod.rs
@@ -6,58 +6,64 @@
 mod send;
 
 use crate::digest::{EngineLife, Heard, Said, Word};
+use crate::direct_probe::DirectProbes;
 use crate::leader::LeaderRoles;
 use crate::lease::Leases;
-use crate::member::{Change, Counts, Member, State};
-use crate::quiet::Quiet;
+use crate::member::{Change, Counts, Member, State, ViewDigest};
 use crate::swim::{DetectorCounts, Life, Pace, Swim};
 use crate::view::{self, Allowed, Standing};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// More routers than this are no cluster of ours.
+/// Routers of one cluster at most; a file that names more is refused.
 pub const MOST_ROUTERS: usize = 2000;
-/// Timers of the failure detector that one turn serves.
-const MOST_TIMERS: usize = 64;
-/// A turn that comes so much later than it was due tells of a pause: the process was frozen, or had no core. Seconds.
+/// Timers of the failure detector that one turn serves, so that a turn after a long pause is short.
+const MAX_TIMERS: usize = 64;
+/// A turn that comes so much later than it was due tells of a pause, in seconds: the process was frozen, or had no core.
 const PAUSE: f64 = 0.75;
 
-/// One router's part in the cluster.
+/// One router's part in the cluster. Times are in seconds of the host's clock, which nobody sets.
 pub struct Members {
     me: u16,
     cluster: u64,
     members: Vec<Member>,
     swim: Swim,
     adopt_younger_life: bool,
-    /// The epoch of our own store, and the latest of it that another says it was shown, once one has said anything.
-    kept: u64,
-    shown: Option<u64>,
+    /// The epoch of this router's own store.
+    store_epoch: u64,
+    /// The latest epoch of it that another router says it was shown, once one has said anything.
+    store_epoch_shown: Option<u64>,
     leases: Leases,
     roles: LeaderRoles,
-    quiet: Quiet,
+    probes: DirectProbes,
+    /// What others said of engines.
     heard: Heard,
+    /// What this router says of engines.
     telling: Vec<Word>,
-    out: Vec<(u16, Vec<u8>)>,
+    outgoing: Vec<(u16, Vec<u8>)>,
     changes: Vec<Change>,
     counts: Counts,
     started: f64,
-    woke: f64,
+    /// When the last pause ended.
+    resumed_at: f64,
+    /// A majority was present once.
     formed: bool,
     leaving_since: Option<f64>,
-    /// When our name was found in a younger life.
-    younger: Vec<f64>,
+    /// When this router's name was found in a younger life.
+    younger_lives: Vec<f64>,
     seed: u64,
     draws: u64,
-    round: Vec<u16>,
+    /// The routers that are still to be sent a heartbeat in this round, the next one last.
+    heartbeat_round: Vec<u16>,
     observe_at: f64,
-    hello_at: f64,
-    seek_at: f64,
-    /// What `due` last promised.
+    heartbeat_at: f64,
+    announce_at: f64,
+    /// What `due` last returned.
     promised: f64,
     standing: Standing,
-    view: (u16, u32),
+    view: ViewDigest,
 }
 
-/// The hash that ties datagrams to a cluster: its name, and the routers that its file names in their order.
+/// The hash that ties datagrams to a cluster: of its name, and of the routers that its file names, in their order.
 pub fn cluster_hash<'a>(name: &str, routers: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
@@ -79,60 +85,46 @@
         seed: u64,
         now: f64,
     ) -> Members {
-        let never = Member {
-            state: State::Unseen,
-            born: 0,
-            since: now,
-            heard_at: f64::NEG_INFINITY,
-            hears_us_at: f64::NEG_INFINITY,
-            told: (0, 0),
-            told_at: f64::NEG_INFINITY,
-            differs_since: None,
-            leaving: false,
-            answered_at: f64::NEG_INFINITY,
-            replied_at: f64::NEG_INFINITY,
-            sought_at: f64::NEG_INFINITY,
-            kept: 0,
-        };
         let routers = routers.clamp(1, MOST_ROUTERS);
         let life = Life { router: me as u16, born, leaving: false };
-        let mut members = Members {
+        let mut members = vec![Member::unseen(now); routers];
+        members[me].state = State::Present;
+        members[me].born = born;
+        Members {
             me: me as u16,
             cluster,
-            members: vec![never; routers],
+            members,
             swim: Swim::new(life, routers, pace, seed, now),
             adopt_younger_life: pace.defences.adopt_younger_life,
-            kept: 0,
-            shown: None,
+            store_epoch: 0,
+            store_epoch_shown: None,
             leases: Leases::new(me as u16, routers, born, now),
             roles: LeaderRoles::default(),
-            quiet: Quiet::default(),
+            probes: DirectProbes::default(),
             heard: Heard::default(),
             telling: Vec::new(),
-            out: Vec::new(),
+            outgoing: Vec::new(),
             changes: Vec::new(),
             counts: Counts::default(),
             started: now,
-            woke: f64::NEG_INFINITY,
+            resumed_at: f64::NEG_INFINITY,
             formed: false,
             leaving_since: None,
-            younger: Vec::new(),
+            younger_lives: Vec::new(),
             seed,
             draws: 0,
-            round: Vec::new(),
+            heartbeat_round: Vec::new(),
             observe_at: now,
-            hello_at: now,
-            seek_at: now,
+            heartbeat_at: now,
+            announce_at: now,
             promised: now,
             standing: Standing::JustStarted,
-            view: (0, 0),
-        };
-        members.members[me].state = State::Present;
-        members.members[me].born = born;
-        members
+            view: ViewDigest::default(),
+        }
     }
 
-    fn chance(&mut self) -> u64 {
+    /// A draw from all numbers.
+    fn draw(&mut self) -> u64 {
         self.draws += 1;
         let mut hasher = DefaultHasher::new();
         (self.seed, self.draws).hash(&mut hasher);
@@ -140,92 +132,98 @@
     }
 
     /// A draw from 0 to 1.
-    fn chance_from_0_to_1(&mut self) -> f64 {
-        self.chance() as f64 / u64::MAX as f64
+    fn draw_fraction(&mut self) -> f64 {
+        self.draw() as f64 / u64::MAX as f64
     }
 
-    /// Sees that we had no turn for long.
-    fn wakes(&mut self, now: f64) {
+    /// Notes whether this router had no turn for long.
+    fn check_pause(&mut self, now: f64) {
         let gap = now - self.promised;
         if gap > PAUSE {
-            self.woke = now;
-            // At once: what comes in ahead of the next look is judged by it as well.
+            self.resumed_at = now;
+            // At once, as what comes in ahead of the next turn is judged by it.
             self.standing = view::standing(&self.count(now));
             self.counts.pauses += 1;
-            self.quiet.paused();
+            self.probes.paused();
             self.swim.paused(gap);
-            (self.hello_at, self.seek_at) = (self.hello_at.max(now), self.seek_at.max(now));
+            self.heartbeat_at = self.heartbeat_at.max(now);
+            self.announce_at = self.announce_at.max(now);
         }
         self.promised = self.promised.max(now);
     }
 
-    /// All that is due now. Datagrams that have come are handed in before.
+    /// Does all that is due now. Datagrams that have come are handed in before.
     pub fn turn(&mut self, now: f64) {
-        self.wakes(now);
-        self.swim.turn(now, MOST_TIMERS);
+        self.check_pause(now);
+        self.swim.turn(now, MAX_TIMERS);
         self.leases.turn(now);
         if now >= self.roles.due() {
             self.request_roles(now);
         }
         if now >= self.observe_at {
-            self.observe_at = now + observe::LOOKS;
+            self.observe_at = now + observe::OBSERVE_INTERVAL;
             self.swim.expire_suspicions(now);
             self.observe(now);
         }
-        if now >= self.hello_at {
-            self.send_hellos(now);
+        if now >= self.heartbeat_at {
+            self.send_heartbeats(now);
         }
-        if now >= self.quiet.due() {
-            self.ask_the_quiet(now);
+        if now >= self.probes.due() {
+            self.probe_silent_routers(now);
         }
-        if now >= self.seek_at {
-            self.seek_one_that_is_gone(now);
+        if now >= self.announce_at {
+            self.announce_to_an_absent_router(now);
         }
-        self.send_what_the_parts_say(now);
+        self.send_messages_of_parts(now);
         self.promised = self.promised.max(self.due());
     }
 
+    /// How this router stands among those expected.
     pub fn standing(&self) -> Standing {
         self.standing
     }
 
+    /// What its standing allows.
     pub fn allowed(&self) -> Allowed {
         view::allows(self.standing)
     }
 
-    /// By place in the cluster file, this router among them.
+    /// All routers by their place in the cluster file, this router among them.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
+    /// The place of this router in the cluster file.
     pub fn me(&self) -> usize {
         self.me.into()
     }
 
-    /// Who is held present; this router always is.
+    /// The routers that are held present; this router always is.
     pub fn present(&self) -> impl Iterator<Item = usize> + '_ {
         self.members.iter().enumerate().filter(|(_, member)| member.state.counts()).map(|(at, _)| at)
     }
 
-    /// This router leaves by plan; that it does is told from now on.
+    /// This router leaves by plan, which others are told from now on.
     pub fn leave(&mut self, now: f64) {
-        if self.leaving_since.replace(self.leaving_since.unwrap_or(now)).is_none() {
-            let born = self.swim.me().born;
-            self.swim.begin_life(born + 1, true, now);
-            self.round.clear();
-            self.hello_at = now;
-            // At once: what is released below is not asked for again ahead of the next look.
-            self.standing = view::standing(&self.count(now));
-            self.release_roles(now);
+        if self.leaving_since.is_some() {
+            return;
         }
+        self.leaving_since = Some(now);
+        let born = self.swim.me().born;
+        self.swim.begin_life(born + 1, true, now);
+        self.heartbeat_round.clear();
+        self.heartbeat_at = now;
+        // At once, so that what is released below is not requested again in the next turn.
+        self.standing = view::standing(&self.count(now));
+        self.release_roles(now);
     }
 
-    /// What we have seen of engines, for the next digests; the first of them matter most.
+    /// Sets what this router has seen of engines, for the next digests; the first of them matter most.
     pub fn tell(&mut self, words: Vec<Word>) {
         self.telling = words;
     }
 
-    /// What others say of an engine: of those that are present, by this router's view.
+    /// What others say of an engine: those that are present in this router's view.
     pub fn said(&self, engine: &EngineLife, now: f64) -> Said {
         if !self.allowed().hears_of_engines {
             return Said::default();
@@ -233,29 +231,32 @@
         self.heard.of(engine, now, |source| self.members[usize::from(source)].state.counts())
     }
 
+    /// The datagrams to send, each with its receiver.
     pub fn outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
+    /// The changes of state since this was last called, the oldest first.
     pub fn changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// When [`Members::turn`] is to be called next, in seconds of the host's clock.
     pub fn due(&self) -> f64 {
-        let observed_at = self.observe_at + observe::LOOKS;
-        let own = self.hello_at.min(self.seek_at).min(observed_at).min(self.quiet.due());
+        let observed_at = self.observe_at + observe::OBSERVE_INTERVAL;
+        let own = self.heartbeat_at.min(self.announce_at).min(observed_at).min(self.probes.due());
         self.swim.due().min(own).min(self.roles.due())
     }
 
-    /// The epoch of our store's last put, which others are shown from now on.
-    pub fn keeps(&mut self, epoch: u64) {
-        self.kept = self.kept.max(epoch);
+    /// Sets the epoch of the last put of this router's store, which others are shown from now on.
+    pub fn set_store_epoch(&mut self, epoch: u64) {
+        self.store_epoch = self.store_epoch.max(epoch);
     }
 
-    /// The latest epoch of our store that another was shown by this life or a former one; none until one has said so.
-    pub fn shown(&self) -> Option<u64> {
-        self.shown
+    /// The latest epoch of this router's store that another was shown by this life or a former one; `None` until one has
+    /// said so.
+    pub fn store_epoch_shown(&self) -> Option<u64> {
+        self.store_epoch_shown
     }
 
     /// How slow or deaf this router finds itself, from 0 to 4.
@@ -263,6 +264,7 @@
         self.swim.health()
     }
 
+    /// What was counted since the start.
     pub fn counts(&self) -> Counts {
         let DetectorCounts { refutations, new_lives, contradicted } = self.swim.counts();
         Counts { refutations, new_lives, contradicted, ..self.counts.clone() }
--- a/crates/members/src/membership/receive.rs
+++ b/crates/members/src/membership/receive.rs
@@ -1,30 +1,34 @@
 //! What is received: each datagram is checked, what its envelope tells is noted, and its body goes to its part.
 
-use super::send::HELLO;
+use super::send::HEARTBEAT_INTERVAL;
 use super::Members;
 use crate::digest;
+use crate::direct_probe::MAX_NAMED;
 use crate::lease::Message;
-use crate::quiet::MOST_NAMED;
+use crate::member::ViewDigest;
 use crate::swim::YOUNGEST;
-use crate::wire::{self, Dropped, Envelope, Kind, HEARD_UNIT};
+use crate::wire::{self, Dropped, Envelope, Kind, LastHeard, HEARD_UNIT};
 
-/// One router's questions are answered no more often than this, in seconds.
-const QUIET_REPLY: f64 = 0.05;
-/// So many younger lives under our name within so many seconds: another process goes by it.
-pub(super) const DOUBLED: usize = 4;
-pub(super) const DOUBLED_WITHIN: f64 = 20.0;
+/// The probes of one router are answered no more often than this, in seconds: several of one round are answered once.
+const ANSWER_INTERVAL: f64 = 0.05;
+/// A router that has run so much longer than this one knows of former lives of it, in seconds. Those that were started
+/// together know no more than they tell each other.
+const STARTED_BEFORE: f64 = 1.0;
+/// So many younger lives under this router's name, the last of them within so many seconds: another process goes by it.
+pub(super) const NAME_CONFLICT_LIVES: usize = 4;
+pub(super) const NAME_CONFLICT_WITHIN: f64 = 20.0;
 
 impl Members {
-    /// A datagram from the address of this router.
+    /// Takes a datagram that came from the address of router `from`.
     ///
     /// # Errors
     /// Why it was dropped, which is also counted.
     pub fn datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), Dropped> {
-        self.wakes(now);
+        self.check_pause(now);
         self.counts.received += 1;
         let taken = self.take(from, bytes, now);
-        if let Err(why) = taken {
-            *self.counts.dropped.entry(why).or_default() += 1;
+        if let Err(reason) = taken {
+            *self.counts.dropped.entry(reason).or_default() += 1;
         }
         taken
     }
@@ -32,24 +36,25 @@
     fn take(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), Dropped> {
         let (envelope, body) = wire::read(bytes)?;
         self.check(from, &envelope)?;
-        self.hear(from, &envelope, now)?;
+        self.note_contact(from, &envelope, now)?;
+        self.note_store_epochs(from, &envelope, now);
         self.note_view(from, &envelope, now);
         self.renew_life(&envelope, now);
-        self.answer_one_that_does_not_count(from, &envelope, now);
+        self.notify_absent(from, &envelope, now);
         match envelope.kind {
             Kind::Swim => self.swim.receive(body, now).map_err(|_| Dropped::Body),
-            Kind::Hello => self.take_hello(from, body, now),
-            Kind::Ask => {
-                self.answer_ask(from, now);
+            Kind::Heartbeat => self.take_heartbeat(from, body, now),
+            Kind::DirectProbe => {
+                self.answer_direct_probe(from, now);
                 Ok(())
             }
-            Kind::Seek => self.answer_seek(from, body, now),
-            Kind::Seen => self.take_seen(body),
+            Kind::IndirectProbe => self.answer_indirect_probe(from, body, now),
+            Kind::IndirectAck => self.take_indirect_ack(body),
             Kind::Lease => self.take_lease(from, body, now),
         }
     }
 
-    /// It is of this cluster, from this sender, and meant for us.
+    /// It is of this cluster, from this sender, and meant for this router.
     fn check(&self, from: usize, envelope: &Envelope) -> Result<(), Dropped> {
         if envelope.cluster != self.cluster {
             return Err(Dropped::OtherCluster);
@@ -58,14 +63,14 @@
         if !known || usize::from(envelope.from) != from || envelope.to != self.me {
             return Err(Dropped::WrongSender);
         }
-        if envelope.born > YOUNGEST || envelope.yours > YOUNGEST {
+        if envelope.born > YOUNGEST || envelope.receiver_born > YOUNGEST {
             return Err(Dropped::Body);
         }
         Ok(())
     }
 
-    /// Notes that it was heard, in which life, and what it tells of the two stores.
-    fn hear(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), Dropped> {
+    /// Notes that the sender was heard, in which life, and when it last heard this router.
+    fn note_contact(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), Dropped> {
         {
             let mut contacts = self.swim.contacts.borrow_mut();
             contacts.now = now;
@@ -79,105 +84,111 @@
             self.heard.forget(from as u16);
         }
         member.heard_at = now;
-        member.kept = member.kept.max(envelope.kept.min(YOUNGEST));
-        // It has heard this life of ours, and tells what it was shown before: one that was there before us. Those that were
-        // started with us know no more than we tell them.
-        let hears_this_life = envelope.yours == self.swim.me().born;
-        if hears_this_life && f64::from(envelope.age) > now - self.started + 1.0 {
-            self.shown = Some(self.shown.unwrap_or(0).max(envelope.yours_kept.min(YOUNGEST)));
-        }
         member.leaving = envelope.leaving;
-        if envelope.heard < u16::MAX && hears_this_life {
-            member.hears_us_at = now - f64::from(envelope.heard) * HEARD_UNIT;
+        if envelope.heard_ago < u16::MAX && envelope.receiver_born == self.swim.me().born {
+            member.hears_us_at = now - f64::from(envelope.heard_ago) * HEARD_UNIT;
         }
         Ok(())
     }
 
-    /// Notes whom it holds present, and since when that differs from ours.
+    /// Notes the epoch of the sender's store, and which epoch of this router's it was shown, where it was there before this
+    /// life of it and knows this life.
+    fn note_store_epochs(&mut self, from: usize, envelope: &Envelope, now: f64) {
+        let member = &mut self.members[from];
+        member.store_epoch = member.store_epoch.max(envelope.store_epoch.min(YOUNGEST));
+        let knows_this_life = envelope.receiver_born == self.swim.me().born;
+        if knows_this_life && f64::from(envelope.age) > now - self.started + STARTED_BEFORE {
+            let shown = envelope.receiver_store_epoch.min(YOUNGEST);
+            self.store_epoch_shown = Some(self.store_epoch_shown.unwrap_or(0).max(shown));
+        }
+    }
+
+    /// Notes which routers the sender holds present, and since when that differs from this router's view.
     fn note_view(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
-        member.told = (envelope.present, envelope.view);
-        member.told_at = now;
-        if member.told == self.view {
-            member.differs_since = None;
-        } else if member.differs_since.is_none() {
-            member.differs_since = Some(now);
+        member.view = ViewDigest { present: envelope.present, hash: envelope.present_hash };
+        member.view_at = now;
+        if member.view == self.view {
+            member.view_differs_since = None;
+        } else if member.view_differs_since.is_none() {
+            member.view_differs_since = Some(now);
         }
     }
 
-    /// Begins a new life where others know our name in a younger one, or hold this one failed.
+    /// Begins a new life where others know this router in a younger one, or hold this one failed.
     fn renew_life(&mut self, envelope: &Envelope, now: f64) {
         let leaving = self.leaving_since.is_some();
-        // Our name was in a younger life: our clock was set back before our start, or another goes by our name.
-        if envelope.yours > self.swim.me().born && self.adopt_younger_life {
-            self.younger.retain(|at| now < at + DOUBLED_WITHIN);
-            if self.younger.len() < DOUBLED {
-                self.younger.push(now);
-                self.swim.begin_life(envelope.yours.saturating_add(1), leaving, now);
+        // Its name was in a younger life: its clock was set back before its start, or another process goes by its name.
+        if envelope.receiver_born > self.swim.me().born && self.adopt_younger_life {
+            self.younger_lives.retain(|at| now < at + NAME_CONFLICT_WITHIN);
+            if self.younger_lives.len() < NAME_CONFLICT_LIVES {
+                self.younger_lives.push(now);
+                self.swim.begin_life(envelope.receiver_born.saturating_add(1), leaving, now);
             }
         }
-        if envelope.failed && envelope.yours == self.swim.me().born && !leaving {
-            self.swim.begin_life(envelope.yours + 1, false, now);
+        if envelope.receiver_failed && envelope.receiver_born == self.swim.me().born && !leaving {
+            self.swim.begin_life(envelope.receiver_born + 1, false, now);
         }
     }
 
-    /// We hear it, and do not count it. In the life that we hold failed it can't know, and is told at once; in a younger
-    /// one it is asked for who is there, by which it learns of us as well.
-    fn answer_one_that_does_not_count(&mut self, from: usize, envelope: &Envelope, now: f64) {
+    /// Answers a sender that does not count as present. In the life that is held failed it can't know that, and is told at
+    /// once; in a younger one it is asked for all members, by which it learns of this router as well.
+    fn notify_absent(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
-        if member.state.counts() || envelope.leaving || now < member.answered_at + HELLO {
+        let notified = now < member.notified_at + HEARTBEAT_INTERVAL;
+        if member.state.counts() || envelope.leaving || notified {
             return;
         }
-        member.answered_at = now;
+        member.notified_at = now;
         if envelope.born <= member.born {
-            self.put(from as u16, Kind::Hello, &[], now);
+            self.send(from as u16, Kind::Heartbeat, &[], now);
         } else {
             self.swim.announce(from as u16, now);
         }
     }
 
-    fn take_hello(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
+    fn take_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
         let words = digest::read(body).ok_or(Dropped::Body)?;
         self.heard.hear(from as u16, words, now);
         Ok(())
     }
 
-    /// A round of questions is answered once.
-    fn answer_ask(&mut self, from: usize, now: f64) {
-        if now >= self.members[from].replied_at + QUIET_REPLY {
-            self.members[from].replied_at = now;
-            self.put(from as u16, Kind::Hello, &[], now);
+    fn answer_direct_probe(&mut self, from: usize, now: f64) {
+        if now >= self.members[from].probe_answered_at + ANSWER_INTERVAL {
+            self.members[from].probe_answered_at = now;
+            self.send(from as u16, Kind::Heartbeat, &[], now);
         }
     }
 
-    /// Tells when we last heard those that are named.
-    fn answer_seek(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
+    /// Tells when the routers that are named were last heard here.
+    fn answer_indirect_probe(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
         let named: Vec<u16> = postcard::from_bytes(body).map_err(|_| Dropped::Body)?;
-        if named.len() > MOST_NAMED {
+        if named.len() > MAX_NAMED {
             return Err(Dropped::Body);
         }
-        if now < self.members[from].sought_at + QUIET_REPLY {
+        if now < self.members[from].indirect_probe_answered_at + ANSWER_INTERVAL {
             return Ok(());
         }
-        self.members[from].sought_at = now;
-        let ago = |router: u16| {
-            let heard_at = self.members.get(usize::from(router)).map(|member| member.heard_at);
-            let units = (now - heard_at.unwrap_or(f64::NEG_INFINITY)) / HEARD_UNIT;
-            (router, units.min(f64::from(u8::MAX)) as u8)
-        };
-        let seen: Vec<(u16, u8)> = named.into_iter().map(ago).collect();
-        let bytes = postcard::to_extend(&seen, Vec::new()).unwrap_or_default();
-        self.put(from as u16, Kind::Seen, &bytes, now);
+        self.members[from].indirect_probe_answered_at = now;
+        let answer: Vec<LastHeard> = named.into_iter().map(|router| self.last_heard(router, now)).collect();
+        let bytes = postcard::to_extend(&answer, Vec::new()).unwrap_or_default();
+        self.send(from as u16, Kind::IndirectAck, &bytes, now);
         Ok(())
     }
 
-    fn take_seen(&mut self, body: &[u8]) -> Result<(), Dropped> {
-        let seen: Vec<(u16, u8)> = postcard::from_bytes(body).map_err(|_| Dropped::Body)?;
-        if seen.len() > MOST_NAMED {
+    fn last_heard(&self, router: u16, now: f64) -> LastHeard {
+        let heard_at = self.members.get(usize::from(router)).map(|member| member.heard_at);
+        let ago = (now - heard_at.unwrap_or(f64::NEG_INFINITY)) / HEARD_UNIT;
+        LastHeard { router, ago: ago.min(f64::from(u8::MAX)) as u8 }
+    }
+
+    fn take_indirect_ack(&mut self, body: &[u8]) -> Result<(), Dropped> {
+        let answer: Vec<LastHeard> = postcard::from_bytes(body).map_err(|_| Dropped::Body)?;
+        if answer.len() > MAX_NAMED {
             return Err(Dropped::Body);
         }
-        for (router, units) in seen.into_iter().filter(|(_, units)| *units < u8::MAX) {
-            self.quiet.seen(router, f64::from(units) * HEARD_UNIT);
+        for heard in answer.into_iter().filter(|heard| heard.ago < u8::MAX) {
+            self.probes.heard_by_other(heard.router, f64::from(heard.ago) * HEARD_UNIT);
         }
         Ok(())
     }
@@ -187,8 +198,8 @@
         if !rest.is_empty() {
             return Err(Dropped::Body);
         }
-        let grants = self.allowed().grants_leases;
-        if grants || !matches!(message, Message::Prepare { .. } | Message::Propose { .. }) {
+        let asks_for_grant = matches!(message, Message::Prepare { .. } | Message::Propose { .. });
+        if self.allowed().grants_leases || !asks_for_grant {
             self.leases.receive(from as u16, message, now);
         }
         Ok(())
--- a/crates/members/src/membership/send.rs
+++ b/crates/members/src/membership/send.rs
@@ -1,136 +1,152 @@
-//! What is sent: hellos to others in turn, questions to those that have fallen silent, and what the parts have to say.
+//! What is sent: heartbeats to the others in turn, probes of silent routers, and the messages of the parts.
 
 use super::Members;
 use crate::digest;
+use crate::direct_probe::Peer;
 use crate::member::State;
 use crate::wire::{self, Envelope, Kind, HEARD_UNIT};
 
-/// How often each router says something to two others, in turn, in seconds.
-pub(super) const HELLO: f64 = 0.25;
-const HELLOS: usize = 2;
-/// How often one that is not present is asked whether it is there, in seconds.
-const SEEK: f64 = 0.5;
-/// Others that are asked after those that are silent.
-const SOUGHT_OF: usize = 3;
+/// Between two heartbeats, in seconds.
+pub(super) const HEARTBEAT_INTERVAL: f64 = 0.25;
+/// How many others each heartbeat goes to.
+const HEARTBEAT_FANOUT: usize = 2;
+/// How often a router that is not present is asked whether it is back, in seconds.
+const ANNOUNCE_INTERVAL: f64 = 0.5;
+/// How many others are asked whether they hear the silent ones.
+const INDIRECT_PROBES: usize = 3;
+/// The least time without a datagram after which a router counts as not heard, in seconds.
+const MIN_SILENCE: f64 = 2.0;
 
 impl Members {
-    /// Says something to the next of the others, with what was seen of engines.
-    pub(super) fn send_hellos(&mut self, now: f64) {
-        self.hello_at = now + HELLO;
-        for _ in 0..HELLOS {
+    /// Sends a heartbeat to the next of the others, with what was seen of engines.
+    pub(super) fn send_heartbeats(&mut self, now: f64) {
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+        for _ in 0..HEARTBEAT_FANOUT {
             let Some(to) = self.next_of_round() else { break };
             let tells = self.allowed().tells_of_engines;
             let telling = if tells { digest::write(&self.telling) } else { Vec::new() };
-            self.put(to, Kind::Hello, &telling, now);
+            self.send(to, Kind::Heartbeat, &telling, now);
         }
     }
 
-    /// Asks one that is not present whether it is there.
-    pub(super) fn seek_one_that_is_gone(&mut self, now: f64) {
-        // Spread by chance, so that many that were cut off together do not ask as one.
-        self.seek_at = now + SEEK * (0.75 + 0.5 * self.chance_from_0_to_1());
-        let gone: Vec<u16> = (0..self.members.len())
-            .filter(|at| !self.members[*at].state.counts())
-            .map(|at| at as u16)
+    /// Asks a router that is not present for all members that it knows, by which it learns that this one is there.
+    pub(super) fn announce_to_an_absent_router(&mut self, now: f64) {
+        // Spread by chance, so that many that were cut off together do not ask at the same time.
+        self.announce_at = now + ANNOUNCE_INTERVAL * (0.75 + 0.5 * self.draw_fraction());
+        let absent: Vec<u16> = (0..self.members.len())
+            .filter(|router| !self.members[*router].state.counts())
+            .map(|router| router as u16)
             .collect();
-        if !gone.is_empty() && self.leaving_since.is_none() {
-            let to = gone[(self.chance() % gone.len() as u64) as usize];
+        if !absent.is_empty() && self.leaving_since.is_none() {
+            let to = absent[(self.draw() % absent.len() as u64) as usize];
             self.swim.announce(to, now);
         }
     }
 
-    /// Sends what the failure detector and the leases have to say.
-    pub(super) fn send_what_the_parts_say(&mut self, now: f64) {
+    /// Sends the messages of the failure detector and of the leases.
+    pub(super) fn send_messages_of_parts(&mut self, now: f64) {
         for (to, bytes) in self.swim.outgoing() {
-            self.put(to, Kind::Swim, &bytes, now);
+            self.send(to, Kind::Swim, &bytes, now);
         }
         for (to, message) in self.leases.outgoing() {
             let bytes = postcard::to_extend(&message, Vec::new()).unwrap_or_default();
-            self.put(to, Kind::Lease, &bytes, now);
+            self.send(to, Kind::Lease, &bytes, now);
         }
     }
 
-    /// Asks those that have fallen silent, and some of the others after them.
-    pub(super) fn ask_the_quiet(&mut self, now: f64) {
-        let todo =
-            self.quiet.turn(self.last_heard().into_iter(), self.deaf_after(), self.swim.heard_at(), now);
-        for router in &todo.ask {
-            self.put(*router, Kind::Ask, &[], now);
+    /// Probes the routers that have fallen silent, directly and through some of the others.
+    pub(super) fn probe_silent_routers(&mut self, now: f64) {
+        let peers = self.peers();
+        let actions = self.probes.turn(&peers, self.max_silence(), self.swim.heard_at(), now);
+        for router in &actions.probe {
+            self.send(*router, Kind::DirectProbe, &[], now);
         }
-        todo.suspect.into_iter().for_each(|router| self.swim.suspect(router, now));
-        if !todo.ask.is_empty() {
-            self.ask_others_after(&todo.ask, now);
+        for router in actions.suspect {
+            self.swim.suspect(router, now);
+        }
+        if !actions.probe.is_empty() {
+            self.probe_indirectly(&actions.probe, now);
         }
     }
 
-    /// Each of the others that count: when it was last heard, and whether it is suspected.
-    fn last_heard(&self) -> Vec<(u16, f64, bool)> {
+    /// The others that count as present.
+    fn peers(&self) -> Vec<Peer> {
         let me = usize::from(self.me);
-        let counted =
-            self.members.iter().enumerate().filter(|(at, member)| *at != me && member.state.counts());
-        // One that was never heard is silent since it came to be counted.
-        let heard = counted.map(|(at, member)| {
+        let present = self.present().filter(|router| *router != me);
+        let peer = |router: usize| {
+            let member = &self.members[router];
             let suspected = member.state == State::Suspected;
+            // One that was never heard is silent since it came to be counted.
             let heard_at = if suspected { member.heard_at } else { member.heard_at.max(member.since) };
-            (at as u16, heard_at, suspected)
-        });
-        heard.collect()
+            Peer { router: router as u16, heard_at, suspected }
+        };
+        present.map(peer).collect()
     }
 
     /// Asks some of the others, drawn by chance, when they last heard these.
-    fn ask_others_after(&mut self, silent: &[u16], now: f64) {
-        let others: Vec<u16> =
-            self.present().map(|at| at as u16).filter(|at| *at != self.me && !silent.contains(at)).collect();
+    fn probe_indirectly(&mut self, silent: &[u16], now: f64) {
+        let others: Vec<u16> = self
+            .present()
+            .map(|router| router as u16)
+            .filter(|router| *router != self.me && !silent.contains(router))
+            .collect();
         let bytes = postcard::to_extend(silent, Vec::new()).unwrap_or_default();
-        for _ in 0..SOUGHT_OF.min(others.len()) {
-            let other = others[(self.chance() % others.len() as u64) as usize];
-            self.put(other, Kind::Seek, &bytes, now);
+        for _ in 0..INDIRECT_PROBES.min(others.len()) {
+            let other = others[(self.draw() % others.len() as u64) as usize];
+            self.send(other, Kind::IndirectProbe, &bytes, now);
         }
     }
 
-    /// How long one that lives is not heard at most, usually: two rounds of hellos. Seconds.
-    pub(super) fn deaf_after(&self) -> f64 {
-        (2.0 * self.members.len().div_ceil(HELLOS) as f64 * HELLO).max(2.0)
+    /// How long a router that is alive is usually not heard at most, in seconds: two rounds of heartbeats.
+    pub(super) fn max_silence(&self) -> f64 {
+        let round = self.members.len().div_ceil(HEARTBEAT_FANOUT) as f64 * HEARTBEAT_INTERVAL;
+        (2.0 * round).max(MIN_SILENCE)
     }
 
-    /// The others, each once, in an order drawn anew each time.
-    pub(super) fn next_of_round(&mut self) -> Option<u16> {
-        if self.round.is_empty() {
-            self.round = (0..self.members.len() as u16).filter(|at| *at != self.me).collect();
-            for at in (1..self.round.len()).rev() {
-                let other = (self.chance() % (at as u64 + 1)) as usize;
-                self.round.swap(at, other);
+    /// The next of the others, each once a round, in an order drawn anew for each round.
+    fn next_of_round(&mut self) -> Option<u16> {
+        if self.heartbeat_round.is_empty() {
+            self.heartbeat_round =
+                (0..self.members.len() as u16).filter(|router| *router != self.me).collect();
+            for at in (1..self.heartbeat_round.len()).rev() {
+                let other = (self.draw() % (at as u64 + 1)) as usize;
+                self.heartbeat_round.swap(at, other);
             }
         }
-        self.round.pop()
+        self.heartbeat_round.pop()
+    }
+
+    pub(super) fn send(&mut self, to: u16, kind: Kind, body: &[u8], now: f64) {
+        let Some(envelope) = self.envelope(to, kind, now) else { return };
+        if let Some(bytes) = wire::write(&envelope, body) {
+            self.counts.sent += 1;
+            self.counts.sent_bytes += bytes.len() as u64;
+            self.outgoing.push((to, bytes));
+        }
     }
 
-    pub(super) fn put(&mut self, to: u16, kind: Kind, body: &[u8], now: f64) {
-        let Some(member) = self.members.get(usize::from(to)).filter(|_| to != self.me) else { return };
-        let ago = (now - member.heard_at) / HEARD_UNIT;
-        let yours = self.swim.contacts.borrow().born(to).unwrap_or(0);
-        let envelope = Envelope {
+    /// The envelope of a datagram to another router; `None` for no other.
+    fn envelope(&self, to: u16, kind: Kind, now: f64) -> Option<Envelope> {
+        let member = self.members.get(usize::from(to)).filter(|_| to != self.me)?;
+        let heard_ago = (now - member.heard_at) / HEARD_UNIT;
+        let heard_born = self.swim.contacts.borrow().born(to).unwrap_or(0);
+        Some(Envelope {
             cluster: self.cluster,
             from: self.me,
             to,
             born: self.swim.me().born,
-            // One that fell behind the life that its name had is told of that.
-            yours: yours.max(member.born),
-            heard: if ago < f64::from(u16::MAX) { ago as u16 } else { u16::MAX },
-            present: self.view.0,
-            view: self.view.1,
+            // A router whose life is older than the one known under its name is told of that one.
+            receiver_born: heard_born.max(member.born),
+            heard_ago: if heard_ago < f64::from(u16::MAX) { heard_ago as u16 } else { u16::MAX },
+            present: self.view.present,
+            present_hash: self.view.hash,
             age: (now - self.started) as u32,
             leaving: self.leaving_since.is_some(),
-            // Not of a younger life that we have heard, which the detector is only about to learn of.
-            failed: member.state == State::Failed && yours <= member.born,
-            kept: self.kept,
-            yours_kept: member.kept,
+            // Not of a younger life that was heard, which the detector is only about to learn of.
+            receiver_failed: member.state == State::Failed && heard_born <= member.born,
+            store_epoch: self.store_epoch,
+            receiver_store_epoch: member.store_epoch,
             kind,
-        };
-        if let Some(bytes) = wire::write(&envelope, body) {
-            self.counts.sent += 1;
-            self.counts.sent_bytes += bytes.len() as u64;
-            self.out.push((to, bytes));
-        }
+        })
     }
 }
--- a/crates/members/src/swim/settings.rs
+++ b/crates/members/src/swim/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of the failure detector: its timing, and which of its defences are on.
 
-use crate::wire::LONGEST_BODY;
+use crate::wire::MAX_BODY;
 use foca::PeriodicParams;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -85,7 +85,7 @@
             max_transmissions: NonZeroU8::new(transmissions).expect("at least eight"),
             suspect_to_down_after: Duration::from_secs_f64(self.suspicion_for(routers)),
             remove_down_after: None,
-            max_packet_size: count(LONGEST_BODY),
+            max_packet_size: count(MAX_BODY),
             notify_down_members: true,
             periodic_announce: every(ANNOUNCE_INTERVAL, 1),
             periodic_announce_to_down_members: every(ANNOUNCE_TO_DOWN_INTERVAL, ANNOUNCE_TO_DOWN),
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -1,85 +1,113 @@
 //! Datagrams between routers: an envelope that ties each to its cluster, its sender's life and its receiver's, and a body.
 //!
 //! What is read is bounded before anything is made of it, and the checksum finds what a network damages. It is no
-//! signature: whoever can write from a member's address is that member (`deploy/cluster.json` names the networks).
+//! signature: whoever can send from a member's address is that member (`deploy/cluster.json` names the networks).
+//!
+//! ```text
+//! magic (2) | version (1) | envelope (postcard) | body | CRC-32 of all before it (4, little endian)
+//! ```
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A datagram is no longer than this, in bytes.
-pub const LONGEST: usize = 1400;
-/// What is left for a body.
-pub const LONGEST_BODY: usize = LONGEST - 88;
-
-/// The unit in which datagrams tell how long ago a router was heard, in seconds: a `u16` of it spans 17 minutes.
+/// The longest datagram, in bytes: it fits an Ethernet frame with its IP and UDP headers, and some tunnel's.
+pub const MAX_DATAGRAM: usize = 1400;
+/// The longest body, in bytes: what the longest envelope leaves.
+pub const MAX_BODY: usize = MAX_DATAGRAM - 88;
+/// The unit in which datagrams tell how long ago a router was heard, in seconds: a `u16` of it spans 17 minutes, a `u8`
+/// 4 s.
 pub const HEARD_UNIT: f64 = 0.016;
 
-const MARK: [u8; 2] = *b"cG";
+const MAGIC: [u8; 2] = *b"cG";
 const VERSION: u8 = 2;
-/// Mark, version and checksum.
-const LEAST: usize = 7;
+/// The bytes of the checksum.
+const CHECKSUM: usize = 4;
+/// Magic, version and checksum.
+const MIN_DATAGRAM: usize = 7;
+/// Room that is reserved for magic, version and a usual envelope, in bytes.
+const USUAL_ENVELOPE: usize = 64;
 
-/// What goes ahead of each body.
+/// What goes ahead of each body. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The hash of the cluster's name and its list.
+    /// The hash of the cluster's name and of its list of routers.
     pub cluster: u64,
+    /// The sender, by its place in the cluster file.
     pub from: u16,
+    /// The receiver, by its place in the cluster file.
     pub to: u16,
     /// The sender's life.
     pub born: u64,
     /// The receiver's life as the sender knows it, 0 if it knows none.
-    pub yours: u64,
-    /// How long ago the sender last heard the receiver, in units of 16 ms; `u16::MAX` for never or long ago.
-    pub heard: u16,
-    /// How many the sender holds present, itself among them, and the hash of who they are.
+    pub receiver_born: u64,
+    /// How long ago the sender last heard the receiver, in [`HEARD_UNIT`]; `u16::MAX` for never or long ago.
+    pub heard_ago: u16,
+    /// How many routers the sender holds present, itself among them.
     pub present: u16,
-    pub view: u32,
-    /// How long the sender has run, in seconds, and whether it leaves.
+    /// The hash of which routers those are.
+    pub present_hash: u32,
+    /// How long the sender has run, in seconds.
     pub age: u32,
+    /// The sender leaves by plan.
     pub leaving: bool,
-    /// The sender holds the receiver failed in the life that `yours` names: it has to begin a new one.
-    pub failed: bool,
-    /// The epoch of the sender's last put that is on its disk, and the latest that it was shown of the receiver's, over all
-    /// lives of that name; 0 for none.
-    pub kept: u64,
-    pub yours_kept: u64,
+    /// The sender holds the receiver failed in the life `receiver_born`: the receiver has to begin a new one.
+    pub receiver_failed: bool,
+    /// The epoch of the sender's last put that is on its disk, 0 for none.
+    pub store_epoch: u64,
+    /// The latest epoch of the receiver's store that the sender was shown, over all its lives; 0 for none.
+    pub receiver_store_epoch: u64,
+    /// What the body is.
     pub kind: Kind,
 }
 
+/// What a body is. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// A digest of what the sender has learned of engines, which may be empty.
+    /// A heartbeat: a digest of what the sender has learned of engines, which may be empty.
     #[default]
-    Hello,
-    /// The failure detector's own.
+    Heartbeat,
+    /// A message of the failure detector.
     Swim,
+    /// A message about a lease.
     Lease,
-    /// Says that it wants a hello back.
-    Ask,
-    /// Asks when the receiver last heard these routers, and answers that: places, and units of 16 ms, 255 for long ago.
-    Seek,
-    Seen,
+    /// Asks for a heartbeat back.
+    DirectProbe,
+    /// Asks when the receiver last heard the routers that it names.
+    IndirectProbe,
+    /// Answers an indirect probe.
+    IndirectAck,
+}
+
+/// When one router was last heard, as the answer to an indirect probe tells it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LastHeard {
+    /// The router, by its place in the cluster file.
+    pub router: u16,
+    /// How long ago, in [`HEARD_UNIT`]; `u8::MAX` for never or long ago.
+    pub ago: u8,
 }
 
 /// Why a datagram was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Dropped {
+    /// Longer than [`MAX_DATAGRAM`].
     TooLong,
-    /// No mark, a length that does not fit, or a checksum that is wrong.
+    /// Without the magic bytes, with a length that does not fit, or with a wrong checksum.
     Noise,
+    /// Of another version of this format.
     Version,
-    /// Of another cluster, or of one whose list is another.
+    /// Of another cluster, or of one with another list of routers.
     OtherCluster,
-    /// From one router's address, but under another's number, or not meant for us.
+    /// From one router's address under another's number, or not meant for this router.
     WrongSender,
     /// Of a former life of its sender.
     FormerLife,
-    /// Its body can't be read.
+    /// With a body that can't be read.
     Body,
 }
 
 impl Dropped {
+    /// All reasons, in the order of the checks.
     pub const ALL: [Dropped; 7] = [
         Dropped::TooLong,
         Dropped::Noise,
@@ -91,6 +119,8 @@
     ];
 }
 
+impl std::error::Error for Dropped {}
+
 impl fmt::Display for Dropped {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str(match self {
@@ -105,34 +135,34 @@
     }
 }
 
-/// Writes a datagram. A body that is too long can't be sent, and gives none.
+/// Writes a datagram; `None` for a body longer than [`MAX_BODY`].
 pub fn write(envelope: &Envelope, body: &[u8]) -> Option<Vec<u8>> {
-    if body.len() > LONGEST_BODY {
+    if body.len() > MAX_BODY {
         return None;
     }
-    let mut bytes = Vec::with_capacity(64 + body.len());
-    bytes.extend(MARK);
+    let mut bytes = Vec::with_capacity(USUAL_ENVELOPE + body.len());
+    bytes.extend(MAGIC);
     bytes.push(VERSION);
     let mut bytes = postcard::to_extend(envelope, bytes).ok()?;
     bytes.extend(body);
-    let sum = crc32fast::hash(&bytes);
-    bytes.extend(sum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes);
+    bytes.extend(checksum.to_le_bytes());
     Some(bytes)
 }
 
-/// Reads a datagram; nothing of it is copied.
+/// Reads a datagram into its envelope and its body, of which nothing is copied.
 ///
 /// # Errors
-/// Why it is none of ours, as far as its bytes alone tell.
+/// Why it is none of this format, as far as its bytes alone tell.
 pub fn read(bytes: &[u8]) -> Result<(Envelope, &[u8]), Dropped> {
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DATAGRAM {
         return Err(Dropped::TooLong);
     }
-    if bytes.len() < LEAST || bytes[..2] != MARK {
+    if bytes.len() < MIN_DATAGRAM || bytes[..2] != MAGIC {
         return Err(Dropped::Noise);
     }
-    let (content, sum) = bytes.split_at(bytes.len() - 4);
-    if crc32fast::hash(content).to_le_bytes() != sum {
+    let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM);
+    if crc32fast::hash(content).to_le_bytes() != checksum {
         return Err(Dropped::Noise);
     }
     if content[2] != VERSION {
--- a/crates/members/src/wire/tests.rs
+++ b/crates/members/src/wire/tests.rs
@@ -2,33 +2,40 @@
 use proptest::prelude::*;
 
 fn envelope() -> Envelope {
-    Envelope { cluster: u64::MAX, from: 7, to: 9, born: u64::MAX, yours: u64::MAX, ..Envelope::default() }
+    Envelope {
+        cluster: u64::MAX,
+        from: 7,
+        to: 9,
+        born: u64::MAX,
+        receiver_born: u64::MAX,
+        ..Envelope::default()
+    }
 }
 
 #[test]
-fn the_longest_body_fits_behind_the_longest_envelope() {
+fn longest_body_fits_after_longest_envelope() {
     let most = Envelope {
         from: u16::MAX,
         to: u16::MAX,
-        heard: u16::MAX,
+        heard_ago: u16::MAX,
         present: u16::MAX,
-        view: u32::MAX,
+        present_hash: u32::MAX,
         age: u32::MAX,
         leaving: true,
-        failed: true,
-        kept: u64::MAX,
-        yours_kept: u64::MAX,
-        kind: Kind::Seen,
+        receiver_failed: true,
+        store_epoch: u64::MAX,
+        receiver_store_epoch: u64::MAX,
+        kind: Kind::IndirectAck,
         ..envelope()
     };
-    let bytes = write(&most, &[7; LONGEST_BODY]).unwrap();
-    assert!(bytes.len() <= LONGEST, "{}", bytes.len());
-    assert_eq!(read(&bytes), Ok((most, &[7; LONGEST_BODY][..])));
-    assert_eq!(write(&most, &[7; LONGEST_BODY + 1]), None);
+    let bytes = write(&most, &[7; MAX_BODY]).unwrap();
+    assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
+    assert_eq!(read(&bytes), Ok((most, &[7; MAX_BODY][..])));
+    assert_eq!(write(&most, &[7; MAX_BODY + 1]), None);
 }
 
 #[test]
-fn a_datagram_that_is_cut_or_damaged_anywhere_is_noise() {
+fn rejects_cut_or_damaged_datagrams_as_noise() {
     let whole = write(&envelope(), b"a body").unwrap();
     for at in 0..whole.len() {
         assert_eq!(read(&whole[..at]).err(), Some(Dropped::Noise), "cut at {at}");
@@ -38,11 +45,11 @@
             assert_eq!(read(&damaged).err(), Some(Dropped::Noise), "byte {at}, bit {bit}");
         }
     }
-    assert_eq!(read(&[0; LONGEST + 1]).err(), Some(Dropped::TooLong));
+    assert_eq!(read(&[0; MAX_DATAGRAM + 1]).err(), Some(Dropped::TooLong));
 }
 
 #[test]
-fn another_version_is_told_from_noise() {
+fn tells_another_version_from_noise() {
     let mut bytes = write(&envelope(), b"x").unwrap();
     bytes[2] = VERSION + 1;
     let end = bytes.len() - 4;
@@ -53,7 +60,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_do_harm(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn reads_any_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = read(&bytes);
         let sum = crc32fast::hash(&[&b"cG\x02"[..], &bytes].concat()).to_le_bytes();
         let _ = read(&[&b"cG\x02"[..], &bytes, &sum].concat());
--- a/crates/members/tests/stories.rs
+++ b/crates/members/tests/stories.rs
@@ -418,7 +418,7 @@
 #[test]
 fn only_one_that_was_there_before_tells_which_epoch_it_was_shown() {
     let mut world = whole(4, 19);
-    world.members_mut(0).unwrap().keeps(40);
+    world.members_mut(0).unwrap().set_store_epoch(40);
     world.run_until(14.0);
     let parts = vec![0, 0, 1, 1];
     world.plan(&vec![(14.0, Act::Part(parts))]);
@@ -427,8 +427,8 @@
     }
     world.run_until(18.0);
     assert_eq!(state(&world, 0, 1), State::Present, "they hear each other");
-    assert_eq!(world.members(0).unwrap().shown(), None);
+    assert_eq!(world.members(0).unwrap().store_epoch_shown(), None);
     world.plan(&vec![(18.0, Act::Heal)]);
     world.run_until(22.0);
-    assert_eq!(world.members(0).unwrap().shown(), Some(40));
+    assert_eq!(world.members(0).unwrap().store_epoch_shown(), Some(40));
 }
--- a/crates/router/src/transport/cluster.rs
+++ b/crates/router/src/transport/cluster.rs
@@ -7,7 +7,7 @@
 use cleatgw_members::digest::{EngineLife, Said, Word};
 use cleatgw_members::leader::{role_resource, RoleStatus};
 use cleatgw_members::view::Standing;
-use cleatgw_members::wire::{Dropped, LONGEST};
+use cleatgw_members::wire::{Dropped, MAX_DATAGRAM};
 use cleatgw_members::Members;
 use cleatgw_operator::ClusterFile;
 use std::collections::HashMap;
@@ -150,7 +150,7 @@
     /// Reads what has come, as far as one turn goes.
     pub fn ready(&mut self, now: f64) {
         self.readable = true;
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..MOST_A_TURN {
             let (length, from) = match self.socket.recv_from(&mut bytes) {
                 Ok(received) => received,
@@ -244,11 +244,11 @@
 
     /// The epoch of this router's store that others are to be shown, and the latest that they say they were.
     pub fn keeps(&mut self, epoch: u64) {
-        self.members.keeps(epoch);
+        self.members.set_store_epoch(epoch);
     }
 
     pub fn shown(&self) -> Option<u64> {
-        self.members.shown()
+        self.members.store_epoch_shown()
     }
 
     pub fn due(&self) -> f64 {
