--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -4,7 +4,7 @@
 use base64::{engine::general_purpose::STANDARD, Engine as _};
 use cleatgw::logic::Gateway;
 use cleatgw::{Ending, Listing, Load, Met, Note, PushEnd, Stage, Taken, Writer};
-use cleatgw_members::digest::{self, EngineLife, Rounds, Said};
+use cleatgw_members::digest::{self, EngineLife, PeerEvidence, Rounds};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_start::{self as start, name_hash, Complaint, Names, Pairs};
 use std::collections::HashMap;
@@ -473,7 +473,7 @@
         let lives = self.lives.iter().enumerate();
         self.rounds
             .as_mut()?
-            .due(now, || digest::words(lives.filter_map(|(at, life)| Some((*life, met(at)?)))))
+            .due(now, || digest::observations(lives.filter_map(|(at, life)| Some((*life, met(at)?)))))
     }
 
     /// Hands the decisions what others say of each engine.
@@ -481,7 +481,7 @@
         let Some(rounds) = self.rounds.as_ref().filter(|_| now >= self.hear_at) else { return };
         self.hear_at = now + HEARS;
         for (at, life) in self.lives.iter().enumerate() {
-            let Said { good, bad, sent, .. } = rounds.said(life, now);
+            let PeerEvidence { good, bad, sent, .. } = rounds.said(life, now);
             self.gateway.peers_say(at, Met { good, bad, sent });
         }
     }
--- a/crates/members/src/digest.rs
+++ b/crates/members/src/digest.rs
@@ -1,191 +1,171 @@
-//! What routers tell each other of engines: short digests of what each has seen itself. Nothing that was heard is told
-//! on, so no rumour comes back as proof; each source counts once for an engine, by its youngest word; and a word on a
-//! former life of an engine is none.
+//! What routers tell each other of engines: short digests of what each has seen itself. Nothing that was heard from others
+//! is passed on, so no rumour comes back as evidence; each source counts once for an engine, by its latest word; and what was
+//! said of a former life of an engine does not count.
 
+mod rounds;
+
+pub use rounds::Rounds;
 use serde::{Deserialize, Serialize};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A digest is no longer than this, in bytes.
-pub const LONGEST: usize = 256;
-/// Engines that one digest tells of.
-pub const MOST_WORDS: usize = 12;
-/// A word is worth nothing after this, in seconds: an engine that was ill then may be well.
+/// A digest is no longer than this, in bytes: it rides on heartbeats.
+pub const MAX_DIGEST: usize = 256;
+/// Engines that one digest tells of: as many as fit, with their longest numbers.
+pub const MAX_OBSERVATIONS: usize = 12;
+/// An observation is worth nothing after this, in seconds: an engine that was ill then may be well.
 pub const LASTS: f64 = 4.0;
 /// Engines that are kept of one source.
-const MOST_KEPT: usize = 64;
+const MAX_ENGINES_OF_SOURCE: usize = 64;
 /// What one source can weigh at most against an engine, so that a lying or frozen one convinces nobody alone.
-const MOST_OF_ONE: f64 = 1.0;
+const MAX_WEIGHT_OF_SOURCE: f64 = 1.0;
+/// Attempts are told in quarters.
+const QUARTERS: f64 = 4.0;
+/// Work is told in milliseconds.
+const MS_PER_S: f64 = 1e3;
 
-/// An engine in one life: hashes of its name and of its start.
+/// An engine in one life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EngineLife {
+    /// A hash of its name.
     pub name: u64,
+    /// A hash of its start.
     pub life: u32,
 }
 
-/// What a router has met of one engine of late, in its own traffic: quarters of a push that went well, and that did not,
-/// and the milliseconds of work that it pushed while the engine was cold, in the window in which that counts. It is as
-/// the router's decisions hold it, faded with age there.
+/// What a router has met of one engine of late, in its own traffic, as its decisions hold it: faded with age. The order of
+/// the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Observation {
+    /// The engine.
     pub engine: EngineLife,
+    /// Attempts that went well, in quarters.
     pub good: u8,
+    /// Attempts that did not, in quarters.
     pub bad: u8,
+    /// Work that was sent to it during its slow start, in the window in which that counts. Milliseconds.
     pub sent: u16,
 }
 
-/// What is worth telling of what was met, good and bad in pushes, work sent in seconds: the most trouble first, then
-/// what was sent to cold engines.
-pub fn words(met: impl Iterator<Item = (EngineLife, (f64, f64, f64))>) -> Vec<Word> {
-    let quarters = |pushes: f64| (pushes * 4.0).round().clamp(0.0, 255.0) as u8;
-    let word = |(engine, (good, bad, sent)): (EngineLife, (f64, f64, f64))| {
-        let sent = (sent * 1e3).ceil().clamp(0.0, 65_535.0) as u16;
-        Word { engine, good: quarters(good), bad: quarters(bad), sent }
+/// What is worth telling of what was met: for each engine the good and the bad attempts, and the work sent during its slow
+/// start in seconds. The most trouble comes first, then the most work.
+pub fn observations(met: impl Iterator<Item = (EngineLife, (f64, f64, f64))>) -> Vec<Observation> {
+    let quarters = |attempts: f64| (attempts * QUARTERS).round().clamp(0.0, f64::from(u8::MAX)) as u8;
+    let observation = |(engine, (good, bad, sent)): (EngineLife, (f64, f64, f64))| {
+        let sent = (sent * MS_PER_S).ceil().clamp(0.0, f64::from(u16::MAX)) as u16;
+        Observation { engine, good: quarters(good), bad: quarters(bad), sent }
     };
-    let worth = |word: &Word| word.good > 0 || word.bad > 0 || word.sent > 0;
-    let mut words: Vec<Word> = met.map(word).filter(worth).collect();
-    words.sort_by_key(|word| (std::cmp::Reverse((word.bad, word.sent)), word.engine));
-    words.truncate(MOST_WORDS);
-    words
+    let worth_telling = |seen: &Observation| seen.good > 0 || seen.bad > 0 || seen.sent > 0;
+    let mut observations: Vec<Observation> = met.map(observation).filter(worth_telling).collect();
+    observations.sort_by_key(|seen| (Reverse((seen.bad, seen.sent)), seen.engine));
+    observations.truncate(MAX_OBSERVATIONS);
+    observations
 }
 
-/// The words that fit, the first ones first; all of one digest are of one moment.
-pub fn write(words: &[Word]) -> Vec<u8> {
-    let mut count = words.len().min(MOST_WORDS);
+/// The former name of [`observations`], until the test bed uses the new one.
+#[doc(hidden)]
+pub use observations as words;
+
+/// Writes the observations that fit, the first ones first; all of one digest are of one moment.
+pub fn write(observations: &[Observation]) -> Vec<u8> {
+    let mut count = observations.len().min(MAX_OBSERVATIONS);
     loop {
-        let bytes = postcard::to_extend(&words[..count], Vec::new()).unwrap_or_default();
-        if bytes.len() <= LONGEST || count == 0 {
+        let bytes = postcard::to_extend(&observations[..count], Vec::new()).unwrap_or_default();
+        if bytes.len() <= MAX_DIGEST || count == 0 {
             return bytes;
         }
         count -= 1;
     }
 }
 
-/// # Errors
-/// None, where the bytes are no digest.
-pub fn read(bytes: &[u8]) -> Option<Vec<Word>> {
+/// Reads a digest; `None` where the bytes are none.
+pub fn read(bytes: &[u8]) -> Option<Vec<Observation>> {
     if bytes.is_empty() {
         return Some(Vec::new());
     }
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DIGEST {
         return None;
     }
-    // Each word takes some bytes, so that a count that promises more than there are can't be had.
-    let words: Vec<Word> = postcard::from_bytes(bytes).ok()?;
-    (words.len() <= MOST_WORDS).then_some(words)
+    // Each observation takes some bytes, so a count that promises more than there are is refused.
+    let observations: Vec<Observation> = postcard::from_bytes(bytes).ok()?;
+    (observations.len() <= MAX_OBSERVATIONS).then_some(observations)
 }
 
 /// What all sources together say of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Said {
-    /// How many tell of trouble with it, and how many of none.
+pub struct PeerEvidence {
+    /// How many tell of trouble with it.
     pub ill_by: usize,
+    /// How many tell of none.
     pub well_by: usize,
-    /// Evidence against and for it, each source no more than one, faded with age.
+    /// Evidence against it, each source no more than one, faded with age.
     pub bad: f64,
+    /// Evidence for it, likewise.
     pub good: f64,
-    /// What they sent it while it was cold, in seconds of work: whole while it lasts, as it makes shares smaller.
+    /// What they sent it during its slow start, in seconds of work: whole while it lasts, as it makes shares smaller.
     pub sent: f64,
 }
 
-/// What was heard, by source.
+impl PeerEvidence {
+    /// Adds what one source has observed, which is worth less with age: `fresh` is 1 for now and 0 for [`LASTS`] ago.
+    fn add(&mut self, seen: &Observation, fresh: f64) {
+        if fresh <= 0.0 {
+            return;
+        }
+        self.sent += f64::from(seen.sent) / MS_PER_S;
+        let bad = f64::from(seen.bad) / QUARTERS;
+        let good = f64::from(seen.good) / QUARTERS;
+        let all = bad + good;
+        if all == 0.0 {
+            return;
+        }
+        let weight = fresh * all.min(MAX_WEIGHT_OF_SOURCE);
+        self.bad += weight * bad / all;
+        self.good += weight * good / all;
+        let tells = if bad > good { &mut self.ill_by } else { &mut self.well_by };
+        *tells += 1;
+    }
+}
+
+/// An observation, and when it was heard, in seconds.
+#[derive(Clone, Copy, Debug)]
+struct HeardObservation {
+    at: f64,
+    observation: Observation,
+}
+
+/// The digests that were heard, by source.
 #[derive(Debug, Default)]
-pub struct Heard {
-    by_source: BTreeMap<u16, BTreeMap<EngineLife, (f64, Word)>>,
+pub struct PeerDigests {
+    by_source: BTreeMap<u16, BTreeMap<EngineLife, HeardObservation>>,
 }
 
-impl Heard {
-    /// A source's digest takes the place of its former one, engine by engine.
-    pub fn hear(&mut self, source: u16, words: Vec<Word>, now: f64) {
+impl PeerDigests {
+    /// Takes a source's digest in place of its former one, engine by engine.
+    pub fn hear(&mut self, source: u16, observations: Vec<Observation>, now: f64) {
         let kept = self.by_source.entry(source).or_default();
-        kept.retain(|_, (at, _)| now < *at + LASTS);
-        for word in words {
-            if kept.len() < MOST_KEPT || kept.contains_key(&word.engine) {
-                kept.insert(word.engine, (now, word));
+        kept.retain(|_, heard| now < heard.at + LASTS);
+        for observation in observations {
+            if kept.len() < MAX_ENGINES_OF_SOURCE || kept.contains_key(&observation.engine) {
+                kept.insert(observation.engine, HeardObservation { at: now, observation });
             }
         }
     }
 
-    /// A source that has failed, or speaks from a new life, is no witness any more.
+    /// Forgets a source that has failed, or speaks from a new life.
     pub fn forget(&mut self, source: u16) {
         self.by_source.remove(&source);
     }
 
-    /// What is said of an engine, by those that are witnesses. A life that is not this one is not spoken of.
-    pub fn of(&self, engine: &EngineLife, now: f64, witness: impl Fn(u16) -> bool) -> Said {
-        let mut said = Said::default();
-        for (_, words) in self.by_source.iter().filter(|(source, _)| witness(**source)) {
-            let Some((at, word)) = words.get(engine) else { continue };
-            let fresh = 1.0 - (now - at) / LASTS;
-            let (bad, good) = (f64::from(word.bad) / 4.0, f64::from(word.good) / 4.0);
-            let all = bad + good;
-            said.sent += if fresh > 0.0 { f64::from(word.sent) / 1e3 } else { 0.0 };
-            if fresh <= 0.0 || all == 0.0 {
-                continue;
+    /// What is said of an engine by those sources that are `trusted`.
+    pub fn of(&self, engine: &EngineLife, now: f64, trusted: impl Fn(u16) -> bool) -> PeerEvidence {
+        let mut evidence = PeerEvidence::default();
+        for (_, engines) in self.by_source.iter().filter(|(source, _)| trusted(**source)) {
+            if let Some(heard) = engines.get(engine) {
+                evidence.add(&heard.observation, 1.0 - (now - heard.at) / LASTS);
             }
-            let weight = fresh * all.min(MOST_OF_ONE);
-            (said.bad, said.good) = (said.bad + weight * bad / all, said.good + weight * good / all);
-            *if bad > good { &mut said.ill_by } else { &mut said.well_by } += 1;
-        }
-        said
-    }
-}
-
-/// Digests among many instances whose host only carries messages, as the simulator does: who is told is drawn by chance, a
-/// few a second, and only while there is trouble to tell of.
-#[derive(Debug)]
-pub struct Rounds {
-    heard: Heard,
-    me: u16,
-    instances: u64,
-    seed: u64,
-    draws: u64,
-    tell_at: f64,
-}
-
-impl Rounds {
-    /// Seconds between rounds, and how many are told in each.
-    const EVERY: f64 = 0.5;
-    const TOLD: usize = 2;
-
-    /// Instance `me` of so many.
-    pub fn new(me: u16, instances: u64, seed: u64, now: f64) -> Rounds {
-        Rounds { heard: Heard::default(), me, instances, seed, draws: 0, tell_at: now }
-    }
-
-    /// # Errors
-    /// None, where the bytes are no digest.
-    pub fn hear(&mut self, from: u16, bytes: &[u8], now: f64) -> Option<()> {
-        self.heard.hear(from, read(bytes)?, now);
-        Some(())
-    }
-
-    pub fn said(&self, engine: &EngineLife, now: f64) -> Said {
-        self.heard.of(engine, now, |_| true)
-    }
-
-    /// Who is told what now, where a round is due and there is something to tell.
-    pub fn due(&mut self, now: f64, words: impl FnOnce() -> Vec<Word>) -> Option<(Vec<u16>, Vec<u8>)> {
-        if now < self.tell_at || self.instances < 2 {
-            return None;
-        }
-        self.tell_at = now + Self::EVERY;
-        let mut words = words();
-        // Each message is paid for: nothing is told of engines that all is well with.
-        words.retain(|word| word.bad >= 4);
-        if words.is_empty() {
-            return None;
         }
-        let told = (0..Self::TOLD).map(|_| {
-            self.draws += 1;
-            let mut hasher = DefaultHasher::new();
-            (self.seed, self.draws).hash(&mut hasher);
-            // Any but ourselves.
-            let other = hasher.finish() % (self.instances - 1);
-            (other + u64::from(other >= u64::from(self.me))) as u16
-        });
-        Some((told.collect(), write(&words)))
+        evidence
     }
 }
 
--- a/crates/members/src/digest/tests.rs
+++ b/crates/members/src/digest/tests.rs
@@ -3,9 +3,9 @@
 
 const ENGINE: EngineLife = EngineLife { name: 7, life: 1 };
 
-/// Whole pushes.
-fn word(bad: u8, good: u8) -> Word {
-    Word { engine: ENGINE, good: good * 4, bad: bad * 4, sent: 0 }
+/// Whole attempts.
+fn seen(bad: u8, good: u8) -> Observation {
+    Observation { engine: ENGINE, good: good * 4, bad: bad * 4, sent: 0 }
 }
 
 fn all(_: u16) -> bool {
@@ -13,72 +13,76 @@
 }
 
 #[test]
-fn the_longest_digest_fits_and_none_is_longer() {
-    let most =
-        Word { engine: EngineLife { name: u64::MAX, life: u32::MAX }, good: 255, bad: 255, sent: u16::MAX };
+fn longest_digest_fits_and_longer_ones_are_refused() {
+    let most = Observation {
+        engine: EngineLife { name: u64::MAX, life: u32::MAX },
+        good: 255,
+        bad: 255,
+        sent: u16::MAX,
+    };
     let bytes = write(&[most; 40]);
-    assert!(bytes.len() <= LONGEST, "{}", bytes.len());
+    assert!(bytes.len() <= MAX_DIGEST, "{}", bytes.len());
     assert!(read(&bytes).unwrap().len() >= 10);
-    assert_eq!(read(&[&bytes[..], &[0; LONGEST]].concat()), None);
+    assert_eq!(read(&[&bytes[..], &[0; MAX_DIGEST]].concat()), None);
     assert_eq!(read(&[255, 255, 255, 255, 15]), None, "a count that nothing stands behind");
     assert_eq!(read(&[]), Some(Vec::new()));
 }
 
 /// Hard case: one router that lies, or is deaf itself, says it again and again.
 #[test]
-fn one_source_counts_once_however_often_it_says_so() {
-    let mut heard = Heard::default();
+fn counts_each_source_once() {
+    let mut heard = PeerDigests::default();
     for _ in 0..50 {
-        heard.hear(3, vec![word(60, 0)], 10.0);
+        heard.hear(3, vec![seen(60, 0)], 10.0);
     }
-    let said = heard.of(&ENGINE, 10.0, all);
-    assert_eq!((said.ill_by, said.bad), (1, 1.0));
-    heard.hear(4, vec![word(2, 0)], 10.0);
-    heard.hear(5, vec![word(0, 9)], 10.0);
-    let said = heard.of(&ENGINE, 10.0, all);
-    assert_eq!((said.ill_by, said.well_by, said.bad, said.good), (2, 1, 2.0, 1.0));
+    let evidence = heard.of(&ENGINE, 10.0, all);
+    assert_eq!((evidence.ill_by, evidence.bad), (1, 1.0));
+    heard.hear(4, vec![seen(2, 0)], 10.0);
+    heard.hear(5, vec![seen(0, 9)], 10.0);
+    let evidence = heard.of(&ENGINE, 10.0, all);
+    assert_eq!((evidence.ill_by, evidence.well_by, evidence.bad, evidence.good), (2, 1, 2.0, 1.0));
 }
 
 #[test]
-fn words_fade_and_the_youngest_of_a_source_stands() {
-    let mut heard = Heard::default();
-    heard.hear(3, vec![word(9, 0)], 9.0);
-    heard.hear(3, vec![word(0, 9)], 10.0);
+fn fades_observations_and_keeps_the_latest_of_a_source() {
+    let mut heard = PeerDigests::default();
+    heard.hear(3, vec![seen(9, 0)], 9.0);
+    heard.hear(3, vec![seen(0, 9)], 10.0);
     assert_eq!(heard.of(&ENGINE, 10.1, all).ill_by, 0);
     assert!(heard.of(&ENGINE, 12.0, all).good < 0.6);
-    assert_eq!(heard.of(&ENGINE, 14.1, all), Said::default());
+    assert_eq!(heard.of(&ENGINE, 14.1, all), PeerEvidence::default());
 }
 
 #[test]
-fn a_former_life_of_an_engine_and_a_witness_that_is_none_any_more_say_nothing() {
-    let mut heard = Heard::default();
-    heard.hear(3, vec![word(9, 0)], 10.0);
+fn ignores_former_engine_lives_and_untrusted_sources() {
+    let mut heard = PeerDigests::default();
+    heard.hear(3, vec![seen(9, 0)], 10.0);
     let replaced = EngineLife { life: 2, ..ENGINE };
-    assert_eq!(heard.of(&replaced, 10.0, all), Said::default());
-    assert_eq!(heard.of(&ENGINE, 10.0, |source| source != 3), Said::default());
+    assert_eq!(heard.of(&replaced, 10.0, all), PeerEvidence::default());
+    assert_eq!(heard.of(&ENGINE, 10.0, |source| source != 3), PeerEvidence::default());
     heard.forget(3);
-    assert_eq!(heard.of(&ENGINE, 10.0, all), Said::default());
+    assert_eq!(heard.of(&ENGINE, 10.0, all), PeerEvidence::default());
 }
 
 #[test]
-fn the_most_trouble_is_told_first_and_nothing_of_what_was_not_met() {
+fn tells_most_trouble_first_and_omits_engines_not_met() {
     let well = (0..40).map(|name| (EngineLife { name, life: 0 }, (3.0, 0.0, 0.0)));
     let ill = [(ENGINE, (0.5, 2.1, 0.0)), (EngineLife { name: 99, life: 0 }, (0.01, 0.02, 0.0))];
     let cold = [(EngineLife { name: 50, life: 0 }, (0.0, 0.0, 0.0101))];
-    let words = words(well.chain(ill).chain(cold));
-    assert_eq!(words.len(), MOST_WORDS);
-    assert_eq!(words[0], Word { engine: ENGINE, good: 2, bad: 8, sent: 0 });
-    assert_eq!((words[1].engine.name, words[1].sent), (50, 11));
-    assert!(words.iter().all(|word| word.engine.name != 99));
+    let told = observations(well.chain(ill).chain(cold));
+    assert_eq!(told.len(), MAX_OBSERVATIONS);
+    assert_eq!(told[0], Observation { engine: ENGINE, good: 2, bad: 8, sent: 0 });
+    assert_eq!((told[1].engine.name, told[1].sent), (50, 11));
+    assert!(told.iter().all(|told| told.engine.name != 99));
 }
 
 #[test]
-fn a_round_tells_some_others_of_trouble_and_nobody_of_none() {
+fn round_tells_others_of_trouble_and_is_skipped_without() {
     let mut rounds = Rounds::new(3, 10, 1, 10.0);
-    assert_eq!(rounds.due(10.0, || vec![word(0, 9)]), None);
+    assert_eq!(rounds.due(10.0, || vec![seen(0, 9)]), None);
     let mut told = Vec::new();
     for step in 0..40 {
-        let (who, bytes) = rounds.due(10.6 + f64::from(step) * 0.6, || vec![word(2, 0)]).unwrap();
+        let (who, bytes) = rounds.due(10.6 + f64::from(step) * 0.6, || vec![seen(2, 0)]).unwrap();
         told.extend(who);
         let mut other = Rounds::new(4, 10, 1, 10.0);
         other.hear(3, &bytes, 10.7).unwrap();
@@ -92,12 +96,12 @@
 
 /// It is summed whole over those that are witnesses, and gone with its source or its age: a share may only shrink by it.
 #[test]
-fn what_others_sent_a_cold_engine_counts_whole_while_it_is_fresh() {
-    let mut heard = Heard::default();
-    let sent = |sent| Word { engine: ENGINE, good: 0, bad: 0, sent };
+fn counts_work_sent_in_slow_start_whole_while_fresh() {
+    let mut heard = PeerDigests::default();
+    let sent = |sent| Observation { engine: ENGINE, good: 0, bad: 0, sent };
     heard.hear(3, vec![sent(400)], 10.0);
     heard.hear(4, vec![sent(250)], 10.0);
-    let said = |heard: &Heard, now| heard.of(&ENGINE, now, all);
+    let said = |heard: &PeerDigests, now| heard.of(&ENGINE, now, all);
     assert!((said(&heard, 13.9).sent - 0.65).abs() < 1e-9);
     assert_eq!((said(&heard, 13.9).ill_by, said(&heard, 14.1).sent), (0, 0.0));
     heard.forget(3);
@@ -105,18 +109,18 @@
 }
 
 #[test]
-fn made_up_engines_cost_bounded_memory() {
-    let mut heard = Heard::default();
+fn bounds_memory_for_invented_engines() {
+    let mut heard = PeerDigests::default();
     for name in 0..1000 {
-        let made_up = Word { engine: EngineLife { name, life: 0 }, ..word(1, 0) };
+        let made_up = Observation { engine: EngineLife { name, life: 0 }, ..seen(1, 0) };
         heard.hear(3, vec![made_up], 10.0);
     }
-    assert_eq!(heard.by_source[&3].len(), MOST_KEPT);
+    assert_eq!(heard.by_source[&3].len(), MAX_ENGINES_OF_SOURCE);
 }
 
 proptest! {
     #[test]
-    fn no_bytes_do_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn reads_any_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = read(&bytes);
     }
 }
--- a/crates/members/src/membership/mod.rs
+++ b/crates/members/src/membership/mod.rs
@@ -5,7 +5,7 @@
 mod receive;
 mod send;
 
-use crate::digest::{EngineLife, Heard, Said, Word};
+use crate::digest::{EngineLife, Observation, PeerDigests, PeerEvidence};
 use crate::direct_probe::DirectProbes;
 use crate::leader::LeaderRoles;
 use crate::lease::Leases;
@@ -36,9 +36,9 @@
     roles: LeaderRoles,
     probes: DirectProbes,
     /// What others said of engines.
-    heard: Heard,
+    heard: PeerDigests,
     /// What this router says of engines.
-    telling: Vec<Word>,
+    telling: Vec<Observation>,
     outgoing: Vec<(u16, Vec<u8>)>,
     changes: Vec<Change>,
     counts: Counts,
@@ -101,7 +101,7 @@
             leases: Leases::new(me as u16, routers, born, now),
             roles: LeaderRoles::default(),
             probes: DirectProbes::default(),
-            heard: Heard::default(),
+            heard: PeerDigests::default(),
             telling: Vec::new(),
             outgoing: Vec::new(),
             changes: Vec::new(),
@@ -219,14 +219,14 @@
     }
 
     /// Sets what this router has seen of engines, for the next digests; the first of them matter most.
-    pub fn tell(&mut self, words: Vec<Word>) {
-        self.telling = words;
+    pub fn tell(&mut self, observations: Vec<Observation>) {
+        self.telling = observations;
     }
 
     /// What others say of an engine: those that are present in this router's view.
-    pub fn said(&self, engine: &EngineLife, now: f64) -> Said {
+    pub fn said(&self, engine: &EngineLife, now: f64) -> PeerEvidence {
         if !self.allowed().hears_of_engines {
-            return Said::default();
+            return PeerEvidence::default();
         }
         self.heard.of(engine, now, |source| self.members[usize::from(source)].state.counts())
     }
--- a/crates/members/src/membership/receive.rs
+++ b/crates/members/src/membership/receive.rs
@@ -148,8 +148,8 @@
     }
 
     fn take_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
-        let words = digest::read(body).ok_or(Dropped::Body)?;
-        self.heard.hear(from as u16, words, now);
+        let observations = digest::read(body).ok_or(Dropped::Body)?;
+        self.heard.hear(from as u16, observations, now);
         Ok(())
     }
 
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -10,7 +10,7 @@
 use cleatgw::logic::Gateway;
 use cleatgw::queue::Wait;
 use cleatgw::{Deployment, Effect, Ending, Listing, Load, Met, PushEnd, Stage, Taken, Writer};
-use cleatgw_members::digest::{self, EngineLife, Said, Word};
+use cleatgw_members::digest::{self, EngineLife, Observation, PeerEvidence};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_recovery::{Looks, Sent, Taken as StillCounts};
 use cleatgw_start::{engine_life, flat, index_of, name_hash, Names};
@@ -537,16 +537,16 @@
     }
 
     /// What we have met of engines of late, for other routers.
-    pub fn words(&self) -> Vec<Word> {
+    pub fn words(&self) -> Vec<Observation> {
         let engines = self.desk.engines.iter().map(|engine| &engine.listing);
         let met = |at: usize| self.gateway.met(at, self.desk.now).map(|met| (met.good, met.bad, met.sent));
-        digest::words(engines.filter_map(|at| Some((engine_life(at), met(at.engine)?))))
+        digest::observations(engines.filter_map(|at| Some((engine_life(at), met(at.engine)?))))
     }
 
     /// Hands the decisions what other routers say of each engine.
-    pub fn hear_peers(&mut self, said: impl Fn(&EngineLife) -> Said) {
+    pub fn hear_peers(&mut self, said: impl Fn(&EngineLife) -> PeerEvidence) {
         for engine in &self.desk.engines {
-            let Said { good, bad, sent, .. } = said(&engine_life(&engine.listing));
+            let PeerEvidence { good, bad, sent, .. } = said(&engine_life(&engine.listing));
             self.gateway.peers_say(engine.listing.engine, Met { good, bad, sent });
         }
     }
--- a/crates/router/src/transport/cluster.rs
+++ b/crates/router/src/transport/cluster.rs
@@ -4,7 +4,7 @@
 use super::{guarded, watch, Handle, Source};
 use crate::routing::Counters;
 use calloop::RegistrationToken;
-use cleatgw_members::digest::{EngineLife, Said, Word};
+use cleatgw_members::digest::{EngineLife, Observation, PeerEvidence};
 use cleatgw_members::leader::{role_resource, RoleStatus};
 use cleatgw_members::view::Standing;
 use cleatgw_members::wire::{Dropped, MAX_DATAGRAM};
@@ -261,17 +261,17 @@
     }
 
     /// What this router has seen of engines, for others; nothing where the file says so.
-    pub fn tell(&mut self, words: Vec<Word>) {
+    pub fn tell(&mut self, words: Vec<Observation>) {
         if self.file.tell_of_engines {
             self.members.tell(words);
         }
     }
 
     /// What others say of an engine.
-    pub fn said(&self, engine: &EngineLife, now: f64) -> Said {
+    pub fn said(&self, engine: &EngineLife, now: f64) -> PeerEvidence {
         match self.file.tell_of_engines {
             true => self.members.said(engine, now),
-            false => Said::default(),
+            false => PeerEvidence::default(),
         }
     }
 
