--- a/crates/members/src/leader.rs
+++ b/crates/members/src/leader.rs
@@ -121,7 +121,7 @@
 /// Requests an extension of a lease that is held. That needs no view, as a majority either grants it or does not.
 fn extend(resource: Resource, remaining: f64, allowed: Allowed, leases: &mut Leases, now: f64) {
     let renews = remaining < MAX_TERM * (1.0 - RENEW_AFTER);
-    if renews && allowed.asks_for_leases {
+    if renews && allowed.requests_leases {
         leases.request(resource, now);
     }
 }
--- a/crates/members/src/leader/tests.rs
+++ b/crates/members/src/leader/tests.rs
@@ -26,7 +26,7 @@
     let mut roles = LeaderRoles::new(7, &[role_resource("nightly")], 3.0);
     let nightly = role_resource("nightly");
     let candidate = |standing| Candidate { me: 0, present: &[0], allowed: allows(standing), chance: 0.5 };
-    for standing in [Standing::Disagreeing, Standing::Minority, Standing::JustWoken, Standing::Leaving] {
+    for standing in [Standing::Disagreeing, Standing::Minority, Standing::JustResumed, Standing::Leaving] {
         roles.turn(candidate(standing), &mut leases, 3.0);
         assert_eq!(roles.status(nightly, 0, &leases, 3.0), RoleStatus::Unknown, "{standing:?}");
         roles.roles[0].next_request = 3.0;
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,11 +1,19 @@
-//! Which routers are there: who is present, suspected, failed or gone, in which life, on what evidence; what such a view
-//! allows ([`view`]); what only one may do at a time ([`lease`]); and what they tell each other of engines ([`digest`]).
+//! Cluster membership: which routers are present, suspected, failed or gone, in which life, and on what evidence.
+//!
+//! - [`Members`] is one router's part; it ties the others together.
+//! - [`swim`] is the failure detector, [`direct_probe`] its complement where many routers fall silent at once.
+//! - [`view`] says what a router may do, by how many of those expected are present.
+//! - [`lease`] grants what only one router may do at a time, [`leader`] requests that for named roles.
+//! - [`digest`] is what routers tell each other of engines.
+//! - [`wire`] is the form of the datagrams.
 //!
 //! No I/O: the host hands in bytes, a clock of its own that nobody sets (seconds), and a seed; it sends what
 //! [`Members::outgoing`] gives, and calls [`Members::turn`] when [`Members::due`] says. Design: `docs/design/members.md`.
 //!
 //! Nothing here says where a request goes, and no request waits for any of it.
 
+#![warn(missing_docs)]
+
 pub mod digest;
 pub mod direct_probe;
 pub mod leader;
@@ -20,7 +28,7 @@
 pub use membership::{cluster_hash, Members, MOST_ROUTERS};
 pub use swim::{Defences, YOUNGEST};
 
-/// The former names of [`leader`], until the test bed uses the new ones.
+/// Former names in [`leader`], until the test bed uses the new ones.
 #[doc(hidden)]
 pub mod duty {
     pub use crate::leader::role_resource as thing;
--- a/crates/members/src/membership/leases.rs
+++ b/crates/members/src/membership/leases.rs
@@ -8,7 +8,7 @@
 impl Members {
     /// Requests a lease where the view allows that; whether it was granted is seen by [`Members::holds`].
     pub fn request_lease(&mut self, resource: Resource, now: f64) {
-        if self.allowed().asks_for_leases {
+        if self.allowed().requests_leases {
             self.leases.request(resource, now);
         }
     }
@@ -38,7 +38,7 @@
     pub fn role_status(&self, resource: Resource, now: f64) -> RoleStatus {
         match self.standing {
             // Which of two processes a grant was meant for can't be known.
-            Standing::Doubled => RoleStatus::Unknown,
+            Standing::NameConflict => RoleStatus::Unknown,
             _ => self.roles.status(resource, self.me, &self.leases, now),
         }
     }
--- a/crates/members/src/membership/observe.rs
+++ b/crates/members/src/membership/observe.rs
@@ -86,9 +86,9 @@
             formed: self.formed,
             disagreeing: self.members.iter().filter(|member| disagrees(member, now)).count(),
             started_ago: now - self.started,
-            woke_ago: now - self.resumed_at,
+            resumed_ago: now - self.resumed_at,
             leaving: self.leaving_since.is_some(),
-            doubled: self.has_name_conflict(now),
+            name_conflict: self.has_name_conflict(now),
         }
     }
 
--- a/crates/members/src/view.rs
+++ b/crates/members/src/view.rs
@@ -10,45 +10,55 @@
     pub present: usize,
     /// This router has seen a majority present since its start.
     pub formed: bool,
-    /// Present ones that have told for a while that they hold others present than we do.
+    /// Present ones that have told for a while that they hold others present than this router does.
     pub disagreeing: usize,
-    /// How long ago this router was started, and had its last pause (infinite: never).
+    /// How long ago this router was started.
     pub started_ago: f64,
-    pub woke_ago: f64,
+    /// How long ago its last pause ended; infinite for never.
+    pub resumed_ago: f64,
+    /// It leaves by plan.
     pub leaving: bool,
-    /// Another process goes under our name.
-    pub doubled: bool,
+    /// Another process goes by this router's name.
+    pub name_conflict: bool,
 }
 
 /// How a router stands. Where several fit, the first of them holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
+    /// It leaves by plan.
     Leaving,
-    /// Another process goes under our name: which of us others mean can't be known.
-    Doubled,
-    JustWoken,
+    /// Another process goes by this router's name: which of the two others mean can't be known.
+    NameConflict,
+    /// A pause has ended within [`SETTLE_TIME`].
+    JustResumed,
+    /// Started within [`SETTLE_TIME`].
     JustStarted,
     /// Started long ago, and a majority was never seen.
     NeverFormed,
+    /// No other is present.
     Alone,
+    /// Fewer than half are present.
     Minority,
     /// Just half of an even number.
     Half,
     /// Enough are present, but some of them have counted others for a while.
     Disagreeing,
+    /// More than half are present.
     Majority,
+    /// All are present.
     Whole,
 }
 
-/// How long what a router believed before a pause, and what it is told at its start, is worth nothing: by then each
-/// of the others has been asked or has told. In seconds.
-pub const SETTLES: f64 = 3.0;
+/// How long what a router knew before a pause, and what it is told at its start, is worth nothing, in seconds: by then each
+/// of the others has been probed or has told.
+pub const SETTLE_TIME: f64 = 3.0;
 
 impl Standing {
+    /// All of them, in the order in which they hold.
     pub const ALL: [Standing; 11] = [
         Standing::Leaving,
-        Standing::Doubled,
-        Standing::JustWoken,
+        Standing::NameConflict,
+        Standing::JustResumed,
         Standing::JustStarted,
         Standing::NeverFormed,
         Standing::Alone,
@@ -59,11 +69,12 @@
         Standing::Whole,
     ];
 
+    /// The words for logs and status.
     pub fn word(self) -> &'static str {
         match self {
             Standing::Leaving => "leaving",
-            Standing::Doubled => "doubled",
-            Standing::JustWoken => "just woken",
+            Standing::NameConflict => "doubled",
+            Standing::JustResumed => "just woken",
             Standing::JustStarted => "just started",
             Standing::NeverFormed => "never formed",
             Standing::Alone => "alone",
@@ -76,18 +87,19 @@
     }
 }
 
-/// How many make a majority of so many: two majorities always share one.
+/// How many make a majority (quorum) of so many: two majorities always share one.
 pub fn majority(expected: usize) -> usize {
     expected / 2 + 1
 }
 
+/// The standing that follows from what is counted.
 pub fn standing(count: &Count) -> Standing {
     let enough = count.present >= majority(count.expected);
     match () {
         () if count.leaving => Standing::Leaving,
-        () if count.doubled => Standing::Doubled,
-        () if count.woke_ago < SETTLES => Standing::JustWoken,
-        () if count.started_ago < SETTLES => Standing::JustStarted,
+        () if count.name_conflict => Standing::NameConflict,
+        () if count.resumed_ago < SETTLE_TIME => Standing::JustResumed,
+        () if count.started_ago < SETTLE_TIME => Standing::JustStarted,
         () if !count.formed && !enough => Standing::NeverFormed,
         () if count.present <= 1 && count.expected > 1 => Standing::Alone,
         () if count.present * 2 < count.expected => Standing::Minority,
@@ -98,29 +110,30 @@
     }
 }
 
-/// What a standing allows. Whatever it says, this router serves its own jobs, by itself, and `may_push` keeps rules 2
-/// to 7 with the share that it holds: a view makes a share no larger, as it may be wrong.
+/// What a standing allows. Whatever it says, this router serves its own requests, by itself, and its decisions keep their
+/// rules with the share that it holds: a view makes a share no larger, as it may be wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowed {
-    /// It may ask for a lease, and use one that it holds as long as that lasts by its own clock.
-    pub asks_for_leases: bool,
+    /// It may request a lease, and use one that it holds as long as that lasts by its own clock.
+    pub requests_leases: bool,
     /// It answers others that ask. One that is just started may have granted what it has forgotten.
     pub grants_leases: bool,
     /// It may take over what another's lease no longer covers, with a lease of its own.
     pub takes_over: bool,
-    /// Shares that another gave up in so many words, naming us, may be used.
+    /// Shares that another released to this router by name may be used.
     pub uses_released_shares: bool,
     /// What it says of engines is passed on to others.
     pub tells_of_engines: bool,
-    /// Others' word on engines counts.
+    /// What others say of engines counts.
     pub hears_of_engines: bool,
     /// An operator should look.
     pub warns: bool,
 }
 
+/// What a standing allows.
 pub fn allows(standing: Standing) -> Allowed {
     let all = Allowed {
-        asks_for_leases: true,
+        requests_leases: true,
         grants_leases: true,
         takes_over: true,
         uses_released_shares: true,
@@ -128,7 +141,7 @@
         hears_of_engines: true,
         warns: false,
     };
-    let few = Allowed { asks_for_leases: false, takes_over: false, uses_released_shares: false, ..all };
+    let few = Allowed { requests_leases: false, takes_over: false, uses_released_shares: false, ..all };
     match standing {
         Standing::Whole | Standing::Majority => all,
         // Leases are safe whatever the views are; but who is gone is not known well enough to take over from.
@@ -136,11 +149,11 @@
         // They can grant to one of the others' side that asks, but have no majority for themselves.
         Standing::Half | Standing::Minority | Standing::Alone => Allowed { warns: true, ..few },
         Standing::NeverFormed => Allowed { warns: true, ..few },
-        // What it has forgotten, or slept through, must run out first. What it saw of engines is old.
+        // What it has forgotten, or missed while paused, must expire first. What it saw of engines is old.
         Standing::JustStarted => Allowed { grants_leases: false, tells_of_engines: false, ..few },
-        Standing::JustWoken => Allowed { tells_of_engines: false, hears_of_engines: false, ..few },
+        Standing::JustResumed => Allowed { tells_of_engines: false, hears_of_engines: false, ..few },
         Standing::Leaving => Allowed { tells_of_engines: false, ..few },
-        Standing::Doubled => Allowed {
+        Standing::NameConflict => Allowed {
             grants_leases: false,
             tells_of_engines: false,
             hears_of_engines: false,
--- a/crates/members/tests/stories.rs
+++ b/crates/members/tests/scenarios.rs
@@ -66,7 +66,7 @@
         world.at(10.0, Act::Freeze(2));
         world.at(15.0, Act::Wake(2));
         world.run_until(15.01);
-        assert_eq!(standing(&world, 2), Standing::JustWoken);
+        assert_eq!(standing(&world, 2), Standing::JustResumed);
         assert!(!world.members(2).unwrap().allowed().tells_of_engines);
         world.run_until(25.0);
         sound(&world, 3500);
@@ -84,7 +84,7 @@
     let one = world.members_mut(2).unwrap();
     assert!(one.allowed().takes_over);
     let _ = one.datagram(0, b"whatever waited", woken);
-    assert_eq!(one.standing(), Standing::JustWoken);
+    assert_eq!(one.standing(), Standing::JustResumed);
     assert!(!one.allowed().takes_over && !one.allowed().hears_of_engines);
 }
 
@@ -258,7 +258,7 @@
         }
         world.run_until(at);
     }
-    assert_eq!(standing(&world, 2), Standing::Doubled);
+    assert_eq!(standing(&world, 2), Standing::NameConflict);
     assert!(world.members(2).unwrap().allowed().warns);
     assert!(!world.members(2).unwrap().allowed().grants_leases);
 }
