--- a/crates/members/tests/agree_model.rs
+++ b/crates/members/tests/agree_model.rs
@@ -1,5 +1,5 @@
 //! After the last fault all views agree: the real code of three routers under every schedule of a few faults, walked by
-//! stateright. A state is the faults so far; what comes of them is played in virtual time, then left in quiet.
+//! stateright. A state is the faults so far; what comes of them is played in virtual time, then left without faults.
 
 use cleatgw_lab::virtual_members::World;
 use cleatgw_lab::weather::Act;
@@ -65,7 +65,7 @@
             acts.into_iter().for_each(|act| world.at(at, act));
             world.run_until(at);
         }
-        // The last fault ends, and then there is quiet.
+        // The last fault ends, and no other follows.
         world.at(at + GAPS[0], Act::Heal);
         for router in (0..ROUTERS).filter(|router| frozen[*router]) {
             world.at(at + GAPS[0], Act::Wake(router));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn after_every_schedule_of_three_faults_all_views_agree_and_nothing_was_held_twice() {
+fn views_agree_and_roles_have_one_holder_after_any_three_faults() {
     let checker = Views { defences: Defences::default() }.checker().threads(4).spawn_bfs().join();
     assert!(checker.unique_state_count() > 4000, "{}", checker.unique_state_count());
     checker.assert_properties();
@@ -128,7 +128,7 @@
 /// A router whose clock was set back before its start, and that is not told in which life others know it, is never heard
 /// again: the checker finds a schedule.
 #[test]
-fn a_planted_fault_is_found() {
+fn finds_the_injected_fault() {
     let defences = Defences { adopt_younger_life: false, ..Defences::default() };
     let checker = Views { defences }.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery("views agree after the last fault");
--- a/crates/members/tests/growth.rs
+++ b/crates/members/tests/growth.rs
@@ -4,8 +4,8 @@
 use cleatgw_lab::weather::{three_regions, Act};
 use cleatgw_members::swim::Pace;
 
-/// Datagrams and bytes that one router sends in ten quiet seconds on average, once the news of all the starts is told.
-fn quiet(routers: usize, far: bool) -> (f64, f64) {
+/// Datagrams and bytes that one router sends in ten idle seconds on average, once the news of all the starts is spread.
+fn idle_traffic(routers: usize, far: bool) -> (f64, f64) {
     let mut world = World::started(routers, Pace::default(), 37);
     if far {
         world.weather.place((0..routers).map(|router| router % 10).collect(), three_regions());
@@ -27,18 +27,18 @@
 /// Ten times as many routers: as many datagrams from each. The answer to who is there, once in five seconds, names as many as
 /// one datagram bears, so its bytes grow up to that and no more.
 #[test]
-fn a_quiet_router_sends_as_much_among_three_hundred_as_among_thirty() {
+fn idle_traffic_of_a_router_does_not_grow_with_the_cluster() {
     for far in [false, true] {
-        let (few, many) = (quiet(30, far), quiet(300, far));
+        let (few, many) = (idle_traffic(30, far), idle_traffic(300, far));
         let (datagrams, bytes) = (many.0 / few.0, many.1 / few.1);
         assert!(datagrams < 1.25, "{} and {} datagrams, far {far}", few.0, many.0);
         assert!(bytes < 1.5, "{} and {} bytes, far {far}", few.1, many.1);
     }
 }
 
-/// A zone falls silent at once: the asking after its routers is shared out, and nobody asks all about all.
+/// A zone falls silent at once: the indirect probes of its routers are shared out, and nobody asks all about all.
 #[test]
-fn a_lost_zone_costs_each_router_the_same_share_whatever_the_number() {
+fn traffic_of_a_router_after_losing_a_zone_does_not_grow_with_the_cluster() {
     let peak = |routers: usize| {
         let mut world = World::started(routers, Pace::default(), 38);
         world.weather.place((0..routers).map(|router| router % 10).collect(), three_regions());
--- a/crates/members/tests/handover.rs
+++ b/crates/members/tests/handover.rs
@@ -1,4 +1,4 @@
-//! A duty's holder leaves by plan: the next has it soon, whatever the holder was about to do. In virtual time, so that no
+//! The holder of a leader role leaves by plan: the next one holds it soon, whatever the holder was about to do. In virtual time, so that no
 //! machine's load is in the figures.
 
 use cleatgw_lab::virtual_members::World;
@@ -6,7 +6,7 @@
 use cleatgw_members::leader::role_resource;
 use cleatgw_members::swim::Pace;
 
-/// A lease ends by itself after two seconds: who is told that it is free needs none of that.
+/// A lease ends by itself after two seconds: a router that is told of its release need not wait for that. Seconds.
 const SOON: f64 = 1.3;
 
 fn holder(world: &World) -> Option<usize> {
@@ -17,7 +17,7 @@
 }
 
 /// After the leave at each of many moments, close together: over one whole round of the holder's questions and looks, some
-/// fall just ahead of those and some into the time that its words are on the way. How long nobody held it, at most, and
+/// fall just ahead of those and some into the time that its messages are on the way. How long nobody held it, at most, and
 /// how often the leaving one had it again.
 fn leaves(seed: u64, delay: f64, moments: usize, step: f64) -> (f64, usize) {
     let (mut longest, mut again) = (0.0f64, 0);
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn the_next_holds_it_soon_and_the_one_that_leaves_never_again_at_whatever_moment_it_leaves() {
+fn planned_leave_hands_the_role_over_soon_and_for_good_at_any_moment() {
     for seed in 0..4 {
         for delay in [0.0002, 0.02] {
             let (longest, again) = leaves(seed, delay, 200, 0.005);
-            assert_eq!(again, 0, "seed {seed}, words take {delay} s");
-            assert!(longest < SOON, "seed {seed}, words take {delay} s: {longest} s");
+            assert_eq!(again, 0, "seed {seed}, messages take {delay} s");
+            assert!(longest < SOON, "seed {seed}, messages take {delay} s: {longest} s");
         }
     }
 }
--- a/crates/members/tests/scenarios.rs
+++ b/crates/members/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Several routers in virtual time, one story for each way in which they may lose sight of one another.
+//! Several routers in virtual time: one scenario for each way in which they may lose contact with one another.
 
 use cleatgw_lab::virtual_members::World;
 use cleatgw_lab::weather::Act;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn one_that_is_killed_is_known_failed_to_all_in_three_and_a_half_seconds() {
+fn detects_a_killed_router_everywhere_within_three_and_a_half_seconds() {
     for seed in 0..10 {
         let mut world = whole(9, seed);
         world.at(10.0, Act::Kill(4));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn one_that_is_frozen_wakes_with_an_old_view_and_full_buffers_and_accuses_nobody() {
+fn resumed_router_with_old_view_and_full_buffers_fails_nobody() {
     for seed in 0..10 {
         let mut world = whole(9, seed);
         world.at(10.0, Act::Freeze(2));
@@ -78,7 +78,7 @@
 
 /// Hard case: it wakes with datagrams in its socket buffer, which it reads before it looks at anything.
 #[test]
-fn one_that_wakes_stands_as_woken_from_its_first_datagram_on() {
+fn resumed_router_has_reduced_rights_from_its_first_datagram() {
     let mut world = whole(5, 18);
     let woken = world.now + 5.0;
     let one = world.members_mut(2).unwrap();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn one_that_is_restarted_faster_than_it_is_found_failed_is_there_in_its_new_life() {
+fn router_restarted_before_detection_is_present_in_its_new_life() {
     let mut world = whole(9, 3);
     let before = world.members(0).unwrap().members()[5].born;
     world.plan(&vec![(10.0, Act::Kill(5)), (10.2, Act::Start(5))]);
@@ -99,9 +99,9 @@
     assert_eq!(standing(&world, 5), Standing::Whole);
 }
 
-/// One hears the other, and is not heard: neither is failed, and both can be seen to hear badly.
+/// One router hears the other and is not heard: neither is held failed, and the lost direction shows in both views.
 #[test]
-fn a_link_that_is_cut_one_way_fails_neither_end() {
+fn one_way_cut_fails_neither_end() {
     for seed in 0..10 {
         let mut world = whole(9, seed);
         world.at(10.0, Act::CutOneWay(0, 1));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn two_that_can_not_hear_each_other_but_both_hear_the_others_are_seen_by_others() {
+fn routers_cut_from_each_other_alone_are_seen_by_others() {
     let mut world = whole(9, 4);
     world.at(10.0, Act::Cut(0, 1));
     world.run_until(30.0);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn two_halves_of_equal_size_allow_nothing_on_either_side_and_agree_after_they_heal() {
+fn equal_halves_may_not_take_over_and_agree_after_healing() {
     for seed in 0..5 {
         let mut world = whole(10, seed);
         let parts = (0..10).map(|router| router % 2).collect();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn of_three_parts_none_has_a_majority_and_all_agree_after_they_heal() {
+fn three_partitions_are_minorities_and_agree_after_healing() {
     for seed in 0..10 {
         let mut world = whole(9, seed);
         let parts = (0..9).map(|router| router % 3).collect();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_cut_that_heals_for_a_moment_and_returns_leaves_no_lasting_disagreement() {
+fn flapping_partition_leaves_no_lasting_disagreement() {
     let mut world = whole(9, 7);
     let parts: Vec<usize> = (0..9).map(|router| usize::from(router < 4)).collect();
     for round in 0..10 {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn with_three_in_ten_datagrams_lost_nobody_is_called_failed_for_long_and_the_dead_are_found() {
+fn thirty_percent_loss_causes_no_false_failures_and_detects_real_ones() {
     for seed in 0..5 {
         let mut world = whole(9, seed);
         world.at(9.0, Act::Loss(0.3));
@@ -183,7 +183,7 @@
 
 /// Hard case: it hears nothing in time, so that all others seem silent to it.
 #[test]
-fn an_overloaded_router_that_accuses_everyone_convinces_nobody() {
+fn false_suspicions_of_an_overloaded_router_are_not_believed() {
     let once = |defences: Defences, seed: u64| {
         let mut world = whole_with(9, Pace { defences, ..Pace::default() }, seed);
         (0..9).for_each(|from| world.weather.link(from, 3).loss = 0.5);
@@ -207,13 +207,13 @@
     let (new_lives, believed, accused, health) = play(Defences::default());
     assert_eq!(believed, 0);
     assert!(accused > 0 && health > 0, "it accused {accused} times, and finds itself slow: {health}");
-    let deaf_to_itself = Defences { local_health: false, ..Defences::default() };
-    let (without, ..) = play(deaf_to_itself);
+    let without_local_health = Defences { local_health: false, ..Defences::default() };
+    let (without, ..) = play(without_local_health);
     assert!(without > 4 * (new_lives + 1), "{without} new lives without local health, {new_lives} with");
 }
 
 #[test]
-fn seven_of_ten_killed_at_once_leave_a_minority_that_says_so() {
+fn survivors_of_a_lost_majority_stand_as_minority() {
     for seed in 0..5 {
         let mut world = whole(10, seed);
         (3..10).for_each(|router| world.at(10.0, Act::Kill(router)));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn all_that_are_restarted_within_a_second_find_each_other() {
+fn routers_restarted_within_one_second_find_each_other() {
     let mut world = whole(9, 9);
     for router in 0..9 {
         world.at(10.0 + router as f64 * 0.1, Act::Kill(router));
@@ -245,7 +245,7 @@
 /// Hard case: a second process goes under a router's name, from another place: its datagrams come from an address that
 /// is not the name's, which the host drops; here one that got as far is found by its life.
 #[test]
-fn a_name_that_is_given_twice_is_noticed_by_the_older_one() {
+fn older_router_detects_a_name_conflict() {
     let mut world = whole(5, 10);
     let cluster = 7;
     for round in 0..30u64 {
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_clock_that_was_set_back_or_ahead_by_an_hour_before_a_start_keeps_nobody_out() {
+fn accepts_routers_whose_clock_was_set_by_an_hour_before_start() {
     for hour in [-3_600_000, 3_600_000] {
         let mut world = whole(5, 11);
         world.clocks[1] = hour;
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_datagram_of_a_former_life_is_dropped_and_changes_nothing() {
+fn drops_datagrams_of_a_former_life() {
     let mut world = whole(5, 12);
     let now = world.now;
     let old: Vec<(u16, Vec<u8>)> = {
@@ -303,7 +303,7 @@
 
 /// Two clusters by one wrong address, and noise from it as fast as it comes.
 #[test]
-fn noise_and_a_foreign_cluster_are_counted_and_change_nothing() {
+fn counts_and_ignores_noise_and_foreign_clusters() {
     let mut world = whole(5, 13);
     let foreign = cluster_hash("other", ["a", "b"]);
     let mut other = Members::new(foreign, 5, 2, 1_900_000_000_000, &Pace::default(), 1, world.now);
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn one_that_leaves_by_plan_is_gone_and_not_failed() {
+fn planned_leave_is_not_a_failure() {
     let mut world = whole(9, 14);
     world.at(10.0, Act::Leave(6));
     world.run_until(20.0);
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn one_that_leaves_while_it_is_cut_off_is_found_failed_and_back_after_its_start() {
+fn leave_during_partition_is_a_failure_until_restart() {
     let mut world = whole(9, 15);
     let parts = (0..9).map(|router| usize::from(router == 6)).collect();
     world.plan(&vec![
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_stall_that_lets_go_of_everything_at_once_does_no_harm() {
+fn burst_after_a_stall_changes_no_standing() {
     let mut world = whole(9, 16);
     world.at(10.0, Act::Stall(1, 5.0));
     world.run_until(18.0);
@@ -365,9 +365,9 @@
     (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Whole));
 }
 
-/// The same code at the size of the fleet: a third are lost, halves are cut off and heal.
+/// The same code at the size of the fleet: one in fifteen is killed at once.
 #[test]
-fn three_hundred_routers_find_the_dead_and_agree_after_a_heal() {
+fn three_hundred_routers_detect_failures_within_eight_seconds() {
     let mut world = World::started(300, Pace::default(), 17);
     world.run_until(12.0);
     assert_eq!(standing(&world, 0), Standing::Whole);
@@ -381,8 +381,8 @@
     assert!(bytes < 40_000.0, "{bytes} bytes a second and router");
 }
 
-/// Frozen, cut off and killed in turn, on clocks as far apart as the bound allows: one holder at a time, and never none for
-/// long while a majority is there.
+/// The holder is frozen, cut off and killed in turn, on clocks as far apart as the bound allows: one holder at a time, and
+/// a new one soon while a majority is present.
 #[test]
 fn leader_role_has_one_holder_at_a_time_and_a_successor_under_faults() {
     for seed in 0..6 {
@@ -397,7 +397,7 @@
                 let members = world.members(*router);
                 members.is_some_and(|one| one.holds(world.duty.unwrap(), at * world.rates[*router]).is_some())
             });
-            let holder = holder.unwrap_or_else(|| panic!("nobody holds it at {at}, seed {seed}"));
+            let holder = holder.unwrap_or_else(|| panic!("nobody holds the role at {at}, seed {seed}"));
             let alone = (0..7).map(|router| usize::from(router == holder)).collect();
             let (act, back) = match round % 4 {
                 0 => (Act::Freeze(holder), Act::Wake(holder)),
@@ -413,10 +413,10 @@
     }
 }
 
-/// Hard case: routers that are started together do not teach each other: what a store's epoch was is proved by one alone
-/// that was there before.
+/// Hard case: routers that are started together prove nothing to each other: the epoch of a store is proved only by a
+/// router that ran before.
 #[test]
-fn only_one_that_was_there_before_tells_which_epoch_it_was_shown() {
+fn only_routers_running_before_a_restart_vouch_for_store_epochs() {
     let mut world = whole(4, 19);
     world.members_mut(0).unwrap().set_store_epoch(40);
     world.run_until(14.0);
