--- /dev/null
+++ b/crates/recovery/src/recovery.rs
@@ -0,0 +1,202 @@
+//! The phases in which a fresh router takes up what a former life has kept.
+
+use crate::{still_valid, Kept, Looks, Moment, Pieces, StillValid};
+
+/// How long the store may take to say what it found, in seconds. After that what is missing counts as lost.
+const READ_TIMEOUT: f64 = 1.0;
+/// How long peers may take to say which epoch they were shown, in seconds. After that what was found counts as proved.
+const PROVE_TIMEOUT: f64 = 1.0;
+
+/// Where a fresh router stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Phase {
+    /// Its store has not said what it found.
+    Reading,
+    /// Peers are asked which epoch they were shown.
+    Proving,
+    /// What is not known is assumed at its worst, until no window reaches back beyond the start.
+    Settling,
+    /// Full service.
+    Full,
+}
+
+impl Phase {
+    /// The word for logs and status.
+    pub fn word(self) -> &'static str {
+        match self {
+            Phase::Reading => "reading",
+            Phase::Proving => "proving",
+            Phase::Settling => "settling",
+            Phase::Full => "full",
+        }
+    }
+}
+
+/// Why nothing is taken up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LossReason {
+    /// There is nothing, or it was set aside by the store.
+    Nothing,
+    /// The store did not answer in time.
+    Timeout,
+    /// A piece can't be read.
+    Unreadable,
+    /// It is of the future: a clock was set back, and no age can be told.
+    Future,
+    /// Peers were shown a later epoch: an older copy was put back.
+    Outdated,
+}
+
+impl LossReason {
+    /// The words for logs.
+    pub fn word(self) -> &'static str {
+        match self {
+            LossReason::Nothing => "nothing was kept",
+            LossReason::Timeout => "the store did not say in time",
+            LossReason::Unreadable => "a piece can't be read",
+            LossReason::Future => "it is of the future",
+            LossReason::Outdated => "peers were shown a later one",
+        }
+    }
+}
+
+/// What the host is to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Step {
+    /// The decisions are to assume the worst.
+    Forgot,
+    /// They are told what is still valid instead.
+    Remembers(StillValid),
+    /// Nothing is taken up, for this reason.
+    Lost(LossReason),
+    /// A phase begins.
+    Enters(Phase),
+}
+
+/// What the store found: its epoch and its pieces.
+pub type Found = Option<(u64, Pieces)>;
+
+/// Faults for the model checker to find.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub enum InjectedFault {
+    /// The code as it is.
+    #[default]
+    None,
+    /// What is found is taken up without being proved.
+    Unproved,
+    /// What may have been attempted since the last put is left out.
+    NothingAhead,
+}
+
+/// The way of a fresh router to full service.
+#[derive(Clone, Debug)]
+pub struct Recovery {
+    looks: Looks,
+    started: f64,
+    entered: f64,
+    phase: Phase,
+    found: Option<(u64, Kept)>,
+    has_peers: bool,
+    /// The latest epoch that a peer was shown, once one has said so.
+    shown: Option<u64>,
+    steps: Vec<Step>,
+    /// What is left out on purpose, so that a test of the model checker can see that it is found.
+    pub injected: InjectedFault,
+}
+
+impl Recovery {
+    /// Begins at `now`, in seconds of any clock that is not set; `has_peers` tells whether there are any to be asked.
+    pub fn new(looks: Looks, has_peers: bool, now: f64) -> Recovery {
+        Recovery {
+            looks,
+            started: now,
+            entered: now,
+            phase: Phase::Reading,
+            found: None,
+            has_peers,
+            shown: None,
+            steps: vec![Step::Forgot, Step::Enters(Phase::Reading)],
+            injected: InjectedFault::None,
+        }
+    }
+
+    /// The present phase.
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
+    /// Seconds since the start.
+    pub fn age(&self, now: f64) -> f64 {
+        now - self.started
+    }
+
+    fn enter(&mut self, phase: Phase, now: f64) {
+        self.phase = phase;
+        self.entered = now;
+        self.steps.push(Step::Enters(phase));
+    }
+
+    fn lose(&mut self, reason: LossReason, now: f64) {
+        self.found = None;
+        self.steps.push(Step::Lost(reason));
+        self.enter(Phase::Settling, now);
+    }
+
+    /// Takes what the store found. What comes after its time counts for nothing.
+    pub fn found(&mut self, found: Found, now: f64) {
+        if self.phase != Phase::Reading {
+            return;
+        }
+        let Some((epoch, pieces)) = found else { return self.lose(LossReason::Nothing, now) };
+        let Some(kept) = Kept::read(&pieces) else { return self.lose(LossReason::Unreadable, now) };
+        self.found = Some((epoch, kept));
+        self.enter(Phase::Proving, now);
+    }
+
+    /// A peer says which epoch of this router's store it was shown at the latest; 0 for none.
+    pub fn peer_was_shown(&mut self, epoch: u64) {
+        self.shown = Some(self.shown.unwrap_or(0).max(epoch));
+    }
+
+    /// The next steps, which are to be carried out in this order; `moment` is the present one.
+    pub fn turn(&mut self, now: f64, moment: &Moment) -> Vec<Step> {
+        match self.phase {
+            Phase::Reading if now >= self.entered + READ_TIMEOUT => self.lose(LossReason::Timeout, now),
+            Phase::Proving => self.prove(now, moment),
+            Phase::Settling if now >= self.started + self.looks.longest() => self.enter(Phase::Full, now),
+            _ => {}
+        }
+        std::mem::take(&mut self.steps)
+    }
+
+    fn prove(&mut self, now: f64, moment: &Moment) {
+        let Some((epoch, kept)) = &self.found else { return self.lose(LossReason::Nothing, now) };
+        let unproved = self.injected == InjectedFault::Unproved;
+        if self.shown.is_some_and(|shown| shown > *epoch) && !unproved {
+            return self.lose(LossReason::Outdated, now);
+        }
+        let Some(passed) = kept.at.until(moment) else { return self.lose(LossReason::Future, now) };
+        let proved = self.shown.is_some() || !self.has_peers || now >= self.entered + PROVE_TIMEOUT;
+        if !proved && !unproved {
+            return;
+        }
+        let mut kept = kept.clone();
+        if self.injected == InjectedFault::NothingAhead {
+            kept.ahead = 0;
+        }
+        let still_valid = still_valid(&kept, passed, &self.looks);
+        self.found = None;
+        self.steps.push(Step::Remembers(still_valid));
+        self.enter(Phase::Full, now);
+    }
+
+    /// When [`Recovery::turn`] is to be called next, in seconds; infinite in full service.
+    pub fn due(&self) -> f64 {
+        match self.phase {
+            Phase::Reading => self.entered + READ_TIMEOUT,
+            Phase::Proving => self.entered + PROVE_TIMEOUT,
+            Phase::Settling => self.started + self.looks.longest(),
+            Phase::Full => f64::INFINITY,
+        }
+    }
+}
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::kept::{BUDGET, COLD, MARKS};
+use crate::*;
 use proptest::prelude::*;
 
 const LOOKS: Looks = Looks { repeats: 10.0, cold: 2.0, receipts: 12.0 };
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn what_was_kept_is_taken_up_with_its_age_once_a_peer_has_proved_it() {
+fn takes_up_what_was_kept_with_its_age_once_a_peer_proves_it() {
     let (recovery, steps) = play(found(98.0, 5), true, &[4], 100.3);
     assert_eq!(steps[0], Step::Forgot);
     let Some(Step::Remembers(taken)) = steps.iter().find(|step| matches!(step, Step::Remembers(_))) else {
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn without_an_answer_of_peers_it_waits_a_second_and_where_there_are_none_not_at_all() {
+fn waits_one_second_for_peers_and_not_at_all_without_any() {
     let remembers = |steps: &[Step]| steps.iter().any(|step| matches!(step, Step::Remembers(_)));
     assert!(!remembers(&play(found(99.0, 5), true, &[], 100.9).1));
     assert!(remembers(&play(found(99.0, 5), true, &[], 101.4).1));
@@ -55,32 +56,32 @@
 
 /// Hard case: an older copy of the whole file was put back.
 #[test]
-fn a_store_older_than_what_peers_were_shown_is_not_taken_up() {
+fn rejects_a_store_older_than_what_peers_were_shown() {
     let (recovery, steps) = play(found(99.0, 5), true, &[3, 9, 5], 100.5);
-    assert!(steps.contains(&Step::Lost(Lost::Older)), "{steps:?}");
+    assert!(steps.contains(&Step::Lost(LossReason::Outdated)), "{steps:?}");
     assert_eq!(recovery.phase(), Phase::Settling);
 }
 
 #[test]
-fn what_is_missing_unreadable_silent_or_of_the_future_is_lost_and_settling_ends() {
+fn loses_missing_unreadable_late_or_future_state_and_settles() {
     for (found, why) in [
-        (None, Lost::Nothing),
-        (Some((5, Pieces::from([(BUDGET, vec![1, 2])]))), Lost::Unreadable),
-        (found(104.0, 5), Lost::Future),
+        (None, LossReason::Nothing),
+        (Some((5, Pieces::from([(BUDGET, vec![1, 2])]))), LossReason::Unreadable),
+        (found(104.0, 5), LossReason::Future),
     ] {
         let (recovery, steps) = play(found, false, &[], 110.3);
         assert!(steps.contains(&Step::Lost(why)), "{why:?}: {steps:?}");
         assert_eq!(recovery.phase(), Phase::Full, "no window reaches back beyond the start");
     }
     let mut silent = Recovery::new(LOOKS, true, 100.0);
-    assert!(silent.turn(101.1, &moment(101.1)).contains(&Step::Lost(Lost::Silent)));
+    assert!(silent.turn(101.1, &moment(101.1)).contains(&Step::Lost(LossReason::Timeout)));
     silent.found(found(99.0, 5), 101.2);
     assert_eq!(silent.phase(), Phase::Settling, "too late");
 }
 
 /// Hard case: the Unix clock was set while it was away. On the same boot only the other clock counts.
 #[test]
-fn ages_do_not_depend_on_the_unix_clock_within_one_boot() {
+fn ages_within_one_boot_ignore_the_unix_clock() {
     let now = Moment { unix: 5.0, ..moment(100.0) };
     assert_eq!(moment(98.0).until(&now), Some(2.0));
     let rebooted = Moment { boot: 8, steady: 3.0, unix: 1e9 + 160.0 };
@@ -88,15 +89,15 @@
     assert_eq!(moment(98.0).until(&Moment { unix: 1e9, ..rebooted }), None);
 }
 
-/// Hard case: a receipted request was pushed just before the end, and comes again 1 s and 13 s after the start.
+/// Hard case: a deduplicated request was dispatched just before the end, and comes again 1 s and 13 s after the start.
 #[test]
-fn a_mark_lasts_for_twice_its_window_with_its_age() {
-    let age = |passed: f64| still_counts(&kept(0.0), passed, &LOOKS).marks.first().map(|mark| mark.1);
+fn marks_last_for_twice_their_window() {
+    let age = |passed: f64| still_valid(&kept(0.0), passed, &LOOKS).marks.first().map(|mark| mark.1);
     assert_eq!((age(1.0), age(13.0), age(21.5)), (Some(4.0), Some(16.0), None));
 }
 
 #[test]
-fn puts_follow_changes_soon_one_at_a_time_and_a_slow_disk_is_told_of_once() {
+fn puts_soon_after_changes_one_at_a_time_and_reports_a_slow_disk_once() {
     let mut puts = Puts::new(10.0);
     assert!(puts.wants(10.0) && !puts.wants(10.1));
     puts.changed();
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn while_the_disk_is_silent_only_so_many_further_pushes_are_made_in_a_window() {
+fn limits_further_attempts_ahead_of_an_unanswered_put() {
     let mut puts = Puts::new(10.0);
     let ahead = |puts: &Puts, made: &[f64], now| puts.ahead(made.iter().copied(), 10.0, now);
     assert_eq!((ahead(&puts, &[], 11.0), ahead(&puts, &[], 20.1)), (0, AHEAD), "none is on the disk");
@@ -129,29 +130,29 @@
 }
 
 #[test]
-fn more_than_is_kept_is_cut_to_the_newest() {
+fn keeps_only_the_newest_marks() {
     let many = Kept { marks: (0..9000).map(|mark| (mark, 1.0)).collect(), ..kept(1.0) };
     let read = Kept::read(&many.write()).unwrap();
-    assert_eq!((read.marks.len(), read.marks[0].0), (MOST_MARKS, 9000 - MOST_MARKS as u64));
+    assert_eq!((read.marks.len(), read.marks[0].0), (MAX_MARKS, 9000 - MAX_MARKS as u64));
 }
 
 proptest! {
     #[test]
-    fn no_bytes_do_harm(one in proptest::collection::vec(any::<u8>(), 0..200),
+    fn reads_any_bytes_without_panic(one in proptest::collection::vec(any::<u8>(), 0..200),
                         two in proptest::collection::vec(any::<u8>(), 0..100)) {
         let _ = Kept::read(&Pieces::from([(BUDGET, one.clone()), (COLD, two.clone()), (MARKS, two)]));
         let mut damaged = kept(1.0).write();
         damaged.insert(BUDGET, one);
         if let Some(kept) = Kept::read(&damaged) {
-            prop_assert!(still_counts(&kept, 1.0, &LOOKS).repeats.iter().all(|age| *age >= 0.0));
+            prop_assert!(still_valid(&kept, 1.0, &LOOKS).repeats.iter().all(|age| *age >= 0.0));
         }
     }
 
     /// Nothing counts for longer than its window, and with time only fewer count.
     #[test]
-    fn what_counts_only_fades(ages in proptest::collection::vec(0.0..20.0f64, 0..20), passed in 0.0..30.0f64) {
+    fn validity_only_fades_with_time(ages in proptest::collection::vec(0.0..20.0f64, 0..20), passed in 0.0..30.0f64) {
         let kept = Kept { repeats: ages, ..kept(0.0) };
-        let (now, later) = (still_counts(&kept, passed, &LOOKS), still_counts(&kept, passed + 1.0, &LOOKS));
+        let (now, later) = (still_valid(&kept, passed, &LOOKS), still_valid(&kept, passed + 1.0, &LOOKS));
         prop_assert!(now.repeats.iter().all(|age| *age < LOOKS.repeats));
         prop_assert!(later.repeats.len() <= now.repeats.len() && later.marks.len() <= now.marks.len());
     }
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -2,7 +2,7 @@
 //! it acknowledged, or has an older copy put back; and phases that always end.
 
 use cleatgw_lab::told_by_digest;
-use cleatgw_recovery::{Kept, Looks, Moment, Phase, Pieces, Planted, Puts, Recovery, Step, AHEAD};
+use cleatgw_recovery::{InjectedFault, Kept, Looks, Moment, Phase, Pieces, Puts, Recovery, Step, AHEAD};
 use stateright::{Checker, Model, Property};
 
 const SPARE: usize = 4;
@@ -10,8 +10,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Act {
-    /// A further push, if it is allowed.
-    Push,
+    /// A further attempt, if it is allowed.
+    Attempt,
     /// The disk takes what is asked of it: for good, or only as it says.
     Put {
         lost: bool,
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 struct State {
     now: f64,
-    /// All further pushes that were really made.
+    /// All further attempts that were really made.
     made: Vec<f64>,
     /// What the present life counts, and what it assumes of former ones.
     counted: Vec<f64>,
@@ -67,7 +67,7 @@
 }
 
 struct Restarts {
-    planted: Planted,
+    injected: InjectedFault,
     lies: Lies,
     most: u32,
 }
@@ -75,7 +75,7 @@
 impl Restarts {
     fn start(&self, state: &mut State) {
         let mut recovery = Recovery::new(LOOKS, true, state.now);
-        recovery.planted = self.planted;
+        recovery.injected = self.injected;
         state.puts = Puts::new(state.now);
         state.epoch = state.file.as_ref().map_or(0, |(epoch, _)| *epoch);
         state.pending = None;
@@ -148,7 +148,7 @@
         state.file = state.pending.take();
         state.first = state.file.clone();
         state.puts.answered(true);
-        // Or it has made some further pushes since, and a peer was shown the put that tells of them.
+        // Or it has made some further attempts since, and a peer was shown the put that tells of them.
         let mut busy = state.clone();
         busy.now += 1.0;
         (busy.made, busy.counted) = (vec![busy.now; 3], vec![busy.now; 3]);
@@ -168,7 +168,7 @@
         let window = within(&all, state.now) < SPARE;
         let ahead = state.puts.ahead(state.counted.iter().copied(), LOOKS.repeats, state.now) > 0;
         if window && ahead {
-            actions.push(Act::Push);
+            actions.push(Act::Attempt);
         }
         if state.pending.is_some() {
             actions.push(Act::Put { lost: false });
@@ -191,7 +191,7 @@
         let mut state = state.clone();
         state.acts += 1;
         match act {
-            Act::Push => {
+            Act::Attempt => {
                 state.made.push(state.now);
                 state.counted.push(state.now);
                 state.puts.changed();
@@ -237,17 +237,17 @@
 }
 
 #[test]
-fn an_honest_disk_that_may_hang_keeps_the_budget_over_restarts() {
-    let model = Restarts { planted: Planted::None, lies: Lies::None, most: 9 };
+fn keeps_the_budget_over_restarts_with_an_honest_disk_that_may_hang() {
+    let model = Restarts { injected: InjectedFault::None, lies: Lies::None, most: 9 };
     let checker = model.checker().threads(4).spawn_bfs().join();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn a_put_that_is_lost_unseen_costs_no_more_than_what_was_made_ahead_and_an_older_copy_nothing() {
+fn lost_put_costs_at_most_the_attempts_ahead_and_an_older_copy_nothing() {
     for lies in [Lies::Loses, Lies::PutsBack] {
-        let model = Restarts { planted: Planted::None, lies, most: 9 };
+        let model = Restarts { injected: InjectedFault::None, lies, most: 9 };
         let checker = model.checker().threads(4).spawn_bfs().join();
         assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
         checker.assert_properties();
@@ -255,12 +255,12 @@
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    let broken = |planted, lies| {
-        let checker = Restarts { planted, lies, most: 10 }.checker().threads(4);
+fn finds_each_injected_fault() {
+    let broken = |injected, lies| {
+        let checker = Restarts { injected, lies, most: 10 }.checker().threads(4);
         let checker = checker.target_state_count(1_000_000).spawn_bfs().join();
         checker.discovery("the budget holds over restarts").is_some()
     };
-    assert!(broken(Planted::NothingAhead, Lies::None));
-    assert!(broken(Planted::Believes, Lies::PutsBack));
+    assert!(broken(InjectedFault::NothingAhead, Lies::None));
+    assert!(broken(InjectedFault::Unproved, Lies::PutsBack));
 }
--- a/crates/router/src/routing/marks.rs
+++ b/crates/router/src/routing/marks.rs
@@ -1,6 +1,6 @@
 //! Receipted requests that were pushed and may have run, by a hash of their receipts: bounded, the oldest go first.
 
-use cleatgw_recovery::MOST_MARKS;
+use cleatgw_recovery::MAX_MARKS;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Default)]
@@ -18,7 +18,7 @@
         }
         self.first.insert(receipt, now);
         self.order.push_back((receipt, now));
-        if self.order.len() > MOST_MARKS {
+        if self.order.len() > MAX_MARKS {
             self.order.pop_front().map(|(oldest, _)| self.first.remove(&oldest));
         }
         true
--- a/crates/router/src/routing/marks/tests.rs
+++ b/crates/router/src/routing/marks/tests.rs
@@ -21,6 +21,6 @@
     for receipt in 0..20_000 {
         marks.pushed(receipt, receipt as f64);
     }
-    assert_eq!((marks.first.len(), marks.order.len()), (MOST_MARKS, MOST_MARKS));
+    assert_eq!((marks.first.len(), marks.order.len()), (MAX_MARKS, MAX_MARKS));
     assert_eq!(marks.first(0), None);
 }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -12,7 +12,7 @@
 use cleatgw::{Deployment, Effect, Ending, Listing, Load, Met, PushEnd, Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineLife, Observation, PeerEvidence};
 use cleatgw_operator::{TeamNames, TeamsFile};
-use cleatgw_recovery::{Looks, Sent, Taken as StillCounts};
+use cleatgw_recovery::{Looks, Sent, StillValid};
 use cleatgw_start::{engine_life, flat, index_of, name_hash, Names};
 pub use counters::Counters;
 use marks::Marks;
@@ -494,7 +494,7 @@
     }
 
     /// What of a former life still counts.
-    pub fn remembers(&mut self, now: f64, taken: StillCounts) {
+    pub fn remembers(&mut self, now: f64, taken: StillValid) {
         let repeats: Vec<f64> = taken.repeats.iter().map(|age| now - age).collect();
         let at = |sent: &Sent| {
             let life = EngineLife { name: sent.name, life: sent.life };
