--- a/crates/store/src/tests.rs
+++ b/crates/store/src/tests.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_last_put_is_found_and_epochs_go_on_over_lives() {
+fn finds_the_last_put_and_continues_epochs_over_restarts() {
     let disk = Disk::default();
     let (mut store, found) = Store::open(disk.clone(), OWNER);
     assert_eq!(found, Found::Nothing);
@@ -135,12 +135,12 @@
     // A piece that is no longer put is gone.
     let one: Pieces = [(0, vec![1])].into();
     assert_eq!(store.put(&one, 92.0), Ok(92));
-    assert_eq!(store.put(&[(0, vec![0; LONGEST + 1])].into(), 93.0), Err(Failed::TooMuch));
+    assert_eq!(store.put(&[(0, vec![0; MAX_PIECE + 1])].into(), 93.0), Err(StoreError::TooMuch));
 }
 
 /// Hard case: killed at every write, with what came after the last sync lost, kept in part, or in another order.
 #[test]
-fn a_crash_at_any_write_leaves_one_whole_put_or_the_one_before() {
+fn crash_at_any_write_leaves_one_whole_put() {
     quietly(|| {
         let disk = Disk::default();
         let (mut store, _) = Store::open(disk.clone(), OWNER);
@@ -182,7 +182,7 @@
 /// Hard case: writes that were acknowledged and synced are lost, torn or doubled, at random: 600 times,
 /// or as often as `STORE_KILLS` says.
 #[test]
-fn a_disk_that_loses_what_it_acknowledged_gives_one_whole_put_or_none() {
+fn disk_that_loses_acknowledged_writes_gives_one_whole_put_or_none() {
     quietly(|| {
         let disk = Disk::default();
         let (mut store, _) = Store::open(disk.clone(), OWNER);
@@ -220,7 +220,7 @@
 
 /// Hard case: the file is cut, or one of its bits is flipped.
 #[test]
-fn a_file_that_is_cut_or_has_a_flipped_bit_gives_one_whole_put_or_none() {
+fn cut_or_damaged_file_gives_one_whole_put_or_none() {
     quietly(|| {
         let disk = Disk::default();
         let (mut store, _) = Store::open(disk.clone(), OWNER);
@@ -255,22 +255,22 @@
 }
 
 #[test]
-fn another_router_s_file_and_a_newer_version_s_are_set_aside_by_name() {
+fn sets_aside_files_of_other_owners_and_newer_versions() {
     let disk = Disk::default();
     let (mut store, _) = Store::open(disk.clone(), OWNER);
     put_some(&mut store, 1, 2);
     drop(store);
     let other = Store::open(Disk::holding(disk.bytes()), OWNER + 1).1;
-    assert_eq!(other, Found::Aside(Aside::OtherOwner));
+    assert_eq!(other, Found::Aside(AsideReason::OtherOwner));
     let mut newer = (FORMAT + 1).to_le_bytes().to_vec();
     newer.extend([0; 16]);
-    assert_eq!(read_head(&newer).err(), Some(Aside::Newer(FORMAT + 1)));
-    assert!(Aside::Newer(2).to_string().contains("newer"));
+    assert_eq!(read_head(&newer).err(), Some(AsideReason::Newer(FORMAT + 1)));
+    assert!(AsideReason::Newer(2).to_string().contains("newer"));
 }
 
 /// Pieces of two puts beside each other, each whole by itself, are no put.
 #[test]
-fn pieces_of_two_puts_never_stand_beside_each_other() {
+fn never_mixes_pieces_of_two_puts() {
     let disk = Disk::default();
     let (mut store, _) = Store::open(disk.clone(), OWNER);
     put_some(&mut store, 1, 2);
@@ -282,17 +282,17 @@
     }
     writing.commit().unwrap();
     drop(store);
-    assert_eq!(found_in(disk.bytes()), Found::Aside(Aside::Damaged(1)));
+    assert_eq!(found_in(disk.bytes()), Found::Aside(AsideReason::Damaged(1)));
 }
 
 #[test]
-fn a_disk_that_fails_says_so_and_the_last_put_stands() {
+fn failing_disk_reports_an_error_and_keeps_the_last_put() {
     quietly(|| {
         let disk = Disk::default();
         let (mut store, _) = Store::open(disk.clone(), OWNER);
         put_some(&mut store, 1, 2);
         disk.0.lock().unwrap().fails = Some("no space left on device");
-        let Err(Failed::Disk(why)) = store.put(&pieces(3), 3.0) else { panic!("it was put") };
+        let Err(StoreError::Disk(why)) = store.put(&pieces(3), 3.0) else { panic!("it was put") };
         assert!(!why.is_empty());
         assert_eq!(store.epoch(), 2);
         drop(store);
@@ -302,14 +302,14 @@
 }
 
 #[test]
-fn a_file_that_can_not_be_used_is_moved_out_of_the_way_and_a_new_one_begun() {
+fn moves_an_unusable_file_aside_and_begins_a_new_one() {
     quietly(|| {
         let folder = std::env::temp_dir().join(format!("cleatgw-store-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("kept");
         std::fs::write(&path, b"this is no store of ours, and longer than nothing").unwrap();
         let (mut store, found) = Store::at(&path, OWNER).unwrap();
-        assert!(matches!(found, Found::Aside(Aside::Unreadable(_))), "{found:?}");
+        assert!(matches!(found, Found::Aside(AsideReason::Unreadable(_))), "{found:?}");
         assert!(aside(&path).exists());
         put_some(&mut store, 1, 2);
         drop(store);
