--- /dev/null
+++ b/crates/members/src/lease/tests.rs
@@ -0,0 +1,128 @@
+use super::*;
+
+/// Routers on one clock, whose messages arrive at once unless they are cut off.
+struct Cluster {
+    now: f64,
+    routers: Vec<Leases>,
+    cut_off: Vec<u16>,
+}
+
+impl Cluster {
+    fn new(routers: u16) -> Cluster {
+        let routers = (0..routers).map(|me| Leases::new(me, routers.into(), 1000, 0.0)).collect();
+        Cluster { now: 10.0, routers, cut_off: Vec::new() }
+    }
+
+    fn request(&mut self, router: usize) -> Option<Epoch> {
+        self.routers[router].turn(self.now);
+        self.routers[router].request(7, self.now);
+        self.settle();
+        self.holds(router)
+    }
+
+    fn settle(&mut self) {
+        while let Some((from, to, message)) = self.next() {
+            let reached = !self.cut_off.contains(&from) && !self.cut_off.contains(&to);
+            if reached {
+                self.routers[usize::from(to)].receive(from, message, self.now);
+            }
+        }
+    }
+
+    fn next(&mut self) -> Option<(u16, u16, Message)> {
+        let from = self.routers.iter().position(|router| !router.outgoing.is_empty())?;
+        let (to, message) = self.routers[from].outgoing.remove(0);
+        Some((from as u16, to, message))
+    }
+
+    fn holds(&self, router: usize) -> Option<Epoch> {
+        self.routers[router].holds(7, self.now)
+    }
+}
+
+#[test]
+fn grants_to_one_holder_at_a_time_under_growing_epochs() {
+    let mut cluster = Cluster::new(3);
+    let first = cluster.request(0).expect("all are there");
+    assert_eq!(cluster.request(1), None);
+    cluster.now += MAX_TERM + 0.01;
+    assert_eq!(cluster.holds(0), None);
+    let second = cluster.request(1).expect("it has expired");
+    assert!(second > first);
+}
+
+#[test]
+fn extends_on_renewal_and_frees_at_once_on_release() {
+    let mut cluster = Cluster::new(3);
+    let first = cluster.request(2).unwrap();
+    cluster.now += 1.0;
+    let again = cluster.request(2).unwrap();
+    assert!(again > first);
+    cluster.now += 1.5;
+    assert_eq!(cluster.holds(2), Some(again), "counted from when it asked again");
+    let now = cluster.now;
+    cluster.routers[2].release(7, now);
+    cluster.settle();
+    assert_eq!(cluster.holds(2), None);
+    assert_eq!(cluster.request(0), None, "it is told that later ones were promised");
+    assert!(cluster.request(0).is_some_and(|epoch| epoch > again));
+}
+
+#[test]
+fn grants_nothing_without_a_majority_or_to_either_half() {
+    let mut cluster = Cluster::new(4);
+    cluster.cut_off = vec![2, 3];
+    assert_eq!(cluster.request(0), None, "two of four are no majority");
+    assert_eq!(cluster.request(2), None);
+    cluster.cut_off.clear();
+    cluster.now += 1.0;
+    assert!(cluster.request(0).is_some());
+}
+
+/// Hard case: all that granted it are restarted, and forget.
+#[test]
+fn restarted_grantor_grants_nothing_until_former_grants_expire() {
+    let mut cluster = Cluster::new(3);
+    let first = cluster.request(0).unwrap();
+    for router in [1, 2] {
+        cluster.routers[router] = Leases::new(router as u16, 3, 2000, cluster.now);
+    }
+    cluster.now += 0.1;
+    assert_eq!(cluster.request(1), None);
+    assert_eq!(cluster.holds(0), Some(first));
+    cluster.now += MAX_TERM * 1.05;
+    assert!(cluster.request(1).unwrap() > first);
+}
+
+/// Hard case: frozen with a lease, and woken after its end with everything in its socket buffers.
+#[test]
+fn late_accepts_do_not_revive_an_expired_lease() {
+    let mut cluster = Cluster::new(3);
+    cluster.routers[0].request(7, cluster.now);
+    // All but the last of the others' messages reach it; then it is frozen.
+    let mut late_accepts = Vec::new();
+    while let Some((from, to, message)) = cluster.next() {
+        match (to, message) {
+            (0, Message::Accept { .. }) => late_accepts.push((from, message)),
+            _ => cluster.routers[usize::from(to)].receive(from, message, cluster.now),
+        }
+    }
+    assert_eq!(late_accepts.len(), 2);
+    cluster.now += 5.0;
+    let other = cluster.request(1).expect("it has expired");
+    let now = cluster.now;
+    late_accepts.into_iter().for_each(|(from, message)| cluster.routers[0].receive(from, message, now));
+    assert_eq!((cluster.holds(0), cluster.holds(1)), (None, Some(other)));
+}
+
+#[test]
+fn bounds_memory_for_invented_resources() {
+    let mut router = Leases::new(0, 3, 0, 0.0);
+    for resource in 0..5000 {
+        router.receive(1, Message::Prepare { resource, epoch: 1 << 16 | 1 }, 10.0);
+    }
+    assert_eq!(router.grants.len(), MAX_RESOURCES);
+    router.receive(1, Message::Refuse { resource: 1, epoch: 1, promised: u64::MAX }, 10.0);
+    router.request(1, 10.0);
+    assert_eq!(router.holds(1, 10.0), None);
+}
--- /dev/null
+++ b/crates/members/src/membership/receive.rs
@@ -0,0 +1,207 @@
+//! What is received: each datagram is checked, what its envelope tells is noted, and its body goes to its part.
+
+use super::send::HEARTBEAT_INTERVAL;
+use super::Members;
+use crate::digest;
+use crate::direct_probe::MAX_NAMED;
+use crate::lease::Message;
+use crate::member::ViewDigest;
+use crate::swim::YOUNGEST;
+use crate::wire::{self, Dropped, Envelope, Kind, LastHeard, HEARD_UNIT};
+
+/// The probes of one router are answered no more often than this, in seconds: several of one round are answered once.
+const ANSWER_INTERVAL: f64 = 0.05;
+/// A router that has run so much longer than this one knows of former lives of it, in seconds. Those that were started
+/// together know no more than they tell each other.
+const STARTED_BEFORE: f64 = 1.0;
+/// So many younger lives under this router's name, the last of them within so many seconds: another process goes by it.
+pub(super) const NAME_CONFLICT_LIVES: usize = 4;
+pub(super) const NAME_CONFLICT_WITHIN: f64 = 20.0;
+
+impl Members {
+    /// Takes a datagram that came from the address of router `from`.
+    ///
+    /// # Errors
+    /// Why it was dropped, which is also counted.
+    pub fn datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), Dropped> {
+        self.check_pause(now);
+        self.counts.received += 1;
+        let taken = self.take(from, bytes, now);
+        if let Err(reason) = taken {
+            *self.counts.dropped.entry(reason).or_default() += 1;
+        }
+        taken
+    }
+
+    fn take(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), Dropped> {
+        let (envelope, body) = wire::read(bytes)?;
+        self.check(from, &envelope)?;
+        self.note_contact(from, &envelope, now)?;
+        self.note_store_epochs(from, &envelope, now);
+        self.note_view(from, &envelope, now);
+        self.renew_life(&envelope, now);
+        self.notify_absent(from, &envelope, now);
+        match envelope.kind {
+            Kind::Swim => self.swim.receive(body, now).map_err(|_| Dropped::Body),
+            Kind::Heartbeat => self.take_heartbeat(from, body, now),
+            Kind::DirectProbe => {
+                self.answer_direct_probe(from, now);
+                Ok(())
+            }
+            Kind::IndirectProbe => self.answer_indirect_probe(from, body, now),
+            Kind::IndirectAck => self.take_indirect_ack(body),
+            Kind::Lease => self.take_lease(from, body, now),
+        }
+    }
+
+    /// It is of this cluster, from this sender, and meant for this router.
+    fn check(&self, from: usize, envelope: &Envelope) -> Result<(), Dropped> {
+        if envelope.cluster != self.cluster {
+            return Err(Dropped::OtherCluster);
+        }
+        let known = from < self.members.len() && from != usize::from(self.me);
+        if !known || usize::from(envelope.from) != from || envelope.to != self.me {
+            return Err(Dropped::WrongSender);
+        }
+        if envelope.born > YOUNGEST || envelope.receiver_born > YOUNGEST {
+            return Err(Dropped::Body);
+        }
+        Ok(())
+    }
+
+    /// Notes that the sender was heard, in which life, and when it last heard this router.
+    fn note_contact(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), Dropped> {
+        {
+            let mut contacts = self.swim.contacts.borrow_mut();
+            contacts.now = now;
+            if !contacts.record(from, envelope.born) {
+                return Err(Dropped::FormerLife);
+            }
+        }
+        self.swim.heard(now);
+        let member = &mut self.members[from];
+        if member.born < envelope.born {
+            self.heard.forget(from as u16);
+        }
+        member.heard_at = now;
+        member.leaving = envelope.leaving;
+        if envelope.heard_ago < u16::MAX && envelope.receiver_born == self.swim.me().born {
+            member.hears_us_at = now - f64::from(envelope.heard_ago) * HEARD_UNIT;
+        }
+        Ok(())
+    }
+
+    /// Notes the epoch of the sender's store, and which epoch of this router's it was shown, where it was there before this
+    /// life of it and knows this life.
+    fn note_store_epochs(&mut self, from: usize, envelope: &Envelope, now: f64) {
+        let member = &mut self.members[from];
+        member.store_epoch = member.store_epoch.max(envelope.store_epoch.min(YOUNGEST));
+        let knows_this_life = envelope.receiver_born == self.swim.me().born;
+        if knows_this_life && f64::from(envelope.age) > now - self.started + STARTED_BEFORE {
+            let shown = envelope.receiver_store_epoch.min(YOUNGEST);
+            self.store_epoch_shown = Some(self.store_epoch_shown.unwrap_or(0).max(shown));
+        }
+    }
+
+    /// Notes which routers the sender holds present, and since when that differs from this router's view.
+    fn note_view(&mut self, from: usize, envelope: &Envelope, now: f64) {
+        let member = &mut self.members[from];
+        member.view = ViewDigest { present: envelope.present, hash: envelope.present_hash };
+        member.view_at = now;
+        if member.view == self.view {
+            member.view_differs_since = None;
+        } else if member.view_differs_since.is_none() {
+            member.view_differs_since = Some(now);
+        }
+    }
+
+    /// Begins a new life where others know this router in a younger one, or hold this one failed.
+    fn renew_life(&mut self, envelope: &Envelope, now: f64) {
+        let leaving = self.leaving_since.is_some();
+        // Its name was in a younger life: its clock was set back before its start, or another process goes by its name.
+        if envelope.receiver_born > self.swim.me().born && self.adopt_younger_life {
+            self.younger_lives.retain(|at| now < at + NAME_CONFLICT_WITHIN);
+            if self.younger_lives.len() < NAME_CONFLICT_LIVES {
+                self.younger_lives.push(now);
+                self.swim.begin_life(envelope.receiver_born.saturating_add(1), leaving, now);
+            }
+        }
+        if envelope.receiver_failed && envelope.receiver_born == self.swim.me().born && !leaving {
+            self.swim.begin_life(envelope.receiver_born + 1, false, now);
+        }
+    }
+
+    /// Answers a sender that does not count as present. In the life that is held failed it can't know that, and is told at
+    /// once; in a younger one it is asked for all members, by which it learns of this router as well.
+    fn notify_absent(&mut self, from: usize, envelope: &Envelope, now: f64) {
+        let member = &mut self.members[from];
+        let notified = now < member.notified_at + HEARTBEAT_INTERVAL;
+        if member.state.counts() || envelope.leaving || notified {
+            return;
+        }
+        member.notified_at = now;
+        if envelope.born <= member.born {
+            self.send(from as u16, Kind::Heartbeat, &[], now);
+        } else {
+            self.swim.announce(from as u16, now);
+        }
+    }
+
+    fn take_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
+        let observations = digest::read(body).ok_or(Dropped::Body)?;
+        self.heard.hear(from as u16, observations, now);
+        Ok(())
+    }
+
+    fn answer_direct_probe(&mut self, from: usize, now: f64) {
+        if now >= self.members[from].probe_answered_at + ANSWER_INTERVAL {
+            self.members[from].probe_answered_at = now;
+            self.send(from as u16, Kind::Heartbeat, &[], now);
+        }
+    }
+
+    /// Tells when the routers that are named were last heard here.
+    fn answer_indirect_probe(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
+        let named: Vec<u16> = postcard::from_bytes(body).map_err(|_| Dropped::Body)?;
+        if named.len() > MAX_NAMED {
+            return Err(Dropped::Body);
+        }
+        if now < self.members[from].indirect_probe_answered_at + ANSWER_INTERVAL {
+            return Ok(());
+        }
+        self.members[from].indirect_probe_answered_at = now;
+        let answer: Vec<LastHeard> = named.into_iter().map(|router| self.last_heard(router, now)).collect();
+        let bytes = postcard::to_extend(&answer, Vec::new()).unwrap_or_default();
+        self.send(from as u16, Kind::IndirectAck, &bytes, now);
+        Ok(())
+    }
+
+    fn last_heard(&self, router: u16, now: f64) -> LastHeard {
+        let heard_at = self.members.get(usize::from(router)).map(|member| member.heard_at);
+        let ago = (now - heard_at.unwrap_or(f64::NEG_INFINITY)) / HEARD_UNIT;
+        LastHeard { router, ago: ago.min(f64::from(u8::MAX)) as u8 }
+    }
+
+    fn take_indirect_ack(&mut self, body: &[u8]) -> Result<(), Dropped> {
+        let answer: Vec<LastHeard> = postcard::from_bytes(body).map_err(|_| Dropped::Body)?;
+        if answer.len() > MAX_NAMED {
+            return Err(Dropped::Body);
+        }
+        for heard in answer.into_iter().filter(|heard| heard.ago < u8::MAX) {
+            self.probes.heard_by_other(heard.router, f64::from(heard.ago) * HEARD_UNIT);
+        }
+        Ok(())
+    }
+
+    fn take_lease(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
+        let (message, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| Dropped::Body)?;
+        if !rest.is_empty() {
+            return Err(Dropped::Body);
+        }
+        let asks_for_grant = matches!(message, Message::Prepare { .. } | Message::Propose { .. });
+        if self.allowed().grants_leases || !asks_for_grant {
+            self.leases.receive(from as u16, message, now);
+        }
+        Ok(())
+    }
+}
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -10,9 +10,9 @@
 use cleatgw::logic::Gateway;
 use cleatgw::queue::Wait;
 use cleatgw::{Deployment, Effect, Ending, Listing, Load, Met, PushEnd, Stage, Taken, Writer};
-use cleatgw_members::digest::{self, EngineLife, Said, Word};
+use cleatgw_members::digest::{self, EngineLife, Observation, PeerEvidence};
 use cleatgw_operator::{TeamNames, TeamsFile};
-use cleatgw_recovery::{Looks, Sent, Taken as StillCounts};
+use cleatgw_recovery::{Looks, Sent, StillValid};
 use cleatgw_start::{engine_life, flat, index_of, name_hash, Names};
 pub use counters::Counters;
 use marks::Marks;
@@ -494,7 +494,7 @@
     }
 
     /// What of a former life still counts.
-    pub fn remembers(&mut self, now: f64, taken: StillCounts) {
+    pub fn remembers(&mut self, now: f64, taken: StillValid) {
         let repeats: Vec<f64> = taken.repeats.iter().map(|age| now - age).collect();
         let at = |sent: &Sent| {
             let life = EngineLife { name: sent.name, life: sent.life };
@@ -537,16 +537,16 @@
     }
 
     /// What we have met of engines of late, for other routers.
-    pub fn words(&self) -> Vec<Word> {
+    pub fn words(&self) -> Vec<Observation> {
         let engines = self.desk.engines.iter().map(|engine| &engine.listing);
         let met = |at: usize| self.gateway.met(at, self.desk.now).map(|met| (met.good, met.bad, met.sent));
-        digest::words(engines.filter_map(|at| Some((engine_life(at), met(at.engine)?))))
+        digest::observations(engines.filter_map(|at| Some((engine_life(at), met(at.engine)?))))
     }
 
     /// Hands the decisions what other routers say of each engine.
-    pub fn hear_peers(&mut self, said: impl Fn(&EngineLife) -> Said) {
+    pub fn hear_peers(&mut self, said: impl Fn(&EngineLife) -> PeerEvidence) {
         for engine in &self.desk.engines {
-            let Said { good, bad, sent, .. } = said(&engine_life(&engine.listing));
+            let PeerEvidence { good, bad, sent, .. } = said(&engine_life(&engine.listing));
             self.gateway.peers_say(engine.listing.engine, Met { good, bad, sent });
         }
     }
