--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -393,3 +393,17 @@
         );
     }
 }
+
+/// Among many gateways an engine seldom tells anything: what all engines told says how full those are that did not.
+#[test]
+fn the_room_of_an_engine_that_told_nothing_follows_the_median_pace() {
+    let limit_at = |median: f64| {
+        let mut gateway = Gateway::new(deployment(40.0, false), 1, 0.0);
+        gateway.engines_listed(0.0, &[Listing { engine: 0, name_hash: 1, ..Listing::default() }], true);
+        gateway.median = median;
+        (1..=20).for_each(|tick| gateway.tick(f64::from(tick) * TICK));
+        gateway.engines[0].room.limit
+    };
+    assert!(limit_at(5.0) < Room::START);
+    assert!(limit_at(1.0) >= Room::START);
+}
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -11,12 +11,15 @@
     (*seed >> 33) as f64 / (1u64 << 31) as f64
 }
 
-/// How a fleet whose only engine is cold is asked for three times what that can do warm.
+/// How a fleet whose only engine is cold is asked for more than that can do warm.
 #[derive(Debug)]
 struct Play {
     gateways: usize,
     /// So many of them have all the traffic.
     busy: usize,
+    /// Work of a light and of a heavy job, and how many times what the engine can do warm is asked for.
+    work: [f64; 2],
+    demand: f64,
     /// Jobs tell what they cost.
     estimates: bool,
     /// Seven in ten restart at once, knowing nothing, and again every one and a half seconds.
@@ -27,9 +30,8 @@
 /// What the cold engine got in its worst windows: calls of mean work beyond its budget and what may be chance, and the
 /// largest part of its budget.
 fn worst(play: &Play) -> (f64, f64) {
-    const WORK: [f64; 2] = [0.1, 6.0];
     const SHARES: [f64; 2] = [0.9, 0.1];
-    let mean = WORK[0] * SHARES[0] + WORK[1] * SHARES[1];
+    let mean = play.work[0] * SHARES[0] + play.work[1] * SHARES[1];
     // So quick that no gateway feels a crowd: what holds them back is the cold engine's budget alone.
     const PACE: f64 = 0.4;
     let (cores, engines) = (16.0, 1);
@@ -46,7 +48,7 @@
     let begun = worlds[0].now;
     let fresh = Listing { since: Some(begun), ..listing(0) };
     worlds.iter_mut().for_each(|world| world.gateway.engines_listed(begun, &[fresh], false));
-    let rate = 3.0 * engines as f64 * cores / mean / play.busy as f64;
+    let rate = play.demand * engines as f64 * cores / mean / play.busy as f64;
     let mut out: Vec<VecDeque<(f64, usize, f64)>> = vec![VecDeque::new(); play.gateways];
     let mut costs: Vec<Vec<f64>> = vec![Vec::new(); play.gateways];
     let mut sent: VecDeque<(f64, f64)> = VecDeque::new();
@@ -81,7 +83,7 @@
             while left > 0.0 && draw(&mut seed) < left {
                 left -= 1.0;
                 let category = usize::from(draw(&mut seed) < SHARES[1]);
-                let work = WORK[category] * (0.5 + draw(&mut seed));
+                let work = play.work[category] * (0.5 + draw(&mut seed));
                 let told = play.estimates.then_some(work);
                 let group = (draw(&mut seed) * 300.0) as u64;
                 world.job(category, |taken| (taken.cost, taken.table_group) = (told, group));
@@ -111,6 +113,9 @@
     most
 }
 
+/// A light job in a sixtieth of a heavy one, which passes no lot.
+const UNEVEN: [f64; 2] = [0.1, 6.0];
+
 #[test]
 fn all_gateways_together_keep_a_cold_engines_budget() {
     for gateways in [1usize, 2, 3, 5, 8, 20, 30, 120, 300] {
@@ -125,7 +130,7 @@
             (gateways.div_ceil(5), false, false),
         ] {
             for seed in seeds.clone() {
-                let play = Play { gateways, busy, estimates, restart, seed };
+                let play = Play { gateways, busy, work: UNEVEN, demand: 3.0, estimates, restart, seed };
                 let (over, share) = worst(&play);
                 assert!(over <= 0.0, "{play:?}: {over:.1} calls beyond chance, {share:.2} of the budget");
                 assert!(share > 0.0, "{play:?}: the cold engine had no work");
@@ -134,6 +139,28 @@
     }
 }
 
+/// Jobs of which each could pass a lot, and so many that every gateway has one for each: the lots alone hold them back.
+#[test]
+fn gateways_that_use_every_lot_keep_a_cold_engines_budget() {
+    for gateways in [30, 120, 300] {
+        for seed in 1..3 {
+            let busy = gateways;
+            let play = Play {
+                gateways,
+                busy,
+                work: [0.5, 1.0],
+                demand: 12.0,
+                estimates: true,
+                restart: false,
+                seed,
+            };
+            let (over, share) = worst(&play);
+            assert!(over <= 0.0, "{play:?}: {over:.1} calls beyond chance, {share:.2} of the budget");
+            assert!(share > 0.2, "{play:?}: {share:.2} of the budget, the lots were not used");
+        }
+    }
+}
+
 /// A fleet whose estimates no answer corrects, before engines of which six in ten are replaced by cold ones.
 struct Replaced {
     worlds: Vec<World>,
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -1296,3 +1296,16 @@
         assert_eq!(pushed, even, "category {category}");
     }
 }
+
+/// An engine that pages counts the lesser of grant and need, so that a generous grant costs nothing there.
+#[test]
+fn grants_have_more_headroom_where_engines_page() {
+    let granted = |pages: bool| {
+        let mut world = World::new(Deployment { pages, ..plain() }, 2);
+        let job = world.job(1, |taken| taken.memory_mb = Some(1000.0));
+        world.round();
+        world.grant_of(job)
+    };
+    assert!((1599.0..1601.0).contains(&granted(false)), "{}", granted(false));
+    assert!(granted(true) > 1.2 * granted(false), "{}", granted(true));
+}
