--- /dev/null
+++ b/crates/recovery/tests/golden_bytes.rs
@@ -0,0 +1,30 @@
+//! Golden bytes: the pieces of a snapshot, written by the version before the code was reshaped. A router that is replaced by
+//! a newer version reads what its predecessor has written.
+
+use cleatgw_recovery::{Kept, Moment, Pieces, Sent};
+use expect_test::expect_file;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn kept() -> Kept {
+    Kept {
+        at: Moment { boot: 0x0123_4567_89ab_cdef, steady: 86_400.25, unix: 1_800_000_000.5 },
+        repeats: vec![9.5, 3.25, 0.0],
+        ahead: 3,
+        cold: vec![Sent { name: u64::MAX, life: 7, work: 1.25 }, Sent { name: 4, life: u32::MAX, work: 0.5 }],
+        marks: vec![(0xfeed_face_cafe_beef, 11.0), (1, 0.125)],
+    }
+}
+
+fn text(pieces: &Pieces) -> String {
+    pieces.iter().map(|(number, bytes)| format!("{number} {}\n", hex(bytes))).collect()
+}
+
+#[test]
+fn pieces_have_the_bytes_of_the_former_version_and_are_read_from_them() {
+    let pieces = kept().write();
+    expect_file!["golden/pieces.txt"].assert_eq(&text(&pieces));
+    assert_eq!(Kept::read(&pieces), Some(kept()));
+}
--- a/crates/router/src/protocol/mod.rs
+++ b/crates/router/src/protocol/mod.rs
@@ -10,5 +10,7 @@
     fields.split(',').filter_map(|field| field.split_once('='))
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -116,3 +116,7 @@
     longest_turn_us,
     latest_wake_us,
 }
+
+#[cfg(test)]
+#[path = "counters_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/router/src/routing/counters_tests.rs
@@ -0,0 +1,10 @@
+//! The names of the counters cross to clients and to the operators' collectors: they stay as they were.
+
+use super::Counters;
+use expect_test::expect_file;
+
+#[test]
+fn counters_keep_the_names_and_the_order_of_the_former_version() {
+    let text = Counters::default().to_string().replace(' ', "\n") + "\n";
+    expect_file!["golden/counters.txt"].assert_eq(&text);
+}
--- /dev/null
+++ b/tests/golden/mod.rs
@@ -0,0 +1,578 @@
+//! A seeded scenario around one gateway: arrivals, engines with faults, and a record of all that the gateway writes.
+
+use cleatgw::logic::Gateway;
+use cleatgw::queue::{Line, Terms, Wait};
+use cleatgw::{
+    Category, ColdStart, Deployment, Effect, Ending, Kind, Listing, Load, Met, Note, PushBudget, PushEnd,
+    Reach, Stage, Taken, Writer,
+};
+use rand_chacha::rand_core::{RngCore, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+
+/// Seconds between two rounds.
+const STEP_S: f64 = 0.025;
+const START_S: f64 = 1000.0;
+const LENGTH_S: f64 = 60.0;
+/// Arrivals are this many times as frequent within the burst.
+const BURST: f64 = 4.0;
+
+/// What kind of deployment a scenario plays.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Variant {
+    FewGateways,
+    ManyGateways,
+    Restarted,
+    /// No retries: what an engine in doubt does not answer is cancelled.
+    SingleAttempt,
+}
+
+/// What took place, so that a test can tell that its scenario reached what it is for.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Counts {
+    pub requests: usize,
+    pub attempts: usize,
+    pub retries: usize,
+    pub quarter_grants: usize,
+    pub cancelled_attempts: usize,
+    pub rejected: usize,
+    pub failed: usize,
+    pub announced_waits: usize,
+}
+
+/// Everything that the gateway wrote in one round.
+#[derive(Default)]
+struct Recorder {
+    text: String,
+    attempts: Vec<(usize, usize, Option<f64>)>,
+    cancelled: Vec<(usize, u32)>,
+    ended: Vec<usize>,
+    counts: Counts,
+    grants: BTreeMap<usize, f64>,
+}
+
+impl Recorder {
+    fn line(&mut self, line: std::fmt::Arguments) {
+        writeln!(self.text, "{line}").expect("a string takes all");
+    }
+}
+
+impl Writer for Recorder {
+    fn terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+        self.grants.insert(request, memory_mb);
+        self.line(format_args!("terms {request} {lane} {memory_mb:?}"));
+    }
+    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
+        self.attempts.push((request, engine, time_out));
+        self.line(format_args!("attempt {request} {engine} {time_out:?} {leave_by:?}"));
+    }
+    fn call_off(&mut self, request: usize, attempt: u32) {
+        self.counts.cancelled_attempts += 1;
+        self.cancelled.push((request, attempt));
+        self.line(format_args!("cancel {request} {attempt}"));
+    }
+    fn turn_back(&mut self, request: usize, retry_after: Option<f64>) {
+        self.counts.rejected += 1;
+        self.ended.push(request);
+        self.line(format_args!("reject {request} {retry_after:?}"));
+    }
+    fn terminate(&mut self, request: usize) {
+        self.counts.failed += 1;
+        self.ended.push(request);
+        self.line(format_args!("fail {request}"));
+    }
+    fn waits(&mut self, request: usize, wait: Option<Wait>) {
+        self.counts.announced_waits += 1;
+        let wait = wait.map(|wait| (wait.expected, wait.from, wait.to));
+        self.line(format_args!("waits {request} {wait:?}"));
+    }
+    fn watch(&mut self, on: bool) {
+        self.line(format_args!("watch {on}"));
+    }
+    fn fetch(&mut self) {
+        self.line(format_args!("fetch"));
+    }
+    fn probe(&mut self, engine: usize) {
+        self.line(format_args!("probe {engine}"));
+    }
+    fn close(&mut self, engine: usize) {
+        self.line(format_args!("close {engine}"));
+    }
+    fn tell(&mut self, peer: Option<usize>, content: &[u8]) {
+        self.line(format_args!("tell {peer:?} {content:?}"));
+    }
+    fn wake(&mut self, at: f64) {
+        self.line(format_args!("wake {at:?}"));
+    }
+    fn log(&mut self, _line: &str) {}
+}
+
+/// How an engine misbehaves.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+enum Fault {
+    #[default]
+    None,
+    /// Answers nothing.
+    Silent,
+    /// Fails every other attempt.
+    Failing,
+    /// Takes ten times as long.
+    Slow,
+    /// Rejects what it is sent.
+    Full,
+    /// Accepts no connection.
+    Unreachable,
+}
+
+#[derive(Clone, Copy, Default)]
+struct Engine {
+    listing: Listing,
+    fault: Fault,
+    running: f64,
+}
+
+struct Attempt {
+    request: usize,
+    engine: usize,
+    number: u32,
+    sent: f64,
+    ends_at: f64,
+    ending: Ending,
+}
+
+/// What a request really needs, which the gateway is not told.
+struct Truth {
+    class: usize,
+    work: f64,
+    memory: f64,
+    deadline: f64,
+    attempts: u32,
+}
+
+pub struct Scenario {
+    variant: Variant,
+    deployment: Deployment,
+    gateway: Gateway,
+    random: ChaCha8Rng,
+    recorder: Recorder,
+    engines: Vec<Engine>,
+    requests: BTreeMap<usize, Truth>,
+    attempts: Vec<Attempt>,
+    next_request: usize,
+    now: f64,
+    pub counts: Counts,
+    hash: Sha256,
+}
+
+fn class(value: f64, threads: f64, effect: Effect) -> Category {
+    Category {
+        credit: value,
+        late_share: 0.3,
+        expected_time: 1.0,
+        longest: 10.0,
+        stretch: 2.0,
+        threads,
+        effect,
+        in_key_order: false,
+        holds_tables: false,
+        waits_for_holders: false,
+        only_zones: None,
+        only_kinds: None,
+    }
+}
+
+fn classes() -> Vec<Category> {
+    let everywhere = Effect::Receipted { reach: Reach::All, window: 3.0 };
+    let in_zone = Effect::Receipted { reach: Reach::Zone, window: 4.0 };
+    let in_cell = Effect::Receipted { reach: Reach::Cell, window: 2.0 };
+    vec![
+        class(1.0, 1.0, Effect::Pure),
+        Category { expected_time: 4.0, waits_for_holders: true, ..class(6.0, 4.0, Effect::Pure) },
+        class(2.0, 1.0, everywhere),
+        class(2.0, 1.0, in_zone),
+        Category { in_key_order: true, ..class(3.0, 1.0, Effect::Effectful) },
+        Category { expected_time: 3.0, holds_tables: true, ..class(4.0, 2.0, in_cell) },
+        Category { only_zones: Some(vec![0, 1]), only_kinds: Some(vec![0]), ..class(1.5, 1.0, Effect::Pure) },
+    ]
+}
+
+fn deployment(variant: Variant) -> Deployment {
+    let common = Deployment {
+        gateways: 3.0,
+        categories: classes(),
+        kinds: vec![Kind { cores: 8.0, memory_mb: 4000.0 }, Kind { cores: 16.0, memory_mb: 8000.0 }],
+        largest_share: 0.5,
+        grants: true,
+        trims: true,
+        lanes: true,
+        call_off: true,
+        copies: false,
+        most_pushes: 3,
+        advice: Some(5.0),
+        cold: ColdStart { from: 0.2, warm_after: 12.0, multiple: 2.0, window: 2.0 },
+        budget: Some(PushBudget { spare: 20.0, share: 0.25, window: 10.0 }),
+        key_rest: 0.4,
+        ..Deployment::default()
+    };
+    match variant {
+        Variant::FewGateways => Deployment { copies: true, ask_within: Some(5.0), ..common },
+        Variant::ManyGateways => Deployment { gateways: 60.0, budget: None, advice: None, ..common },
+        Variant::Restarted => {
+            Deployment { gateways: 12.0, trims: false, pages: true, lanes: false, call_off: false, ..common }
+        }
+        Variant::SingleAttempt => Deployment { gateways: 1.0, most_pushes: 1, ..common },
+    }
+}
+
+/// Two tenants of a group and one beside it, all with small queues.
+fn tenants() -> Vec<Terms> {
+    let root = Terms { most_queued: 400, ..Terms::default() };
+    let group = Terms { parent: 0, weight: 2.0, ..Terms::default() };
+    let first = Terms { parent: 1, weight: 3.0, most_queued: 60, ageing: Some(0.5), ..Terms::default() };
+    let second = Terms { parent: 1, budget: Some((2.0, 4.0)), most_out: 12, ..Terms::default() };
+    let third = Terms { parent: 0, most_queued_work: 40.0, order: vec![1.0, 0.0, 2.0], ..Terms::default() };
+    vec![root, group, first, second, third]
+}
+
+const LEAF_TENANTS: [usize; 3] = [2, 3, 4];
+
+impl Scenario {
+    pub fn new(variant: Variant, seed: u64) -> Scenario {
+        let deployment = deployment(variant);
+        let mut scenario = Scenario {
+            variant,
+            gateway: Gateway::new(deployment.clone(), seed, START_S),
+            deployment,
+            random: ChaCha8Rng::seed_from_u64(seed),
+            recorder: Recorder::default(),
+            engines: Vec::new(),
+            requests: BTreeMap::new(),
+            attempts: Vec::new(),
+            next_request: 0,
+            now: START_S,
+            counts: Counts::default(),
+            hash: Sha256::new(),
+        };
+        for index in 0..14 {
+            scenario.engines.push(Engine { listing: first_listing(index), ..Engine::default() });
+        }
+        scenario
+    }
+
+    /// A number from 0 up to 1.
+    fn chance(&mut self) -> f64 {
+        (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    fn below(&mut self, bound: usize) -> usize {
+        (self.chance() * bound as f64) as usize
+    }
+
+    pub fn hash(&self) -> String {
+        self.hash.clone().finalize().iter().map(|byte| format!("{byte:02x}")).collect()
+    }
+
+    pub fn play(&mut self) {
+        self.list(true);
+        if self.variant == Variant::Restarted {
+            self.gateway.forgot(self.now);
+        }
+        let steps = (LENGTH_S / STEP_S) as usize;
+        for step in 0..steps {
+            self.now = START_S + STEP_S * step as f64;
+            self.change_fleet(step);
+            self.end_attempts();
+            self.arrive();
+            self.note();
+            self.hear_peers(step);
+            self.round();
+        }
+    }
+
+    fn round(&mut self) {
+        self.gateway.round(self.now, &mut self.recorder);
+        let attempts = std::mem::take(&mut self.recorder.attempts);
+        for (request, engine, time_out) in attempts {
+            self.begin(request, engine, time_out);
+        }
+        for (request, number) in std::mem::take(&mut self.recorder.cancelled) {
+            self.cancel(request, Some(number));
+        }
+        for request in std::mem::take(&mut self.recorder.ended) {
+            self.requests.remove(&request);
+            self.cancel(request, None);
+        }
+        let recorded = &self.recorder.counts;
+        self.counts.rejected = recorded.rejected;
+        self.counts.failed = recorded.failed;
+        self.counts.cancelled_attempts = recorded.cancelled_attempts;
+        self.counts.announced_waits = recorded.announced_waits;
+        let text = std::mem::take(&mut self.recorder.text);
+        self.hash.update(format!("round {:?}\n{text}", self.now));
+    }
+
+    /// Lists all engines, or those alone that this step changed.
+    fn list(&mut self, complete: bool) {
+        let listings: Vec<Listing> = self.engines.iter().map(|engine| engine.listing).collect();
+        self.gateway.engines_listed(self.now, &listings, complete);
+    }
+
+    fn list_one(&mut self, index: usize) {
+        let listing = self.engines[index].listing;
+        self.gateway.engines_listed(self.now, &[listing], false);
+    }
+
+    /// What happens to the fleet and to this gateway, each at its time.
+    fn change_fleet(&mut self, step: usize) {
+        let at = |seconds: f64| step == (seconds / STEP_S) as usize;
+        if at(2.0) && self.variant == Variant::Restarted {
+            let sent: Vec<(usize, f64, f64)> = vec![(3, self.now - 1.0, 0.5), (5, self.now - 0.5, 1.5)];
+            self.gateway.remembers(&[self.now - 4.0, self.now - 0.7], &sent);
+            self.gateway.ahead = Some(40);
+        }
+        if at(3.0) && self.variant != Variant::ManyGateways {
+            self.gateway.teams(self.now, Line::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
+        }
+        let faults = [
+            (6.0, 0, Fault::Silent),
+            (8.0, 1, Fault::Failing),
+            (10.0, 2, Fault::Slow),
+            (12.0, 3, Fault::Full),
+            (13.0, 4, Fault::Unreachable),
+            (20.0, 0, Fault::None),
+            (21.0, 1, Fault::None),
+            (30.0, 2, Fault::None),
+            (31.0, 3, Fault::None),
+            (33.0, 4, Fault::None),
+            (45.0, 9, Fault::Silent),
+            (46.0, 8, Fault::Failing),
+        ];
+        for (time, engine, fault) in faults {
+            if at(time) {
+                self.engines[engine].fault = fault;
+            }
+        }
+        for joined in 0..6 {
+            if at(15.0 + joined as f64) {
+                let index = self.engines.len();
+                let since = Some(self.now - 0.2);
+                let listing = Listing { since, ..first_listing(index) };
+                self.engines.push(Engine { listing, ..Engine::default() });
+                self.list_one(index);
+            }
+        }
+        for (draining, index) in (5..9).enumerate() {
+            if at(24.0 + draining as f64) {
+                self.engines[index].listing.stage = Stage::Draining;
+                self.list_one(index);
+            }
+            if at(27.0 + draining as f64) {
+                self.engines[index].listing.stage = Stage::Gone;
+                self.list_one(index);
+            }
+            if at(36.0 + 0.5 * draining as f64) {
+                // It comes back, started anew.
+                self.engines[index].listing.stage = Stage::Ready;
+                self.engines[index].listing.since = Some(self.now);
+                self.list_one(index);
+            }
+        }
+        if at(40.0) {
+            self.gateway.list_failed(self.now);
+        }
+        if at(42.0) {
+            self.list(true);
+        }
+        if at(50.0) && self.variant == Variant::Restarted {
+            let until = self.gateway.drain(self.now);
+            self.hash.update(format!("drains {until:?}\n"));
+            self.gateway.stop_at(self.now + 6.0);
+        }
+    }
+
+    fn arrive(&mut self) {
+        let second = self.now - START_S;
+        let burst = if (16.0..30.0).contains(&second) { BURST } else { 1.0 };
+        let rate = if self.variant == Variant::ManyGateways { 40.0 } else { 70.0 };
+        let expected = rate * burst * STEP_S;
+        let mut left = expected.floor() as usize;
+        left += usize::from(self.chance() < expected.fract());
+        for _ in 0..left {
+            self.request();
+        }
+    }
+
+    fn request(&mut self) {
+        let id = self.next_request;
+        self.next_request += 1;
+        self.counts.requests += 1;
+        let class = [0, 0, 0, 0, 1, 2, 2, 3, 4, 4, 5, 6][self.below(12)];
+        let threads = self.deployment.categories[class].threads;
+        let scale = [0.05, 1.5, 0.1, 0.1, 0.08, 0.4, 0.1][class];
+        let work = scale * (0.4 + 2.0 * self.chance() * self.chance());
+        let memory = 120.0 * threads * (0.2 + 2.0 * self.chance());
+        let estimated = self.variant != Variant::Restarted || self.chance() < 0.7;
+        let off = 0.5 + self.chance();
+        let deadline = self.now + 2.0 + 6.0 * self.chance();
+        let key = (self.chance() < 0.5).then(|| self.below(9) as u64);
+        let earlier = (self.chance() < 0.02).then_some(self.now - 1.0);
+        let taken = Taken {
+            category: class,
+            key,
+            table_group: self.below(40).min(self.below(40)) as u64,
+            cost: estimated.then_some(work * off),
+            memory_mb: estimated.then_some(memory * off),
+            deadline,
+            team: if self.now < START_S + 3.0 { 0 } else { LEAF_TENANTS[id % 3] },
+            earlier,
+        };
+        self.requests.insert(id, Truth { class, work, memory, deadline, attempts: 0 });
+        self.gateway.job_taken(self.now, id, taken);
+    }
+
+    /// An attempt reaches its engine: how it will end, and when.
+    fn begin(&mut self, request: usize, engine: usize, time_out: Option<f64>) {
+        let Some(truth) = self.requests.get_mut(&request) else { return };
+        let number = truth.attempts;
+        truth.attempts += 1;
+        let (class, work, memory, deadline) = (truth.class, truth.work, truth.memory, truth.deadline);
+        self.counts.attempts += 1;
+        self.counts.retries += usize::from(number > 0);
+        let threads = self.deployment.categories[class].threads;
+        let grant = self.recorder.grants.get(&request).copied().unwrap_or(memory);
+        let short = grant > 0.0 && grant < 0.5 * memory;
+        self.counts.quarter_grants += usize::from(short);
+        let noise = 0.8 + 0.6 * self.chance();
+        let coin = self.chance();
+        let model = &mut self.engines[engine];
+        model.running += threads;
+        let cores = self.deployment.kinds[model.listing.kind].cores;
+        let crowded = (model.running / cores).max(1.0);
+        let took = work / threads * noise * crowded * if short { 2.5 } else { 1.0 };
+        let (ending, took) = match model.fault {
+            Fault::None if coin < 0.004 => (Ending::Broken, took / 2.0),
+            Fault::None | Fault::Slow => {
+                (Ending::Delivered, if model.fault == Fault::Slow { 10.0 * took } else { took })
+            }
+            Fault::Silent => (Ending::TimedOut, f64::INFINITY),
+            Fault::Failing if coin < 0.5 => (Ending::Erred, 0.01),
+            Fault::Failing => (Ending::Delivered, took),
+            Fault::Full => (Ending::Full, 0.005),
+            Fault::Unreachable => (Ending::Unreached, 0.2),
+        };
+        let limit = time_out.unwrap_or(f64::INFINITY).min(deadline - self.now);
+        let (ending, took) = if took > limit { (Ending::TimedOut, limit) } else { (ending, took) };
+        let ends_at = self.now + took;
+        self.attempts.push(Attempt { request, engine, number, sent: self.now, ends_at, ending });
+    }
+
+    /// Ends the attempts of a request soon: all, or the one with this number.
+    fn cancel(&mut self, request: usize, number: Option<u32>) {
+        let soon = self.now + 0.01;
+        for attempt in &mut self.attempts {
+            if attempt.request == request && number.is_none_or(|number| number == attempt.number) {
+                attempt.ending = Ending::CalledOff;
+                attempt.ends_at = attempt.ends_at.min(soon);
+            }
+        }
+    }
+
+    fn end_attempts(&mut self) {
+        let now = self.now;
+        let attempts = std::mem::take(&mut self.attempts);
+        let (ended, open): (Vec<_>, Vec<_>) =
+            attempts.into_iter().partition(|attempt| attempt.ends_at <= now);
+        self.attempts = open;
+        for attempt in ended {
+            self.end(attempt);
+        }
+        // Some clients give up.
+        if self.chance() < 0.05 {
+            let open = self.requests.len();
+            let index = self.below(open.max(1));
+            if let Some(&request) = self.requests.keys().nth(index) {
+                self.requests.remove(&request);
+                self.gateway.job_withdrawn(request);
+                self.cancel(request, None);
+            }
+        }
+    }
+
+    fn end(&mut self, attempt: Attempt) {
+        let Attempt { request, engine, ending, sent, .. } = attempt;
+        let truth = self.requests.get(&request);
+        let (class, work, memory) =
+            truth.map_or((0, 0.1, 10.0), |truth| (truth.class, truth.work, truth.memory));
+        let model = &mut self.engines[engine];
+        model.running = (model.running - self.deployment.categories[class].threads).max(0.0);
+        let running = model.running;
+        let known = self.variant != Variant::ManyGateways;
+        let delivered = ending == Ending::Delivered;
+        if delivered {
+            self.requests.remove(&request);
+            self.cancel(request, None);
+        }
+        let reports = known && engine.is_multiple_of(2);
+        let load = Load {
+            jobs: (reports && delivered).then_some(running / 1.5 + 1.0),
+            memory_waits: (reports && delivered).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
+            memory_granted: (known && delivered && engine % 3 == 0).then_some((running / 24.0).min(1.0)),
+        };
+        let end = PushEnd {
+            job: request,
+            engine,
+            ending,
+            job_over: !self.requests.contains_key(&request),
+            spent: self.now - sent,
+            told: (known && delivered && engine % 5 != 0).then_some((work, memory)),
+            load,
+        };
+        self.gateway.push_over(self.now, &end);
+    }
+
+    /// Some attempts tell of themselves.
+    fn note(&mut self) {
+        if self.attempts.is_empty() || self.chance() >= 0.2 {
+            return;
+        }
+        let index = self.below(self.attempts.len());
+        let request = self.attempts[index].request;
+        let notes = [Note::Progress(0.5), Note::Spills, Note::WaitsForMemory, Note::WaitsForLoad];
+        let note = notes[self.below(4)];
+        self.gateway.push_noted(self.now, request, note);
+    }
+
+    /// Four times a second peers tell of some engines; what this gateway would tell them is part of the record.
+    fn hear_peers(&mut self, step: usize) {
+        if !step.is_multiple_of(10) {
+            return;
+        }
+        for engine in 0..self.engines.len() {
+            if self.chance() < 0.3 {
+                let bad = if self.engines[engine].fault == Fault::None { 0.0 } else { 4.0 * self.chance() };
+                let met = Met { good: 3.0 * self.chance(), bad, sent: 0.4 * self.chance() };
+                self.gateway.peers_say(engine, met);
+            }
+            if let Some(Met { good, bad, sent }) = self.gateway.met(engine, self.now) {
+                self.hash.update(format!("met {engine} {good:?} {bad:?} {sent:?}\n"));
+            }
+        }
+        self.hash.update(format!("sound {}\n", self.gateway.sound_engines()));
+        let repeats: Vec<f64> = self.gateway.repeats.iter().copied().collect();
+        self.hash.update(format!("repeats {repeats:?}\n"));
+    }
+}
+
+fn first_listing(index: usize) -> Listing {
+    Listing {
+        engine: index,
+        name_hash: 7919 * (index as u64 + 1),
+        zone: index % 3,
+        kind: usize::from(index.is_multiple_of(4)),
+        cell: index as u64 % 4,
+        since: None,
+        stage: Stage::Ready,
+    }
+}
