--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -5,8 +5,8 @@
 
 /// What a statement asks for.
 #[derive(Debug, PartialEq)]
-pub enum Asked {
-    Job(Request),
+pub enum Statement {
+    Query(ParsedStatement),
     /// Withdraws what a session has open; the session too is to end where not only the query is meant.
     Kill {
         session: u32,
@@ -30,7 +30,7 @@
 
 /// A job as its client asks for it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Request {
+pub struct ParsedStatement {
     pub id: String,
     pub category: String,
     /// How long the client waits, in seconds.
@@ -41,7 +41,7 @@
     pub memory_mb: Option<f64>,
     pub table_group: Option<u64>,
     /// Without the comment that holds the fields.
-    pub statement: Vec<u8>,
+    pub text: Vec<u8>,
 }
 
 /// What is more than a day, or more than any machine has, is out of range.
@@ -49,9 +49,9 @@
 const MOST_MB: f64 = 16e6;
 
 /// Reads a statement, or says why nothing can be made of it.
-pub fn read(statement: &[u8]) -> Result<Asked, String> {
+pub fn read(statement: &[u8]) -> Result<Statement, String> {
     if let Some((fields, rest)) = fields_comment(statement) {
-        return request(fields, rest).map(Asked::Job);
+        return request(fields, rest).map(Statement::Query);
     }
     let tokens = tokens(statement);
     let word = |at: usize| tokens.get(at).map_or("", |token| token.word());
@@ -60,14 +60,16 @@
         "KILL" => {
             let at = if is(1, "QUERY") || is(1, "CONNECTION") { 2 } else { 1 };
             let session = word(at).parse().map_err(|_| "KILL: expected a connection id".to_string())?;
-            Ok(Asked::Kill { session, query_only: is(1, "QUERY") })
+            Ok(Statement::Kill { session, query_only: is(1, "QUERY") })
         }
-        "SHOW" if is(1, "ANNOUNCEMENTS") && tokens.len() == 2 => Ok(Asked::Question(Question::Announcements)),
-        "SHOW" if is(1, "TEAMS") && tokens.len() == 2 => Ok(Asked::Question(Question::Teams)),
-        "SHOW" if is(1, "CLUSTER") && tokens.len() == 2 => Ok(Asked::Question(Question::Cluster)),
-        "SHOW" if is(1, "DUTIES") && tokens.len() == 2 => Ok(Asked::Question(Question::Duties)),
-        "SHOW" if is(1, "STORE") && tokens.len() == 2 => Ok(Asked::Question(Question::Store)),
-        "SET" | "USE" | "BEGIN" | "START" | "COMMIT" | "ROLLBACK" => Ok(Asked::Harmless),
+        "SHOW" if is(1, "ANNOUNCEMENTS") && tokens.len() == 2 => {
+            Ok(Statement::Question(Question::Announcements))
+        }
+        "SHOW" if is(1, "TEAMS") && tokens.len() == 2 => Ok(Statement::Question(Question::Teams)),
+        "SHOW" if is(1, "CLUSTER") && tokens.len() == 2 => Ok(Statement::Question(Question::Cluster)),
+        "SHOW" if is(1, "DUTIES") && tokens.len() == 2 => Ok(Statement::Question(Question::Duties)),
+        "SHOW" if is(1, "STORE") && tokens.len() == 2 => Ok(Statement::Question(Question::Store)),
+        "SET" | "USE" | "BEGIN" | "START" | "COMMIT" | "ROLLBACK" => Ok(Statement::Harmless),
         "" => Err("the statement is empty".to_string()),
         // Not even a constant is answered with a result set: a client may take that for an engine's.
         _ => Err("no fields comment ahead of the statement: a job needs op, call and ttl there".to_string()),
@@ -87,7 +89,7 @@
 }
 
 /// Every field that is there must be fit for use: what is not is no usual client's, and engines would err at it.
-fn request(fields: &str, statement: &[u8]) -> Result<Request, String> {
+fn request(fields: &str, statement: &[u8]) -> Result<ParsedStatement, String> {
     let all = |name: &'static str| {
         pairs(fields).filter(move |(key, _)| key.trim() == name).map(|(_, value)| value.trim())
     };
@@ -113,7 +115,7 @@
     if statement.trim_ascii().is_empty() {
         return Err("the statement is empty".to_string());
     }
-    Ok(Request {
+    Ok(ParsedStatement {
         id: need("call", "16 hex digits", hex)?.to_string(),
         category: need("op", "a category", plain)?.to_string(),
         patience: number("ttl", "milliseconds", LONGEST_MS)?.ok_or_else(|| wrong("ttl", "milliseconds"))?
@@ -123,7 +125,7 @@
         work: number("work", "milliseconds", LONGEST_MS)?.map(|ms| ms / 1e3),
         memory_mb: number("mb", "megabytes", MOST_MB)?,
         table_group: table_group(statement),
-        statement: statement.to_vec(),
+        text: statement.to_vec(),
     })
 }
 
--- a/crates/router/src/protocol/statement/tests.rs
+++ b/crates/router/src/protocol/statement/tests.rs
@@ -2,9 +2,9 @@
 
 const FIELDS: &str = "op=report,call=9b1f03aa5c7e2d41,ttl=1500";
 
-fn job(text: &str) -> Request {
+fn job(text: &str) -> ParsedStatement {
     match read(text.as_bytes()) {
-        Ok(Asked::Job(request)) => request,
+        Ok(Statement::Query(request)) => request,
         other => panic!("{other:?}"),
     }
 }
@@ -13,7 +13,7 @@
 fn the_fields_are_taken_off_and_the_rest_goes_on_byte_for_byte() {
     let rest = "SELECT 'é\\'', \"/* op=x */\"  FROM sales_17.orders -- end";
     let request = job(&format!("/* {FIELDS},org=acme,rep=1,dedupe=5c0f,work=820.0,mb=96 */ {rest}"));
-    assert_eq!(request.statement, rest.as_bytes());
+    assert_eq!(request.text, rest.as_bytes());
     assert_eq!((request.id.as_str(), request.category.as_str()), ("9b1f03aa5c7e2d41", "report"));
     assert_eq!((request.patience, request.receipt.as_deref()), (1.5, Some("5c0f")));
     assert_eq!((request.work, request.memory_mb, request.table_group), (Some(0.82), Some(96.0), Some(17)));
@@ -106,7 +106,7 @@
 #[test]
 fn what_changes_no_state_is_harmless_and_nothing_else_without_fields_is_answered() {
     for text in ["SET NAMES utf8mb4", "set autocommit=0", "USE reports", "COMMIT", "/* x */ ROLLBACK"] {
-        assert_eq!(read(text.as_bytes()), Ok(Asked::Harmless), "{text}");
+        assert_eq!(read(text.as_bytes()), Ok(Statement::Harmless), "{text}");
     }
     for text in ["SELECT 1", "SHOW VARIABLES", "/* x */ SELECT @@version_comment", "SELECT 1 FROM sales_1.t"]
     {
@@ -116,7 +116,7 @@
 
 #[test]
 fn kills_name_a_session() {
-    let kill = |session, query_only| Ok(Asked::Kill { session, query_only });
+    let kill = |session, query_only| Ok(Statement::Kill { session, query_only });
     assert_eq!(read(b"KILL QUERY 12"), kill(12, true));
     assert_eq!(read(b"kill connection 12;"), kill(12, false));
     assert_eq!(read(b"KILL 12"), kill(12, false));
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::protocol::board::{Entry, Event};
 use crate::protocol::engine::Ask;
-use crate::protocol::statement::{self, Request};
+use crate::protocol::statement::{self as statements, ParsedStatement};
 use cleatgw::logic::Gateway;
 use cleatgw::queue::Wait;
 use cleatgw::{Deployment, Effect, Ending, Listing, Load, Met, PushEnd, Stage, Taken, Writer};
@@ -112,7 +112,7 @@
 }
 
 struct Job {
-    request: Request,
+    statement: ParsedStatement,
     state: JobState,
     deadline: f64,
     /// An answer by then is in time, as the deployment states it.
@@ -257,7 +257,7 @@
             counters.in_time += 1;
         }
         self.job_of.remove(&session);
-        self.ids.remove(&job.request.id);
+        self.ids.remove(&job.statement.id);
         peers.answer(session, answer);
         self.forget_if_done(id);
     }
@@ -308,13 +308,13 @@
         let legal = open && another && engine.listing.stage == Stage::Ready;
         if legal {
             let ask = Ask {
-                id: &job.request.id,
-                category: &job.request.category,
+                id: &job.statement.id,
+                category: &job.statement.category,
                 wait: until - desk.now,
-                receipt: job.request.receipt.as_deref(),
+                receipt: job.statement.receipt.as_deref(),
                 grant_mb: job.grant_mb,
                 lane: job.lane,
-                statement: &job.request.statement,
+                statement: &job.statement.text,
             };
             self.peers.push(push, engine.number, engine.address, &ask, leave_by);
             if let (Some(marks), Some(mark)) = (&mut desk.marks, job.mark) {
@@ -333,7 +333,7 @@
 
     fn waits(&mut self, job: usize, wait: Option<Wait>) {
         let Some(job) = self.desk.jobs.get(&job) else { return };
-        let id = job.request.id.as_str();
+        let id = job.statement.id.as_str();
         match wait {
             Some(Wait { expected, from, to, .. }) => {
                 log::debug!(call = id, wait = expected, from = from, to = to; "job {id} is thought to wait {expected:.3} s");
@@ -385,7 +385,7 @@
 pub struct News {
     pub lists: Vec<Event>,
     pub ends: Vec<(PushId, Outcome)>,
-    pub asked: Vec<(SessionId, Request)>,
+    pub asked: Vec<(SessionId, ParsedStatement)>,
     /// When it can have been asked at the earliest, if that was well before now.
     pub since: Option<f64>,
     pub withdrawn: Vec<SessionId>,
@@ -446,7 +446,7 @@
     pub fn teams(&mut self, file: TeamsFile) {
         let (line, names) = file.line(self.desk.now, &self.names.categories);
         let jobs = &self.desk.jobs;
-        let team_of = |id: usize| names.of(jobs.get(&id).and_then(|job| job.request.tenant.as_deref()));
+        let team_of = |id: usize| names.of(jobs.get(&id).and_then(|job| job.statement.tenant.as_deref()));
         self.gateway.teams(self.desk.now, line, &team_of);
         self.teams = Some((file, names));
     }
@@ -607,8 +607,8 @@
             self.desk.due.remove(&(at, push));
             self.desk.give_up(push, Ending::TimedOut, peers);
         }
-        for (session, request) in news.asked {
-            if let Err(why) = self.take(session, request, news.since) {
+        for (session, statement) in news.asked {
+            if let Err(why) = self.take(session, statement, news.since) {
                 self.untaken.pop_front();
                 unusable.push((session, why));
             }
@@ -677,51 +677,56 @@
         listing
     }
 
-    fn take(&mut self, session: SessionId, request: Request, since: Option<f64>) -> Result<(), String> {
-        let name = flat(&request.category);
+    fn take(
+        &mut self,
+        session: SessionId,
+        statement: ParsedStatement,
+        since: Option<f64>,
+    ) -> Result<(), String> {
+        let name = flat(&statement.category);
         let Some(category) = self.names.categories.iter().position(|known| *known == name) else {
-            return Err(statement::unknown("op", &name, &self.names.categories));
+            return Err(statements::unknown("op", &name, &self.names.categories));
         };
         // Where there are tenants, engines err at what comes from none of them.
-        let (tenant, tenants) = (request.tenant.as_deref().map(flat), &self.names.tenants);
+        let (tenant, tenants) = (statement.tenant.as_deref().map(flat), &self.names.tenants);
         if let Some(name) = tenant.filter(|name| !tenants.is_empty() && !tenants.contains(name)) {
-            return Err(statement::unknown("org", &name, tenants));
+            return Err(statements::unknown("org", &name, tenants));
         }
         // The first job under an id keeps its one answer.
-        if self.desk.ids.contains(&request.id) {
-            return Err(statement::id_in_use(&request.id));
+        if self.desk.ids.contains(&statement.id) {
+            return Err(statements::id_in_use(&statement.id));
         }
         let receipted = matches!(self.desk.deployment.categories[category].effect, Effect::Receipted { .. });
-        if receipted && request.receipt.is_none() {
-            return Err(statement::no_receipt(&name));
+        if receipted && statement.receipt.is_none() {
+            return Err(statements::no_receipt(&name));
         }
         let now = self.desk.now;
-        let mark = request.receipt.as_deref().filter(|_| receipted).map(name_hash);
+        let mark = statement.receipt.as_deref().filter(|_| receipted).map(name_hash);
         let earlier = mark.and_then(|mark| self.desk.marks.as_ref()?.first(mark));
         let earlier = earlier.filter(|at| now - at < self.looks().marks());
         self.desk.counters.marks_met += u64::from(earlier.is_some());
         // No client is to wait for longer, whatever it says: what is learned of usual ones would be upset.
         let longest = self.desk.deployment.categories[category].longest;
-        let gives_up = since.unwrap_or(now) + request.patience.min(longest);
+        let gives_up = since.unwrap_or(now) + statement.patience.min(longest);
         let deadline = gives_up.min(self.stops_at);
         let id = self.next_job;
         self.next_job += 1;
         let taken = Taken {
             category,
             key: None,
-            table_group: request.table_group.map_or(0, |group| (group as f64).to_bits()),
-            cost: request.work,
-            memory_mb: request.memory_mb,
+            table_group: statement.table_group.map_or(0, |group| (group as f64).to_bits()),
+            cost: statement.work,
+            memory_mb: statement.memory_mb,
             deadline: gives_up,
-            team: self.teams.as_ref().map_or(0, |(_, names)| names.of(request.tenant.as_deref())),
+            team: self.teams.as_ref().map_or(0, |(_, names)| names.of(statement.tenant.as_deref())),
             earlier,
         };
         let state = JobState::Open { session };
         let of = &self.desk.deployment.categories[category];
-        let expected_at = since.unwrap_or(now) + of.expected_for(request.work.unwrap_or(0.0));
+        let expected_at = since.unwrap_or(now) + of.expected_for(statement.work.unwrap_or(0.0));
         let pushes = Vec::new();
-        let job = Job { request, state, deadline, expected_at, lane: 1, grant_mb: 0.0, pushes, mark };
-        self.desk.ids.insert(job.request.id.clone());
+        let job = Job { statement, state, deadline, expected_at, lane: 1, grant_mb: 0.0, pushes, mark };
+        self.desk.ids.insert(job.statement.id.clone());
         self.desk.jobs.insert(id, job);
         self.desk.job_of.insert(session, id);
         self.desk.counters.taken += 1;
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -61,16 +61,16 @@
 }
 
 /// Each with an id of its own.
-fn request(category: &str) -> Request {
+fn parsed(category: &str) -> ParsedStatement {
     static NEXT: AtomicU64 = AtomicU64::new(0);
-    Request {
+    ParsedStatement {
         id: format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed)),
         category: category.to_string(),
         patience: 2.0,
         work: Some(0.05),
         memory_mb: Some(10.0),
-        statement: b"SELECT 1".to_vec(),
-        ..Request::default()
+        text: b"SELECT 1".to_vec(),
+        ..ParsedStatement::default()
     }
 }
 
@@ -119,8 +119,8 @@
         wake
     }
 
-    fn ask(&mut self, session: SessionId, request: Request) {
-        self.turn(News { asked: vec![(session, request)], ..News::default() });
+    fn ask(&mut self, session: SessionId, statement: ParsedStatement) {
+        self.turn(News { asked: vec![(session, statement)], ..News::default() });
     }
 
     fn end(&mut self, outcome: Outcome) {
@@ -142,7 +142,7 @@
 #[test]
 fn a_job_is_pushed_and_its_result_delivered_once() {
     let mut host = Host::new();
-    host.ask(4, request("look"));
+    host.ask(4, parsed("look"));
     host.end(done());
     assert_eq!(host.peers.answers, [(4, Answer::Delivered(b"1\t2\t3\n".to_vec()))]);
     host.end(done());
@@ -166,7 +166,7 @@
     ] {
         assert_eq!(super::ending(&outcome), ending);
         let mut host = Host::new();
-        host.ask(4, request("look"));
+        host.ask(4, parsed("look"));
         host.end(outcome);
         host.turn(News::default());
         assert_eq!(host.peers.pushes.len(), 2, "{ending:?}: a pure job is pushed again");
@@ -179,7 +179,7 @@
 #[test]
 fn a_withdrawn_job_has_its_push_given_up_and_gets_no_other_answer() {
     let mut host = Host::new();
-    host.ask(4, request("look"));
+    host.ask(4, parsed("look"));
     host.turn(News { withdrawn: vec![4], ..News::default() });
     assert_eq!(host.peers.given_up.len(), 1);
     assert_eq!(host.peers.answers, [(4, Answer::Withdrawn)]);
@@ -191,7 +191,7 @@
 #[test]
 fn no_other_push_goes_out_before_the_end_of_one_that_was_given_up() {
     let mut host = Host::new();
-    host.ask(4, Request { patience: 20.0, ..request("look") });
+    host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
     while host.peers.given_up.is_empty() {
         host.now += 0.1;
         host.turn(News::default());
@@ -212,7 +212,7 @@
 #[test]
 fn an_answer_that_crosses_its_giving_up_is_delivered_while_its_job_is_open() {
     let mut host = Host::new();
-    host.ask(4, Request { patience: 20.0, ..request("look") });
+    host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
     while host.peers.given_up.is_empty() {
         host.now += 0.1;
         host.turn(News::default());
@@ -226,7 +226,7 @@
 #[test]
 fn a_job_withdrawn_in_the_turn_it_came_in_is_never_pushed() {
     let mut host = Host::new();
-    host.turn(News { asked: vec![(4, request("look"))], withdrawn: vec![4], ..News::default() });
+    host.turn(News { asked: vec![(4, parsed("look"))], withdrawn: vec![4], ..News::default() });
     assert!(host.peers.pushes.is_empty());
     host.adds_up();
 }
@@ -234,7 +234,7 @@
 #[test]
 fn an_unanswered_job_is_given_up_and_answered_at_its_deadline() {
     let mut host = Host::new();
-    host.ask(4, Request { patience: 0.5, ..request("look") });
+    host.ask(4, ParsedStatement { patience: 0.5, ..parsed("look") });
     for _ in 0..20 {
         let wake = host.turn(News::default());
         host.now = wake.min(host.now + 0.1);
@@ -254,7 +254,7 @@
 fn a_job_that_came_while_we_had_no_turn_is_answered_at_its_clients_time() {
     let mut host = Host::new();
     host.now = 110.0;
-    host.turn(News { asked: vec![(4, request("look"))], since: Some(108.5), ..News::default() });
+    host.turn(News { asked: vec![(4, parsed("look"))], since: Some(108.5), ..News::default() });
     host.now = 110.5;
     host.turn(News::default());
     assert!(matches!(host.peers.answers[..], [(4, Answer::TurnedBack { .. })]));
@@ -264,7 +264,7 @@
 fn a_push_given_up_before_it_left_is_told_as_one_that_never_ran() {
     let mut host = Host::new();
     host.peers.how_far = Some(Failure::NeverSent);
-    host.ask(4, Request { patience: 0.5, ..request("look") });
+    host.ask(4, ParsedStatement { patience: 0.5, ..parsed("look") });
     host.now = 100.5;
     host.turn(News::default());
     host.turn(News::default());
@@ -275,16 +275,16 @@
 #[test]
 fn jobs_that_cannot_be_taken_are_told_why() {
     let mut host = Host::new();
-    host.ask(4, request("lok"));
-    host.ask(5, request("load"));
+    host.ask(4, parsed("lok"));
+    host.ask(5, parsed("load"));
     let words: Vec<&str> = host.unusable.iter().map(|(_, words)| words.as_str()).collect();
     assert!(words[0].contains("op: expected one of look load"), "{words:?}");
     assert!(words[1].contains("dedupe: expected"), "{words:?}");
-    host.ask(6, Request { receipt: Some("5c".to_string()), ..request("load") });
+    host.ask(6, ParsedStatement { receipt: Some("5c".to_string()), ..parsed("load") });
     assert_eq!((host.unusable.len(), host.peers.pushes.len()), (2, 1));
-    host.ask(7, Request { tenant: Some("nobody".to_string()), ..request("look") });
+    host.ask(7, ParsedStatement { tenant: Some("nobody".to_string()), ..parsed("look") });
     assert!(host.unusable[2].1.contains("org: expected one of town"), "{:?}", host.unusable);
-    host.ask(8, Request { tenant: Some("town".to_string()), ..request("look") });
+    host.ask(8, ParsedStatement { tenant: Some("town".to_string()), ..parsed("look") });
     assert_eq!((host.unusable.len(), host.peers.pushes.len()), (3, 2));
     host.adds_up();
 }
@@ -292,9 +292,9 @@
 #[test]
 fn an_id_that_is_open_is_refused_to_others_and_free_again_after_its_answer() {
     let mut host = Host::new();
-    let first = request("look");
+    let first = parsed("look");
     host.ask(4, first.clone());
-    host.ask(5, Request { statement: b"SELECT 2".to_vec(), ..first.clone() });
+    host.ask(5, ParsedStatement { text: b"SELECT 2".to_vec(), ..first.clone() });
     assert!(host.unusable[0].1.contains("call: expected an id that is not in use"), "{:?}", host.unusable);
     host.end(done());
     assert!(matches!(host.peers.answers[..], [(4, Answer::Delivered(_))]));
@@ -309,8 +309,8 @@
 #[test]
 fn a_client_that_says_it_waits_for_a_day_makes_others_no_later() {
     let mut host = Host::new();
-    host.ask(4, Request { patience: 80_000.0, ..request("look") });
-    host.ask(5, Request { patience: 28.0, work: Some(2.0), ..request("look") });
+    host.ask(4, ParsedStatement { patience: 80_000.0, ..parsed("look") });
+    host.ask(5, ParsedStatement { patience: 28.0, work: Some(2.0), ..parsed("look") });
     host.now += 0.01;
     // Were all of its category measured by that day, this one would be long past its time.
     host.turn(News::default());
@@ -331,7 +331,7 @@
     let news = |event| News { lists: vec![event], ..News::default() };
     host.turn(news(list(2, false, vec![gone("a", 1), gone("b", 2)])));
     host.turn(news(list(3, false, vec![entry("c", 1)])));
-    host.ask(4, request("look"));
+    host.ask(4, parsed("look"));
     assert_eq!(host.peers.pushes[0].1, 3, "its number is its own");
     // Engines come and go for long without the table growing.
     for number in 4..200 {
@@ -345,9 +345,9 @@
 #[test]
 fn after_a_stop_every_job_has_its_answer_in_time() {
     let mut host = Host::new();
-    host.ask(4, Request { patience: 20.0, ..request("look") });
+    host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
     host.routing.stop_at(103.0);
-    host.ask(5, Request { patience: 20.0, ..request("look") });
+    host.ask(5, ParsedStatement { patience: 20.0, ..parsed("look") });
     for _ in 0..32 {
         host.now += 0.1;
         host.turn(News::default());
@@ -359,13 +359,13 @@
 #[test]
 fn when_the_decisions_fail_open_jobs_are_terminated_and_later_ones_served() {
     let mut host = Host::new();
-    host.ask(4, request("look"));
-    let asked = vec![(5, request("broken")), (6, request("look"))];
+    host.ask(4, parsed("look"));
+    let asked = vec![(5, parsed("broken")), (6, parsed("look"))];
     host.turn(News { asked, lists: vec![list(2, true, vec![entry("c", 3)])], ..News::default() });
     assert_eq!(host.peers.answers.len(), 3);
     assert!(host.peers.answers.iter().all(|(_, answer)| *answer == Answer::Terminated));
     assert_eq!(host.peers.given_up.len(), 1);
-    host.ask(7, request("look"));
+    host.ask(7, parsed("look"));
     assert_eq!(host.peers.pushes.last().unwrap().1, 3, "the list that came with it holds");
     host.end(done());
     assert!(matches!(host.peers.answers[3], (7, Answer::Delivered(_))));
@@ -376,7 +376,7 @@
 #[test]
 fn terms_and_calling_off_reach_what_is_out() {
     let mut host = Host::new();
-    host.ask(4, request("look"));
+    host.ask(4, parsed("look"));
     let mut pen = Pen { desk: &mut host.routing.desk, peers: &mut host.peers };
     let lane = pen.desk.jobs[&0].lane;
     pen.terms(0, lane, 64.0);
@@ -392,7 +392,7 @@
 #[test]
 fn what_is_not_legal_is_not_done() {
     let mut host = Host::new();
-    host.ask(4, request("look"));
+    host.ask(4, parsed("look"));
     let mut pen = Pen { desk: &mut host.routing.desk, peers: &mut host.peers };
     // One push is out, and copies are not allowed.
     pen.push(0, 1, None, f64::INFINITY);
@@ -406,7 +406,7 @@
 #[test]
 fn what_waits_for_an_engine_that_drains_or_has_gone_is_called_back() {
     let mut host = Host::new();
-    host.ask(1, request("look"));
+    host.ask(1, parsed("look"));
     let (push, engine, _) = host.peers.pushes[0].clone();
     let [first, second] =
         ["a", "b"].map(|uid| host.routing.desk.engines.iter().find(|one| one.uid == uid).unwrap().number);
--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -3,7 +3,7 @@
 use super::buffer::{Buffer, Reached};
 use crate::protocol::engine::{columns, rows, COLUMNS};
 use crate::protocol::mysql::{self, Command};
-use crate::protocol::statement::{self, Asked, Question, Request};
+use crate::protocol::statement::{self, ParsedStatement, Question, Statement};
 use crate::routing::{Answer, SessionId};
 use calloop::RegistrationToken;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -37,7 +37,7 @@
 
 /// What a session's bytes ask of the rest of the router.
 pub enum Heard {
-    Asked(Request),
+    Query(ParsedStatement),
     /// A query that nothing can be made of, and why.
     Unusable(String),
     Kill {
@@ -345,10 +345,12 @@
 
     fn query(&mut self, text: &[u8]) -> Option<Heard> {
         match statement::read(text) {
-            Ok(Asked::Job(request)) => return self.wait(Heard::Asked(request)),
-            Ok(Asked::Kill { session, query_only }) => return self.wait(Heard::Kill { session, query_only }),
-            Ok(Asked::Question(question)) => return self.wait(Heard::Question(question)),
-            Ok(Asked::Harmless) => self.ok(),
+            Ok(Statement::Query(statement)) => return self.wait(Heard::Query(statement)),
+            Ok(Statement::Kill { session, query_only }) => {
+                return self.wait(Heard::Kill { session, query_only })
+            }
+            Ok(Statement::Question(question)) => return self.wait(Heard::Question(question)),
+            Ok(Statement::Harmless) => self.ok(),
             Err(why) => return self.wait(Heard::Unusable(why)),
         }
         None
--- a/crates/router/src/transport/sessions.rs
+++ b/crates/router/src/transport/sessions.rs
@@ -223,16 +223,16 @@
         match worked {
             Some(Ok(None)) => {}
             // Asked and left at once: nothing is begun for it.
-            Some(Ok(Some(Heard::Asked(_)))) if session.gone() => {
+            Some(Ok(Some(Heard::Query(_)))) if session.gone() => {
                 self.counters.taken += 1;
                 self.counters.withdrawn += 1;
                 self.answer(id, Answer::Withdrawn, now);
             }
-            Some(Ok(Some(Heard::Asked(mut request)))) => {
+            Some(Ok(Some(Heard::Query(mut statement)))) => {
                 // Its time runs from its last byte, also where that came long before its turn.
                 let lay = session.lay(news.since.unwrap_or(now));
-                request.patience = (request.patience - lay).max(0.0);
-                news.asked.push((id, request));
+                statement.patience = (statement.patience - lay).max(0.0);
+                news.asked.push((id, statement));
             }
             Some(Ok(Some(Heard::Unusable(why)))) => self.unusable(id, &why, now),
             Some(Ok(Some(Heard::Kill { session, query_only }))) => self.kills.push((id, session, query_only)),
