--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -70,7 +70,7 @@
         longest: f64::INFINITY,
         stretch: 2.0,
         threads,
-        effect: Effect::Pure,
+        idempotency: Idempotency::Idempotent,
         in_key_order: false,
         holds_tables: false,
         waits_for_holders: false,
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -5,7 +5,7 @@
 use super::target::{REGIONS, ROUTERS, ZONES};
 use cleatgw::logic::Gateway;
 use cleatgw::{
-    Category, ColdStart, Deployment, Effect, Ending, Kind, Listing, Load, Met, PushBudget, PushEnd,
+    Category, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, PushBudget, PushEnd,
 };
 use cleatgw::{Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineLife, LASTS};
@@ -81,7 +81,7 @@
 struct Seen {
     deadline: f64,
     answers: u32,
-    effect: bool,
+    non_idempotent: bool,
     begun: u32,
 }
 
@@ -100,9 +100,9 @@
         *self.checked.entry(rule).or_default() += 1;
     }
 
-    fn taken(&mut self, id: u64, deadline: f64, effect: bool) {
+    fn taken(&mut self, id: u64, deadline: f64, non_idempotent: bool) {
         self.looked("one answer in time");
-        self.jobs.insert(id, Seen { deadline, answers: 0, effect, begun: 0 });
+        self.jobs.insert(id, Seen { deadline, answers: 0, non_idempotent, begun: 0 });
     }
 
     fn answered(&mut self, id: u64, now: f64) {
@@ -167,7 +167,7 @@
     }
 
     fn begun(&mut self, id: u64, now: f64) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.effect) else { return };
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.non_idempotent) else { return };
         job.begun += 1;
         let twice = job.begun > 1;
         self.looked("effectful once");
@@ -417,14 +417,14 @@
     }
 
     fn deployment(&self) -> Deployment {
-        let category = |effect| Category {
+        let category = |idempotency| Category {
             credit: 1.0,
             late_share: 0.0,
             expected_time: EXPECTED,
             longest: LONGEST,
             stretch: 0.0,
             threads: 1.0,
-            effect,
+            idempotency,
             in_key_order: false,
             holds_tables: false,
             waits_for_holders: false,
@@ -433,7 +433,7 @@
         };
         Deployment {
             gateways: self.play.routers as f64,
-            categories: vec![category(Effect::Pure), category(Effect::Effectful)],
+            categories: vec![category(Idempotency::Idempotent), category(Idempotency::NonIdempotent)],
             kinds: vec![Kind { cores: CORES, memory_mb: 8192.0 }],
             largest_share: 0.5,
             call_off: true,
@@ -717,20 +717,20 @@
         }
         let work = self.mean * (0.5 + self.rng.random::<f64>());
         let cost = Some(work * (0.7 + 0.6 * self.rng.random::<f64>()));
-        let effect = self.rng.random::<f64>() < 0.3;
+        let non_idempotent = self.rng.random::<f64>() < 0.3;
         let table_group = self.rng.random_range(0..2 * self.play.engines as u64);
         let router = &mut self.routers[at];
         // Clients of one that drains go elsewhere.
         let Some(gateway) = router.gateway.as_mut().filter(|_| !router.drains) else { return };
         (self.ids, router.next) = (self.ids + 1, router.next + 1);
         let (id, deadline) = (self.ids, now + LONGEST);
-        let (category, memory_mb) = (usize::from(effect), Some(10.0));
+        let (category, memory_mb) = (usize::from(non_idempotent), Some(10.0));
         let taken = Taken { category, table_group, cost, memory_mb, deadline, ..Taken::default() };
         let began = Instant::now();
         gateway.job_taken(now, router.next, taken);
         self.spent.decisions += began.elapsed();
         router.jobs.insert(router.next, Job { id, work, since: now, pushes: Vec::new(), over: false });
-        self.checker.taken(id, deadline, effect);
+        self.checker.taken(id, deadline, non_idempotent);
         self.phase(now).taken += 1;
         self.round(at);
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What clients ask for, in turn: mostly what may be repeated, some with receipts, few that must not run twice.
+/// What clients ask for, in turn: mostly what may be repeated, some with idempotency keys, few that must not run twice.
 const MIXED: [&str; 10] = ["look", "look", "load", "look", "look", "once", "look", "look", "load", "look"];
 /// How long a client waits for a job, in seconds.
 const PATIENCE: f64 = 3.0;
@@ -125,10 +125,10 @@
                 let number = CALLS.fetch_add(1, Ordering::Relaxed);
                 let category = MIXED[all.len() % MIXED.len()];
                 // Far from what other clients of the tests use.
-                let (call, receipt) = (format!("{:016x}", number | 1 << 40), format!("k{number}"));
+                let (call, idempotency_key) = (format!("{:016x}", number | 1 << 40), format!("k{number}"));
                 let (ttl, work, group) = (PATIENCE * 1e3, self.work, all.len() % 16);
                 let text = format!(
-                    "/* op={category},call={call},ttl={ttl},dedupe={receipt},work={work},mb=10 */ \
+                    "/* op={category},call={call},ttl={ttl},dedupe={idempotency_key},work={work},mb=10 */ \
                      work {work} FROM sales_{group}.t"
                 );
                 let sent = self.now();
@@ -140,7 +140,17 @@
                 let twice = answer.is_some() && more_has_come(&client);
                 let answered = answer.as_ref().map(|answer| (over, outcome(answer)));
                 let (router, patience) = (self.router, PATIENCE);
-                all.push(Asked { router, call, category, receipt, sent, patience, answered, over, twice });
+                all.push(Asked {
+                    router,
+                    call,
+                    category,
+                    idempotency_key,
+                    sent,
+                    patience,
+                    answered,
+                    over,
+                    twice,
+                });
                 if answer.is_none() {
                     break;
                 }
--- a/crates/lab/src/shared.rs
+++ b/crates/lab/src/shared.rs
@@ -160,10 +160,17 @@
                     let mut inner = self.inner.lock().unwrap();
                     inner.got.entry(id.to_string()).or_insert(now);
                     let field = |name| fields.split(',').find_map(|field| field.strip_prefix(name));
-                    let receipt = field("uniq=").unwrap_or("").to_string();
+                    let idempotency_key = field("uniq=").unwrap_or("").to_string();
                     let (call, engine, got) = (id.to_string(), self.number, self.now());
                     let run = inner.ran.len();
-                    inner.ran.push(Ran { engine, call, receipt, got, over: f64::INFINITY, done: false });
+                    inner.ran.push(Ran {
+                        engine,
+                        call,
+                        idempotency_key,
+                        got,
+                        over: f64::INFINITY,
+                        done: false,
+                    });
                     inner.work.push(work_ms);
                     inner.running.push(Running { on, id: id.to_string(), work_ms, left: work_ms, run });
                 }
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -20,7 +20,7 @@
     pub call: String,
     pub category: &'static str,
     /// The same for all tries of one request; empty where it has none.
-    pub receipt: String,
+    pub idempotency_key: String,
     pub sent: f64,
     /// How long its client waits.
     pub patience: f64,
@@ -37,7 +37,7 @@
 pub struct Ran {
     pub engine: usize,
     pub call: String,
-    pub receipt: String,
+    pub idempotency_key: String,
     pub got: f64,
     /// When it ended there: done and said, given up, or its connection closed; infinite while it runs.
     pub over: f64,
@@ -47,21 +47,21 @@
 /// What the deployment of the laboratory states.
 #[derive(Clone, Debug)]
 pub struct Stated {
-    /// How long a receipt is known.
+    /// How long an idempotency key is known.
     pub window: f64,
     /// Further pushes: so many, and such a share of the jobs taken, in so many seconds.
     pub spare: f64,
     pub share: f64,
     pub look_back: f64,
     /// Categories by what running one twice does.
-    pub effectful: &'static str,
-    pub receipted: &'static str,
+    pub non_idempotent: &'static str,
+    pub deduplicated: &'static str,
 }
 
 impl Default for Stated {
     fn default() -> Stated {
-        let (effectful, receipted) = ("once", "load");
-        Stated { window: 12.0, spare: 10.0, share: 0.2, look_back: 10.0, effectful, receipted }
+        let (non_idempotent, deduplicated) = ("once", "load");
+        Stated { window: 12.0, spare: 10.0, share: 0.2, look_back: 10.0, non_idempotent, deduplicated }
     }
 }
 
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 pub struct Verdict {
     pub two_answers: usize,
-    /// Effectful jobs that came to engines twice, and receipted ones again after their window.
+    /// Non-idempotent jobs that came to engines twice, and deduplicated ones again after their window.
     pub ran_twice: usize,
     pub turned_back_after_run: usize,
     pub two_out: usize,
@@ -155,12 +155,12 @@
         verdict.two_answers += 1;
         verdict.find(format!("{call} was answered twice"));
     }
-    if *category == facts.stated.effectful && runs.len() > 1 {
+    if *category == facts.stated.non_idempotent && runs.len() > 1 {
         verdict.ran_twice += 1;
         verdict.find(format!("{category} {call} came to engines {} times", runs.len()));
     }
     let turned_back = matches!(job.answered, Some((_, Outcome::TurnedBack)));
-    if turned_back && *category == facts.stated.effectful && !runs.is_empty() {
+    if turned_back && *category == facts.stated.non_idempotent && !runs.is_empty() {
         verdict.turned_back_after_run += 1;
         verdict.find(format!("{category} {call} was turned back after a push"));
     }
@@ -179,20 +179,23 @@
     }
 }
 
-/// A receipted request runs again only within its window, whoever sends it and under whatever call.
+/// A deduplicated request runs again only within its window, whoever sends it and under whatever call.
 fn receipts(asked: &[Asked], ran: &[Ran], facts: &Facts, verdict: &mut Verdict) {
-    let receipted = asked.iter().filter(|job| job.category == facts.stated.receipted);
-    let known: std::collections::HashSet<&str> = receipted.map(|job| job.receipt.as_str()).collect();
+    let deduplicated = asked.iter().filter(|job| job.category == facts.stated.deduplicated);
+    let known: std::collections::HashSet<&str> =
+        deduplicated.map(|job| job.idempotency_key.as_str()).collect();
     let mut first: HashMap<&str, f64> = HashMap::new();
-    for run in ran.iter().filter(|run| known.contains(run.receipt.as_str())) {
-        let at = first.entry(&run.receipt).or_insert(run.got);
+    for run in ran.iter().filter(|run| known.contains(run.idempotency_key.as_str())) {
+        let at = first.entry(&run.idempotency_key).or_insert(run.got);
         *at = at.min(run.got);
     }
     for run in ran {
-        if first.get(run.receipt.as_str()).is_some_and(|first| run.got > first + facts.stated.window + SLACK)
+        if first
+            .get(run.idempotency_key.as_str())
+            .is_some_and(|first| run.got > first + facts.stated.window + SLACK)
         {
             verdict.ran_twice += 1;
-            verdict.find(format!("{} ran again after its window", run.receipt));
+            verdict.find(format!("{} ran again after its window", run.idempotency_key));
         }
     }
 }
@@ -275,7 +278,7 @@
             router: 0,
             call: call.to_string(),
             category,
-            receipt: format!("d{call}"),
+            idempotency_key: format!("d{call}"),
             sent,
             patience: 3.0,
             answered,
@@ -285,7 +288,7 @@
     }
 
     fn run(call: &str, engine: usize, got: f64, over: f64) -> Ran {
-        Ran { engine, call: call.to_string(), receipt: format!("d{call}"), got, over, done: true }
+        Ran { engine, call: call.to_string(), idempotency_key: format!("d{call}"), got, over, done: true }
     }
 
     fn facts(rough: &dyn Fn(usize, usize, f64, f64) -> bool) -> Facts<'_> {
--- a/crates/lab/src/virtual_comeback.rs
+++ b/crates/lab/src/virtual_comeback.rs
@@ -2,7 +2,9 @@
 //! cores, when a share of the routers is killed at once and some engines are replaced by cold ones.
 
 use cleatgw::logic::Gateway;
-use cleatgw::{Category, ColdStart, Deployment, Effect, Ending, Kind, Listing, Load, PushBudget, PushEnd};
+use cleatgw::{
+    Category, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, PushBudget, PushEnd,
+};
 use cleatgw::{Stage, Taken, Writer};
 use cleatgw_recovery::{Kept, Looks, Moment, Pieces, Puts, Recovery, Sent, Step, AHEAD};
 use plotters::prelude::*;
@@ -33,7 +35,7 @@
         longest: PATIENCE,
         stretch: 0.0,
         threads: 1.0,
-        effect: Effect::Pure,
+        idempotency: Idempotency::Idempotent,
         in_key_order: false,
         holds_tables: false,
         waits_for_holders: false,
--- a/crates/router/src/protocol/engine.rs
+++ b/crates/router/src/protocol/engine.rs
@@ -21,7 +21,7 @@
     pub category: &'a str,
     /// How long the gateway will wait, in seconds.
     pub wait: f64,
-    pub receipt: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     pub grant_mb: f64,
     pub lane: u8,
     pub statement: &'a [u8],
@@ -42,8 +42,8 @@
     pub fn new(ask: &Ask) -> Unsent {
         let before = format!("GET {} queue={},budget=", ask.id, ask.category).into_bytes();
         let mut behind = Vec::new();
-        if let Some(receipt) = ask.receipt {
-            write!(behind, ",uniq={receipt}").expect("memory takes all");
+        if let Some(idempotency_key) = ask.idempotency_key {
+            write!(behind, ",uniq={idempotency_key}").expect("memory takes all");
         }
         if ask.grant_mb > 0.0 {
             write!(behind, ",grant={}", ask.grant_mb.ceil() as u64).expect("memory takes all");
--- a/crates/router/src/protocol/engine/tests.rs
+++ b/crates/router/src/protocol/engine/tests.rs
@@ -6,7 +6,7 @@
         id: "9b1f03aa5c7e2d41",
         category: "report",
         wait: 1.2341,
-        receipt: None,
+        idempotency_key: None,
         grant_mb: 0.0,
         lane: 1,
         statement: b"SELECT 1",
@@ -14,7 +14,7 @@
     let mut out = Vec::new();
     Unsent::new(&ask).leaves(&mut out, ask.wait);
     assert_eq!(out, b"GET 9b1f03aa5c7e2d41 queue=report,budget=1235,rank=1 8\r\nSELECT 1\r\n");
-    (ask.receipt, ask.grant_mb, ask.wait) = (Some("5c0f"), 95.2, 0.0);
+    (ask.idempotency_key, ask.grant_mb, ask.wait) = (Some("5c0f"), 95.2, 0.0);
     out.clear();
     Unsent::new(&ask).leaves(&mut out, ask.wait);
     let fields = b"GET 9b1f03aa5c7e2d41 queue=report,budget=1,uniq=5c0f,grant=96,rank=1 8\r\n";
--- a/crates/router/src/protocol/golden_tests.rs
+++ b/crates/router/src/protocol/golden_tests.rs
@@ -20,13 +20,13 @@
         id: "9b1f03aa5c7e2d41",
         category: "report",
         wait: 1.2341,
-        receipt: None,
+        idempotency_key: None,
         grant_mb: 0.0,
         lane: 1,
         statement: b"SELECT 1",
     };
     let mut text = written(|out| engine::Unsent::new(&ask).leaves(out, 1.2341));
-    (ask.receipt, ask.grant_mb, ask.lane) = (Some("5c0f"), 95.2, 3);
+    (ask.idempotency_key, ask.grant_mb, ask.lane) = (Some("5c0f"), 95.2, 3);
     text += &written(|out| engine::Unsent::new(&ask).leaves(out, 0.0));
     text += &written(|out| engine::page(out, "a1", 2));
     text += &written(|out| engine::close(out, "a1"));
@@ -91,7 +91,7 @@
     let known = ["look".to_string(), "report".to_string()];
     text += &(statement::unknown("op", "see", &known) + "\n");
     text += &(statement::id_in_use("9b1f03aa5c7e2d41") + "\n");
-    text += &(statement::no_receipt("look") + "\n");
+    text += &(statement::missing_idempotency_key("look") + "\n");
     expect_file!["golden/statements.txt"].assert_eq(&text);
 }
 
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -36,7 +36,7 @@
     /// How long the client waits, in seconds.
     pub patience: f64,
     pub tenant: Option<String>,
-    pub receipt: Option<String>,
+    pub idempotency_key: Option<String>,
     pub work: Option<f64>,
     pub memory_mb: Option<f64>,
     pub table_group: Option<u64>,
@@ -121,7 +121,7 @@
         patience: number("ttl", "milliseconds", LONGEST_MS)?.ok_or_else(|| wrong("ttl", "milliseconds"))?
             / 1e3,
         tenant: field("org", "a tenant", plain)?.map(str::to_string),
-        receipt: field("dedupe", "a mark against repeats", plain)?.map(str::to_string),
+        idempotency_key: field("dedupe", "a mark against repeats", plain)?.map(str::to_string),
         work: number("work", "milliseconds", LONGEST_MS)?.map(|ms| ms / 1e3),
         memory_mb: number("mb", "megabytes", MOST_MB)?,
         table_group: table_group(statement),
@@ -138,7 +138,7 @@
     format!("field call: expected an id that is not in use, got \"{id}\"")
 }
 
-pub fn no_receipt(category: &str) -> String {
+pub fn missing_idempotency_key(category: &str) -> String {
     format!("field dedupe: expected a mark against repeats, as {category} needs one")
 }
 
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -3,20 +3,20 @@
 use std::fmt;
 
 macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident,)*) => {
+    ($($(#[$doc:meta])* $field:ident: $name:literal,)*) => {
         #[derive(Clone, Debug, Default)]
-        pub struct Counters { $($(#[$doc])* pub $name: u64,)* }
+        pub struct Counters { $($(#[$doc])* pub $field: u64,)* }
 
         impl Counters {
             /// Adds what another part of the router has counted.
             pub fn add(&mut self, other: &Counters) {
-                $(self.$name += other.$name;)*
+                $(self.$field += other.$field;)*
             }
         }
 
         impl fmt::Display for Counters {
             fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-                let counts = [$((stringify!($name), self.$name),)*];
+                let counts = [$(($name, self.$field),)*];
                 let words = counts.iter().map(|(name, count)| format!("{name}={count}"));
                 to.write_str(&words.collect::<Vec<_>>().join(" "))
             }
@@ -26,95 +26,95 @@
 
 counters! {
     /// taken = delivered + turned_back + terminated + withdrawn + open.
-    taken,
-    delivered,
-    turned_back,
-    terminated,
-    withdrawn,
-    open,
+    taken: "taken",
+    delivered: "delivered",
+    turned_back: "turned_back",
+    terminated: "terminated",
+    withdrawn: "withdrawn",
+    open: "open",
     /// Jobs delivered within their expected time.
-    in_time,
+    in_time: "in_time",
     /// Queries that no job could be made of.
-    unusable,
-    pushes,
-    pushes_delivered,
-    pushes_erred,
-    pushes_full,
-    pushes_timed_out,
-    pushes_unreached,
-    pushes_broken,
-    pushes_called_off,
-    pushes_never_sent,
+    unusable: "unusable",
+    pushes: "pushes",
+    pushes_delivered: "pushes_delivered",
+    pushes_erred: "pushes_erred",
+    pushes_full: "pushes_full",
+    pushes_timed_out: "pushes_timed_out",
+    pushes_unreached: "pushes_unreached",
+    pushes_broken: "pushes_broken",
+    pushes_called_off: "pushes_called_off",
+    pushes_never_sent: "pushes_never_sent",
     /// Answers of engines to what had been given up.
-    answers_dropped,
-    sessions,
-    sessions_open,
-    sessions_closed_for_room,
+    answers_dropped: "answers_dropped",
+    sessions: "sessions",
+    sessions_open: "sessions_open",
+    sessions_closed_for_room: "sessions_closed_for_room",
     /// Sessions ended for bytes that are no protocol.
-    sessions_malformed,
-    links,
-    links_open,
-    links_failed,
-    links_malformed,
-    descriptors_short,
-    board_events,
-    board_connects,
-    board_malformed,
+    sessions_malformed: "sessions_malformed",
+    links: "links",
+    links_open: "links_open",
+    links_failed: "links_failed",
+    links_malformed: "links_malformed",
+    descriptors_short: "descriptors_short",
+    board_events: "board_events",
+    board_connects: "board_connects",
+    board_malformed: "board_malformed",
     /// Configurations read again, and those of them that could not be used.
-    reloads,
-    reloads_refused,
+    reloads: "reloads",
+    reloads_refused: "reloads_refused",
     /// Sessions with routing peers that came up, and that were lost.
-    bgp_established,
-    bgp_lost,
-    bgp_updates_out,
-    bgp_updates_in,
-    bgp_notifications_out,
-    bgp_notifications_in,
+    bgp_established: "bgp_established",
+    bgp_lost: "bgp_lost",
+    bgp_updates_out: "bgp_updates_out",
+    bgp_updates_in: "bgp_updates_in",
+    bgp_notifications_out: "bgp_notifications_out",
+    bgp_notifications_in: "bgp_notifications_in",
     /// Learned routes treated as withdrawn (RFC 7606), passed over, and left out for want of room.
-    bgp_treated_as_withdrawn,
-    bgp_passed_over,
-    bgp_left_out,
+    bgp_treated_as_withdrawn: "bgp_treated_as_withdrawn",
+    bgp_passed_over: "bgp_passed_over",
+    bgp_left_out: "bgp_left_out",
     /// Changes of how an address stands, and moves that the guard, the damping or the cap held back.
-    announce_changes,
-    announce_guarded,
-    announce_damped,
-    announce_capped,
+    announce_changes: "announce_changes",
+    announce_guarded: "announce_guarded",
+    announce_damped: "announce_damped",
+    announce_capped: "announce_capped",
     /// Estimated waits that were compared with the true ones, those within a fifth, and jobs that waited without one.
-    waits_compared,
-    waits_within_a_fifth,
+    waits_compared: "waits_compared",
+    waits_within_a_fifth: "waits_within_a_fifth",
     /// Within a fifth or 20 ms.
-    waits_near,
-    waits_unknown,
+    waits_near: "waits_near",
+    waits_unknown: "waits_unknown",
     /// Datagrams of the cluster, and those dropped, by reason.
-    cluster_in,
-    cluster_out,
-    cluster_out_bytes,
-    cluster_unsent,
-    cluster_strangers,
-    cluster_too_long,
-    cluster_noise,
-    cluster_version,
-    cluster_other,
-    cluster_wrong_sender,
-    cluster_former_life,
-    cluster_body,
+    cluster_in: "cluster_in",
+    cluster_out: "cluster_out",
+    cluster_out_bytes: "cluster_out_bytes",
+    cluster_unsent: "cluster_unsent",
+    cluster_strangers: "cluster_strangers",
+    cluster_too_long: "cluster_too_long",
+    cluster_noise: "cluster_noise",
+    cluster_version: "cluster_version",
+    cluster_other: "cluster_other",
+    cluster_wrong_sender: "cluster_wrong_sender",
+    cluster_former_life: "cluster_former_life",
+    cluster_body: "cluster_body",
     /// Suspicions of ours; others' of us that we refuted; lives that we had to begin anew; words that a router is down
     /// while we heard it; turns that came far too late.
-    cluster_accusations,
-    cluster_refutations,
-    cluster_new_lives,
-    cluster_contradicted,
-    cluster_pauses,
+    cluster_accusations: "cluster_accusations",
+    cluster_refutations: "cluster_refutations",
+    cluster_new_lives: "cluster_new_lives",
+    cluster_contradicted: "cluster_contradicted",
+    cluster_pauses: "cluster_pauses",
     /// Puts of what is kept that are on the disk, and those that failed; requests that had been pushed before, by their
-    /// receipts.
-    store_puts,
-    store_failed,
-    marks_met,
-    module_panics,
-    panics,
-    turns,
-    longest_turn_us,
-    latest_wake_us,
+    /// idempotency keys.
+    store_puts: "store_puts",
+    store_failed: "store_failed",
+    marks_met: "marks_met",
+    module_panics: "module_panics",
+    panics: "panics",
+    turns: "turns",
+    longest_turn_us: "longest_turn_us",
+    latest_wake_us: "latest_wake_us",
 }
 
 #[cfg(test)]
--- a/crates/router/src/routing/marks/tests.rs
+++ b/crates/router/src/routing/marks/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_first_push_of_a_receipt_counts_and_one_that_never_ran_does_not() {
+fn the_first_push_of_a_idempotency_key_counts_and_one_that_never_ran_does_not() {
     let mut marks = Marks::default();
     assert!(marks.pushed(7, 10.0) && !marks.pushed(7, 12.0));
     marks.never_ran(7, 12.0);
@@ -18,8 +18,8 @@
 #[test]
 fn made_up_receipts_cost_bounded_memory() {
     let mut marks = Marks::default();
-    for receipt in 0..20_000 {
-        marks.pushed(receipt, receipt as f64);
+    for idempotency_key in 0..20_000 {
+        marks.pushed(idempotency_key, idempotency_key as f64);
     }
     assert_eq!((marks.first.len(), marks.order.len()), (MAX_MARKS, MAX_MARKS));
     assert_eq!(marks.first(0), None);
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -9,7 +9,7 @@
 use crate::protocol::statement::{self as statements, ParsedStatement};
 use cleatgw::logic::Gateway;
 use cleatgw::queue::Wait;
-use cleatgw::{Deployment, Effect, Ending, Listing, Load, Met, PushEnd, Stage, Taken, Writer};
+use cleatgw::{Deployment, Ending, Idempotency, Listing, Load, Met, PushEnd, Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineLife, Observation, PeerEvidence};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_recovery::{Looks, Sent, StillValid};
@@ -120,7 +120,7 @@
     lane: u8,
     grant_mb: f64,
     pushes: Vec<PushState>,
-    /// Its receipt's hash, where its category has receipts.
+    /// Its idempotency key's hash, where its category has idempotency keys.
     mark: Option<u64>,
 }
 
@@ -311,7 +311,7 @@
                 id: &job.statement.id,
                 category: &job.statement.category,
                 wait: until - desk.now,
-                receipt: job.statement.receipt.as_deref(),
+                idempotency_key: job.statement.idempotency_key.as_deref(),
                 grant_mb: job.grant_mb,
                 lane: job.lane,
                 statement: &job.statement.text,
@@ -476,8 +476,8 @@
     /// How far back the rules look, by what the deployment states.
     pub fn looks(&self) -> Looks {
         let Deployment { cold, categories, .. } = &self.desk.deployment;
-        let windows = categories.iter().filter_map(|category| match category.effect {
-            Effect::Receipted { window, .. } => Some(window),
+        let windows = categories.iter().filter_map(|category| match category.idempotency {
+            Idempotency::Deduplicated { window, .. } => Some(window),
             _ => None,
         });
         Looks {
@@ -514,7 +514,7 @@
         self.desk.changes
     }
 
-    /// What is to be kept, with ages at `now`: further pushes, work sent to cold engines, and receipts.
+    /// What is to be kept, with ages at `now`: further pushes, work sent to cold engines, and idempotency keys.
     pub fn kept(&mut self, now: f64) -> (Vec<f64>, Vec<Sent>, Vec<(u64, f64)>) {
         let looks = self.looks();
         let age = |at: &f64| Some((now - at).max(0.0)).filter(|age| *age < looks.repeats);
@@ -696,12 +696,13 @@
         if self.desk.ids.contains(&statement.id) {
             return Err(statements::id_in_use(&statement.id));
         }
-        let receipted = matches!(self.desk.deployment.categories[category].effect, Effect::Receipted { .. });
-        if receipted && statement.receipt.is_none() {
-            return Err(statements::no_receipt(&name));
+        let deduplicated =
+            matches!(self.desk.deployment.categories[category].idempotency, Idempotency::Deduplicated { .. });
+        if deduplicated && statement.idempotency_key.is_none() {
+            return Err(statements::missing_idempotency_key(&name));
         }
         let now = self.desk.now;
-        let mark = statement.receipt.as_deref().filter(|_| receipted).map(name_hash);
+        let mark = statement.idempotency_key.as_deref().filter(|_| deduplicated).map(name_hash);
         let earlier = mark.and_then(|mark| self.desk.marks.as_ref()?.first(mark));
         let earlier = earlier.filter(|at| now - at < self.looks().marks());
         self.desk.counters.marks_met += u64::from(earlier.is_some());
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -1,7 +1,7 @@
 //! Routing against a scripted peer: what it is told, and what it asks of the connections.
 
 use super::*;
-use cleatgw::{Category, Kind, Reach};
+use cleatgw::{Category, DeduplicationScope, Kind};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 #[derive(Default)]
@@ -75,7 +75,7 @@
 }
 
 impl Host {
-    /// Two engines; jobs that look up are pure, those that load are receipted.
+    /// Two engines; jobs that look up are pure, those that load are deduplicated.
     fn new() -> Host {
         let category = Category {
             credit: 1.0,
@@ -84,17 +84,17 @@
             longest: 30.0,
             stretch: 1.0,
             threads: 1.0,
-            effect: Effect::Pure,
+            idempotency: Idempotency::Idempotent,
             in_key_order: false,
             holds_tables: false,
             waits_for_holders: false,
             only_zones: None,
             only_kinds: None,
         };
-        let effect = Effect::Receipted { reach: Reach::All, window: 12.0 };
+        let idempotency = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 12.0 };
         let deployment = Deployment {
             gateways: 1.0,
-            categories: vec![category.clone(), Category { effect, ..category }],
+            categories: vec![category.clone(), Category { idempotency, ..category }],
             kinds: vec![Kind { cores: 8.0, memory_mb: 8000.0 }],
             largest_share: 0.5,
             grants: true,
@@ -280,7 +280,7 @@
     let words: Vec<&str> = host.unusable.iter().map(|(_, words)| words.as_str()).collect();
     assert!(words[0].contains("op: expected one of look load"), "{words:?}");
     assert!(words[1].contains("dedupe: expected"), "{words:?}");
-    host.ask(6, ParsedStatement { receipt: Some("5c".to_string()), ..parsed("load") });
+    host.ask(6, ParsedStatement { idempotency_key: Some("5c".to_string()), ..parsed("load") });
     assert_eq!((host.unusable.len(), host.peers.pushes.len()), (2, 1));
     host.ask(7, ParsedStatement { tenant: Some("nobody".to_string()), ..parsed("look") });
     assert!(host.unusable[2].1.contains("org: expected one of town"), "{:?}", host.unusable);
--- a/crates/router/src/transport/links/tests.rs
+++ b/crates/router/src/transport/links/tests.rs
@@ -43,7 +43,7 @@
             id: &id,
             category: "look",
             wait: 9.0,
-            receipt: None,
+            idempotency_key: None,
             grant_mb: 0.0,
             lane: 1,
             statement: b"x",
@@ -199,7 +199,7 @@
     assert_eq!(story.links.links.len(), 1, "the other goes on");
 }
 
-/// Hard case: a repeat of a receipted job waits for a connection that comes up just after its window.
+/// Hard case: a repeat of a deduplicated job waits for a connection that comes up just after its window.
 #[test]
 fn what_must_have_left_by_some_time_does_not_leave_later() {
     let mut story = Story::new();
@@ -502,7 +502,7 @@
                         id: &id,
                         category: "look",
                         wait: 9.0,
-                        receipt: None,
+                        idempotency_key: None,
                         grant_mb: 0.0,
                         lane: 1,
                         statement: b"x",
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -61,11 +61,11 @@
     }
 }
 
-/// Hard case: a receipted job is pushed just before the kill; its client repeats it 1 s and 13 s after the start. Its estimate
+/// Hard case: a deduplicated job is pushed just before the kill; its client repeats it 1 s and 13 s after the start. Its estimate
 /// is so large that no time-out falls into the silence before the kill, nor on an answer that a busy machine holds up: either
 /// would use up the budget of further pushes, which is another story's.
 #[test]
-fn a_receipted_job_that_may_have_run_is_repeated_within_its_window_and_terminated_after_it() {
+fn a_deduplicated_job_that_may_have_run_is_repeated_within_its_window_and_terminated_after_it() {
     let mut cluster = start(Plan { knows: false, ..tight(1, 2, true) });
     full(&cluster, 0);
     cluster.engines.iter().for_each(|engine| engine.silent(true));
@@ -101,7 +101,7 @@
     assert!(asked.elapsed() < Duration::from_millis(500), "at once");
     assert_eq!(ran(&cluster), 2, "past the window it is not");
     assert_eq!(counter(&Client::at(cluster.address(0)).unwrap().counters_now(), "marks_met"), 2);
-    // Another receipt is served.
+    // Another idempotency key is served.
     let text =
         "/* op=load,call=00000000000000aa,ttl=3000,dedupe=another,work=2,mb=10 */ work 2 FROM sales_1.t";
     assert!(matches!(Client::at(cluster.address(0)).unwrap().ask(text), Answered::Rows(_)));
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -127,7 +127,7 @@
     let away = Engine { address: vacant(), ..Engine::start("away") };
     let (board, router) = started(&[&away]);
     let mut client = Client::new(&router);
-    // An effectful job goes on as nothing ran, and is turned back when no engine can be had.
+    // A non-idempotent job goes on as nothing ran, and is turned back when no engine can be had.
     assert!(
         matches!(client.ask(&job("once", 1000, "x")), Answered::Error(1040, words) if words.contains("pushback="))
     );
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_pure_job_goes_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_talks_nonsense() {
+fn a_idempotent_job_goes_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_talks_nonsense() {
     for (uid, statement) in
         [("resets", "reset"), ("full", "full"), ("loses", "pages 4"), ("garbage", "garbage")]
     {
@@ -189,7 +189,7 @@
     vanished.seen.wait("queue=once", 1);
     let good = Engine::start("good");
     board.tell(false, &[good.entry("ready")]);
-    // What is pure goes elsewhere, what is effectful may have run.
+    // What is pure goes elsewhere, what is non-idempotent may have run.
     assert_eq!(client.answer(), rows(1));
     assert!(matches!(other.answer(), Answered::Error(1105, _)));
     router.log.wait("its machine is gone, with 2 pushes", 1);
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -4,7 +4,7 @@
 mod contradictions;
 mod peers;
 
-use cleatgw::{Category, ColdStart, Deployment, Effect, Kind, PushBudget, Reach};
+use cleatgw::{Category, ColdStart, DeduplicationScope, Deployment, Idempotency, Kind, PushBudget};
 use serde_json::Value;
 use std::collections::HashMap;
 
@@ -185,17 +185,17 @@
     for at in 0..pairs.count("categories")? {
         let path = |key: &str| format!("categories.{at}.{key}");
         names.categories.push(pairs.text(&path("name")).unwrap_or_default().to_string());
-        let effect = match pairs.text(&path("idempotency")) {
-            Some("safe") => Effect::Pure,
-            Some("keyed") => Effect::Receipted {
-                reach: match pairs.text(&path("group")) {
-                    Some("all") => Reach::All,
-                    Some("zone") => Reach::Zone,
-                    _ => Reach::Cell,
+        let idempotency = match pairs.text(&path("idempotency")) {
+            Some("safe") => Idempotency::Idempotent,
+            Some("keyed") => Idempotency::Deduplicated {
+                scope: match pairs.text(&path("group")) {
+                    Some("all") => DeduplicationScope::All,
+                    Some("zone") => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
                 },
                 window: pairs.time(&path("window-us"), 0.0)?,
             },
-            _ => Effect::Effectful,
+            _ => Idempotency::NonIdempotent,
         };
         let bound = |key: &str, known: &mut Vec<String>| {
             let allowed = pairs.list(&path(key));
@@ -210,7 +210,7 @@
             longest: pairs.time(&path("hard-limit-us"), f64::INFINITY)?,
             stretch: pairs.number(&path("aim-stretch"), 0.0)?,
             threads: threads.get(at).copied().unwrap_or(1.0).max(1.0),
-            effect,
+            idempotency,
             holds_tables: holds.get(at) == Some(&"true"),
             waits_for_holders: waits.get(at) == Some(&"true"),
             in_key_order: pairs.flag(&path("serial-by-key")),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,9 +12,9 @@
 
 pub use cleatgw_queue as queue;
 
-/// How far a repeat of a receipted job is dropped as such.
+/// How far a repeat of a deduplicated job is dropped as such.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reach {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -22,10 +22,10 @@
 
 /// What running a job twice would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Pure,
-    Receipted { reach: Reach, window: f64 },
-    Effectful,
+pub enum Idempotency {
+    Idempotent,
+    Deduplicated { scope: DeduplicationScope, window: f64 },
+    NonIdempotent,
 }
 
 /// One kind of job.
@@ -40,7 +40,7 @@
     /// How much longer it is expected to take for each second of its work on each thread.
     pub stretch: f64,
     pub threads: f64,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub in_key_order: bool,
     /// It holds its table group on its engine until it ends, and those that wait stand still there.
     pub holds_tables: bool,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -972,13 +972,17 @@
         let (Some(job), Some(engine)) = (self.jobs.get(&id), self.engines.get(at)) else { return false };
         let near = |push: &Push| {
             let first = &self.engines[push.engine].at;
-            match self.given.categories[job.taken.category].effect {
-                Effect::Receipted { reach: Reach::Zone, .. } => first.zone == engine.at.zone,
-                Effect::Receipted { reach: Reach::Cell, .. } => first.cell == engine.at.cell,
+            match self.given.categories[job.taken.category].idempotency {
+                Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
+                    first.zone == engine.at.zone
+                }
+                Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => {
+                    first.cell == engine.at.cell
+                }
                 _ => true,
             }
         };
-        // Rule 3: nothing new to a draining or gone engine. Rule 2: repeats where their receipt is known. Rule 6:
+        // Rule 3: nothing new to a draining or gone engine. Rule 2: repeats where their idempotency key is known. Rule 6:
         // placement. Rule 4: a cold engine's budget.
         engine.at.stage == Stage::Ready
             && engine.cores > 0.0
@@ -1044,12 +1048,14 @@
 
     /// Until when a push may leave, by the earlier ones that may have run.
     fn repeats_until(&self, job: &Job) -> f64 {
-        let (lasts, lasts_elsewhere) = match self.given.categories[job.taken.category].effect {
-            Effect::Pure => return f64::INFINITY,
-            Effect::Effectful => (f64::NEG_INFINITY, f64::NEG_INFINITY),
-            Effect::Receipted { window, reach: Reach::All } => (window - EDGE, window - EDGE),
+        let (lasts, lasts_elsewhere) = match self.given.categories[job.taken.category].idempotency {
+            Idempotency::Idempotent => return f64::INFINITY,
+            Idempotency::NonIdempotent => (f64::NEG_INFINITY, f64::NEG_INFINITY),
+            Idempotency::Deduplicated { window, scope: DeduplicationScope::All } => {
+                (window - EDGE, window - EDGE)
+            }
             // Of one under another job only the time is known, not where it ran.
-            Effect::Receipted { window, .. } => (window - EDGE, f64::NEG_INFINITY),
+            Idempotency::Deduplicated { window, .. } => (window - EDGE, f64::NEG_INFINITY),
         };
         let ran = job.pushes.iter().filter(|push| !push.never_ran).map(|push| push.sent + lasts);
         ran.chain(job.taken.earlier.map(|sent| sent + lasts_elsewhere)).fold(f64::INFINITY, f64::min)
@@ -1075,9 +1081,11 @@
     fn end(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.over) else { return };
         let (unseen, earlier) = (job.pushes.iter().all(|push| push.never_ran), job.taken.earlier);
-        let harmless = match self.given.categories[job.taken.category].effect {
-            Effect::Pure => true,
-            Effect::Receipted { reach: Reach::All, window } => earlier.is_none_or(|sent| now < sent + window),
+        let harmless = match self.given.categories[job.taken.category].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Deduplicated { scope: DeduplicationScope::All, window } => {
+                earlier.is_none_or(|sent| now < sent + window)
+            }
             _ => unseen && earlier.is_none(),
         };
         if harmless {
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -75,7 +75,7 @@
     choice.map(|&at| (at, grant)).or(roomiest)
 }
 
-fn category(credit: f64, threads: f64, effect: Effect) -> Category {
+fn category(credit: f64, threads: f64, idempotency: Idempotency) -> Category {
     Category {
         credit,
         late_share: 0.2,
@@ -83,7 +83,7 @@
         longest: f64::INFINITY,
         stretch: 2.0,
         threads,
-        effect,
+        idempotency,
         in_key_order: false,
         holds_tables: false,
         waits_for_holders: true,
@@ -94,11 +94,11 @@
 
 /// Light, heavy, holding and confined jobs, before engines of two kinds in three zones.
 fn deployment(gateways: f64, tells: bool) -> Deployment {
-    let all = Effect::Receipted { reach: Reach::All, window: 5.0 };
-    let near = Effect::Receipted { reach: Reach::Zone, window: 5.0 };
+    let all = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 5.0 };
+    let near = Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: 5.0 };
     let mut categories = vec![
-        category(1.0, 1.0, Effect::Pure),
-        category(8.0, 3.0, Effect::Pure),
+        category(1.0, 1.0, Idempotency::Idempotent),
+        category(8.0, 3.0, Idempotency::Idempotent),
         category(6.0, 2.0, all),
         category(2.0, 1.0, near),
     ];
--- a/src/state.rs
+++ b/src/state.rs
@@ -46,6 +46,6 @@
     Deadline(usize),
     TooLate(usize),
     Overdue(usize, usize),
-    /// The window in which its receipt is known ends.
+    /// The window in which its idempotency key is known ends.
     Expired(usize),
 }
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -3,8 +3,8 @@
 use cleatgw::logic::Gateway;
 use cleatgw::queue::{Line, Terms, Wait};
 use cleatgw::{
-    Category, ColdStart, Deployment, Effect, Ending, Kind, Listing, Load, Met, Note, PushBudget, PushEnd,
-    Reach, Stage, Taken, Writer,
+    Category, ColdStart, DeduplicationScope, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, Note,
+    PushBudget, PushEnd, Stage, Taken, Writer,
 };
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -166,7 +166,7 @@
     hash: Sha256,
 }
 
-fn class(value: f64, threads: f64, effect: Effect) -> Category {
+fn class(value: f64, threads: f64, idempotency: Idempotency) -> Category {
     Category {
         credit: value,
         late_share: 0.3,
@@ -174,7 +174,7 @@
         longest: 10.0,
         stretch: 2.0,
         threads,
-        effect,
+        idempotency,
         in_key_order: false,
         holds_tables: false,
         waits_for_holders: false,
@@ -184,17 +184,21 @@
 }
 
 fn classes() -> Vec<Category> {
-    let everywhere = Effect::Receipted { reach: Reach::All, window: 3.0 };
-    let in_zone = Effect::Receipted { reach: Reach::Zone, window: 4.0 };
-    let in_cell = Effect::Receipted { reach: Reach::Cell, window: 2.0 };
+    let everywhere = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 3.0 };
+    let in_zone = Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: 4.0 };
+    let in_cell = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 2.0 };
     vec![
-        class(1.0, 1.0, Effect::Pure),
-        Category { expected_time: 4.0, waits_for_holders: true, ..class(6.0, 4.0, Effect::Pure) },
+        class(1.0, 1.0, Idempotency::Idempotent),
+        Category { expected_time: 4.0, waits_for_holders: true, ..class(6.0, 4.0, Idempotency::Idempotent) },
         class(2.0, 1.0, everywhere),
         class(2.0, 1.0, in_zone),
-        Category { in_key_order: true, ..class(3.0, 1.0, Effect::Effectful) },
+        Category { in_key_order: true, ..class(3.0, 1.0, Idempotency::NonIdempotent) },
         Category { expected_time: 3.0, holds_tables: true, ..class(4.0, 2.0, in_cell) },
-        Category { only_zones: Some(vec![0, 1]), only_kinds: Some(vec![0]), ..class(1.5, 1.0, Effect::Pure) },
+        Category {
+            only_zones: Some(vec![0, 1]),
+            only_kinds: Some(vec![0]),
+            ..class(1.5, 1.0, Idempotency::Idempotent)
+        },
     ]
 }
 
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -64,7 +64,7 @@
     }
 }
 
-pub fn category(credit: f64, threads: f64, effect: Effect) -> Category {
+pub fn category(credit: f64, threads: f64, idempotency: Idempotency) -> Category {
     Category {
         credit,
         late_share: 0.0,
@@ -72,7 +72,7 @@
         longest: f64::INFINITY,
         stretch: 2.0,
         threads,
-        effect,
+        idempotency,
         in_key_order: false,
         holds_tables: false,
         waits_for_holders: true,
@@ -85,7 +85,10 @@
 pub fn plain() -> Deployment {
     Deployment {
         gateways: 1.0,
-        categories: vec![category(1.0, 1.0, Effect::Pure), category(5.0, 4.0, Effect::Pure)],
+        categories: vec![
+            category(1.0, 1.0, Idempotency::Idempotent),
+            category(5.0, 4.0, Idempotency::Idempotent),
+        ],
         kinds: vec![Kind { cores: 8.0, memory_mb: 8000.0 }],
         largest_share: 0.5,
         grants: true,
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn an_effectful_job_that_may_have_run_is_terminated_at_once() {
+fn an_non_idempotent_job_that_may_have_run_is_terminated_at_once() {
     let mut deployment = plain();
-    deployment.categories[0].effect = Effect::Effectful;
+    deployment.categories[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
     let job = world.job(0, |_| ());
     world.round();
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn an_effectful_job_that_never_ran_is_pushed_again() {
+fn an_non_idempotent_job_that_never_ran_is_pushed_again() {
     let mut deployment = plain();
-    deployment.categories[0].effect = Effect::Effectful;
+    deployment.categories[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
     let job = world.job(0, |_| ());
     world.round();
@@ -55,9 +55,10 @@
 }
 
 #[test]
-fn a_receipted_job_is_repeated_only_in_its_cell_and_window() {
+fn a_deduplicated_job_is_repeated_only_in_its_cell_and_window() {
     let mut deployment = plain();
-    deployment.categories[0].effect = Effect::Receipted { reach: Reach::Cell, window: 1.0 };
+    deployment.categories[0].idempotency =
+        Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 1.0 };
     deployment.categories[0].expected_time = 8.0;
     let mut world = World::new(deployment, 0);
     let cells: Vec<Listing> = (0..6).map(|at| Listing { cell: at as u64 % 2, ..listing(at) }).collect();
@@ -82,7 +83,8 @@
 #[test]
 fn a_repeat_at_the_edge_of_its_window_leaves_in_time_or_not_at_all() {
     let mut deployment = plain();
-    deployment.categories[0].effect = Effect::Receipted { reach: Reach::All, window: 1.0 };
+    deployment.categories[0].idempotency =
+        Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
     deployment.categories[0].expected_time = 8.0;
     let mut world = World::new(deployment, 6);
     let jobs: Vec<usize> = (0..3).map(|_| world.job(0, |_| ())).collect();
@@ -321,7 +323,9 @@
 #[test]
 fn no_job_is_pushed_behind_a_holder_of_its_tables() {
     let mut deployment = plain();
-    deployment.categories.push(Category { holds_tables: true, ..category(9.0, 2.0, Effect::Pure) });
+    deployment
+        .categories
+        .push(Category { holds_tables: true, ..category(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 1);
     let (holder, second) = (world.job(2, |_| ()), world.job(2, |_| ()));
     let elsewhere = world.job(0, |taken| taken.table_group = 8);
@@ -337,7 +341,9 @@
 #[test]
 fn readers_keep_away_from_the_engine_where_a_holder_of_their_tables_runs() {
     let mut deployment = plain();
-    deployment.categories.push(Category { holds_tables: true, ..category(9.0, 2.0, Effect::Pure) });
+    deployment
+        .categories
+        .push(Category { holds_tables: true, ..category(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 6);
     let holder = world.job(2, |_| ());
     world.round();
@@ -617,11 +623,11 @@
 #[test]
 fn the_gate_alone_keeps_a_job_from_a_second_effect_a_second_copy_and_one_push_too_many() {
     let mut deployment = plain();
-    let window = Effect::Receipted { reach: Reach::All, window: 1.0 };
+    let window = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
     deployment.categories = vec![
-        category(1.0, 1.0, Effect::Effectful),
+        category(1.0, 1.0, Idempotency::NonIdempotent),
         category(1.0, 1.0, window),
-        category(1.0, 1.0, Effect::Pure),
+        category(1.0, 1.0, Idempotency::Idempotent),
     ];
     deployment.most_pushes = 2;
     let mut world = World::new(deployment, 2);
@@ -651,7 +657,7 @@
 #[test]
 fn holders_of_tables_keep_to_the_far_half_while_they_have_time() {
     let mut deployment = plain();
-    let holder = Category { holds_tables: true, ..category(9.0, 2.0, Effect::Pure) };
+    let holder = Category { holds_tables: true, ..category(9.0, 2.0, Idempotency::Idempotent) };
     deployment.categories.push(Category { expected_time: 8.0, ..holder });
     let mut world = World::new(deployment, 6);
     let jobs: Vec<usize> = (0..5).map(|_| world.job(2, |taken| taken.deadline += 20.0)).collect();
@@ -1107,10 +1113,10 @@
     assert_eq!(pushes_with(50.0), 0);
 }
 
-fn keyed(reach: Reach) -> Deployment {
-    let effect = Effect::Receipted { reach, window: 12.0 };
+fn keyed(scope: DeduplicationScope) -> Deployment {
+    let idempotency = Idempotency::Deduplicated { scope, window: 12.0 };
     Deployment {
-        categories: vec![category(1.0, 1.0, effect), category(1.0, 1.0, Effect::Effectful)],
+        categories: vec![category(1.0, 1.0, idempotency), category(1.0, 1.0, Idempotency::NonIdempotent)],
         ..plain()
     }
 }
@@ -1119,8 +1125,8 @@
 /// and what can't be is answered at once, never as harmless.
 #[test]
 fn a_request_that_was_pushed_before_runs_again_only_within_its_window_and_is_else_terminated_at_once() {
-    let play = |reach: Reach, category: usize, ago: f64| {
-        let mut world = World::new(keyed(reach), 3);
+    let play = |scope: DeduplicationScope, category: usize, ago: f64| {
+        let mut world = World::new(keyed(scope), 3);
         let earlier = Some(world.now - ago);
         let job = world.job(category, |taken| taken.earlier = earlier);
         world.pass(0.1);
@@ -1129,10 +1135,14 @@
             world.book.wrote.iter().any(|(_, wrote)| *wrote == Wrote::Terminate(job)),
         )
     };
-    assert_eq!(play(Reach::All, 0, 11.0), (1, false), "11 s after: the engines still know its receipt");
-    assert_eq!(play(Reach::All, 0, 13.0), (0, true), "13 s after: they may not");
-    assert_eq!(play(Reach::Zone, 0, 1.0), (0, true), "nobody knows in which zone it ran");
-    assert_eq!(play(Reach::All, 1, 1.0), (0, true), "it must not run twice");
+    assert_eq!(
+        play(DeduplicationScope::All, 0, 11.0),
+        (1, false),
+        "11 s after: the engines still know its receipt"
+    );
+    assert_eq!(play(DeduplicationScope::All, 0, 13.0), (0, true), "13 s after: they may not");
+    assert_eq!(play(DeduplicationScope::Zone, 0, 1.0), (0, true), "nobody knows in which zone it ran");
+    assert_eq!(play(DeduplicationScope::All, 1, 1.0), (0, true), "it must not run twice");
 }
 
 /// Rule 7 over a restart: until it is known what was pushed, the spare part of the budget counts as used up.
