--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -242,7 +242,7 @@
                     read.map_err(|Complaint(words)| Complaint(format!("BEGIN: {words}")))?;
                 let mut gateway = Gateway::new(deployment, seed, self.now);
                 let teams = self.teams.as_ref().map(|file| {
-                    let (line, teams) = file.line(self.now, &names.categories);
+                    let (line, teams) = file.line(self.now, &names.classes);
                     gateway.teams(self.now, line, &|_| 0);
                     teams
                 });
@@ -499,20 +499,20 @@
                     .map_err(|_| fields.complain("object", "16 hex digits", text))?,
             ),
         };
-        let category = fields.need("tier-class", "a class")?;
+        let class = fields.need("tier-class", "a class")?;
         let memory = fields.number("mem-mb")?;
         let table_group = fields.number("schema-no")?.unwrap_or(0.0);
         let bits = fields.maybe::<u64>("state-bits", "a whole number")?.unwrap_or(0);
         let deadline = seconds(fields.whole("valid-until-us")?);
-        let Some(category) = self.names.categories.iter().position(|name| name == category) else {
-            return Err(fields.complain("tier-class", "a class named at the start", category));
+        let Some(class) = self.names.classes.iter().position(|name| name == class) else {
+            return Err(fields.complain("tier-class", "a class named at the start", class));
         };
         let job = self.ids.next_job;
         self.ids.next_job += 1;
         self.ids.jobs.insert(job, JobName { id: request, out: 0, over: false });
         self.ids.job_of.insert(request, job);
         let taken = Taken {
-            category,
+            class,
             key,
             table_group: table_group.to_bits(),
             cost: cost.filter(|&cost| bits & 1 == 1 && cost > 0).map(seconds),
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -63,7 +63,7 @@
 
 /// Of so many engines, with routers in the target's proportion.
 fn deployment(engines: usize) -> Deployment {
-    let category = |credit, threads, only_kinds| Category {
+    let class = |credit, threads, only_kinds| RequestClass {
         credit,
         late_share: 0.0,
         expected_time: 1.0,
@@ -80,7 +80,7 @@
     Deployment {
         gateways: (engines * target::ROUTERS).div_ceil(target::ENGINES) as f64,
         // The second one is bound to a kind that is not there: its jobs are held.
-        categories: vec![category(1.0, 1.0, None), category(0.1, 1.0, Some(vec![1]))],
+        classes: vec![class(1.0, 1.0, None), class(0.1, 1.0, Some(vec![1]))],
         kinds: vec![Kind { cores: CORES, memory_mb: 64_000.0 }; 2],
         largest_share: 0.5,
         grants: true,
@@ -106,8 +106,8 @@
     let all: Vec<Listing> = (0..play.engines).map(|engine| listing(engine, false)).collect();
     gateway.engines_listed(0.0, &all, true);
     let mut book = Book::default();
-    let taken = |category, table_group, deadline| Taken {
-        category,
+    let taken = |class, table_group, deadline| Taken {
+        class,
         table_group,
         deadline,
         cost: Some(WORK),
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -5,7 +5,7 @@
 use super::target::{REGIONS, ROUTERS, ZONES};
 use cleatgw::logic::Gateway;
 use cleatgw::{
-    Category, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, PushBudget, PushEnd,
+    ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, PushBudget, PushEnd, RequestClass,
 };
 use cleatgw::{Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineLife, LASTS};
@@ -417,7 +417,7 @@
     }
 
     fn deployment(&self) -> Deployment {
-        let category = |idempotency| Category {
+        let class = |idempotency| RequestClass {
             credit: 1.0,
             late_share: 0.0,
             expected_time: EXPECTED,
@@ -433,7 +433,7 @@
         };
         Deployment {
             gateways: self.play.routers as f64,
-            categories: vec![category(Idempotency::Idempotent), category(Idempotency::NonIdempotent)],
+            classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
             kinds: vec![Kind { cores: CORES, memory_mb: 8192.0 }],
             largest_share: 0.5,
             call_off: true,
@@ -724,8 +724,8 @@
         let Some(gateway) = router.gateway.as_mut().filter(|_| !router.drains) else { return };
         (self.ids, router.next) = (self.ids + 1, router.next + 1);
         let (id, deadline) = (self.ids, now + LONGEST);
-        let (category, memory_mb) = (usize::from(non_idempotent), Some(10.0));
-        let taken = Taken { category, table_group, cost, memory_mb, deadline, ..Taken::default() };
+        let (class, memory_mb) = (usize::from(non_idempotent), Some(10.0));
+        let taken = Taken { class, table_group, cost, memory_mb, deadline, ..Taken::default() };
         let began = Instant::now();
         gateway.job_taken(now, router.next, taken);
         self.spent.decisions += began.elapsed();
--- a/crates/lab/src/line.rs
+++ b/crates/lab/src/line.rs
@@ -18,7 +18,7 @@
             (jobs_of.len(), 1 + chance.random_range(0..teams), chance.random_range(0.01..1.0));
         jobs_of.push((team, work));
         let density = 1.0 / work;
-        line.hold(Waiting { job, team, category: 0, density, work, since: now, never_ran: true }, now);
+        line.hold(Waiting { job, team, class: 0, density, work, since: now, never_ran: true }, now);
         job
     };
     for _ in 0..jobs {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -123,12 +123,12 @@
             let _ = client.stream.set_read_timeout(Some(READS_ON));
             while !self.done() {
                 let number = CALLS.fetch_add(1, Ordering::Relaxed);
-                let category = MIXED[all.len() % MIXED.len()];
+                let class = MIXED[all.len() % MIXED.len()];
                 // Far from what other clients of the tests use.
                 let (call, idempotency_key) = (format!("{:016x}", number | 1 << 40), format!("k{number}"));
                 let (ttl, work, group) = (PATIENCE * 1e3, self.work, all.len() % 16);
                 let text = format!(
-                    "/* op={category},call={call},ttl={ttl},dedupe={idempotency_key},work={work},mb=10 */ \
+                    "/* op={class},call={call},ttl={ttl},dedupe={idempotency_key},work={work},mb=10 */ \
                      work {work} FROM sales_{group}.t"
                 );
                 let sent = self.now();
@@ -143,7 +143,7 @@
                 all.push(Asked {
                     router,
                     call,
-                    category,
+                    class,
                     idempotency_key,
                     sent,
                     patience,
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -326,18 +326,17 @@
 }
 
 pub fn configuration(listen: SocketAddr, board: SocketAddr, known: &str, sockets: u32) -> String {
-    let category = |name: &str, kind: &str| {
+    let class = |name: &str, kind: &str| {
         format!(
             r#"{{"name":"{name}","idempotency":"{kind}","group":"all","window-us":12000000,"objective-us":1000000,
             "hard-limit-us":20000000,"gain":1.0}}"#
         )
     };
-    let categories =
-        [category("look", "safe"), category("load", "keyed"), category("once", "unsafe")].join(",");
+    let classes = [class("look", "safe"), class("load", "keyed"), class("once", "unsafe")].join(",");
     format!(
         r#"{{"name":"n1","listen":"{listen}","seed":"8c1f30d27a5be964","board":"{board}","known":{known},
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
-        "settings":{{"balancers":1,"tenants":[{{"name":"town"}}],"categories":[{categories}],"shapes":["std"],"zones":["east"],
+        "settings":{{"balancers":1,"tenants":[{{"name":"town"}}],"categories":[{classes}],"shapes":["std"],"zones":["east"],
         "family-info":{{"cores-by-kind":[8],"ram-of-kind-mb":[8192.0],"parallelism":[1,1,1],"largest-share":0.5,
         "grants-count":true,"takes-priority":true}},
         "limits":{{"cancel":true,"max-attempts":3,"retry-after":true,"max-retry-after-us":500000,
@@ -539,10 +538,10 @@
 
 static CALLS: AtomicU64 = AtomicU64::new(1);
 
-/// A job of this category with so many milliseconds to go.
-pub fn job(category: &str, ttl: u64, statement: &str) -> String {
+/// A job of this class with so many milliseconds to go.
+pub fn job(class: &str, ttl: u64, statement: &str) -> String {
     let call = CALLS.fetch_add(1, Ordering::Relaxed);
-    format!("/* op={category},call={call:016x},ttl={ttl},dedupe=d{call},work=5.0,mb=10 */ {statement}")
+    format!("/* op={class},call={call:016x},ttl={ttl},dedupe=d{call},work=5.0,mb=10 */ {statement}")
 }
 
 impl Client {
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -18,7 +18,7 @@
 pub struct Asked {
     pub router: usize,
     pub call: String,
-    pub category: &'static str,
+    pub class: &'static str,
     /// The same for all tries of one request; empty where it has none.
     pub idempotency_key: String,
     pub sent: f64,
@@ -53,7 +53,7 @@
     pub spare: f64,
     pub share: f64,
     pub look_back: f64,
-    /// Categories by what running one twice does.
+    /// Classes by what running one twice does.
     pub non_idempotent: &'static str,
     pub deduplicated: &'static str,
 }
@@ -150,19 +150,19 @@
 }
 
 fn one_job(job: &Asked, runs: &[&Ran], facts: &Facts, verdict: &mut Verdict) {
-    let Asked { call, category, router, .. } = job;
+    let Asked { call, class, router, .. } = job;
     if job.twice {
         verdict.two_answers += 1;
         verdict.find(format!("{call} was answered twice"));
     }
-    if *category == facts.stated.non_idempotent && runs.len() > 1 {
+    if *class == facts.stated.non_idempotent && runs.len() > 1 {
         verdict.ran_twice += 1;
-        verdict.find(format!("{category} {call} came to engines {} times", runs.len()));
+        verdict.find(format!("{class} {call} came to engines {} times", runs.len()));
     }
     let turned_back = matches!(job.answered, Some((_, Outcome::TurnedBack)));
-    if turned_back && *category == facts.stated.non_idempotent && !runs.is_empty() {
+    if turned_back && *class == facts.stated.non_idempotent && !runs.is_empty() {
         verdict.turned_back_after_run += 1;
-        verdict.find(format!("{category} {call} was turned back after a push"));
+        verdict.find(format!("{class} {call} was turned back after a push"));
     }
     if job.answered.is_some_and(|(at, _)| at > job.sent + job.patience + SLACK) {
         verdict.late += 1;
@@ -181,7 +181,7 @@
 
 /// A deduplicated request runs again only within its window, whoever sends it and under whatever call.
 fn receipts(asked: &[Asked], ran: &[Ran], facts: &Facts, verdict: &mut Verdict) {
-    let deduplicated = asked.iter().filter(|job| job.category == facts.stated.deduplicated);
+    let deduplicated = asked.iter().filter(|job| job.class == facts.stated.deduplicated);
     let known: std::collections::HashSet<&str> =
         deduplicated.map(|job| job.idempotency_key.as_str()).collect();
     let mut first: HashMap<&str, f64> = HashMap::new();
@@ -273,11 +273,11 @@
 mod tests {
     use super::*;
 
-    fn job(call: &str, category: &'static str, sent: f64, answered: Option<(f64, Outcome)>) -> Asked {
+    fn job(call: &str, class: &'static str, sent: f64, answered: Option<(f64, Outcome)>) -> Asked {
         Asked {
             router: 0,
             call: call.to_string(),
-            category,
+            class,
             idempotency_key: format!("d{call}"),
             sent,
             patience: 3.0,
--- a/crates/lab/src/virtual_comeback.rs
+++ b/crates/lab/src/virtual_comeback.rs
@@ -3,7 +3,7 @@
 
 use cleatgw::logic::Gateway;
 use cleatgw::{
-    Category, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, PushBudget, PushEnd,
+    ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, PushBudget, PushEnd, RequestClass,
 };
 use cleatgw::{Stage, Taken, Writer};
 use cleatgw_recovery::{Kept, Looks, Moment, Pieces, Puts, Recovery, Sent, Step, AHEAD};
@@ -28,7 +28,7 @@
 const IDLE: f64 = 15.0;
 
 fn deployment(routers: usize) -> Deployment {
-    let category = Category {
+    let class = RequestClass {
         credit: 1.0,
         late_share: 0.0,
         expected_time: EXPECTED,
@@ -44,7 +44,7 @@
     };
     Deployment {
         gateways: routers as f64,
-        categories: vec![category],
+        classes: vec![class],
         kinds: vec![Kind { cores: CORES, memory_mb: 8192.0 }],
         largest_share: 0.5,
         call_off: true,
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -38,7 +38,7 @@
     /// A job goes ahead of a denser one that came so many seconds later for each halving of its density. None: the
     /// densest first, however long others wait.
     pub ageing: Option<f64>,
-    /// By category: so many doublings of its density a job counts as denser. Categories behind the end have none.
+    /// By class: so many doublings of its density a job counts as denser. Classes behind the end have none.
     pub order: Vec<f64>,
 }
 
@@ -63,7 +63,7 @@
     pub job: usize,
     /// A leaf of the tree.
     pub team: usize,
-    pub category: usize,
+    pub class: usize,
     /// Credit for its work, more than 0: the denser first.
     pub density: f64,
     pub work: f64,
@@ -211,7 +211,7 @@
     /// Its place within its team: earlier is less.
     fn key(&self, waiting: &Waiting) -> (u64, usize) {
         let terms = &self.nodes[waiting.team].terms;
-        let ahead = terms.order.get(waiting.category).copied().unwrap_or(0.0);
+        let ahead = terms.order.get(waiting.class).copied().unwrap_or(0.0);
         let density = if ahead > 0.0 { waiting.density * ahead.exp2() } else { waiting.density };
         let key = match terms.ageing {
             None => u64::MAX - rank(density),
@@ -487,7 +487,7 @@
     pub fn wait_for(&self, team: usize, work: f64, now: f64) -> Option<Wait> {
         let node = self.nodes.get(team)?;
         let waiting =
-            Waiting { job: usize::MAX, team, category: 0, density: 1.0, work, since: now, never_ran: true };
+            Waiting { job: usize::MAX, team, class: 0, density: 1.0, work, since: now, never_ran: true };
         self.waits.estimate(&waiting, node.queued_work, node.queued_work, self.share(team), now)
     }
 
--- a/crates/queue/src/tests.rs
+++ b/crates/queue/src/tests.rs
@@ -43,7 +43,7 @@
         let job = self.next;
         self.next += 1;
         let waiting =
-            Waiting { job, team, category: 0, density: 1.0 / work, work, since: self.now, never_ran: true };
+            Waiting { job, team, class: 0, density: 1.0 / work, work, since: self.now, never_ran: true };
         self.jobs.insert(job, (team, work, self.now));
         self.line.hold(waiting, self.now);
         job
@@ -82,10 +82,7 @@
 fn one_team_alone_goes_densest_first_and_a_job_that_does_not_go_stays_in_its_place() {
     let mut line = Line::single();
     for (job, density) in [(1, 2.0), (2, 9.0), (3, 5.0)] {
-        line.hold(
-            Waiting { job, team: 0, category: 0, density, work: 1.0, since: 0.0, never_ran: true },
-            0.0,
-        );
+        line.hold(Waiting { job, team: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true }, 0.0);
     }
     assert_eq!(
         [line.next(0.0), line.next(0.0), line.next(0.0), line.next(0.0)],
@@ -210,7 +207,7 @@
     for (job, (team, work, since)) in &world.jobs {
         let (job, team, work, since) = (*job, *team, *work, *since);
         let density = 1.0 / work;
-        new.hold(Waiting { job, team, category: 0, density, work, since, never_ran: true }, world.now);
+        new.hold(Waiting { job, team, class: 0, density, work, since, never_ran: true }, world.now);
     }
     world.line = new;
     world.run(80.0);
@@ -240,7 +237,7 @@
             while line.of(team).0 < 3 {
                 let work = if team == 1 { 0.1 } else { 1.0 };
                 line.hold(
-                    Waiting { job: next, team, category: 0, density: 1.0, work, since: now, never_ran: true },
+                    Waiting { job: next, team, class: 0, density: 1.0, work, since: now, never_ran: true },
                     now,
                 );
                 next += 1;
@@ -273,10 +270,10 @@
 }
 
 #[test]
-fn a_teams_own_order_of_categories_comes_before_their_density() {
+fn a_teams_own_order_of_classes_comes_before_their_density() {
     let mut line = Line::new(vec![Terms { order: vec![0.0, 10.0], ..Terms::default() }], 0.0);
-    for (job, category, density) in [(1, 0, 5.0), (2, 1, 1.0), (3, 1, 2.0), (4, 2, 9.0)] {
-        line.hold(Waiting { job, team: 0, category, density, work: 1.0, since: 0.0, never_ran: true }, 0.0);
+    for (job, class, density) in [(1, 0, 5.0), (2, 1, 1.0), (3, 1, 2.0), (4, 2, 9.0)] {
+        line.hold(Waiting { job, team: 0, class, density, work: 1.0, since: 0.0, never_ran: true }, 0.0);
     }
     assert_eq!([0; 4].map(|_| line.next(0.0).unwrap()), [3, 2, 4, 1]);
 }
@@ -287,7 +284,7 @@
     tree[1].most_queued = 3;
     let mut line = Line::new(tree, 0.0);
     let hold = |line: &mut Line, job: usize, team, never_ran| {
-        line.hold(Waiting { job, team, category: 0, density: 1.0, work: 1.0, since: 0.0, never_ran }, 0.0);
+        line.hold(Waiting { job, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran }, 0.0);
     };
     (0..3).for_each(|job| hold(&mut line, job, 1, true));
     (10..30).for_each(|job| hold(&mut line, job, 2, true));
@@ -311,7 +308,7 @@
     let mut line = Line::new(tree, 0.0);
     for job in 0..100 {
         let (team, work) = if job < 98 { (1 + job % 49, 1.0) } else { (50, 0.01) };
-        line.hold(Waiting { job, team, category: 0, density: 1.0, work, since: 0.0, never_ran: true }, 0.0);
+        line.hold(Waiting { job, team, class: 0, density: 1.0, work, since: 0.0, never_ran: true }, 0.0);
     }
     assert_eq!(line.surplus(), Some(99));
     line.leave(99);
@@ -325,10 +322,7 @@
     let mut line = Line::new(tree, 0.0);
     for job in 0..12 {
         let team = 1 + job % 2;
-        line.hold(
-            Waiting { job, team, category: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
-            0.0,
-        );
+        line.hold(Waiting { job, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true }, 0.0);
     }
     let mut gone = Vec::new();
     while let Some(job) = line.surplus() {
@@ -345,7 +339,7 @@
     let mut line = Line::new(tree, 0.0);
     for job in 0..5 {
         line.hold(
-            Waiting { job, team: 1, category: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+            Waiting { job, team: 1, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
@@ -398,7 +392,7 @@
             match what {
                 0 | 1 => {
                     let team = leaves[which % 3];
-                    line.hold(Waiting { job: next, team, category: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
+                    line.hold(Waiting { job: next, team, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
                     waiting.insert((next, team, work.to_bits()));
                     next += 1;
                 }
--- a/crates/queue/tests/model.rs
+++ b/crates/queue/tests/model.rs
@@ -50,7 +50,7 @@
         let never_ran = planted == Planted::ForgetsThatItRan || !self.ran.contains(&job);
         // Later ones are denser, so that any may be the last.
         let (team, now, density) = (1 + job % 2, self.now, 1.0 + job as f64);
-        self.line.hold(Waiting { job, team, category: 0, density, work: 1.0, since: now, never_ran }, now);
+        self.line.hold(Waiting { job, team, class: 0, density, work: 1.0, since: now, never_ran }, now);
         self.waiting.insert(job);
     }
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -63,7 +63,7 @@
     let within = |Complaint(words): Complaint| Complaint(format!("field settings: {words}"));
     let (deployment, names) = cleatgw_start::read(&pairs).map_err(within)?;
     let contradictions = pairs.contradictions().map_err(within)?;
-    if deployment.categories.is_empty() {
+    if deployment.classes.is_empty() {
         return wrong("settings.categories", "at least one", &value["settings"]["categories"]);
     }
     let known = &value["known"];
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -249,8 +249,8 @@
         "{}: listens on {}, {} categories ({}), {} gateways, {} engines told of in {} events",
         told.name,
         told.place.listen,
-        told.names.categories.len(),
-        told.names.categories.join(" "),
+        told.names.classes.len(),
+        told.names.classes.join(" "),
         told.deployment.gateways,
         engines,
         told.known.len()
--- a/crates/router/src/protocol/engine.rs
+++ b/crates/router/src/protocol/engine.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Ask<'a> {
     pub id: &'a str,
-    pub category: &'a str,
+    pub class: &'a str,
     /// How long the gateway will wait, in seconds.
     pub wait: f64,
     pub idempotency_key: Option<&'a str>,
@@ -40,7 +40,7 @@
 
 impl Unsent {
     pub fn new(ask: &Ask) -> Unsent {
-        let before = format!("GET {} queue={},budget=", ask.id, ask.category).into_bytes();
+        let before = format!("GET {} queue={},budget=", ask.id, ask.class).into_bytes();
         let mut behind = Vec::new();
         if let Some(idempotency_key) = ask.idempotency_key {
             write!(behind, ",uniq={idempotency_key}").expect("memory takes all");
--- a/crates/router/src/protocol/engine/tests.rs
+++ b/crates/router/src/protocol/engine/tests.rs
@@ -4,7 +4,7 @@
 fn a_request_names_what_it_may_and_counts_its_statement() {
     let mut ask = Ask {
         id: "9b1f03aa5c7e2d41",
-        category: "report",
+        class: "report",
         wait: 1.2341,
         idempotency_key: None,
         grant_mb: 0.0,
--- a/crates/router/src/protocol/golden_tests.rs
+++ b/crates/router/src/protocol/golden_tests.rs
@@ -18,7 +18,7 @@
 fn requests_to_engines_and_to_the_discovery_service_have_the_bytes_of_the_former_version() {
     let mut ask = engine::Ask {
         id: "9b1f03aa5c7e2d41",
-        category: "report",
+        class: "report",
         wait: 1.2341,
         idempotency_key: None,
         grant_mb: 0.0,
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedStatement {
     pub id: String,
-    pub category: String,
+    pub class: String,
     /// How long the client waits, in seconds.
     pub patience: f64,
     pub tenant: Option<String>,
@@ -117,7 +117,7 @@
     }
     Ok(ParsedStatement {
         id: need("call", "16 hex digits", hex)?.to_string(),
-        category: need("op", "a category", plain)?.to_string(),
+        class: need("op", "a category", plain)?.to_string(),
         patience: number("ttl", "milliseconds", LONGEST_MS)?.ok_or_else(|| wrong("ttl", "milliseconds"))?
             / 1e3,
         tenant: field("org", "a tenant", plain)?.map(str::to_string),
@@ -138,8 +138,8 @@
     format!("field call: expected an id that is not in use, got \"{id}\"")
 }
 
-pub fn missing_idempotency_key(category: &str) -> String {
-    format!("field dedupe: expected a mark against repeats, as {category} needs one")
+pub fn missing_idempotency_key(class: &str) -> String {
+    format!("field dedupe: expected a mark against repeats, as {class} needs one")
 }
 
 /// A piece of a statement; comments and blanks are none.
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -120,7 +120,7 @@
     lane: u8,
     grant_mb: f64,
     pushes: Vec<PushState>,
-    /// Its idempotency key's hash, where its category has idempotency keys.
+    /// Its idempotency key's hash, where its class has idempotency keys.
     mark: Option<u64>,
 }
 
@@ -309,7 +309,7 @@
         if legal {
             let ask = Ask {
                 id: &job.statement.id,
-                category: &job.statement.category,
+                class: &job.statement.class,
                 wait: until - desk.now,
                 idempotency_key: job.statement.idempotency_key.as_deref(),
                 grant_mb: job.grant_mb,
@@ -444,7 +444,7 @@
 
     /// Teams share the engines by this file from now on; jobs that wait move to their lines by their names.
     pub fn teams(&mut self, file: TeamsFile) {
-        let (line, names) = file.line(self.desk.now, &self.names.categories);
+        let (line, names) = file.line(self.desk.now, &self.names.classes);
         let jobs = &self.desk.jobs;
         let team_of = |id: usize| names.of(jobs.get(&id).and_then(|job| job.statement.tenant.as_deref()));
         self.gateway.teams(self.desk.now, line, &team_of);
@@ -475,8 +475,8 @@
 
     /// How far back the rules look, by what the deployment states.
     pub fn looks(&self) -> Looks {
-        let Deployment { cold, categories, .. } = &self.desk.deployment;
-        let windows = categories.iter().filter_map(|category| match category.idempotency {
+        let Deployment { cold, classes, .. } = &self.desk.deployment;
+        let windows = classes.iter().filter_map(|class| match class.idempotency {
             Idempotency::Deduplicated { window, .. } => Some(window),
             _ => None,
         });
@@ -683,9 +683,9 @@
         statement: ParsedStatement,
         since: Option<f64>,
     ) -> Result<(), String> {
-        let name = flat(&statement.category);
-        let Some(category) = self.names.categories.iter().position(|known| *known == name) else {
-            return Err(statements::unknown("op", &name, &self.names.categories));
+        let name = flat(&statement.class);
+        let Some(class) = self.names.classes.iter().position(|known| *known == name) else {
+            return Err(statements::unknown("op", &name, &self.names.classes));
         };
         // Where there are tenants, engines err at what comes from none of them.
         let (tenant, tenants) = (statement.tenant.as_deref().map(flat), &self.names.tenants);
@@ -697,7 +697,7 @@
             return Err(statements::id_in_use(&statement.id));
         }
         let deduplicated =
-            matches!(self.desk.deployment.categories[category].idempotency, Idempotency::Deduplicated { .. });
+            matches!(self.desk.deployment.classes[class].idempotency, Idempotency::Deduplicated { .. });
         if deduplicated && statement.idempotency_key.is_none() {
             return Err(statements::missing_idempotency_key(&name));
         }
@@ -707,13 +707,13 @@
         let earlier = earlier.filter(|at| now - at < self.looks().marks());
         self.desk.counters.marks_met += u64::from(earlier.is_some());
         // No client is to wait for longer, whatever it says: what is learned of usual ones would be upset.
-        let longest = self.desk.deployment.categories[category].longest;
+        let longest = self.desk.deployment.classes[class].longest;
         let gives_up = since.unwrap_or(now) + statement.patience.min(longest);
         let deadline = gives_up.min(self.stops_at);
         let id = self.next_job;
         self.next_job += 1;
         let taken = Taken {
-            category,
+            class,
             key: None,
             table_group: statement.table_group.map_or(0, |group| (group as f64).to_bits()),
             cost: statement.work,
@@ -723,7 +723,7 @@
             earlier,
         };
         let state = JobState::Open { session };
-        let of = &self.desk.deployment.categories[category];
+        let of = &self.desk.deployment.classes[class];
         let expected_at = since.unwrap_or(now) + of.expected_for(statement.work.unwrap_or(0.0));
         let pushes = Vec::new();
         let job = Job { statement, state, deadline, expected_at, lane: 1, grant_mb: 0.0, pushes, mark };
@@ -797,7 +797,7 @@
             self.gateway.drain(began);
         }
         if let Some((file, _)) = &self.teams {
-            self.gateway.teams(self.desk.now, file.line(self.desk.now, &self.names.categories).0, &|_| 0);
+            self.gateway.teams(self.desk.now, file.line(self.desk.now, &self.names.classes).0, &|_| 0);
         }
         let listings: Vec<Listing> = self.desk.engines.iter().map(|engine| engine.listing).collect();
         self.gateway.engines_listed(self.desk.now, &listings, true);
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -1,7 +1,7 @@
 //! Routing against a scripted peer: what it is told, and what it asks of the connections.
 
 use super::*;
-use cleatgw::{Category, DeduplicationScope, Kind};
+use cleatgw::{DeduplicationScope, Kind, RequestClass};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 #[derive(Default)]
@@ -22,7 +22,7 @@
         self.answers.push((session, answer));
     }
     fn push(&mut self, push: PushId, engine: u64, _address: SocketAddr, ask: &Ask, _leave_by: f64) {
-        self.pushes.push((push, engine, ask.category.to_string()));
+        self.pushes.push((push, engine, ask.class.to_string()));
     }
     fn change_lane(&mut self, _push: PushId, lane: u8) {
         self.lanes.push(lane);
@@ -61,11 +61,11 @@
 }
 
 /// Each with an id of its own.
-fn parsed(category: &str) -> ParsedStatement {
+fn parsed(class: &str) -> ParsedStatement {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     ParsedStatement {
         id: format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed)),
-        category: category.to_string(),
+        class: class.to_string(),
         patience: 2.0,
         work: Some(0.05),
         memory_mb: Some(10.0),
@@ -77,7 +77,7 @@
 impl Host {
     /// Two engines; jobs that look up are pure, those that load are deduplicated.
     fn new() -> Host {
-        let category = Category {
+        let class = RequestClass {
             credit: 1.0,
             late_share: 0.0,
             expected_time: 1.0,
@@ -94,7 +94,7 @@
         let idempotency = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 12.0 };
         let deployment = Deployment {
             gateways: 1.0,
-            categories: vec![category.clone(), Category { idempotency, ..category }],
+            classes: vec![class.clone(), RequestClass { idempotency, ..class }],
             kinds: vec![Kind { cores: 8.0, memory_mb: 8000.0 }],
             largest_share: 0.5,
             grants: true,
@@ -103,9 +103,9 @@
             ..Deployment::default()
         };
         // The third is named and not described: taking one makes the decisions fail.
-        let categories = ["look", "load", "broken"].map(String::from).to_vec();
+        let classes = ["look", "load", "broken"].map(String::from).to_vec();
         let tenants = vec!["town".to_string()];
-        let names = Names { categories, tenants, kinds: vec!["std".to_string()], ..Names::default() };
+        let names = Names { classes, tenants, kinds: vec!["std".to_string()], ..Names::default() };
         let routing = Routing::new(deployment, names, 7, 100.0);
         let mut host = Host { routing, peers: Scripted::default(), now: 100.0, unusable: Vec::new() };
         host.turn(News { lists: vec![list(1, true, vec![entry("a", 1), entry("b", 2)])], ..News::default() });
@@ -312,7 +312,7 @@
     host.ask(4, ParsedStatement { patience: 80_000.0, ..parsed("look") });
     host.ask(5, ParsedStatement { patience: 28.0, work: Some(2.0), ..parsed("look") });
     host.now += 0.01;
-    // Were all of its category measured by that day, this one would be long past its time.
+    // Were all of its class measured by that day, this one would be long past its time.
     host.turn(News::default());
     assert!(host.peers.answers.is_empty());
     host.now += 30.0;
--- a/crates/router/src/transport/links/tests.rs
+++ b/crates/router/src/transport/links/tests.rs
@@ -41,7 +41,7 @@
         let id = format!("{:016x}", push.job);
         let ask = Ask {
             id: &id,
-            category: "look",
+            class: "look",
             wait: 9.0,
             idempotency_key: None,
             grant_mb: 0.0,
@@ -500,7 +500,7 @@
                     let leave_by = [f64::INFINITY, now + 0.1][usize::from(wild.below(4) == 0)];
                     let ask = Ask {
                         id: &id,
-                        category: "look",
+                        class: "look",
                         wait: 9.0,
                         idempotency_key: None,
                         grant_mb: 0.0,
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -233,8 +233,8 @@
     let engine = Engine::start("e");
     let (_board, mut router) = quick(&engine);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::new(&router)).collect();
-    for (client, category) in clients.iter_mut().zip(["look", "load", "once"]) {
-        client.send(&job(category, 500, "hold"));
+    for (client, class) in clients.iter_mut().zip(["look", "load", "once"]) {
+        client.send(&job(class, 500, "hold"));
     }
     engine.seen.wait("GET", 3);
     let begun = Instant::now();
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -181,7 +181,7 @@
     let (board, router) = started(&[&vanished]);
     let mut client = Client::new(&router);
     // So heavy that their pushes would be waited for long.
-    let heavy = |category: &str| job(category, 20000, "x").replace("work=5.0", "work=4000");
+    let heavy = |class: &str| job(class, 20000, "x").replace("work=5.0", "work=4000");
     client.send(&heavy("look"));
     vanished.seen.wait("GET", 1);
     let mut other = Client::new(&router);
--- a/crates/start/src/contradictions.rs
+++ b/crates/start/src/contradictions.rs
@@ -27,11 +27,11 @@
 
     /// Lists that have a value for each of something else.
     fn unequal_lengths(&self) -> Result<Vec<String>, Complaint> {
-        let (categories, shapes) = (self.count("categories")?, self.list("shapes").len());
+        let (classes, shapes) = (self.count("categories")?, self.list("shapes").len());
         let lists = [
-            ("parallelism", categories, "categories"),
-            ("is-load", categories, "categories"),
-            ("yields-to-loads", categories, "categories"),
+            ("parallelism", classes, "categories"),
+            ("is-load", classes, "categories"),
+            ("yields-to-loads", classes, "categories"),
             ("cores-by-kind", shapes, "shapes"),
             ("ram-of-kind-mb", shapes, "shapes"),
         ];
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -4,7 +4,7 @@
 mod contradictions;
 mod peers;
 
-use cleatgw::{Category, ColdStart, DeduplicationScope, Deployment, Idempotency, Kind, PushBudget};
+use cleatgw::{ColdStart, DeduplicationScope, Deployment, Idempotency, Kind, PushBudget, RequestClass};
 use serde_json::Value;
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
 /// The names behind the small indices, and the columns of load reports.
 #[derive(Default)]
 pub struct Names {
-    pub categories: Vec<String>,
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -181,10 +181,10 @@
     for at in 0..pairs.count("tenants")? {
         names.tenants.extend(pairs.text(&format!("tenants.{at}.name")).map(str::to_string));
     }
-    let mut categories = Vec::new();
+    let mut classes = Vec::new();
     for at in 0..pairs.count("categories")? {
         let path = |key: &str| format!("categories.{at}.{key}");
-        names.categories.push(pairs.text(&path("name")).unwrap_or_default().to_string());
+        names.classes.push(pairs.text(&path("name")).unwrap_or_default().to_string());
         let idempotency = match pairs.text(&path("idempotency")) {
             Some("safe") => Idempotency::Idempotent,
             Some("keyed") => Idempotency::Deduplicated {
@@ -201,7 +201,7 @@
             let allowed = pairs.list(&path(key));
             (!allowed.is_empty()).then(|| allowed.iter().map(|name| index_of(known, name)).collect())
         };
-        categories.push(Category {
+        classes.push(RequestClass {
             only_zones: bound("confined-to", &mut names.zones),
             only_kinds: bound("allowed-on", &mut names.kinds),
             credit: pairs.number(&path("gain"), 1.0)?,
@@ -235,7 +235,7 @@
     let asks = pairs.text("discovery") == Some("subscribe");
     let deployment = Deployment {
         gateways: pairs.number("balancers", 1.0)?.max(1.0),
-        categories,
+        classes,
         kinds,
         largest_share: pairs.number("family-info.largest-share", 1.0)?,
         grants: pairs.flag("family-info.grants-count"),
@@ -291,7 +291,7 @@
             limits.multiplex=100 tenants.count=1 tenants.0.name=town_hall";
         let both = [Pairs::from_json(&json), Pairs::from_words(words)].map(|pairs| {
             let (deployment, names) = read(&pairs).unwrap();
-            assert_eq!(names.categories, ["look_up", "load"]);
+            assert_eq!(names.classes, ["look_up", "load"]);
             assert_eq!(names.tenants, ["town_hall"]);
             assert_eq!(names.zones, ["room_a", "room_b"]);
             assert_eq!(pairs.longest_job().unwrap(), Some(20.0));
--- a/src/index.rs
+++ b/src/index.rs
@@ -102,10 +102,10 @@
     }
 }
 
-/// Engines as they stand for one category.
+/// Engines as they stand for one class.
 #[derive(Clone, Debug, Default)]
 pub struct Filed {
-    /// How far each is trusted, of those that the category may run on.
+    /// How far each is trusted, of those that the class may run on.
     pub trusted: Largest,
     /// Which have room for a heavy and for a light one.
     pub roomy: [Set; 2],
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! This file holds what passes between the decisions ([`logic`]) and whatever carries them: facts that
 //! a host hands in, and the [`Writer`] that it lends for the answers. Nothing here decides. Times are
-//! seconds with fractions on the host's clock; jobs, engines, categories, zones and kinds are
+//! seconds with fractions on the host's clock; jobs, engines, classes, zones and kinds are
 //! small indices that the host gives out and keeps.
 
 mod figures;
@@ -30,7 +30,7 @@
 
 /// One kind of job.
 #[derive(Clone, Debug)]
-pub struct Category {
+pub struct RequestClass {
     pub credit: f64,
     /// The share of the credit still earned after the expected time.
     pub late_share: f64,
@@ -50,7 +50,7 @@
     pub only_kinds: Option<Vec<usize>>,
 }
 
-impl Category {
+impl RequestClass {
     /// How soon a job of so much work (seconds of one core) is wanted, in seconds.
     pub fn expected_for(&self, work: f64) -> f64 {
         self.expected_time + self.stretch * work / self.threads
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
     pub gateways: f64,
-    pub categories: Vec<Category>,
+    pub classes: Vec<RequestClass>,
     pub kinds: Vec<Kind>,
     /// The most of an engine's memory that one job gets.
     pub largest_share: f64,
@@ -133,7 +133,7 @@
 /// A job as it was taken.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Taken {
-    pub category: usize,
+    pub class: usize,
     pub key: Option<u64>,
     pub table_group: u64,
     pub cost: Option<f64>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -179,7 +179,7 @@
     }
 }
 
-/// What a category turned out to need against what was estimated, and how long it takes.
+/// What a class turned out to need against what was estimated, and how long it takes.
 #[derive(Clone, Default)]
 struct Learned {
     work: Mean,
@@ -202,7 +202,7 @@
     const RISES: f64 = 0.005;
     const KNOWN: u32 = 10;
 
-    /// The pace against the least of late: estimates that no answer corrects may be far off for a category.
+    /// The pace against the least of late: estimates that no answer corrects may be far off for a class.
     fn against_least(&mut self, pace: f64, work: f64) -> Option<f64> {
         self.answers += 1;
         self.untold.add(pace, work, 0.98);
@@ -224,7 +224,7 @@
     }
 }
 
-/// Evidence on whether an engine answers well, faded each tick; some troubles strike only one category.
+/// Evidence on whether an engine answers well, faded each tick; some troubles strike only one class.
 #[derive(Default)]
 struct Doubt {
     good: Mean,
@@ -243,20 +243,20 @@
     /// A peer's word against our own push: one that lies, or is ill itself, puts no engine in doubt alone.
     const WORD: f64 = 0.5;
 
-    /// What is bad for its category need not be so for the engine.
-    fn add(&mut self, category: usize, good: f64, bad: f64, bad_for_own: f64) {
-        self.own.resize(self.own.len().max(category + 1), Mean::default());
+    /// What is bad for its class need not be so for the engine.
+    fn add(&mut self, class: usize, good: f64, bad: f64, bad_for_own: f64) {
+        self.own.resize(self.own.len().max(class + 1), Mean::default());
         (self.good.sum, self.good.weight) = (self.good.sum + good, self.good.weight + good + bad);
-        self.own[category].add(good / (good + bad_for_own).max(1e-9), good + bad_for_own, 1.0);
+        self.own[class].add(good / (good + bad_for_own).max(1e-9), good + bad_for_own, 1.0);
     }
 
     fn mean(&self) -> f64 {
         self.good.with(2.0 + self.told.sum, 2.1 + self.told.weight)
     }
 
-    /// As for all until a category fares a fifth worse; that of all counts for three of its own.
-    fn mean_for(&self, category: usize) -> f64 {
-        let own = self.own.get(category).map_or(1.0, |own| own.with(3.0 * self.mean(), 3.0));
+    /// As for all until a class fares a fifth worse; that of all counts for three of its own.
+    fn mean_for(&self, class: usize) -> f64 {
+        let own = self.own.get(class).map_or(1.0, |own| own.with(3.0 * self.mean(), 3.0));
         self.mean().min(1.25 * own)
     }
 
@@ -328,7 +328,7 @@
     engines: Vec<EngineState>,
     /// The ready engines in each table group's hash order.
     orders: Orders,
-    /// Engines by category, and those that changed since they were filed there.
+    /// Engines by class, and those that changed since they were filed there.
     filed: Vec<Filed>,
     unfiled: Vec<usize>,
     jobs: BTreeMap<usize, Job>,
@@ -371,13 +371,13 @@
 impl Gateway {
     pub fn new(given: Deployment, seed: u64, now: f64) -> Self {
         Gateway {
-            learned: vec![Learned::default(); given.categories.len()],
-            filed: vec![Filed::default(); given.categories.len()],
+            learned: vec![Learned::default(); given.classes.len()],
+            filed: vec![Filed::default(); given.classes.len()],
             watch_at: given.ask_within.map(|_| now),
             next_tick: now + TICK,
             stop: f64::INFINITY,
             takes_until: f64::INFINITY,
-            quick: given.categories.iter().map(|category| category.expected_time).fold(0.8, f64::min),
+            quick: given.classes.iter().map(|class| class.expected_time).fold(0.8, f64::min),
             seed,
             given,
             ..Gateway::default()
@@ -421,13 +421,13 @@
         let mut files = std::mem::take(&mut self.filed);
         for at in std::mem::take(&mut self.unfiled) {
             let engine = &self.engines[at];
-            for (category, filed) in files.iter_mut().enumerate() {
-                let open = self.orders.has(at) && self.placed(category, engine);
-                filed.trusted.put(at, open.then(|| engine.doubt.mean_for(category)));
+            for (class, filed) in files.iter_mut().enumerate() {
+                let open = self.orders.has(at) && self.placed(class, engine);
+                filed.trusted.put(at, open.then(|| engine.doubt.mean_for(class)));
                 for (light, roomy) in filed.roomy.iter_mut().enumerate() {
-                    roomy.put(at, open && self.has_room(category, engine, light == 1));
+                    roomy.put(at, open && self.has_room(class, engine, light == 1));
                 }
-                let threads = engine.threads + self.given.categories[category].threads;
+                let threads = engine.threads + self.given.classes[class].threads;
                 let even = engine.pushes == 0 || self.fills(threads, engine.cores);
                 filed.even.put(at, open && even && !engine.room.tells);
             }
@@ -443,21 +443,21 @@
 
     pub fn job_taken(&mut self, now: f64, id: usize, mut taken: Taken) {
         self.taken_at.push_back(now);
-        let category = &self.given.categories[taken.category];
-        // From here on a job has a key only where its category asks for order.
-        taken.key = taken.key.filter(|_| category.in_key_order);
-        let learned = &mut self.learned[taken.category];
+        let class = &self.given.classes[taken.class];
+        // From here on a job has a key only where its class asks for order.
+        taken.key = taken.key.filter(|_| class.in_key_order);
+        let learned = &mut self.learned[taken.class];
         let work = learned.work_by_cost.guess(taken.cost, learned.work.or(1.0));
         let memory = learned.memory_by_estimate.guess(taken.memory_mb, learned.memory.or(0.0));
         let most = if self.given.pages { FREE_HEADROOM } else { HEADROOM };
         let memory = memory * learned.memory_by_estimate.headroom(most);
         // Also from those that never run: the heavy ones are turned back first.
         learned.work.add(work, f64::from(u8::from(taken.cost.is_some())), 0.99);
-        // What has less time left than others of its category came late, or its client has tried before.
+        // What has less time left than others of its class came late, or its client has tried before.
         learned.longest_lead = learned.longest_lead.max(taken.deadline - now);
         let age = learned.longest_lead - (taken.deadline - now);
-        let expected_at = now - age + category.expected_for(work);
-        let density = category.credit / work.max(1e-3);
+        let expected_at = now - age + class.expected_for(work);
+        let density = class.credit / work.max(1e-3);
         self.density.add(density, work, 0.995);
         self.asked.add(taken.table_group, work);
         let job = Job { taken, work, memory, density, expected_at, since: now, ..Job::default() };
@@ -488,8 +488,8 @@
     fn hold(&mut self, now: f64, id: usize) {
         let &Job { ref taken, density, work, since, ref pushes, .. } = &self.jobs[&id];
         let never_ran = pushes.iter().all(|push| push.never_ran);
-        let Taken { team, category, .. } = *taken;
-        self.line.hold(Waiting { job: id, team, category, density, work, since, never_ran }, now);
+        let Taken { team, class, .. } = *taken;
+        self.line.hold(Waiting { job: id, team, class, density, work, since, never_ran }, now);
     }
 
     /// All that peers have met of an engine of late, each of them once for what went well and badly.
@@ -576,12 +576,12 @@
         push.out = false;
         push.never_ran = end.ending.never_ran();
         let (sent, quarter) = (push.sent, push.quarter);
-        let (category, key) = (job.taken.category, job.taken.key);
-        let threads = self.given.categories[category].threads;
+        let (class, key) = (job.taken.class, job.taken.key);
+        let threads = self.given.classes[class].threads;
         // Where work is neither told nor estimated, the time it took is safe for a cold engine.
         let guess = if job.taken.cost.is_some() { job.work } else { end.spent * threads };
         let (work, memory) = end.told.unwrap_or((guess, job.memory));
-        let learned = &mut self.learned[category];
+        let learned = &mut self.learned[class];
         // A gateway without a turn for a while cannot tell when answers came: their times are no evidence.
         let stalled = now > self.next_tick + TICK;
         let pace = if stalled { learned.pace() } else { end.spent * threads / work.max(1e-3) };
@@ -613,17 +613,17 @@
                 engine.ledger.shrink(now);
             }
             let (good, bad, own) = match end.ending {
-                // Slow against what the category takes elsewhere: a slow machine, a pause, a crowd.
+                // Slow against what the class takes elsewhere: a slow machine, a pause, a crowd.
                 Ending::Delivered if pace > 4.0 * learned.pace() && end.spent > 0.5 => (1.0, 0.5, 0.5),
                 Ending::Delivered => (1.0, 0.0, 0.0),
                 Ending::Unreached => (0.0, 3.0, 3.0),
                 Ending::Erred | Ending::Broken => (0.0, 1.0, 1.0),
                 Ending::TimedOut if engine.last_answer < sent => (0.0, 1.0, 1.0),
-                // Others were answered since: one category's answers are lost, or it stands behind a holder.
+                // Others were answered since: one class's answers are lost, or it stands behind a holder.
                 Ending::TimedOut | Ending::Full => (0.0, 0.0, 1.0),
                 _ => (0.0, 0.0, 0.0),
             };
-            engine.doubt.add(category, good, bad, own);
+            engine.doubt.add(class, good, bad, own);
             if good > 0.0 {
                 engine.last_answer = now;
                 if let Some(pace) = stood {
@@ -673,13 +673,13 @@
     /// A push no longer counts on its engine.
     fn settle(&mut self, id: usize, index: usize) {
         let job = &self.jobs[&id];
-        let (push, category) = (&job.pushes[index], &self.given.categories[job.taken.category]);
+        let (push, class) = (&job.pushes[index], &self.given.classes[job.taken.class]);
         if let Some(engine) = self.engines.get_mut(push.engine) {
-            self.threads -= category.threads;
+            self.threads -= class.threads;
             self.unfiled.push(push.engine);
-            (engine.threads, engine.pushes) = (engine.threads - category.threads, engine.pushes - 1);
+            (engine.threads, engine.pushes) = (engine.threads - class.threads, engine.pushes - 1);
             let held = engine.holding.iter().position(|&group| group == job.taken.table_group);
-            held.filter(|_| category.holds_tables).map(|at| engine.holding.swap_remove(at));
+            held.filter(|_| class.holds_tables).map(|at| engine.holding.swap_remove(at));
             engine.ledger.granted = (engine.ledger.granted - push.grant).max(0.0);
             engine.ledger.open -= 1;
         }
@@ -800,7 +800,7 @@
         let job = &self.jobs[&id];
         let most = self.given.kinds.iter().map(|kind| kind.memory_mb).fold(0.0, f64::max);
         let cap = most * self.given.largest_share.min(0.5);
-        let spill = self.learned[job.taken.category].spill_factor();
+        let spill = self.learned[job.taken.class].spill_factor();
         let full = if cap > 0.0 { job.memory.min(cap) } else { job.memory };
         let quarter = job.memory / 4.0;
         let time = |grant: f64| {
@@ -826,11 +826,11 @@
         if !self.may_go(id, now) {
             return false;
         }
-        let Taken { category: of, table_group: group, .. } = self.jobs[&id].taken;
-        let (category, ready) = (&self.given.categories[of], self.orders.ready());
+        let Taken { class: of, table_group: group, .. } = self.jobs[&id].taken;
+        let (class, ready) = (&self.given.classes[of], self.orders.ready());
         // So many of the first fitting are weighed: in a larger fleet a hot group is more for one engine. Many gateways,
         // each with few requests, see no crowd of their own: there a hot group's engines follow its share of the work.
-        let all_ours = self.given.gateways * category.threads;
+        let all_ours = self.given.gateways * class.threads;
         let many = all_ours > self.given.kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
         let hot = if many { SPREAD * self.asked.share(group, COOL) * ready as f64 } else { 0.0 };
         let few = (ready / 3).clamp(2, 3).max(hot.ceil() as usize);
@@ -839,17 +839,17 @@
         // Where no answer ever tells work, a crowd is felt by estimates alone, and may not be there: the even part
         // of all sound cores is ours whatever is felt. If all gateways take theirs, each core has a thread.
         let untold = self.learned[of].work_by_cost.told.weight == 0.0;
-        if untold && self.fills(self.threads + category.threads, self.cores) {
+        if untold && self.fills(self.threads + class.threads, self.cores) {
             roomy.join(&self.filed[of].even);
         }
         // A job that holds its tables keeps to the order's far half while it has time, clear of its readers.
         let far = self.last_start(&self.jobs[&id]) - now > self.run_time(&self.jobs[&id]);
-        let walk = match category.holds_tables {
+        let walk = match class.holds_tables {
             true => self.orders.walk_back(group, roomy, if far { ready.div_ceil(2) } else { ready }),
             false => self.orders.walk(group, roomy, few),
         };
         let engine = |at: usize| &self.engines[at];
-        let stalls = category.holds_tables || category.waits_for_holders;
+        let stalls = class.holds_tables || class.waits_for_holders;
         // Behind a holder of ours it would only stand still, and keep its memory.
         let allowed = |at: usize| {
             self.orders.look();
@@ -896,9 +896,9 @@
         self.given.gateways * threads <= Room::START * cores
     }
 
-    fn has_room(&self, category: usize, engine: &EngineState, light: bool) -> bool {
+    fn has_room(&self, class: usize, engine: &EngineState, light: bool) -> bool {
         let peers = engine.room.peers.with(self.belief, 1.0).max(0.0);
-        let threads = self.given.categories[category].threads;
+        let threads = self.given.classes[class].threads;
         // Light jobs may pass the heavy ones that fill an engine: by more where they cannot make it page.
         let passing = if self.given.pages { 1.5 } else { 2.0 };
         let limit = if light { engine.room.limit * passing } else { engine.room.limit };
@@ -916,10 +916,10 @@
     fn push(&mut self, now: f64, id: usize, at: usize, grant: f64, quarter: bool, out: &mut dyn Writer) {
         let lane = self.lane(id);
         let (time_out, patience) = (self.time_out(now, id, at), self.patience(&self.jobs[&id]));
-        let weight = self.usual_work(self.jobs[&id].taken.category);
+        let weight = self.usual_work(self.jobs[&id].taken.class);
         let leave_by = self.repeats_until(&self.jobs[&id]);
         let job = self.jobs.get_mut(&id).expect("a held job");
-        let category = &self.given.categories[job.taken.category];
+        let class = &self.given.classes[job.taken.class];
         job.ledger_wait += job.ledger_held_at.take().map_or(0.0, |since| now - since);
         if !job.pushes.is_empty() {
             self.repeats.push_back(now);
@@ -929,10 +929,10 @@
         self.due.insert((rank(now + patience), Due::Overdue(id, job.pushes.len() - 1)));
         let engine = self.engines.get_mut(at).expect("a listed engine");
         engine.doubt.drawn = 0.0;
-        self.threads += category.threads;
+        self.threads += class.threads;
         self.unfiled.push(at);
-        (engine.threads, engine.pushes) = (engine.threads + category.threads, engine.pushes + 1);
-        engine.holding.extend(Some(job.taken.table_group).filter(|_| category.holds_tables));
+        (engine.threads, engine.pushes) = (engine.threads + class.threads, engine.pushes + 1);
+        engine.holding.extend(Some(job.taken.table_group).filter(|_| class.holds_tables));
         engine.ledger.granted += grant;
         engine.ledger.open += 1;
         engine.sent.add(now, weight, self.given.cold.window);
@@ -972,7 +972,7 @@
         let (Some(job), Some(engine)) = (self.jobs.get(&id), self.engines.get(at)) else { return false };
         let near = |push: &Push| {
             let first = &self.engines[push.engine].at;
-            match self.given.categories[job.taken.category].idempotency {
+            match self.given.classes[job.taken.class].idempotency {
                 Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
                     first.zone == engine.at.zone
                 }
@@ -987,12 +987,12 @@
         engine.at.stage == Stage::Ready
             && engine.cores > 0.0
             && job.pushes.iter().filter(|push| !push.never_ran).all(near)
-            && self.placed(job.taken.category, engine)
-            && self.cold_room(engine, now) >= self.usual_work(job.taken.category)
+            && self.placed(job.taken.class, engine)
+            && self.cold_room(engine, now) >= self.usual_work(job.taken.class)
     }
 
-    fn placed(&self, category: usize, engine: &EngineState) -> bool {
-        let of = &self.given.categories[category];
+    fn placed(&self, class: usize, engine: &EngineState) -> bool {
+        let of = &self.given.classes[class];
         let among = |only: &Option<Vec<usize>>, this| only.as_ref().is_none_or(|only| only.contains(&this));
         among(&of.only_zones, engine.at.zone) && among(&of.only_kinds, engine.at.kind)
     }
@@ -1010,11 +1010,11 @@
         self.given.budget.unwrap_or(PushBudget { spare: 10.0, share: 0.2, window: 10.0 })
     }
 
-    /// What a job of a category counts for at a cold engine. Until some have told, as much as runs within its
+    /// What a job of a class counts for at a cold engine. Until some have told, as much as runs within its
     /// expected time: many gateways that know nothing yet must not all take heavy jobs for light ones.
-    fn usual_work(&self, category: usize) -> f64 {
-        let of = &self.given.categories[category];
-        self.learned[category].work.with(of.expected_time * of.threads, 1.0)
+    fn usual_work(&self, class: usize) -> f64 {
+        let of = &self.given.classes[class];
+        self.learned[class].work.with(of.expected_time * of.threads, 1.0)
     }
 
     /// The part of its capacity that an engine has by now, if it warms evenly.
@@ -1048,7 +1048,7 @@
 
     /// Until when a push may leave, by the earlier ones that may have run.
     fn repeats_until(&self, job: &Job) -> f64 {
-        let (lasts, lasts_elsewhere) = match self.given.categories[job.taken.category].idempotency {
+        let (lasts, lasts_elsewhere) = match self.given.classes[job.taken.class].idempotency {
             Idempotency::Idempotent => return f64::INFINITY,
             Idempotency::NonIdempotent => (f64::NEG_INFINITY, f64::NEG_INFINITY),
             Idempotency::Deduplicated { window, scope: DeduplicationScope::All } => {
@@ -1081,7 +1081,7 @@
     fn end(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.over) else { return };
         let (unseen, earlier) = (job.pushes.iter().all(|push| push.never_ran), job.taken.earlier);
-        let harmless = match self.given.categories[job.taken.category].idempotency {
+        let harmless = match self.given.classes[job.taken.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Deduplicated { scope: DeduplicationScope::All, window } => {
                 earlier.is_none_or(|sent| now < sent + window)
@@ -1121,18 +1121,18 @@
 
     fn lane(&self, id: usize) -> u8 {
         // Whatever stands still behind a holder of tables waits for as long as it runs: it goes fast.
-        let holds = self.given.categories[self.jobs[&id].taken.category].holds_tables;
+        let holds = self.given.classes[self.jobs[&id].taken.class].holds_tables;
         1 + (2 * u8::from(self.light(id))).max(u8::from(holds))
     }
 
     fn run_time(&self, job: &Job) -> f64 {
-        let threads = self.given.categories[job.taken.category].threads;
-        job.work / threads * self.learned[job.taken.category].pace()
+        let threads = self.given.classes[job.taken.class].threads;
+        job.work / threads * self.learned[job.taken.class].pace()
     }
 
     /// When a push is overdue, even if the job outgrew its estimate as far as such jobs do.
     fn patience(&self, job: &Job) -> f64 {
-        let scatter = self.learned[job.taken.category].work_by_cost.scatter;
+        let scatter = self.learned[job.taken.class].work_by_cost.scatter;
         let outgrown = job.taken.cost.map_or(2.0, |_| scatter.or(0.5).exp());
         0.5 * self.quick + 2.0 * outgrown * self.run_time(job)
     }
@@ -1148,11 +1148,11 @@
         if !self.given.call_off && self.engines[at].doubt.mean() > Doubt::TRUST {
             return None;
         }
-        let slow = (self.median / self.learned[job.taken.category].pace()).max(1.0);
+        let slow = (self.median / self.learned[job.taken.class].pace()).max(1.0);
         let (run, left) = (self.run_time(job) * slow, job.taken.deadline - now);
         let early = (2.8 * run + 0.1 * self.quick).max(0.5 * (job.expected_at - now));
         // A job that holds its tables stands behind others that do, and would lose its place.
-        let holds = self.given.categories[job.taken.category].holds_tables;
+        let holds = self.given.classes[job.taken.class].holds_tables;
         let wait =
             if holds { (2.0 * self.patience(job)).max(job.expected_at - now - 1.5 * run) } else { early };
         (wait + run < left && job.pushes.len() + 1 < self.given.most_pushes as usize).then_some(wait)
@@ -1161,7 +1161,7 @@
     /// A held job that can't come in time: turned back, unless what it earns late beats the work that waits.
     fn too_late(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.over && !job.out()) else { return };
-        let late = job.density * self.given.categories[job.taken.category].late_share;
+        let late = job.density * self.given.classes[job.taken.class].late_share;
         let last = job.taken.deadline - self.run_time(job);
         if late >= self.density.or(0.0) && now < last - 0.05 {
             self.due.insert((rank(last), Due::TooLate(id)));
@@ -1184,7 +1184,7 @@
         let (over, number, push) = (job.over, index as u32, &mut job.pushes[index]);
         let engine = self.engines.get_mut(push.engine).filter(|one| push.out && one.last_answer < push.sent);
         let Some(engine) = engine else { return };
-        engine.doubt.add(job.taken.category, 0.0, 1.0, 1.0);
+        engine.doubt.add(job.taken.class, 0.0, 1.0, 1.0);
         self.unfiled.push(push.engine);
         self.due.insert((rank(now + 2.0), Due::Overdue(id, index)));
         if self.given.call_off && !over && !push.called_off && engine.doubt.mean() < 0.5 {
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -30,22 +30,22 @@
     let (grant, least, _) = gateway.grant(id);
     let gateway = &*gateway;
     let job = &gateway.jobs[&id];
-    let (group, of) = (job.taken.table_group, job.taken.category);
+    let (group, of) = (job.taken.table_group, job.taken.class);
     let ready = gateway.engines.iter().enumerate();
     let ready = ready.filter(|(_, engine)| engine.at.stage == Stage::Ready && engine.cores > 0.0);
     let ready = ready.map(|(at, engine)| (mix((engine.at.name_hash, group)), at));
     let mut open: Vec<usize> = ready.collect::<BTreeSet<_>>().into_iter().map(|(_, at)| at).collect();
-    let category = &gateway.given.categories[of];
-    let (engines, all_ours) = (open.len() as f64, gateway.given.gateways * category.threads);
+    let class = &gateway.given.classes[of];
+    let (engines, all_ours) = (open.len() as f64, gateway.given.gateways * class.threads);
     let many = all_ours > gateway.given.kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
     let hot = if many { SPREAD * gateway.asked.share(group, COOL) * engines } else { 0.0 };
     let few = (open.len() / 3).clamp(2, 3).max(hot.ceil() as usize);
-    if category.holds_tables {
+    if class.holds_tables {
         open.reverse();
         let far = gateway.last_start(job) - now > gateway.run_time(job);
         open.truncate(if far { open.len().div_ceil(2) } else { open.len() });
     }
-    let stalls = category.holds_tables || category.waits_for_holders;
+    let stalls = class.holds_tables || class.waits_for_holders;
     let light = gateway.light(id) && !gateway.passed_by;
     let engine = |at: &usize| &gateway.engines[*at];
     open.retain(|at| gateway.may_push(id, *at, now) && !(stalls && engine(at).holding.contains(&group)));
@@ -54,11 +54,11 @@
     let tries = |engine: &EngineState| light && engine.pushes == 0 && engine.doubt.drawn >= trust;
     open.retain(|at| mean(at) >= trust || tries(engine(at)));
     let even = gateway.learned[of].work_by_cost.told.weight == 0.0
-        && gateway.fills(gateway.threads + category.threads, gateway.cores);
+        && gateway.fills(gateway.threads + class.threads, gateway.cores);
     let alone = |at: &usize| {
         let engine = engine(at);
         !engine.room.tells
-            && (engine.pushes == 0 || gateway.fills(engine.threads + category.threads, engine.cores))
+            && (engine.pushes == 0 || gateway.fills(engine.threads + class.threads, engine.cores))
     };
     open.retain(|at| gateway.has_room(of, engine(at), light) || even && alone(at));
     let been = |at: &usize| job.pushes.iter().any(|push| push.engine == *at);
@@ -75,8 +75,8 @@
     choice.map(|&at| (at, grant)).or(roomiest)
 }
 
-fn category(credit: f64, threads: f64, idempotency: Idempotency) -> Category {
-    Category {
+fn class(credit: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
+    RequestClass {
         credit,
         late_share: 0.2,
         expected_time: 1.0,
@@ -96,19 +96,19 @@
 fn deployment(gateways: f64, tells: bool) -> Deployment {
     let all = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 5.0 };
     let near = Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: 5.0 };
-    let mut categories = vec![
-        category(1.0, 1.0, Idempotency::Idempotent),
-        category(8.0, 3.0, Idempotency::Idempotent),
-        category(6.0, 2.0, all),
-        category(2.0, 1.0, near),
+    let mut classes = vec![
+        class(1.0, 1.0, Idempotency::Idempotent),
+        class(8.0, 3.0, Idempotency::Idempotent),
+        class(6.0, 2.0, all),
+        class(2.0, 1.0, near),
     ];
-    categories[2].holds_tables = true;
-    categories[2].in_key_order = true;
-    categories[3].only_zones = Some(vec![0, 2]);
-    categories[1].only_kinds = if tells { Some(vec![1]) } else { None };
+    classes[2].holds_tables = true;
+    classes[2].in_key_order = true;
+    classes[3].only_zones = Some(vec![0, 2]);
+    classes[1].only_kinds = if tells { Some(vec![1]) } else { None };
     Deployment {
         gateways,
-        categories,
+        classes,
         kinds: vec![Kind { cores: 8.0, memory_mb: 6000.0 }, Kind { cores: 16.0, memory_mb: 9000.0 }],
         largest_share: 0.5,
         grants: true,
@@ -206,10 +206,10 @@
     }
 
     fn takes(&mut self, groups: usize) {
-        let category = [0, 0, 0, 1, 2, 3][self.draw(6)];
-        let cost = [0.05, 1.0, 0.6, 0.1][category] * (1 + self.draw(8)) as f64 / 4.0;
+        let class = [0, 0, 0, 1, 2, 3][self.draw(6)];
+        let cost = [0.05, 1.0, 0.6, 0.1][class] * (1 + self.draw(8)) as f64 / 4.0;
         let taken = Taken {
-            category,
+            class,
             key: Some(self.draw(50) as u64),
             table_group: self.draw(groups) as u64,
             cost: Some(cost),
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -39,7 +39,7 @@
     deployment.gateways = play.gateways as f64;
     deployment.kinds = vec![Kind { cores, memory_mb: 32000.0 }];
     deployment.cold = ColdStart { from: 0.3, warm_after: 10.0, multiple: 3.0, window: 2.0 };
-    deployment.categories[1].threads = 2.0;
+    deployment.classes[1].threads = 2.0;
     let cold = deployment.cold;
     let mut seed = play.seed;
     let mut worlds: Vec<World> = (0..play.gateways)
@@ -82,11 +82,11 @@
             let mut left = if at < play.busy { rate * step } else { 0.0 };
             while left > 0.0 && draw(&mut seed) < left {
                 left -= 1.0;
-                let category = usize::from(draw(&mut seed) < SHARES[1]);
-                let work = play.work[category] * (0.5 + draw(&mut seed));
+                let class = usize::from(draw(&mut seed) < SHARES[1]);
+                let work = play.work[class] * (0.5 + draw(&mut seed));
                 let told = play.estimates.then_some(work);
                 let group = (draw(&mut seed) * 300.0) as u64;
-                world.job(category, |taken| (taken.cost, taken.table_group) = (told, group));
+                world.job(class, |taken| (taken.cost, taken.table_group) = (told, group));
                 costs[at].push(work);
             }
             let before = world.book.wrote.len();
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -3,8 +3,8 @@
 use cleatgw::logic::Gateway;
 use cleatgw::queue::{Line, Terms, Wait};
 use cleatgw::{
-    Category, ColdStart, DeduplicationScope, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, Note,
-    PushBudget, PushEnd, Stage, Taken, Writer,
+    ColdStart, DeduplicationScope, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, Note,
+    PushBudget, PushEnd, RequestClass, Stage, Taken, Writer,
 };
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -166,8 +166,8 @@
     hash: Sha256,
 }
 
-fn class(value: f64, threads: f64, idempotency: Idempotency) -> Category {
-    Category {
+fn class(value: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
+    RequestClass {
         credit: value,
         late_share: 0.3,
         expected_time: 1.0,
@@ -183,18 +183,22 @@
     }
 }
 
-fn classes() -> Vec<Category> {
+fn classes() -> Vec<RequestClass> {
     let everywhere = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 3.0 };
     let in_zone = Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: 4.0 };
     let in_cell = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 2.0 };
     vec![
         class(1.0, 1.0, Idempotency::Idempotent),
-        Category { expected_time: 4.0, waits_for_holders: true, ..class(6.0, 4.0, Idempotency::Idempotent) },
+        RequestClass {
+            expected_time: 4.0,
+            waits_for_holders: true,
+            ..class(6.0, 4.0, Idempotency::Idempotent)
+        },
         class(2.0, 1.0, everywhere),
         class(2.0, 1.0, in_zone),
-        Category { in_key_order: true, ..class(3.0, 1.0, Idempotency::NonIdempotent) },
-        Category { expected_time: 3.0, holds_tables: true, ..class(4.0, 2.0, in_cell) },
-        Category {
+        RequestClass { in_key_order: true, ..class(3.0, 1.0, Idempotency::NonIdempotent) },
+        RequestClass { expected_time: 3.0, holds_tables: true, ..class(4.0, 2.0, in_cell) },
+        RequestClass {
             only_zones: Some(vec![0, 1]),
             only_kinds: Some(vec![0]),
             ..class(1.5, 1.0, Idempotency::Idempotent)
@@ -205,7 +209,7 @@
 fn deployment(variant: Variant) -> Deployment {
     let common = Deployment {
         gateways: 3.0,
-        categories: classes(),
+        classes: classes(),
         kinds: vec![Kind { cores: 8.0, memory_mb: 4000.0 }, Kind { cores: 16.0, memory_mb: 8000.0 }],
         largest_share: 0.5,
         grants: true,
@@ -413,7 +417,7 @@
         self.next_request += 1;
         self.counts.requests += 1;
         let class = [0, 0, 0, 0, 1, 2, 2, 3, 4, 4, 5, 6][self.below(12)];
-        let threads = self.deployment.categories[class].threads;
+        let threads = self.deployment.classes[class].threads;
         let scale = [0.05, 1.5, 0.1, 0.1, 0.08, 0.4, 0.1][class];
         let work = scale * (0.4 + 2.0 * self.chance() * self.chance());
         let memory = 120.0 * threads * (0.2 + 2.0 * self.chance());
@@ -423,7 +427,7 @@
         let key = (self.chance() < 0.5).then(|| self.below(9) as u64);
         let earlier = (self.chance() < 0.02).then_some(self.now - 1.0);
         let taken = Taken {
-            category: class,
+            class,
             key,
             table_group: self.below(40).min(self.below(40)) as u64,
             cost: estimated.then_some(work * off),
@@ -444,7 +448,7 @@
         let (class, work, memory, deadline) = (truth.class, truth.work, truth.memory, truth.deadline);
         self.counts.attempts += 1;
         self.counts.retries += usize::from(number > 0);
-        let threads = self.deployment.categories[class].threads;
+        let threads = self.deployment.classes[class].threads;
         let grant = self.recorder.grants.get(&request).copied().unwrap_or(memory);
         let short = grant > 0.0 && grant < 0.5 * memory;
         self.counts.quarter_grants += usize::from(short);
@@ -510,7 +514,7 @@
         let (class, work, memory) =
             truth.map_or((0, 0.1, 10.0), |truth| (truth.class, truth.work, truth.memory));
         let model = &mut self.engines[engine];
-        model.running = (model.running - self.deployment.categories[class].threads).max(0.0);
+        model.running = (model.running - self.deployment.classes[class].threads).max(0.0);
         let running = model.running;
         let known = self.variant != Variant::ManyGateways;
         let delivered = ending == Ending::Delivered;
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -64,8 +64,8 @@
     }
 }
 
-pub fn category(credit: f64, threads: f64, idempotency: Idempotency) -> Category {
-    Category {
+pub fn class(credit: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
+    RequestClass {
         credit,
         late_share: 0.0,
         expected_time: 2.0,
@@ -81,14 +81,11 @@
     }
 }
 
-/// One gateway; light jobs are category 0, heavy ones 1, both pure.
+/// One gateway; light jobs are class 0, heavy ones 1, both pure.
 pub fn plain() -> Deployment {
     Deployment {
         gateways: 1.0,
-        categories: vec![
-            category(1.0, 1.0, Idempotency::Idempotent),
-            category(5.0, 4.0, Idempotency::Idempotent),
-        ],
+        classes: vec![class(1.0, 1.0, Idempotency::Idempotent), class(5.0, 4.0, Idempotency::Idempotent)],
         kinds: vec![Kind { cores: 8.0, memory_mb: 8000.0 }],
         largest_share: 0.5,
         grants: true,
@@ -119,11 +116,11 @@
         world
     }
 
-    pub fn job(&mut self, category: usize, change: impl Fn(&mut Taken)) -> usize {
-        let cost = Some(if category == 0 { 0.1 } else { 4.0 });
-        let memory_mb = Some(if category == 0 { 50.0 } else { 1000.0 });
+    pub fn job(&mut self, class: usize, change: impl Fn(&mut Taken)) -> usize {
+        let cost = Some(if class == 0 { 0.1 } else { 4.0 });
+        let memory_mb = Some(if class == 0 { 50.0 } else { 1000.0 });
         let deadline = self.now + 10.0;
-        let mut taken = Taken { category, cost, memory_mb, deadline, ..Taken::default() };
+        let mut taken = Taken { class, cost, memory_mb, deadline, ..Taken::default() };
         change(&mut taken);
         self.gateway.job_taken(self.now, self.next_job, taken);
         self.next_job += 1;
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -4,7 +4,7 @@
 mod host;
 
 use cleatgw::*;
-use host::{category, listing, plain, World, Wrote};
+use host::{class, listing, plain, World, Wrote};
 
 // ---- the rules ----
 
@@ -32,7 +32,7 @@
 #[test]
 fn an_non_idempotent_job_that_may_have_run_is_terminated_at_once() {
     let mut deployment = plain();
-    deployment.categories[0].idempotency = Idempotency::NonIdempotent;
+    deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
     let job = world.job(0, |_| ());
     world.round();
@@ -45,7 +45,7 @@
 #[test]
 fn an_non_idempotent_job_that_never_ran_is_pushed_again() {
     let mut deployment = plain();
-    deployment.categories[0].idempotency = Idempotency::NonIdempotent;
+    deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
     let job = world.job(0, |_| ());
     world.round();
@@ -57,9 +57,9 @@
 #[test]
 fn a_deduplicated_job_is_repeated_only_in_its_cell_and_window() {
     let mut deployment = plain();
-    deployment.categories[0].idempotency =
+    deployment.classes[0].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 1.0 };
-    deployment.categories[0].expected_time = 8.0;
+    deployment.classes[0].expected_time = 8.0;
     let mut world = World::new(deployment, 0);
     let cells: Vec<Listing> = (0..6).map(|at| Listing { cell: at as u64 % 2, ..listing(at) }).collect();
     world.gateway.engines_listed(100.0, &cells, true);
@@ -83,9 +83,9 @@
 #[test]
 fn a_repeat_at_the_edge_of_its_window_leaves_in_time_or_not_at_all() {
     let mut deployment = plain();
-    deployment.categories[0].idempotency =
+    deployment.classes[0].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
-    deployment.categories[0].expected_time = 8.0;
+    deployment.classes[0].expected_time = 8.0;
     let mut world = World::new(deployment, 6);
     let jobs: Vec<usize> = (0..3).map(|_| world.job(0, |_| ())).collect();
     world.round();
@@ -176,7 +176,7 @@
 #[test]
 fn jobs_of_one_key_run_in_turn_and_rest_after_a_time_out() {
     let mut deployment = plain();
-    deployment.categories[0].in_key_order = true;
+    deployment.classes[0].in_key_order = true;
     deployment.key_rest = 1.0;
     let mut world = World::new(deployment, 3);
     let first = world.job(0, |taken| taken.key = Some(5));
@@ -195,8 +195,8 @@
 #[test]
 fn a_long_line_for_one_key_holds_up_nobody_else() {
     let mut deployment = plain();
-    deployment.categories[0].in_key_order = true;
-    deployment.categories[0].credit = 50.0;
+    deployment.classes[0].in_key_order = true;
+    deployment.classes[0].credit = 50.0;
     let mut world = World::new(deployment, 3);
     for _ in 0..30 {
         world.job(0, |taken| taken.key = Some(5));
@@ -209,8 +209,8 @@
 #[test]
 fn a_bound_job_goes_nowhere_else_even_when_its_places_are_down() {
     let mut deployment = plain();
-    deployment.categories[0].only_zones = Some(vec![1]);
-    deployment.categories[1].only_kinds = Some(vec![1]);
+    deployment.classes[0].only_zones = Some(vec![1]);
+    deployment.classes[1].only_kinds = Some(vec![1]);
     let mut world = World::new(deployment, 3);
     let jobs = [world.job(0, |_| ()), world.job(1, |_| ())];
     world.pass(15.0);
@@ -323,9 +323,7 @@
 #[test]
 fn no_job_is_pushed_behind_a_holder_of_its_tables() {
     let mut deployment = plain();
-    deployment
-        .categories
-        .push(Category { holds_tables: true, ..category(9.0, 2.0, Idempotency::Idempotent) });
+    deployment.classes.push(RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 1);
     let (holder, second) = (world.job(2, |_| ()), world.job(2, |_| ()));
     let elsewhere = world.job(0, |taken| taken.table_group = 8);
@@ -341,9 +339,7 @@
 #[test]
 fn readers_keep_away_from_the_engine_where_a_holder_of_their_tables_runs() {
     let mut deployment = plain();
-    deployment
-        .categories
-        .push(Category { holds_tables: true, ..category(9.0, 2.0, Idempotency::Idempotent) });
+    deployment.classes.push(RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 6);
     let holder = world.job(2, |_| ());
     world.round();
@@ -394,7 +390,7 @@
     for pace in [0.2, 1.0] {
         let mut deployment = plain();
         deployment.call_off = true;
-        deployment.categories.iter_mut().for_each(|category| category.expected_time = pace);
+        deployment.classes.iter_mut().for_each(|class| class.expected_time = pace);
         for seed in 0..8 {
             let mut world = World::seeded(deployment.clone(), 3, seed);
             let job = world.job(0, |taken| taken.cost = Some(0.05 * pace));
@@ -418,7 +414,7 @@
     let mut deployment = plain();
     deployment.call_off = true;
     let mut waits = |holds| {
-        deployment.categories[1].holds_tables = holds;
+        deployment.classes[1].holds_tables = holds;
         let mut world = World::new(deployment.clone(), 3);
         world.job(1, |taken| taken.deadline += 60.0);
         world.round();
@@ -429,30 +425,30 @@
 }
 
 #[test]
-fn what_strikes_one_category_on_one_engine_keeps_only_that_category_away() {
+fn what_strikes_one_class_on_one_engine_keeps_only_that_class_away() {
     for ending in [Ending::TimedOut, Ending::Full] {
         let mut deployment = plain();
         deployment.call_off = true;
-        deployment.categories[1].threads = 1.0;
+        deployment.classes[1].threads = 1.0;
         let mut world = World::new(deployment, 4);
         let mut there = [0, 0];
         for round in 0..300 {
             // The others are answered, so the engine is not silent.
-            let jobs = [1, 1, 0].map(|category| {
-                let cost = Some(0.1 + category as f64);
-                (category, world.job(category, |taken| (taken.table_group, taken.cost) = (round, cost)))
+            let jobs = [1, 1, 0].map(|class| {
+                let cost = Some(0.1 + class as f64);
+                (class, world.job(class, |taken| (taken.table_group, taken.cost) = (round, cost)))
             });
             world.round();
             world.now += 0.1;
-            for (category, job) in jobs {
+            for (class, job) in jobs {
                 if world.engines_of(job) == [0] {
-                    there[category] += u32::from(round >= 150);
-                    if category == 0 {
+                    there[class] += u32::from(round >= 150);
+                    if class == 0 {
                         world.over(job, ending, 0.1);
                         world.round();
                     }
                 }
-                world.over(job, Ending::Delivered, 0.1 + category as f64);
+                world.over(job, Ending::Delivered, 0.1 + class as f64);
             }
         }
         assert!(there[0] < 30 && there[1] > 50, "{ending:?}: {there:?} of 150 and 300");
@@ -463,7 +459,7 @@
 fn when_everything_is_slower_pushes_are_waited_for_longer() {
     let mut deployment = plain();
     deployment.call_off = true;
-    deployment.categories[0].expected_time = 0.2;
+    deployment.classes[0].expected_time = 0.2;
     let mut world = World::new(deployment, 4);
     let mut asked = |jobs: usize, pace: f64| {
         for _ in 0..jobs {
@@ -538,7 +534,7 @@
 #[test]
 fn large_estimates_that_scatter_are_not_taken_at_their_word() {
     let mut deployment = plain();
-    deployment.categories[1].stretch = 0.0;
+    deployment.classes[1].stretch = 0.0;
     let mut world = World::new(deployment, 1);
     // Estimates from a fifth of the truth to twice as much: those that lie low run, and all seem too low.
     for step in 0..60 {
@@ -584,7 +580,7 @@
 #[test]
 fn bound_jobs_are_not_starved_when_all_their_places_are_in_doubt() {
     let mut deployment = plain();
-    deployment.categories[1].only_zones = Some(vec![1]);
+    deployment.classes[1].only_zones = Some(vec![1]);
     let mut world = World::new(deployment, 3);
     world.gateway.engines_listed(100.0, &[Listing { zone: 1, ..listing(9) }], false);
     for _ in 0..3 {
@@ -624,14 +620,14 @@
 fn the_gate_alone_keeps_a_job_from_a_second_effect_a_second_copy_and_one_push_too_many() {
     let mut deployment = plain();
     let window = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
-    deployment.categories = vec![
-        category(1.0, 1.0, Idempotency::NonIdempotent),
-        category(1.0, 1.0, window),
-        category(1.0, 1.0, Idempotency::Idempotent),
+    deployment.classes = vec![
+        class(1.0, 1.0, Idempotency::NonIdempotent),
+        class(1.0, 1.0, window),
+        class(1.0, 1.0, Idempotency::Idempotent),
     ];
     deployment.most_pushes = 2;
     let mut world = World::new(deployment, 2);
-    let jobs = [0, 1, 2].map(|category| world.job(category, |_| ()));
+    let jobs = [0, 1, 2].map(|class| world.job(class, |_| ()));
     world.round();
     let gate = |world: &World, job| (0..2).any(|engine| world.gateway.may_push(job, engine, world.now));
     assert_eq!(jobs.map(|job| gate(&world, job)), [false; 3], "one is out");
@@ -648,7 +644,7 @@
 #[test]
 fn the_gate_alone_keeps_key_order() {
     let mut deployment = plain();
-    deployment.categories[0].in_key_order = true;
+    deployment.classes[0].in_key_order = true;
     let mut world = World::new(deployment, 2);
     let jobs = [0, 1].map(|_| world.job(0, |taken| taken.key = Some(4)));
     assert_eq!(jobs.map(|job| world.gateway.may_push(job, 0, world.now)), [true, false]);
@@ -657,8 +653,8 @@
 #[test]
 fn holders_of_tables_keep_to_the_far_half_while_they_have_time() {
     let mut deployment = plain();
-    let holder = Category { holds_tables: true, ..category(9.0, 2.0, Idempotency::Idempotent) };
-    deployment.categories.push(Category { expected_time: 8.0, ..holder });
+    let holder = RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) };
+    deployment.classes.push(RequestClass { expected_time: 8.0, ..holder });
     let mut world = World::new(deployment, 6);
     let jobs: Vec<usize> = (0..5).map(|_| world.job(2, |taken| taken.deadline += 20.0)).collect();
     let pushed = |world: &World| jobs.iter().filter(|&&job| !world.engines_of(job).is_empty()).count();
@@ -1116,7 +1112,7 @@
 fn keyed(scope: DeduplicationScope) -> Deployment {
     let idempotency = Idempotency::Deduplicated { scope, window: 12.0 };
     Deployment {
-        categories: vec![category(1.0, 1.0, idempotency), category(1.0, 1.0, Idempotency::NonIdempotent)],
+        classes: vec![class(1.0, 1.0, idempotency), class(1.0, 1.0, Idempotency::NonIdempotent)],
         ..plain()
     }
 }
@@ -1125,10 +1121,10 @@
 /// and what can't be is answered at once, never as harmless.
 #[test]
 fn a_request_that_was_pushed_before_runs_again_only_within_its_window_and_is_else_terminated_at_once() {
-    let play = |scope: DeduplicationScope, category: usize, ago: f64| {
+    let play = |scope: DeduplicationScope, class: usize, ago: f64| {
         let mut world = World::new(keyed(scope), 3);
         let earlier = Some(world.now - ago);
-        let job = world.job(category, |taken| taken.earlier = earlier);
+        let job = world.job(class, |taken| taken.earlier = earlier);
         world.pass(0.1);
         (
             world.engines_of(job).len(),
@@ -1215,7 +1211,7 @@
     let mut deployment = plain();
     deployment.gateways = 6.0;
     deployment.kinds = vec![Kind { cores: 16.0, memory_mb: 32000.0 }];
-    deployment.categories[1].threads = 3.0;
+    deployment.classes[1].threads = 3.0;
     let mut world = World::new(deployment, 4);
     let off = [0.05, 0.6, 0.1, 0.3];
     let mut heavy = Vec::new();
@@ -1257,7 +1253,7 @@
     let mut deployment = plain();
     deployment.gateways = 32.0;
     deployment.kinds = vec![Kind { cores: 16.0, memory_mb: 32000.0 }];
-    deployment.categories[1].threads = 3.0;
+    deployment.classes[1].threads = 3.0;
     let mut world = World::new(deployment, 8);
     for group in 0..40 {
         let job = world.job(0, |taken| (taken.cost, taken.table_group) = (Some(0.002), group));
@@ -1294,16 +1290,16 @@
 /// If all gateways take their even part, each core has a thread: four light jobs here, or one heavy one.
 #[test]
 fn the_even_part_is_no_more_than_a_thread_a_core_from_all_gateways_together() {
-    for (category, said, even) in [(0, 0.002, 4), (1, 1.0, 1)] {
+    for (class, said, even) in [(0, 0.002, 4), (1, 1.0, 1)] {
         let mut world = many_that_feel_a_crowd();
         let jobs: Vec<usize> = (0..30)
             .map(|group| {
-                world.job(category, |taken| (taken.cost, taken.table_group) = (Some(said), 100 + group))
+                world.job(class, |taken| (taken.cost, taken.table_group) = (Some(said), 100 + group))
             })
             .collect();
         world.pass(0.1);
         let pushed = jobs.iter().filter(|job| !world.engines_of(**job).is_empty()).count();
-        assert_eq!(pushed, even, "category {category}");
+        assert_eq!(pushed, even, "category {class}");
     }
 }
 
