--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -11,8 +11,8 @@
 use std::fmt::Write as _;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// A job's name on the wire, and whether it may still be heard of.
-struct JobName {
+/// A request's name on the wire, and whether it may still be heard of.
+struct WireRequest {
     id: u64,
     out: u32,
     over: bool,
@@ -20,26 +20,26 @@
 
 #[derive(Default)]
 struct Ids {
-    jobs: HashMap<usize, JobName>,
-    job_of: HashMap<u64, usize>,
-    next_job: usize,
+    requests: HashMap<usize, WireRequest>,
+    request_of: HashMap<u64, usize>,
+    next_request: usize,
     engines: Vec<String>,
     engine_of: HashMap<String, usize>,
 }
 
 impl Ids {
-    fn drop_if_done(&mut self, job: usize) {
-        if self.jobs.get(&job).is_some_and(|name| name.over && name.out == 0) {
-            let id = self.jobs.remove(&job).expect("just seen").id;
-            self.job_of.remove(&id);
+    fn drop_if_done(&mut self, request: usize) {
+        if self.requests.get(&request).is_some_and(|name| name.over && name.out == 0) {
+            let id = self.requests.remove(&request).expect("just seen").id;
+            self.request_of.remove(&id);
         }
     }
 
-    fn over(&mut self, job: usize) {
-        if let Some(name) = self.jobs.get_mut(&job) {
+    fn over(&mut self, request: usize) {
+        if let Some(name) = self.requests.get_mut(&request) {
             name.over = true;
         }
-        self.drop_if_done(job);
+        self.drop_if_done(request);
     }
 
     fn engine(&mut self, address: &str) -> usize {
@@ -76,42 +76,42 @@
 }
 
 impl Pen<'_> {
-    fn id(&self, job: usize) -> Option<u64> {
-        self.ids.jobs.get(&job).map(|name| name.id)
+    fn id(&self, request: usize) -> Option<u64> {
+        self.ids.requests.get(&request).map(|name| name.id)
     }
 }
 
 impl Writer for Pen<'_> {
-    fn terms(&mut self, job: usize, lane: u8, memory_mb: f64) {
-        let Some(id) = self.id(job) else { return };
+    fn terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+        let Some(id) = self.id(request) else { return };
         write_line(self.reply, format_args!("PROVIDE {} {id} {lane} {:.1}", self.instance, memory_mb));
     }
 
     /// On this wire a push leaves at once.
-    fn push(&mut self, job: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
-        let Some(name) = self.ids.jobs.get_mut(&job) else { return };
+    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
+        let Some(name) = self.ids.requests.get_mut(&request) else { return };
         name.out += 1;
         let (id, time_out) = (name.id, time_out.map_or(0, |limit| micros(limit).max(1)));
         let address = self.ids.engines[engine].clone();
         write_line(self.reply, format_args!("ASSIGN {} {id} {time_out} {address}", self.instance));
     }
 
-    fn call_off(&mut self, job: usize, push: u32) {
-        let Some(id) = self.id(job) else { return };
+    fn call_off(&mut self, request: usize, push: u32) {
+        let Some(id) = self.id(request) else { return };
         write_line(self.reply, format_args!("WITHDRAW {} {id} {push}", self.instance));
     }
 
-    fn turn_back(&mut self, job: usize, come_back_in: Option<f64>) {
-        let Some(id) = self.id(job) else { return };
+    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
+        let Some(id) = self.id(request) else { return };
         let wait = come_back_in.map_or(0, micros);
         write_line(self.reply, format_args!("NOT_NOW {} {id} {wait}", self.instance));
-        self.ids.over(job);
+        self.ids.over(request);
     }
 
-    fn terminate(&mut self, job: usize) {
-        let Some(id) = self.id(job) else { return };
+    fn terminate(&mut self, request: usize) {
+        let Some(id) = self.id(request) else { return };
         write_line(self.reply, format_args!("DROP_REQUEST {} {id}", self.instance));
-        self.ids.over(job);
+        self.ids.over(request);
     }
 
     fn watch(&mut self, on: bool) {
@@ -338,7 +338,7 @@
             _ => Some(text.parse().map_err(|_| fields.complain("telemetry", "numbers", row))?),
         };
         match column.as_str() {
-            "outstanding" => load.jobs = value,
+            "outstanding" => load.requests = value,
             "backlog" => load.memory_waits = value,
             "x0" => load.memory_granted = value,
             _ => {}
@@ -373,14 +373,14 @@
             "CALL" => self.call(now, fields),
             "OUTCOME" => self.outcome(now, fields),
             "WITHDRAWN" => {
-                if let Some(&job) = self.ids.job_of.get(&fields.whole("req")?) {
-                    self.gateway.job_withdrawn(job);
-                    self.ids.over(job);
+                if let Some(&request) = self.ids.request_of.get(&fields.whole("req")?) {
+                    self.gateway.request_withdrawn(request);
+                    self.ids.over(request);
                 }
                 Ok(())
             }
             "NOTICE" => {
-                let request = fields.whole("req")?;
+                let wire_id = fields.whole("req")?;
                 fields.whole("hop")?;
                 fields.need("engine", "an address")?;
                 let kind = fields.whole("kind")?;
@@ -392,8 +392,8 @@
                     3 => Note::WaitsForMemory,
                     _ => return Ok(()),
                 };
-                if let Some(&job) = self.ids.job_of.get(&request) {
-                    self.gateway.push_noted(now, job, note);
+                if let Some(&request) = self.ids.request_of.get(&wire_id) {
+                    self.gateway.push_noted(now, request, note);
                 }
                 Ok(())
             }
@@ -487,7 +487,7 @@
     }
 
     fn call(&mut self, now: f64, fields: &mut Fields) -> Result<(), Complaint> {
-        let request = fields.whole("req")?;
+        let wire_id = fields.whole("req")?;
         let cost = fields.maybe::<u64>("plan-cost-us", "a whole number")?;
         let tenant = fields.text();
         let team = self.teams.as_ref().map_or(0, |teams| teams.of(tenant));
@@ -507,10 +507,10 @@
         let Some(class) = self.names.classes.iter().position(|name| name == class) else {
             return Err(fields.complain("tier-class", "a class named at the start", class));
         };
-        let job = self.ids.next_job;
-        self.ids.next_job += 1;
-        self.ids.jobs.insert(job, JobName { id: request, out: 0, over: false });
-        self.ids.job_of.insert(request, job);
+        let request = self.ids.next_request;
+        self.ids.next_request += 1;
+        self.ids.requests.insert(request, WireRequest { id: wire_id, out: 0, over: false });
+        self.ids.request_of.insert(wire_id, request);
         let taken = Taken {
             class,
             key,
@@ -521,28 +521,28 @@
             team,
             earlier: None,
         };
-        self.gateway.job_taken(now, job, taken);
+        self.gateway.request_received(now, request, taken);
         Ok(())
     }
 
     fn outcome(&mut self, now: f64, fields: &mut Fields) -> Result<(), Complaint> {
-        let request = fields.whole("req")?;
+        let wire_id = fields.whole("req")?;
         let told = fields.maybe::<u64>("true-cost", "a whole number")?.filter(|&told| told > 0);
         fields.whole("hop")?;
         let engine = self.ids.engine(fields.need("engine", "an address")?);
         let ending = read_ending(fields)?;
-        let job_over = fields.flag("no-more")?;
+        let request_done = fields.flag("no-more")?;
         let spent = seconds(fields.whole("spent-us")?);
         let row = fields.text();
         let load = read_load(&self.names.columns, row, fields)?;
-        let Some(&job) = self.ids.job_of.get(&request) else { return Ok(()) };
-        if let Some(name) = self.ids.jobs.get_mut(&job) {
+        let Some(&request) = self.ids.request_of.get(&wire_id) else { return Ok(()) };
+        if let Some(name) = self.ids.requests.get_mut(&request) {
             name.out = name.out.saturating_sub(1);
-            name.over |= job_over;
+            name.over |= request_done;
         }
         let told = told.map(|told| ((told / 4096) as f64 / 1e3, (told % 4096) as f64 * 4.0));
-        self.gateway.push_over(now, &PushEnd { job, engine, ending, job_over, spent, told, load });
-        self.ids.drop_if_done(job);
+        self.gateway.push_over(now, &PushEnd { request, engine, ending, request_done, spent, told, load });
+        self.ids.drop_if_done(request);
         Ok(())
     }
 }
--- a/crates/lab/src/capacity/clients.rs
+++ b/crates/lab/src/capacity/clients.rs
@@ -5,7 +5,9 @@
 
 use super::hollow::{self, Guarded};
 use super::{report, target, Ask, Need, Range, Row};
-use crate::standins::{configuration, counter, job, login, query, vacant, Answered, Board, Client, Engine};
+use crate::standins::{
+    configuration, counter, login, query, request, vacant, Answered, Board, Client, Engine,
+};
 use rustix::event::epoll;
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
@@ -232,7 +234,7 @@
         };
         if session.asked.is_some() {
             self.skipped += 1;
-        } else if session.stream.write_all(&query(&job("look", 5000, "x"))).is_ok() {
+        } else if session.stream.write_all(&query(&request("look", 5000, "x"))).is_ok() {
             session.asked = Some(Instant::now());
             self.asked += 1;
         }
@@ -274,7 +276,7 @@
         let mut client = Client::at(address).map_err(|error| format!("the first client: {error}"))?;
         while begun.elapsed() < OPENS {
             router.lives()?;
-            client.send(&job("look", 2000, "x"));
+            client.send(&request("look", 2000, "x"));
             if let Some(Answered::Rows(_)) = client.try_answer() {
                 return Ok(Stage { router, address, _board: board });
             }
--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -5,7 +5,7 @@
 use crate::cluster::cluster_file;
 use crate::peering::service_file;
 use crate::relays::vacant_udp;
-use crate::standins::{job, Answered, Board, Client, Engine, Router};
+use crate::standins::{request, Answered, Board, Client, Engine, Router};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -278,12 +278,12 @@
     plays("configuration: listen", &fixed("listen"), &change, &none);
     let change = in_configuration("8c1f30d27a5be964", "8c1f30d27a5be965");
     plays("configuration: seed", "", &change, &none);
-    // The newer event tells of the second engine alone: a job goes there.
+    // The newer event tells of the second engine alone: a request goes there.
     let (first, second) = (engine.entry("gone"), other.entry("ready"));
     let event = format!(r#"{{"rev":2,"pool":{{"rev":2,"all":true,"targets":[{second}]}}}}"#);
     let known = router.configuration(&board, &format!(r#"{{"rev":2,"notices":[{event}]}}"#));
     let deed = || {
-        let answer = Client::new(&router).ask(&job("look", 3000, "x"));
+        let answer = Client::new(&router).ask(&request("look", 3000, "x"));
         let there = other.seen.all().iter().any(|line| line.starts_with("GET"));
         Some(matches!(answer, Answered::Rows(_)) && there)
     };
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost a job: the module alone, in virtual time, at a router's part of the target's rate. The clock is
+//! What the decisions cost a request: the module alone, in virtual time, at a router's part of the target's rate. The clock is
 //! read around its calls only.
 
 use super::{report, target, Ask, Row};
@@ -46,8 +46,8 @@
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, job: usize, engine: usize, _: Option<f64>, _: f64) {
-        self.0.push((job, engine));
+    fn push(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
+        self.0.push((request, engine));
     }
     fn call_off(&mut self, _: usize, _: u32) {}
     fn turn_back(&mut self, _: usize, _: Option<f64>) {}
@@ -79,7 +79,7 @@
     };
     Deployment {
         gateways: (engines * target::ROUTERS).div_ceil(target::ENGINES) as f64,
-        // The second one is bound to a kind that is not there: its jobs are held.
+        // The second one is bound to a kind that is not there: its requests are held.
         classes: vec![class(1.0, 1.0, None), class(0.1, 1.0, Some(vec![1]))],
         kinds: vec![Kind { cores: CORES, memory_mb: 64_000.0 }; 2],
         largest_share: 0.5,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Microseconds a job, and the longest round in milliseconds; jobs that were pushed at least once of those that came.
+/// Microseconds a request, and the longest round in milliseconds; requests that were pushed at least once of those that came.
 fn play(play: Play, seed: u64) -> (f64, f64, f64) {
     let mut chance = SmallRng::seed_from_u64(seed);
     let rate = target::STATEMENTS / target::ROUTERS as f64;
@@ -114,19 +114,19 @@
         memory_mb: Some(50.0),
         ..Taken::default()
     };
-    for job in 0..play.held {
-        gateway.job_taken(0.0, job, taken(1, job as u64 % play.groups, 1e6));
+    for request in 0..play.held {
+        gateway.request_received(0.0, request, taken(1, request as u64 % play.groups, 1e6));
     }
     // What stands on an engine at the target's rate, from all routers.
     let stands = target::STATEMENTS * WORK / target::ENGINES as f64;
-    let (mut now, mut next_job, mut first, mut came) = (0.0, play.held, 0, 0);
+    let (mut now, mut next_request, mut first, mut came) = (0.0, play.held, 0, 0);
     let mut out: VecDeque<(f64, usize, usize)> = VecDeque::new();
     let (mut spent, mut longest, mut change_at) = (0.0, 0.0f64, 0.0);
     let mut ran = vec![];
     while now < BEFORE + WHILE {
         now += 1.0 / rate;
-        let job = next_job;
-        next_job += 1;
+        let request = next_request;
+        next_request += 1;
         let group = chance.random_range(0..play.groups);
         let mut ends = Vec::new();
         while out.front().is_some_and(|(at, ..)| *at <= now) {
@@ -140,24 +140,25 @@
         if let Some(change) = change {
             gateway.engines_listed(now, &[change], false);
         }
-        for &(_, job, engine) in &ends {
+        for &(_, request, engine) in &ends {
             let ending = match play.third {
                 Third::Fails if engine.is_multiple_of(3) => Ending::Broken,
                 Third::Full if engine.is_multiple_of(3) => Ending::Full,
                 _ => Ending::Delivered,
             };
-            let job_over = ending == Ending::Delivered;
-            let told = job_over.then_some((WORK, 50.0));
-            let load = Load { jobs: Some(stands), ..Load::default() };
-            gateway.push_over(now, &PushEnd { job, engine, ending, job_over, spent: WORK, told, load });
+            let request_done = ending == Ending::Delivered;
+            let told = request_done.then_some((WORK, 50.0));
+            let load = Load { requests: Some(stands), ..Load::default() };
+            gateway
+                .push_over(now, &PushEnd { request, engine, ending, request_done, spent: WORK, told, load });
         }
-        gateway.job_taken(now, job, taken(0, group, now + 5.0));
+        gateway.request_received(now, request, taken(0, group, now + 5.0));
         gateway.round(now, &mut book);
         let took = began.elapsed().as_secs_f64();
-        for (job, engine) in book.0.drain(..) {
-            ran.resize(next_job, false);
-            first += u32::from(now >= BEFORE && !std::mem::replace(&mut ran[job], true));
-            out.push_back((now + WORK, job, engine));
+        for (request, engine) in book.0.drain(..) {
+            ran.resize(next_request, false);
+            first += u32::from(now >= BEFORE && !std::mem::replace(&mut ran[request], true));
+            out.push_back((now + WORK, request, engine));
         }
         if now >= BEFORE {
             (spent, longest, came) = (spent + took, longest.max(took), came + 1);
@@ -172,7 +173,7 @@
 }
 
 impl Rows {
-    /// One row of the cost a job, and one of the longest round, by what `at` makes of a size.
+    /// One row of the cost a request, and one of the longest round, by what `at` makes of a size.
     fn add(&mut self, ask: &Ask, name: &str, sizes: &[f64], end: f64, at: impl Fn(f64) -> Play) {
         let mut plays = |size: f64| {
             let plays: Vec<_> =
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -21,7 +21,7 @@
 
 const CORES: f64 = 8.0;
 const COLD: ColdStart = ColdStart { from: 0.2, warm_after: 6.0, multiple: 1.5, window: 1.0 };
-/// A job is wanted after so long, and its client waits no longer than that.
+/// A request is wanted after so long, and its client waits no longer than that.
 const EXPECTED: f64 = 1.0;
 const LONGEST: f64 = 4.0;
 /// Routers tell and hear of engines so often, as the router's glue does.
@@ -30,7 +30,7 @@
 const HEADERS: f64 = 28.0;
 const CLUSTER: u64 = 7;
 const DUTY: &str = "primary";
-/// Jobs from `ASKS`; measured from `QUIET`; troubles from `TROUBLES` on.
+/// Requests from `ASKS`; measured from `QUIET`; troubles from `TROUBLES` on.
 const ASKS: f64 = 2.0;
 const QUIET: f64 = 8.0;
 const TROUBLES: f64 = 14.0;
@@ -52,7 +52,7 @@
     pub routers: usize,
     pub engines: usize,
     pub seed: u64,
-    /// Jobs a second and router, and the share of the engines' cores that these are to fill.
+    /// Requests a second and router, and the share of the engines' cores that these are to fill.
     pub rate: f64,
     pub full: f64,
     /// For so long troubles begin, at so many times an ordinary day's pace; each kind at least once.
@@ -68,10 +68,10 @@
 /// What must hold, seen from outside: it knows what clients asked and got, what was sent and told, and nothing else.
 #[derive(Default)]
 pub struct Checker {
-    jobs: HashMap<u64, Seen>,
+    requests: HashMap<u64, Seen>,
     /// Since when a router knows that an engine takes nothing new.
     closed: HashMap<(usize, usize), f64>,
-    /// Engines that started late: when, and what was sent them, in jobs of mean work.
+    /// Engines that started late: when, and what was sent them, in requests of mean work.
     cold: HashMap<usize, (f64, VecDeque<(f64, f64)>)>,
     pub broken: BTreeMap<&'static str, usize>,
     pub first: Vec<String>,
@@ -102,13 +102,13 @@
 
     fn taken(&mut self, id: u64, deadline: f64, non_idempotent: bool) {
         self.looked("one answer in time");
-        self.jobs.insert(id, Seen { deadline, answers: 0, non_idempotent, begun: 0 });
+        self.requests.insert(id, Seen { deadline, answers: 0, non_idempotent, begun: 0 });
     }
 
     fn answered(&mut self, id: u64, now: f64) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.answers += 1;
-        let (second, late) = (job.answers > 1, now > job.deadline + 1e-3);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.answers += 1;
+        let (second, late) = (request.answers > 1, now > request.deadline + 1e-3);
         if second || late {
             self.broke("one answer in time", format!("job {id} at {now:.3}"));
         }
@@ -116,7 +116,7 @@
 
     /// Its router died, and with it the client's connection.
     fn lost(&mut self, id: u64) {
-        self.jobs.remove(&id);
+        self.requests.remove(&id);
     }
 
     fn told(&mut self, router: usize, engine: usize, ready: bool, now: f64) {
@@ -167,9 +167,11 @@
     }
 
     fn begun(&mut self, id: u64, now: f64) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.non_idempotent) else { return };
-        job.begun += 1;
-        let twice = job.begun > 1;
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.non_idempotent) else {
+            return;
+        };
+        request.begun += 1;
+        let twice = request.begun > 1;
         self.looked("effectful once");
         if twice {
             self.broke("effectful once", format!("job {id} again at {now:.3}"));
@@ -177,7 +179,8 @@
     }
 
     fn ends(&mut self, now: f64) {
-        let missing = self.jobs.iter().filter(|(_, job)| job.answers == 0 && now > job.deadline + 1e-3);
+        let missing =
+            self.requests.iter().filter(|(_, request)| request.answers == 0 && now > request.deadline + 1e-3);
         let missing: Vec<u64> = missing.map(|(id, _)| *id).collect();
         missing.into_iter().for_each(|id| self.broke("one answer in time", format!("job {id} never")));
     }
@@ -188,7 +191,7 @@
 struct Work {
     router: usize,
     life: u32,
-    job: usize,
+    request: usize,
     number: usize,
     id: u64,
     work: f64,
@@ -206,7 +209,7 @@
     Words(usize, u32),
     Listed(usize, u32, Rc<[Listing]>),
     TimeOut(Work),
-    /// Of a push, as its router hears of it; and how many jobs the engine holds.
+    /// Of a push, as its router hears of it; and how many requests the engine holds.
     Ended(Work, Ending, f64),
     Arrives(usize, Work),
     Dropped(usize, Work),
@@ -229,7 +232,7 @@
     List(usize, Stage),
 }
 
-struct Job {
+struct Request {
     id: u64,
     work: f64,
     since: f64,
@@ -246,7 +249,7 @@
     drains: bool,
     turn_at: f64,
     next: usize,
-    jobs: BTreeMap<usize, Job>,
+    requests: BTreeMap<usize, Request>,
     listings: Vec<Listing>,
 }
 
@@ -271,17 +274,17 @@
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, job: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
-        self.pushes.push((job, engine, time_out));
+    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
+        self.pushes.push((request, engine, time_out));
     }
-    fn call_off(&mut self, job: usize, push: u32) {
-        self.called_off.push((job, push));
+    fn call_off(&mut self, request: usize, push: u32) {
+        self.called_off.push((request, push));
     }
-    fn turn_back(&mut self, job: usize, _: Option<f64>) {
-        self.ended.push((job, true));
+    fn turn_back(&mut self, request: usize, _: Option<f64>) {
+        self.ended.push((request, true));
     }
-    fn terminate(&mut self, job: usize) {
-        self.ended.push((job, false));
+    fn terminate(&mut self, request: usize) {
+        self.ended.push((request, false));
     }
     fn watch(&mut self, _: bool) {}
     fn fetch(&mut self) {}
@@ -308,9 +311,9 @@
     list_bytes: u64,
 }
 
-/// Jobs of one phase.
+/// Requests of one phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Jobs {
+pub struct Requests {
     pub taken: u64,
     pub in_time: u64,
     pub delivered: u64,
@@ -335,13 +338,13 @@
     ids: u64,
     pub checker: Checker,
     /// At first, when the fleet knows nothing yet; in quiet; and from the first trouble on.
-    pub jobs: [Jobs; 3],
+    pub requests: [Requests; 3],
     /// Troubles that took effect, by kind.
     pub troubles: BTreeMap<&'static str, usize>,
     /// Hollow routers that panicked: which, when and on what.
     pub died: Vec<String>,
     pub events: u64,
-    /// Pushes beyond a job's first.
+    /// Pushes beyond a request's first.
     pub further: u64,
     holder: Option<usize>,
     holder_lost_at: Option<f64>,
@@ -397,7 +400,7 @@
             spoken_of: vec![f64::NEG_INFINITY; play.engines],
             ids: 0,
             checker: Checker::default(),
-            jobs: Default::default(),
+            requests: Default::default(),
             troubles: BTreeMap::new(),
             died: Vec::new(),
             events: 0,
@@ -545,7 +548,7 @@
         self.way(self.router_zone(router), zone(engine, self.play.engines))
     }
 
-    /// The end of the troubles; jobs come until then.
+    /// The end of the troubles; requests come until then.
     fn calm_at(&self) -> f64 {
         TROUBLES + self.play.seconds
     }
@@ -620,7 +623,7 @@
             Event::Words(at, life) if self.lives(at, life) => self.words(at),
             Event::Listed(at, life, listings) if self.lives(at, life) => self.listed(at, &listings, false),
             Event::TimeOut(work) if self.lives(work.router, work.life) => {
-                self.give_up(work.router, work.job, Some(work.number), Ending::TimedOut);
+                self.give_up(work.router, work.request, Some(work.number), Ending::TimedOut);
             }
             Event::Ended(work, ending, held) if self.lives(work.router, work.life) => {
                 self.ended(work, ending, held);
@@ -628,7 +631,7 @@
             Event::Arrives(engine, work) => self.arrives(engine, work),
             Event::Dropped(engine, work) => {
                 let same = |other: &Work| {
-                    let of = |work: &Work| (work.router, work.life, work.job, work.number);
+                    let of = |work: &Work| (work.router, work.life, work.request, work.number);
                     of(other) == of(&work)
                 };
                 self.engines[engine].queue.retain(|other| !same(other));
@@ -727,16 +730,18 @@
         let (class, memory_mb) = (usize::from(non_idempotent), Some(10.0));
         let taken = Taken { class, table_group, cost, memory_mb, deadline, ..Taken::default() };
         let began = Instant::now();
-        gateway.job_taken(now, router.next, taken);
+        gateway.request_received(now, router.next, taken);
         self.spent.decisions += began.elapsed();
-        router.jobs.insert(router.next, Job { id, work, since: now, pushes: Vec::new(), over: false });
+        router
+            .requests
+            .insert(router.next, Request { id, work, since: now, pushes: Vec::new(), over: false });
         self.checker.taken(id, deadline, non_idempotent);
         self.phase(now).taken += 1;
         self.round(at);
     }
 
-    fn phase(&mut self, since: f64) -> &mut Jobs {
-        &mut self.jobs[usize::from(since >= QUIET) + usize::from(since >= TROUBLES)]
+    fn phase(&mut self, since: f64) -> &mut Requests {
+        &mut self.requests[usize::from(since >= QUIET) + usize::from(since >= TROUBLES)]
     }
 
     fn round(&mut self, at: usize) {
@@ -751,9 +756,9 @@
             self.push(at, id, engine, time_out);
         }
         for (id, back) in book.ended {
-            let Some(job) = self.routers[at].jobs.get_mut(&id) else { continue };
-            let (since, number) = (job.since, job.id);
-            job.over = true;
+            let Some(request) = self.routers[at].requests.get_mut(&id) else { continue };
+            let (since, number) = (request.since, request.id);
+            request.over = true;
             let phase = self.phase(since);
             *if back { &mut phase.turned_back } else { &mut phase.terminated } += 1;
             self.answered(number);
@@ -785,10 +790,10 @@
             _ => None,
         };
         let sent_to = other.map_or(engine, |other| other.engine);
-        let Some(job) = self.routers[at].jobs.get_mut(&id) else { return };
-        let number = job.pushes.len();
-        job.pushes.push((engine, sent_to, now, true));
-        let work = Work { router: at, life, job: id, number, id: job.id, work: job.work };
+        let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
+        let number = request.pushes.len();
+        request.pushes.push((engine, sent_to, now, true));
+        let work = Work { router: at, life, request: id, number, id: request.id, work: request.work };
         self.further += u64::from(number > 0);
         self.checker.pushed(at, sent_to, work.work / mean, mean, now);
         time_out.into_iter().for_each(|wait| self.at(now + wait, Event::TimeOut(work)));
@@ -799,24 +804,27 @@
         }
     }
 
-    /// Pushes of a job are given up, and their ends are news in this turn.
+    /// Pushes of a request are given up, and their ends are news in this turn.
     fn give_up(&mut self, at: usize, id: usize, only: Option<usize>, ending: Ending) {
         let (now, life) = (self.now, self.routers[at].life);
-        let Some(job) = self.routers[at].jobs.get_mut(&id) else { return };
+        let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let mut ends = Vec::new();
-        for (number, (engine, sent_to, sent, out)) in job.pushes.iter_mut().enumerate() {
+        for (number, (engine, sent_to, sent, out)) in request.pushes.iter_mut().enumerate() {
             if *out && only.is_none_or(|only| only == number) {
                 *out = false;
-                let work = Work { router: at, life, job: id, number, id: job.id, work: job.work };
+                let work = Work { router: at, life, request: id, number, id: request.id, work: request.work };
                 ends.push((work, *engine, *sent_to, *sent));
             }
         }
-        let job_over = job.over;
+        let request_done = request.over;
         for (work, engine, sent_to, sent) in ends {
             let way = self.engine_way(at, sent_to);
             self.at(now + way, Event::Dropped(sent_to, work));
             let (spent, load) = (now - sent, Load::default());
-            self.push_over(at, &PushEnd { job: id, engine, ending, job_over, spent, told: None, load });
+            self.push_over(
+                at,
+                &PushEnd { request: id, engine, ending, request_done, spent, told: None, load },
+            );
         }
     }
 
@@ -827,32 +835,35 @@
         let began = Instant::now();
         gateway.push_over(now, end);
         self.spent.decisions += began.elapsed();
-        let done = |job: &Job| job.over && job.pushes.iter().all(|push| !push.3);
-        if router.jobs.get(&end.job).is_some_and(done) {
-            router.jobs.remove(&end.job);
+        let done = |request: &Request| request.over && request.pushes.iter().all(|push| !push.3);
+        if router.requests.get(&end.request).is_some_and(done) {
+            router.requests.remove(&end.request);
         }
         self.at(now, Event::Wake(at, life));
     }
 
     fn ended(&mut self, work: Work, ending: Ending, held: f64) {
         let (now, at) = (self.now, work.router);
-        let Some(job) = self.routers[at].jobs.get_mut(&work.job) else { return };
-        let push = &mut job.pushes[work.number];
+        let Some(request) = self.routers[at].requests.get_mut(&work.request) else { return };
+        let push = &mut request.pushes[work.number];
         if !std::mem::replace(&mut push.3, false) {
             return;
         }
-        let (engine, spent, since) = (push.0, now - push.2, job.since);
+        let (engine, spent, since) = (push.0, now - push.2, request.since);
         let delivered = ending == Ending::Delivered;
-        if delivered && !std::mem::replace(&mut job.over, true) {
+        if delivered && !std::mem::replace(&mut request.over, true) {
             self.answered(work.id);
             let phase = self.phase(since);
             phase.delivered += 1;
             phase.in_time += u64::from(now - since <= EXPECTED);
         }
         let told = delivered.then_some((work.work, 10.0));
-        let load = Load { jobs: delivered.then_some(held), ..Load::default() };
-        let job_over = self.routers[at].jobs[&work.job].over;
-        self.push_over(at, &PushEnd { job: work.job, engine, ending, job_over, spent, told, load });
+        let load = Load { requests: delivered.then_some(held), ..Load::default() };
+        let request_done = self.routers[at].requests[&work.request].over;
+        self.push_over(
+            at,
+            &PushEnd { request: work.request, engine, ending, request_done, spent, told, load },
+        );
     }
 
     fn arrives(&mut self, at: usize, work: Work) {
@@ -960,12 +971,12 @@
     /// Its clients' connections break with it.
     fn kill(&mut self, at: usize) -> bool {
         let router = &mut self.routers[at];
-        let jobs = std::mem::take(&mut router.jobs);
+        let requests = std::mem::take(&mut router.requests);
         let lived = router.gateway.take().is_some();
         router.members = None;
-        for job in jobs.into_values().filter(|job| !job.over) {
-            self.checker.lost(job.id);
-            self.phase(job.since).router_died += 1;
+        for request in requests.into_values().filter(|request| !request.over) {
+            self.checker.lost(request.id);
+            self.phase(request.since).router_died += 1;
         }
         lived
     }
@@ -1049,9 +1060,11 @@
         let asks_all = (0..self.play.routers).step_by(self.play.routers.div_ceil(12)).count() as f64;
         let hears = time(|spent| spent.hears) / (asks_all * seconds);
         let members = time(|spent| spent.members + spent.lists) / each;
-        let jobs = (self.jobs[1].taken + self.jobs[2].taken).max(1) as f64;
-        let share = |jobs: &Jobs| jobs.in_time as f64 / (jobs.taken - jobs.router_died).max(1) as f64;
-        let all = |of: fn(&Jobs) -> u64| self.jobs.iter().map(of).sum::<u64>();
+        let requests = (self.requests[1].taken + self.requests[2].taken).max(1) as f64;
+        let share = |requests: &Requests| {
+            requests.in_time as f64 / (requests.taken - requests.router_died).max(1) as f64
+        };
+        let all = |of: fn(&Requests) -> u64| self.requests.iter().map(of).sum::<u64>();
         json!({
             "routers": self.play.routers,
             "engines": self.play.engines,
@@ -1060,18 +1073,18 @@
             "list_bytes": lists,
             "control_cpu": members + hears,
             "control_cpu_hears": hears,
-            "decisions_us": time(|spent| spent.decisions) * 1e6 / jobs,
-            "in_time_quiet": share(&self.jobs[1]),
-            "in_time_troubles": share(&self.jobs[2]),
+            "decisions_us": time(|spent| spent.decisions) * 1e6 / requests,
+            "in_time_quiet": share(&self.requests[1]),
+            "in_time_troubles": share(&self.requests[2]),
             "primary_s": self.taken_over_in.iter().copied().reduce(f64::max),
             "primary_lost": self.troubles.get("change of primary"),
             "primary_taken_over": self.taken_over_in.len(),
             "two_holders": self.two_holders,
-            "jobs": all(|jobs| jobs.taken),
-            "delivered": all(|jobs| jobs.delivered),
-            "turned_back": all(|jobs| jobs.turned_back),
-            "terminated": all(|jobs| jobs.terminated),
-            "router_died": all(|jobs| jobs.router_died),
+            "jobs": all(|requests| requests.taken),
+            "delivered": all(|requests| requests.delivered),
+            "turned_back": all(|requests| requests.turned_back),
+            "terminated": all(|requests| requests.terminated),
+            "router_died": all(|requests| requests.router_died),
             "further_pushes": self.further,
             "events": self.events,
             "troubles": self.troubles,
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -142,7 +142,7 @@
     Ok(router)
 }
 
-/// An engine that answers every job at once with one row.
+/// An engine that answers every request at once with one row.
 pub fn engine(uid: &str) -> std::io::Result<Engine> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let engine = Engine::behind(&listener, uid);
--- a/crates/lab/src/capacity/links.rs
+++ b/crates/lab/src/capacity/links.rs
@@ -2,7 +2,7 @@
 //! come anew after a restart. The real program, before hollow engines on one thread of this process.
 
 use super::{report, target, Ask, Need, Row};
-use crate::standins::{counter, job, Answered, Board, Client, Router};
+use crate::standins::{counter, request, Answered, Board, Client, Router};
 use rustix::event::epoll;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -20,12 +20,12 @@
 const FLEETS: [f64; 5] = [30.0, 100.0, 200.0, 350.0, 500.0];
 /// Few engines with many connections each, so that choosing among engines costs the same at each size.
 const FEW: usize = 10;
-/// Jobs a second at each size, for so many seconds.
+/// Requests a second at each size, for so many seconds.
 const RATE: f64 = 500.0;
 const PLAY: f64 = 1.2;
 /// How long a fleet of engines is before the router at its full rate.
 const FLEET_PLAY: f64 = 2.5;
-/// Table groups that jobs ask for.
+/// Table groups that requests ask for.
 const GROUPS: u64 = 4000;
 /// Longer than all plays: no connection is closed because it is idle.
 const IDLE_US: &str = r#""conn-idle-us":1200000000"#;
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct Shared {
     over: AtomicBool,
-    /// Jobs are not answered until this is over.
+    /// Requests are not answered until this is over.
     holds: AtomicBool,
     held: AtomicU64,
     answered: AtomicU64,
@@ -229,7 +229,7 @@
     Client::at(router.address).map_err(|error| format!("a client could not come: {error}"))
 }
 
-/// Has a router open so many connections by as many jobs at once, which their engines hold meanwhile.
+/// Has a router open so many connections by as many requests at once, which their engines hold meanwhile.
 fn open(router: &Router, hollow: &Hollow, links: u64) -> Result<(), String> {
     let open = || sum(&hollow.shared.open);
     for _ in 0..40 {
@@ -237,13 +237,13 @@
         if lacking == 0 {
             return Ok(());
         }
-        // Those that are open take jobs first.
+        // Those that are open take requests first.
         hollow.shared.held.store(0, Ordering::Relaxed);
         hollow.shared.holds.store(true, Ordering::Relaxed);
         let mut clients = Vec::new();
         for _ in 0..open() + lacking.min(500) {
             let mut client = client(router)?;
-            client.try_send(&job("once", 15_000, "holds"));
+            client.try_send(&request("once", 15_000, "holds"));
             clients.push(client);
         }
         let began = Instant::now();
@@ -259,7 +259,7 @@
     Err(format!("{} connections could be had, {links} were asked for", open()))
 }
 
-/// Jobs at this rate by some clients; how many were asked and how many had rows.
+/// Requests at this rate by some clients; how many were asked and how many had rows.
 fn load(router: &Router, clients: usize, rate: f64, seconds: f64) -> Result<(u64, u64), String> {
     let began = Instant::now();
     let address = router.address;
@@ -268,7 +268,7 @@
         let Ok(mut client) = Client::at(address) else { return (0, 0) };
         while began.elapsed().as_secs_f64() < seconds {
             asked += 1;
-            client.try_send(&job(
+            client.try_send(&request(
                 "look",
                 3000,
                 &format!("work FROM sales_{}.t", (asked * 7919 + number) % GROUPS),
@@ -366,7 +366,7 @@
 pub fn measure(ask: &Ask) -> Result<Value, String> {
     let sizes = ask.sizes(&SIZES);
     let most = sizes.iter().fold(OPEN, |most, size| most.max(*size)) as u64;
-    // Each connection has its engine's end here, and its job's client when it is opened; the router's limit is its own.
+    // Each connection has its engine's end here, and its request's client when it is opened; the router's limit is its own.
     Need { descriptors: 2 * most + 1000, memory_mb: 1500, processes: 2 }.borne()?;
     if most > 4000 {
         return Err(format!("{} descriptors of the router are lacking: 16000 bear 4000", 4 * (most - 4000)));
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -320,7 +320,7 @@
     })
 }
 
-enum Job {
+enum Request {
     Size(usize, usize),
     Event(&'static str),
 }
@@ -360,23 +360,23 @@
     drop(kept);
     // The dearest first, so that no thread is left with it at the end.
     let events = ["region_cut", "replaced", "list_changed", "zone_lost"];
-    let mut jobs: Vec<Job> = events.into_iter().map(Job::Event).collect();
+    let mut requests: Vec<Request> = events.into_iter().map(Request::Event).collect();
     let mut by_size: Vec<usize> = all.iter().map(|size| *size as usize).collect();
     by_size.sort_unstable_by_key(|size| std::cmp::Reverse(*size));
-    jobs.extend(by_size.iter().flat_map(|size| (0..plays).map(|play| Job::Size(*size, play))));
+    requests.extend(by_size.iter().flat_map(|size| (0..plays).map(|play| Request::Size(*size, play))));
     let (next, played, told) = (AtomicUsize::new(0), Mutex::new(Vec::new()), Mutex::new(json!({})));
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
-                while let Some(job) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    match job {
-                        Job::Size(size, play) => {
+                while let Some(request) = requests.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    match request {
+                        Request::Size(size, play) => {
                             let seed = ask.seed * 1000 + *play as u64;
                             let mut world = settled(*size, seed, &[], SETTLES);
                             let play = quiet_and_deaths(&mut world, seed);
                             played.lock().expect("plays").push((*size, play));
                         }
-                        Job::Event(name) => {
+                        Request::Event(name) => {
                             let event = match *name {
                                 "zone_lost" => zone_lost,
                                 "region_cut" => region_cut,
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -186,7 +186,7 @@
 /// One need, measured by size.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// What grows and with what, in words: `CPU a job, by engines`.
+    /// What grows and with what, in words: `CPU a request, by engines`.
     pub name: String,
     /// Of the need.
     pub unit: &'static str,
--- a/crates/lab/src/capacity/primary.rs
+++ b/crates/lab/src/capacity/primary.rs
@@ -1,5 +1,5 @@
 //! A change of primary, for a product that has none of its own: (a) the engine that serves table groups is lost, announced
-//! (drained by the board) or silent (it hangs), and others take its jobs; (b) a duty's holder is lost and another holds it.
+//! (drained by the board) or silent (it hangs), and others take its requests; (b) a duty's holder is lost and another holds it.
 //! Counted from the last good answer of the one that is lost.
 
 use super::{report, target, Ask, Need, Row};
@@ -16,7 +16,7 @@
 const ENGINES: [f64; 5] = [3.0, 6.0, 15.0, 30.0, 60.0];
 const DUTIES: [f64; 5] = [12.0, 30.0, 75.0, 150.0, 300.0];
 const ROUTERS: usize = 3;
-/// Jobs a second of each router's client.
+/// Requests a second of each router's client.
 const RATE: f64 = 100.0;
 /// Table groups that clients ask for in turn, as [`Load`] does.
 const GROUPS: usize = 16;
@@ -31,8 +31,8 @@
 const STEP: f64 = 0.05;
 const ABREAST: usize = 3;
 
-fn good(job: &Asked) -> bool {
-    matches!(job.answered, Some((at, Outcome::Rows)) if at - job.sent <= GOOD)
+fn good(request: &Asked) -> bool {
+    matches!(request.answered, Some((at, Outcome::Rows)) if at - request.sent <= GOOD)
 }
 
 /// What became of the service of the table groups that an engine served.
@@ -42,61 +42,63 @@
     /// The worst window's share of the service before, and the longest answer.
     worst: f64,
     longest: f64,
-    /// Jobs that the lost one was given before, and after it was lost.
-    jobs: usize,
+    /// Requests that the lost one was given before, and after it was lost.
+    requests: usize,
     after: usize,
 }
 
 /// The share of good answers of what was sent to these groups, window by window.
 fn judge(asked: &[(usize, &Asked)], ran: &[Ran], lost: usize, at: f64, end: f64) -> Option<Loss> {
     let by_call: HashMap<&str, usize> =
-        asked.iter().map(|(group, job)| (job.call.as_str(), *group)).collect();
+        asked.iter().map(|(group, request)| (request.call.as_str(), *group)).collect();
     let there = |from: f64, to: f64| {
         ran.iter().filter(move |run| run.engine == lost && (from..to).contains(&run.got))
     };
     let groups: HashSet<usize> =
         there(at - BEFORE, at).filter_map(|run| by_call.get(run.call.as_str()).copied()).collect();
     let concerned: Vec<&Asked> =
-        asked.iter().filter(|(group, _)| groups.contains(group)).map(|(_, job)| *job).collect();
+        asked.iter().filter(|(group, _)| groups.contains(group)).map(|(_, request)| *request).collect();
     let share = |from: f64, to: f64| {
-        let all: Vec<&&Asked> = concerned.iter().filter(|job| (from..to).contains(&job.sent)).collect();
-        let good = all.iter().filter(|job| good(job)).count();
+        let all: Vec<&&Asked> =
+            concerned.iter().filter(|request| (from..to).contains(&request.sent)).collect();
+        let good = all.iter().filter(|request| good(request)).count();
         (!all.is_empty()).then(|| good as f64 / all.len() as f64)
     };
     let before = share(at - BEFORE, at)?;
     let calls: HashMap<&str, f64> = there(0.0, at).map(|run| (run.call.as_str(), run.over)).collect();
-    let answers = asked.iter().filter(|(_, job)| good(job) && calls.contains_key(job.call.as_str()));
-    let last_good = answers.filter_map(|(_, job)| job.answered).map(|(when, _)| when);
+    let answers =
+        asked.iter().filter(|(_, request)| good(request) && calls.contains_key(request.call.as_str()));
+    let last_good = answers.filter_map(|(_, request)| request.answered).map(|(when, _)| when);
     let last_good = last_good.filter(|when| *when <= at + 0.1).fold(f64::NAN, f64::max);
     let steps = ((end - WINDOW - at) / STEP) as usize;
     let windows = (0..steps).map(|step| at + step as f64 * STEP);
-    // A window without a job is one without service: its clients still wait.
+    // A window without a request is one without service: its clients still wait.
     let shares: Vec<(f64, f64)> =
         windows.map(|from| (from, share(from, from + WINDOW).unwrap_or(0.0) / before)).collect();
     let bad = shares.iter().rev().find(|(_, share)| *share < SHARE);
     let back = bad.map_or(last_good, |(from, _)| from + WINDOW);
     let worst = shares.iter().map(|(_, share)| *share).fold(1.0, f64::min);
-    let later = concerned.iter().filter(|job| job.sent > at - GOOD && job.sent < end);
-    let longest = later.map(|job| job.over - job.sent).fold(0.0, f64::max);
+    let later = concerned.iter().filter(|request| request.sent > at - GOOD && request.sent < end);
+    let longest = later.map(|request| request.over - request.sent).fold(0.0, f64::max);
     Some(Loss {
         seconds: (back - last_good).max(STEP),
         worst,
         longest,
-        jobs: there(at - BEFORE, at).count(),
+        requests: there(at - BEFORE, at).count(),
         after: there(at, end).count(),
     })
 }
 
-/// Each job with its table group, which goes round by client.
+/// Each request with its table group, which goes round by client.
 fn grouped(tally: &Tally) -> Vec<(usize, &Asked)> {
     let mut of: HashMap<usize, usize> = HashMap::new();
-    let number = |job: &Asked| {
-        let next = of.entry(job.router).or_default();
+    let number = |request: &Asked| {
+        let next = of.entry(request.router).or_default();
         *next += 1;
         (*next - 1) % GROUPS
     };
     let mut number = number;
-    tally.asked.iter().map(|job| (number(job), job)).collect()
+    tally.asked.iter().map(|request| (number(request), request)).collect()
 }
 
 /// The engine that was given most since then, of those still there.
@@ -162,11 +164,11 @@
     let tally = load.tally(&cluster);
     let verdict = cluster.verdict(&tally, false);
     let ran: Vec<Ran> = cluster.engines.iter().flat_map(|engine| engine.ran()).collect();
-    let jobs = grouped(&tally);
-    let no_job = || format!("{count} engines: no job came to the engine that was lost");
+    let requests = grouped(&tally);
+    let no_request = || format!("{count} engines: no job came to the engine that was lost");
     Ok(Engines {
-        announced: judge(&jobs, &ran, first, drained, hung).ok_or_else(no_job)?,
-        silent: judge(&jobs, &ran, second, hung, end).ok_or_else(no_job)?,
+        announced: judge(&requests, &ran, first, drained, hung).ok_or_else(no_request)?,
+        silent: judge(&requests, &ran, second, hung, end).ok_or_else(no_request)?,
         breaks: verdict.breaks(),
         unanswered: tally.unanswered,
         finds: verdict.finds,
@@ -233,7 +235,7 @@
     let sizes = ask.sizes(&ENGINES);
     let most = sizes.iter().copied().fold(0.0, f64::max);
     // Relays, connections and listeners for each engine and router; each stand-in engine has a thread that wakes each
-    // millisecond, and jobs of their own.
+    // millisecond, and requests of their own.
     let abreast = ABREAST.min(ask.plays) as u64;
     let descriptors = abreast * (16 * ROUTERS as u64 * most as u64 + 500);
     Need { descriptors, memory_mb: 500 + 8 * abreast * most as u64, processes: 1 + 9 * ABREAST as u64 }
@@ -255,8 +257,8 @@
             unanswered += one.unanswered;
             finds.extend(one.finds);
             let words = |loss: &Loss| {
-                let Loss { seconds, worst, longest, jobs, after } = loss;
-                json!({"seconds": seconds, "worst_share": worst, "longest_answer_s": longest, "jobs_before": jobs, "jobs_after": after})
+                let Loss { seconds, worst, longest, requests, after } = loss;
+                json!({"seconds": seconds, "worst_share": worst, "longest_answer_s": longest, "jobs_before": requests, "jobs_after": after})
             };
             let (notice, silence) = (words(&one.announced), words(&one.silent));
             plays.push(json!({"engines": size, "announced": notice, "silent": silence}));
--- a/crates/lab/src/capacity/whole.rs
+++ b/crates/lab/src/capacity/whole.rs
@@ -12,7 +12,7 @@
 use std::thread;
 
 const SIZES: [f64; 6] = [25.0, 50.0, 100.0, 200.0, 350.0, 500.0];
-/// Jobs a second and router, the share of the engines' cores that they fill, and for how long troubles begin.
+/// Requests a second and router, the share of the engines' cores that they fill, and for how long troubles begin.
 const RATE: f64 = 20.0;
 const FULL: f64 = 0.6;
 const SECONDS: f64 = 16.0;
--- a/crates/lab/src/capacity/whole_tests.rs
+++ b/crates/lab/src/capacity/whole_tests.rs
@@ -1,7 +1,7 @@
 use super::super::fleet::{Planted, Play, World};
 use super::*;
 
-/// Few routers and jobs, and every trouble: seconds in a debug build.
+/// Few routers and requests, and every trouble: seconds in a debug build.
 fn small() -> Play {
     Play { rate: 20.0, zone_lost: true, ..play(12, 5) }
 }
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -488,15 +488,19 @@
         let gone = |router: usize, from: f64, to: f64| !self.was_up(router, from, to);
         asked
             .iter_mut()
-            .filter(|job| gone(job.router, job.sent, job.over))
-            .for_each(|job| job.patience = 1e9);
+            .filter(|request| gone(request.router, request.sent, request.over))
+            .for_each(|request| request.patience = 1e9);
         judge(&asked, &ran, &facts)
     }
 
     /// The most further pushes of a router within so many seconds, over all its lives, by what engines were given.
     pub fn further_pushes(&self, tally: &Tally, router: usize, window: f64) -> usize {
-        let calls: std::collections::HashSet<&str> =
-            tally.asked.iter().filter(|job| job.router == router).map(|job| job.call.as_str()).collect();
+        let calls: std::collections::HashSet<&str> = tally
+            .asked
+            .iter()
+            .filter(|request| request.router == router)
+            .map(|request| request.call.as_str())
+            .collect();
         let mut ran: Vec<_> = self.engines.iter().flat_map(Shared::ran).collect();
         ran.retain(|run| calls.contains(run.call.as_str()));
         ran.sort_by(|one, other| one.got.total_cmp(&other.got));
--- a/crates/lab/src/comeback.rs
+++ b/crates/lab/src/comeback.rs
@@ -42,7 +42,7 @@
 
 const ENGINES: usize = 6;
 const CORES: f64 = 8.0;
-/// Each job's work, in milliseconds, and how many each router gets a second.
+/// Each request's work, in milliseconds, and how many each router gets a second.
 const WORK_MS: f64 = 40.0;
 const RATE: f64 = 30.0;
 const CLIENTS: usize = 4;
@@ -71,21 +71,21 @@
 }
 
 /// Answers in time of one router in the second that ends then.
-fn in_time(jobs: &[&Asked], end: f64) -> usize {
-    let counts = |job: &&&Asked| matches!(job.answered, Some((at, Outcome::Rows)) if at - job.sent <= 1.0 && at <= end && at > end - 1.0);
-    jobs.iter().filter(counts).count()
+fn in_time(requests: &[&Asked], end: f64) -> usize {
+    let counts = |request: &&&Asked| matches!(request.answered, Some((at, Outcome::Rows)) if at - request.sent <= 1.0 && at <= end && at > end - 1.0);
+    requests.iter().filter(counts).count()
 }
 
 /// Seconds from a router's start until it answers as much in time as 95 % of the second before the kill.
 fn full_after(tally: &Tally, router: usize, killed: f64, started: f64, end: f64) -> Option<f64> {
-    let jobs: Vec<&Asked> = tally.asked.iter().filter(|job| job.router == router).collect();
-    // The mean of three seconds: one second holds some thirty jobs.
-    let before: usize = (0..3).map(|back| in_time(&jobs, killed - f64::from(back))).sum();
+    let requests: Vec<&Asked> = tally.asked.iter().filter(|request| request.router == router).collect();
+    // The mean of three seconds: one second holds some thirty requests.
+    let before: usize = (0..3).map(|back| in_time(&requests, killed - f64::from(back))).sum();
     let wanted = 0.95 * before as f64 / 3.0;
     // The first second that lies wholly after the start.
     let mut at = started + 1.0;
     while at < end {
-        if in_time(&jobs, at) as f64 >= wanted.floor() {
+        if in_time(&requests, at) as f64 >= wanted.floor() {
             return Some(at - started);
         }
         at += 0.02;
--- a/crates/lab/src/drain.rs
+++ b/crates/lab/src/drain.rs
@@ -2,7 +2,7 @@
 
 use crate::far::Saw;
 use crate::peering::{open, service, service_file, Mode, Peering};
-use crate::standins::{job, Answered, Board, Client, Engine, Router};
+use crate::standins::{request, Answered, Board, Client, Engine, Router};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -49,7 +49,7 @@
             let stop = *began.lock().unwrap();
             let late = stop.is_some_and(|stop| stop.elapsed() >= Duration::from_secs(1));
             let word = if late { "late" } else { "x" };
-            if !client.try_send(&job("look", 1500, word)) {
+            if !client.try_send(&request("look", 1500, word)) {
                 break;
             }
             let answered = client.try_answer();
@@ -111,9 +111,9 @@
             std::thread::spawn(move || client(address, began, over))
         })
         .collect();
-    // Jobs that are out for long, so that the stop finds some.
+    // Requests that are out for long, so that the stop finds some.
     let mut held: Vec<Client> = (0..3).filter_map(|_| Client::at(router.address).ok()).collect();
-    held.retain_mut(|one| one.try_send(&job("look", 1200, "hold")));
+    held.retain_mut(|one| one.try_send(&request("look", 1200, "hold")));
     std::thread::sleep(Duration::from_millis(chance.random_range(50..250)));
     let stop = Instant::now();
     *began.lock().unwrap() = Some(stop);
--- a/crates/lab/src/flap.rs
+++ b/crates/lab/src/flap.rs
@@ -2,7 +2,7 @@
 
 use crate::far::Saw;
 use crate::peering::{open, service_file, Peering};
-use crate::standins::{counter, job, Answered, Board, Client, Engine, Router};
+use crate::standins::{counter, request, Answered, Board, Client, Engine, Router};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -59,7 +59,7 @@
     while !over.load(Ordering::Relaxed) {
         let began = Instant::now();
         let pages = chance.random_range(1..4);
-        let sent = client.try_send(&job(
+        let sent = client.try_send(&request(
             "look",
             5000,
             &format!("pages {pages} FROM sales_{}.t", chance.random_range(1..9)),
--- a/crates/lab/src/line.rs
+++ b/crates/lab/src/line.rs
@@ -1,4 +1,4 @@
-//! What the line costs as jobs and teams grow.
+//! What the line costs as requests and teams grow.
 
 use cleatgw_queue::{Line, Terms, Waiting};
 use rand::rngs::SmallRng;
@@ -6,34 +6,34 @@
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// Nanoseconds for one job's whole way (held, estimated, offered, pushed, over) with so many in line of so many teams.
-fn cost(jobs: usize, teams: usize, seed: u64) -> f64 {
+/// Nanoseconds for one request's whole way (held, estimated, offered, pushed, over) with so many in line of so many teams.
+fn cost(requests: usize, teams: usize, seed: u64) -> f64 {
     let mut chance = SmallRng::seed_from_u64(seed);
     let leaf =
         |at: usize| Terms { weight: 1.0 + (at % 7) as f64, budget: Some((0.5, 2.0)), ..Terms::default() };
     let mut line = Line::new([Terms::default()].into_iter().chain((0..teams).map(leaf)).collect(), 0.0);
-    let mut jobs_of: Vec<(usize, f64)> = Vec::new();
-    let mut come = |line: &mut Line, jobs_of: &mut Vec<(usize, f64)>, now: f64| {
-        let (job, team, work) =
-            (jobs_of.len(), 1 + chance.random_range(0..teams), chance.random_range(0.01..1.0));
-        jobs_of.push((team, work));
+    let mut requests_of: Vec<(usize, f64)> = Vec::new();
+    let mut come = |line: &mut Line, requests_of: &mut Vec<(usize, f64)>, now: f64| {
+        let (request, team, work) =
+            (requests_of.len(), 1 + chance.random_range(0..teams), chance.random_range(0.01..1.0));
+        requests_of.push((team, work));
         let density = 1.0 / work;
-        line.hold(Waiting { job, team, class: 0, density, work, since: now, never_ran: true }, now);
-        job
+        line.hold(Waiting { request, team, class: 0, density, work, since: now, never_ran: true }, now);
+        request
     };
-    for _ in 0..jobs {
-        come(&mut line, &mut jobs_of, 0.0);
+    for _ in 0..requests {
+        come(&mut line, &mut requests_of, 0.0);
     }
     let rounds = 20_000;
     let began = Instant::now();
     for round in 0..rounds {
         let now = f64::from(round) * 1e-3;
-        let job = come(&mut line, &mut jobs_of, now);
-        let wait = line.wait_of(job, now);
-        line.waits.told(job, wait, now);
-        if let Some(job) = line.next(now) {
-            let (team, work) = jobs_of[job];
-            line.went(job, now);
+        let request = come(&mut line, &mut requests_of, now);
+        let wait = line.wait_of(request, now);
+        line.waits.told(request, wait, now);
+        if let Some(request) = line.next(now) {
+            let (team, work) = requests_of[request];
+            line.went(request, now);
             line.over(team, work, work * 1.1, now);
         }
         // One more that does not fit, as the module tries some in vain.
@@ -43,11 +43,11 @@
     began.elapsed().as_secs_f64() * 1e9 / f64::from(rounds)
 }
 
-pub fn measure(jobs: usize, teams: usize, seed: u64) -> Value {
-    let steps = [(100, 10), (1000, 100), (10_000, 1000), (jobs, teams)];
+pub fn measure(requests: usize, teams: usize, seed: u64) -> Value {
+    let steps = [(100, 10), (1000, 100), (10_000, 1000), (requests, teams)];
     let costs: Vec<Value> = steps
         .into_iter()
-        .map(|(jobs, teams)| json!({ "jobs": jobs, "teams": teams, "ns_a_job": cost(jobs, teams, seed).round() }))
+        .map(|(requests, teams)| json!({ "jobs": requests, "teams": teams, "ns_a_job": cost(requests, teams, seed).round() }))
         .collect();
     json!({ "costs": costs })
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients that ask routers for one job after another, and a record of what each of them saw.
+//! Clients that ask routers for one request after another, and a record of what each of them saw.
 
 use crate::cluster::Cluster;
 use crate::standins::{Answered, Client};
@@ -11,7 +11,7 @@
 
 /// What clients ask for, in turn: mostly what may be repeated, some with idempotency keys, few that must not run twice.
 const MIXED: [&str; 10] = ["look", "look", "load", "look", "look", "once", "look", "look", "load", "look"];
-/// How long a client waits for a job, in seconds.
+/// How long a client waits for a request, in seconds.
 const PATIENCE: f64 = 3.0;
 /// A client that is still not answered reads on for so long: more than any pause that the schedules make.
 const READS_ON: Duration = Duration::from_secs(12);
@@ -23,7 +23,7 @@
     threads: Vec<JoinHandle<Vec<Asked>>>,
 }
 
-/// How jobs were answered, as their clients saw it.
+/// How requests were answered, as their clients saw it.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     pub answered: u64,
@@ -35,7 +35,7 @@
 }
 
 impl Load {
-    /// One client for each router, with so many jobs a second at most.
+    /// One client for each router, with so many requests a second at most.
     pub fn start(cluster: &Cluster, rate: f64) -> Load {
         Load::some(cluster, &(0..cluster.routers()).collect::<Vec<_>>(), rate)
     }
@@ -46,7 +46,7 @@
         Load::at(&addresses, rate, 2.0, cluster.relays.began)
     }
 
-    /// One client for each of these, which are known by numbers, with jobs of so many milliseconds of work.
+    /// One client for each of these, which are known by numbers, with requests of so many milliseconds of work.
     pub fn at(addresses: &[(usize, SocketAddr)], rate: f64, work: f64, began: Instant) -> Load {
         let over = Arc::new(AtomicBool::new(false));
         let clients = addresses.iter().map(|&(router, address)| Asking {
@@ -61,7 +61,7 @@
         Load { over, threads }
     }
 
-    /// Jobs that were answered, and those that a router that was up all the while never answered.
+    /// Requests that were answered, and those that a router that was up all the while never answered.
     pub fn end(self, cluster: &Cluster) -> (u64, u64) {
         let tally = self.tally(cluster);
         (tally.answered, tally.unanswered)
@@ -74,11 +74,12 @@
         for thread in self.threads {
             tally.asked.extend(thread.join().expect("a client"));
         }
-        for job in &tally.asked {
-            let owed = job.answered.is_none() && cluster.was_up(job.router, job.sent, job.over);
+        for request in &tally.asked {
+            let owed =
+                request.answered.is_none() && cluster.was_up(request.router, request.sent, request.over);
             tally.unanswered += u64::from(owed);
-            tally.answered += u64::from(job.answered.is_some());
-            let soon = matches!(job.answered, Some((at, Outcome::Rows)) if at - job.sent <= 0.3);
+            tally.answered += u64::from(request.answered.is_some());
+            let soon = matches!(request.answered, Some((at, Outcome::Rows)) if at - request.sent <= 0.3);
             tally.at_once += u64::from(soon);
         }
         tally
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -29,7 +29,7 @@
         plot: Option<PathBuf>,
     },
     Line {
-        jobs: usize,
+        requests: usize,
         teams: usize,
         seed: u64,
     },
@@ -125,10 +125,10 @@
     };
     let teams = teams.to_options().descr("Teams that share engines through one router").command("teams");
     let line = {
-        let jobs = long("jobs").help("Jobs in line").argument::<usize>("N").fallback(100_000);
+        let requests = long("jobs").help("Jobs in line").argument::<usize>("N").fallback(100_000);
         let teams = long("teams").help("Teams").argument::<usize>("N").fallback(10_000);
         let seed = seed();
-        construct!(Command::Line { jobs, teams, seed })
+        construct!(Command::Line { requests, teams, seed })
     };
     let line = line.to_options().descr("What the line costs as jobs and teams grow").command("line");
     let members = {
@@ -236,8 +236,8 @@
         Command::Flap { minutes, per_minute, seed, program } => {
             flap::measure(&program, minutes.clamp(0.05, 60.0), per_minute.clamp(0.0, 600.0), seed)
         }
-        Command::Line { jobs, teams, seed } => {
-            line::measure(jobs.clamp(1, 1_000_000), teams.clamp(1, 100_000), seed)
+        Command::Line { requests, teams, seed } => {
+            line::measure(requests.clamp(1, 1_000_000), teams.clamp(1, 100_000), seed)
         }
         Command::Members { in_virtual_time: true, routers, seed, seconds, plot, .. } => {
             members::measure_virtual(routers.clamp(2, 1000), seed, seconds.clamp(0.0, 600.0), plot.as_deref())
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -62,16 +62,16 @@
     text.split(' ').next().and_then(|nanoseconds| nanoseconds.parse().ok()).unwrap_or(0)
 }
 
-/// Processor time a job of one router, in a cluster of so many and without a cluster file, in turn under the same load.
+/// Processor time a request of one router, in a cluster of so many and without a cluster file, in turn under the same load.
 pub fn cost(program: &Path, routers: usize, seed: u64, pairs: usize) -> Value {
-    // Room for all clients' jobs at once: short ones, by the engines' clock tick, would pass for slow engines.
+    // Room for all clients' requests at once: short ones, by the engines' clock tick, would pass for slow engines.
     let cluster = Cluster::planned(program, Plan { routers, seed, cores: 24.0, ..Plan::default() });
     (0..routers).for_each(|router| cluster.stands(router, "whole"));
     let gateways = format!("\"balancers\":{routers}");
     let change = |text: String| text.replace(r#""balancers":1"#, &gateways);
     let alone =
         Router::changed(&program.to_string_lossy(), cluster.board(0), 512, &["--log-format", "text"], change);
-    // What is spent on the others alone: jobs or none, as many datagrams come and go.
+    // What is spent on the others alone: requests or none, as many datagrams come and go.
     let idle = {
         let both = || [cluster.router(0).process(), alone.process()].map(spent);
         let before = both();
@@ -88,16 +88,17 @@
         load.end(&cluster);
         // None where its counters could not be had under full load.
         let delivered = |line: std::io::Result<String>| Some(counter(&line.ok()?, "delivered"));
-        let jobs = delivered(ended).zip(delivered(began)).map(|(ended, began)| ended.saturating_sub(began));
-        let jobs = jobs.filter(|jobs| *jobs > 1000);
-        (jobs, jobs.map(|jobs| (after - before) as f64 / 1e3 / jobs as f64))
+        let requests =
+            delivered(ended).zip(delivered(began)).map(|(ended, began)| ended.saturating_sub(began));
+        let requests = requests.filter(|requests| *requests > 1000);
+        (requests, requests.map(|requests| (after - before) as f64 / 1e3 / requests as f64))
     };
     let rows: Vec<Value> = (0..pairs)
         .map(|_| {
-            let (jobs_on, on) = one(cluster.address(0), cluster.router(0).process());
-            let (jobs_off, off) = one(alone.address, alone.process());
+            let (requests_on, on) = one(cluster.address(0), cluster.router(0).process());
+            let (requests_off, off) = one(alone.address, alone.process());
             let ratio = on.zip(off).map(|(on, off)| on / off);
-            json!({"jobs_on": jobs_on, "us_on": on, "jobs_off": jobs_off, "us_off": off, "ratio": ratio})
+            json!({"jobs_on": requests_on, "us_on": on, "jobs_off": requests_off, "us_off": off, "ratio": ratio})
         })
         .collect();
     let mut ratios: Vec<f64> = rows.iter().filter_map(|row| row["ratio"].as_f64()).collect();
--- a/crates/lab/src/shared.rs
+++ b/crates/lab/src/shared.rs
@@ -1,4 +1,4 @@
-//! An engine that shares its cores among what it runs: each job's statement says how much work it is (`work MS`). It can
+//! An engine that shares its cores among what it runs: each request's statement says how much work it is (`work MS`). It can
 //! fall silent: then it goes on working and answers nothing until it speaks again.
 
 use crate::standins::Seen;
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 struct Running {
-    /// The connection, and the job's id on it.
+    /// The connection, and the request's id on it.
     on: u64,
     id: String,
     work_ms: f64,
@@ -94,7 +94,7 @@
         for (_, stream) in std::mem::take(&mut inner.streams) {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        let gone: Vec<usize> = std::mem::take(&mut inner.running).iter().map(|job| job.run).collect();
+        let gone: Vec<usize> = std::mem::take(&mut inner.running).iter().map(|request| request.run).collect();
         gone.into_iter().for_each(|run| inner.ends(run, self.now(), false));
         inner.unsaid.clear();
     }
@@ -192,7 +192,7 @@
         inner.gives_up(self.now(), on, None);
     }
 
-    /// Its cores are shared evenly; a job runs on one at most.
+    /// Its cores are shared evenly; a request runs on one at most.
     fn work(&self) {
         let mut last = Instant::now();
         loop {
@@ -201,21 +201,21 @@
             last = Instant::now();
             let mut inner = self.inner.lock().unwrap();
             let pace = (self.cores / inner.running.len().max(1) as f64).min(1.0) * passed;
-            inner.running.iter_mut().for_each(|job| job.left -= pace);
+            inner.running.iter_mut().for_each(|request| request.left -= pace);
             let (done, left) =
-                std::mem::take(&mut inner.running).into_iter().partition(|job| job.left <= 0.0);
+                std::mem::take(&mut inner.running).into_iter().partition(|request| request.left <= 0.0);
             inner.running = left;
             let done: Vec<Running> = done;
-            for job in done {
+            for request in done {
                 let row = "0\tone\ttwo\n";
-                let Running { id, work_ms, .. } = &job;
+                let Running { id, work_ms, .. } = &request;
                 let text = format!("{id} DONE work={work_ms},peak=10,parts=1 {}\r\n{row}\r\n", row.len());
                 match inner.silent {
                     // Given up or not, it is out until it is said, or its connection ends.
-                    true => inner.unsaid.push((job.on, job.run, text)),
+                    true => inner.unsaid.push((request.on, request.run, text)),
                     false => {
-                        inner.say(job.on, &text);
-                        inner.ends(job.run, self.now(), true);
+                        inner.say(request.on, &text);
+                        inner.ends(request.run, self.now(), true);
                     }
                 }
             }
@@ -237,14 +237,14 @@
         }
     }
 
-    /// What runs on this connection is given up: one job, or all; so is what is not said of it yet.
+    /// What runs on this connection is given up: one request, or all; so is what is not said of it yet.
     fn gives_up(&mut self, now: f64, on: u64, id: Option<&str>) {
         let (gone, left) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|job| job.on == on && id.is_none_or(|id| job.id == id));
+            .partition(|request| request.on == on && id.is_none_or(|id| request.id == id));
         self.running = left;
         let gone: Vec<Running> = gone;
-        gone.iter().for_each(|job| self.ends(job.run, now, false));
+        gone.iter().for_each(|request| self.ends(request.run, now, false));
         let of = |text: &str| id.is_none_or(|id| text.split(' ').next() == Some(id));
         let unsaid: Vec<usize> = self
             .unsaid
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// An engine: what it does is the first word of a job's statement (`pages N`, `hold`, `mute` on its first
+/// An engine: what it does is the first word of a request's statement (`pages N`, `hold`, `mute` on its first
 /// connection), or of its uid where that tells of a fault (`resets`, `full`, `loses` pages, `garbage`, `wide` rows).
 #[derive(Clone)]
 pub struct Engine {
@@ -416,7 +416,7 @@
         std::fs::write(&file, text).unwrap();
         let arguments = if more.is_empty() { String::new() } else { format!("serve {}", more.join(" ")) };
         let limited = format!("echo $$ >&0; ulimit -n {sockets}; exec {program} {arguments} < /dev/null");
-        // Where many jobs are expected, a line for each would be most of the work.
+        // Where many requests are expected, a line for each would be most of the work.
         let busy = ["--teams", "--cluster", "text"].iter().any(|word| more.contains(word));
         let mut child = Command::new("sh")
             .args(["-c", &limited])
@@ -538,8 +538,8 @@
 
 static CALLS: AtomicU64 = AtomicU64::new(1);
 
-/// A job of this class with so many milliseconds to go.
-pub fn job(class: &str, ttl: u64, statement: &str) -> String {
+/// A request of this class with so many milliseconds to go.
+pub fn request(class: &str, ttl: u64, statement: &str) -> String {
     let call = CALLS.fetch_add(1, Ordering::Relaxed);
     format!("/* op={class},call={call:016x},ttl={ttl},dedupe=d{call},work=5.0,mb=10 */ {statement}")
 }
--- a/crates/lab/src/teams.rs
+++ b/crates/lab/src/teams.rs
@@ -18,7 +18,7 @@
 struct Sends {
     name: &'static str,
     weight: f64,
-    /// Jobs a second, their work in milliseconds, and when it begins and ends, as parts of the run.
+    /// Requests a second, their work in milliseconds, and when it begins and ends, as parts of the run.
     rate: f64,
     work_ms: f64,
     during: (f64, f64),
@@ -72,7 +72,7 @@
     })
 }
 
-/// One job: when it was sent, counted from the start, how long it waited for an engine, and how it ended.
+/// One request: when it was sent, counted from the start, how long it waited for an engine, and how it ended.
 #[derive(Clone, Copy)]
 struct Went {
     at: f64,
@@ -112,7 +112,7 @@
             std::thread::sleep(Duration::from_secs_f64(wait));
         }
         let call = format!("{:016x}", CALL.fetch_add(1, Ordering::Relaxed));
-        // Alike jobs that share an engine would all end at once.
+        // Alike requests that share an engine would all end at once.
         let work = team.work_ms * chance.random_range(0.3..1.7);
         let text = format!(
             "/* op=look,call={call},ttl={PATIENCE},org={},work={work:.1},mb=10 */ work {work:.1} FROM sales_{}.t",
@@ -198,13 +198,13 @@
         let first = got.get(&call).map_or(at, |other| at.min(*other));
         got.insert(call, first);
     }
-    let by_team = sent.into_inner().unwrap().into_iter().map(|jobs| {
+    let by_team = sent.into_inner().unwrap().into_iter().map(|requests| {
         let went = |(call, sent, ended): (String, Instant, Ended)| Went {
             at: (sent - began).as_secs_f64(),
             wait: got.get(&call).map(|at| at.saturating_duration_since(sent).as_secs_f64()),
             ended,
         };
-        jobs.into_iter().map(went).collect()
+        requests.into_iter().map(went).collect()
     });
     let played = Played { by_team: by_team.collect(), counters };
     let _ = std::fs::remove_file(&path);
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -1,10 +1,10 @@
-//! Judges what clients and engines saw of jobs against the rules that the router promises. It shares no code with the
+//! Judges what clients and engines saw of requests against the rules that the router promises. It shares no code with the
 //! router: it knows what was asked, what each engine was given and when that ended, and what each client was told.
 
 use serde_json::{json, Value};
 use std::collections::HashMap;
 
-/// How a job was answered.
+/// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Rows,
@@ -13,7 +13,7 @@
     Failed,
 }
 
-/// What a client saw of one job. Times are seconds of the laboratory's clock.
+/// What a client saw of one request. Times are seconds of the laboratory's clock.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub router: usize,
@@ -49,7 +49,7 @@
 pub struct Stated {
     /// How long an idempotency key is known.
     pub window: f64,
-    /// Further pushes: so many, and such a share of the jobs taken, in so many seconds.
+    /// Further pushes: so many, and such a share of the requests taken, in so many seconds.
     pub spare: f64,
     pub share: f64,
     pub look_back: f64,
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 pub struct Verdict {
     pub two_answers: usize,
-    /// Non-idempotent jobs that came to engines twice, and deduplicated ones again after their window.
+    /// Non-idempotent requests that came to engines twice, and deduplicated ones again after their window.
     pub ran_twice: usize,
     pub turned_back_after_run: usize,
     pub two_out: usize,
@@ -115,7 +115,7 @@
     }
 }
 
-/// What was done beside the jobs, for the judge.
+/// What was done beside the requests, for the judge.
 pub struct Facts<'a> {
     pub stated: Stated,
     /// From when on an engine was to get nothing new, by engine.
@@ -134,9 +134,9 @@
     ran.iter().for_each(|run| runs.entry(&run.call).or_default().push(run));
     runs.values_mut().for_each(|runs| runs.sort_by(|one, other| one.got.total_cmp(&other.got)));
     let none = Vec::new();
-    for job in asked {
-        let runs = runs.get(job.call.as_str()).unwrap_or(&none);
-        one_job(job, runs, facts, &mut verdict);
+    for request in asked {
+        let runs = runs.get(request.call.as_str()).unwrap_or(&none);
+        one_request(request, runs, facts, &mut verdict);
     }
     receipts(asked, ran, facts, &mut verdict);
     budgets(asked, &runs, facts, &mut verdict);
@@ -149,9 +149,9 @@
     verdict
 }
 
-fn one_job(job: &Asked, runs: &[&Ran], facts: &Facts, verdict: &mut Verdict) {
-    let Asked { call, class, router, .. } = job;
-    if job.twice {
+fn one_request(request: &Asked, runs: &[&Ran], facts: &Facts, verdict: &mut Verdict) {
+    let Asked { call, class, router, .. } = request;
+    if request.twice {
         verdict.two_answers += 1;
         verdict.find(format!("{call} was answered twice"));
     }
@@ -159,15 +159,17 @@
         verdict.ran_twice += 1;
         verdict.find(format!("{class} {call} came to engines {} times", runs.len()));
     }
-    let turned_back = matches!(job.answered, Some((_, Outcome::TurnedBack)));
+    let turned_back = matches!(request.answered, Some((_, Outcome::TurnedBack)));
     if turned_back && *class == facts.stated.non_idempotent && !runs.is_empty() {
         verdict.turned_back_after_run += 1;
         verdict.find(format!("{class} {call} was turned back after a push"));
     }
-    if job.answered.is_some_and(|(at, _)| at > job.sent + job.patience + SLACK) {
+    if request.answered.is_some_and(|(at, _)| at > request.sent + request.patience + SLACK) {
         verdict.late += 1;
-        verdict
-            .find(format!("{call} was answered {:.2} s after its time", job.over - job.sent - job.patience));
+        verdict.find(format!(
+            "{call} was answered {:.2} s after its time",
+            request.over - request.sent - request.patience
+        ));
     }
     for pair in runs.windows(2) {
         let (first, second) = (pair[0], pair[1]);
@@ -181,9 +183,9 @@
 
 /// A deduplicated request runs again only within its window, whoever sends it and under whatever call.
 fn receipts(asked: &[Asked], ran: &[Ran], facts: &Facts, verdict: &mut Verdict) {
-    let deduplicated = asked.iter().filter(|job| job.class == facts.stated.deduplicated);
+    let deduplicated = asked.iter().filter(|request| request.class == facts.stated.deduplicated);
     let known: std::collections::HashSet<&str> =
-        deduplicated.map(|job| job.idempotency_key.as_str()).collect();
+        deduplicated.map(|request| request.idempotency_key.as_str()).collect();
     let mut first: HashMap<&str, f64> = HashMap::new();
     for run in ran.iter().filter(|run| known.contains(run.idempotency_key.as_str())) {
         let at = first.entry(&run.idempotency_key).or_insert(run.got);
@@ -202,13 +204,13 @@
 
 /// Further pushes of each router, over every window that ends with one.
 fn budgets(asked: &[Asked], runs: &HashMap<&str, Vec<&Ran>>, facts: &Facts, verdict: &mut Verdict) {
-    let routers = asked.iter().map(|job| job.router + 1).max().unwrap_or(0);
+    let routers = asked.iter().map(|request| request.router + 1).max().unwrap_or(0);
     let mut taken = vec![Vec::new(); routers];
     let mut further = vec![Vec::new(); routers];
-    for job in asked {
-        taken[job.router].push(job.sent);
-        let again = runs.get(job.call.as_str()).into_iter().flatten().skip(1);
-        further[job.router].extend(again.map(|run| run.got));
+    for request in asked {
+        taken[request.router].push(request.sent);
+        let again = runs.get(request.call.as_str()).into_iter().flatten().skip(1);
+        further[request.router].extend(again.map(|run| run.got));
     }
     let Stated { spare, share, look_back, .. } = facts.stated;
     for router in 0..routers {
@@ -224,11 +226,12 @@
                 started.iter().copied().filter(|start| start <= at && !facts.kept).fold(f64::MIN, f64::max);
             let from = (at - look_back).max(anew);
             let repeats = between(&further[router], from, *at) as f64;
-            let jobs = between(&taken[router], from - SLACK, *at) as f64;
+            let requests = between(&taken[router], from - SLACK, *at) as f64;
             // What engines see may be closer together than what was sent, by what is on the way.
-            if repeats > (spare + share * jobs) * 1.15 + 1.0 {
+            if repeats > (spare + share * requests) * 1.15 + 1.0 {
                 verdict.pushes_over_budget += 1;
-                verdict.find(format!("router {router}: {repeats} further pushes, {jobs} jobs by {at:.2}"));
+                verdict
+                    .find(format!("router {router}: {repeats} further pushes, {requests} jobs by {at:.2}"));
             }
         }
     }
@@ -273,7 +276,7 @@
 mod tests {
     use super::*;
 
-    fn job(call: &str, class: &'static str, sent: f64, answered: Option<(f64, Outcome)>) -> Asked {
+    fn request(call: &str, class: &'static str, sent: f64, answered: Option<(f64, Outcome)>) -> Asked {
         Asked {
             router: 0,
             call: call.to_string(),
@@ -303,7 +306,11 @@
     #[test]
     fn each_rule_that_is_broken_is_found_and_none_that_is_kept() {
         let rows = Some((10.5, Outcome::Rows));
-        let kept = [job("a", "once", 10.0, rows), job("b", "load", 10.0, rows), job("c", "look", 10.0, rows)];
+        let kept = [
+            request("a", "once", 10.0, rows),
+            request("b", "load", 10.0, rows),
+            request("c", "look", 10.0, rows),
+        ];
         let runs = [
             run("a", 0, 10.1, 10.4),
             run("b", 0, 10.1, 10.2),
@@ -325,9 +332,9 @@
             0,
             "the way was rough"
         );
-        let turned = [job("a", "once", 10.0, Some((11.0, Outcome::TurnedBack)))];
+        let turned = [request("a", "once", 10.0, Some((11.0, Outcome::TurnedBack)))];
         assert_eq!(count(&turned, &twice[..1]).turned_back_after_run, 1);
-        let late = [job("c", "look", 10.0, Some((13.5, Outcome::Failed)))];
+        let late = [request("c", "look", 10.0, Some((13.5, Outcome::Failed)))];
         assert_eq!(count(&late, &[]).late, 1);
         assert_eq!(count(&[Asked { twice: true, ..kept[2].clone() }], &[]).two_answers, 1);
         assert_eq!(count(&kept, &[run("c", 1, 51.5, 52.0)]).to_draining, 1);
@@ -337,7 +344,7 @@
     fn further_pushes_beyond_the_budget_are_found_also_over_a_start_where_they_are_kept() {
         let rows = |at: f64| Some((at + 0.5, Outcome::Rows));
         let asked: Vec<Asked> =
-            (0..40).map(|at| job(&format!("{at}"), "look", 10.0 + at as f64 * 0.1, rows(10.0))).collect();
+            (0..40).map(|at| request(&format!("{at}"), "look", 10.0 + at as f64 * 0.1, rows(10.0))).collect();
         let again = |most: usize| -> Vec<Ran> {
             let two = |at: usize| {
                 let (call, sent) = (format!("{at}"), 10.0 + at as f64 * 0.1);
--- a/crates/lab/src/virtual_comeback.rs
+++ b/crates/lab/src/virtual_comeback.rs
@@ -16,7 +16,7 @@
 
 const STEP: f64 = 0.01;
 const CORES: f64 = 8.0;
-/// Mean work of a job in seconds, and jobs a second and router.
+/// Mean work of a request in seconds, and requests a second and router.
 const WORK: f64 = 0.03;
 const RATE: f64 = 10.0;
 const EXPECTED: f64 = 1.0;
@@ -58,7 +58,7 @@
 struct Running {
     router: usize,
     life: u32,
-    job: usize,
+    request: usize,
     number: usize,
     left: f64,
     sent: f64,
@@ -73,7 +73,7 @@
     given: Vec<(f64, f64)>,
 }
 
-struct Job {
+struct Request {
     sent: f64,
     work: f64,
     deadline: f64,
@@ -85,7 +85,7 @@
 struct Router {
     gateway: Option<Gateway>,
     life: u32,
-    jobs: HashMap<usize, Job>,
+    requests: HashMap<usize, Request>,
     next: usize,
     wake: f64,
     connections: HashMap<usize, f64>,
@@ -107,17 +107,17 @@
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, job: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
-        self.pushes.push((job, engine, time_out));
+    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
+        self.pushes.push((request, engine, time_out));
     }
-    fn call_off(&mut self, job: usize, push: u32) {
-        self.called_off.push((job, push));
+    fn call_off(&mut self, request: usize, push: u32) {
+        self.called_off.push((request, push));
     }
-    fn turn_back(&mut self, job: usize, _: Option<f64>) {
-        self.ended.push(job);
+    fn turn_back(&mut self, request: usize, _: Option<f64>) {
+        self.ended.push(request);
     }
-    fn terminate(&mut self, job: usize) {
-        self.ended.push(job);
+    fn terminate(&mut self, request: usize) {
+        self.ended.push(request);
     }
     fn watch(&mut self, _: bool) {}
     fn fetch(&mut self) {}
@@ -172,7 +172,7 @@
         let router = |_| Router {
             gateway: None,
             life: 0,
-            jobs: HashMap::new(),
+            requests: HashMap::new(),
             next: 0,
             wake: 0.0,
             connections: HashMap::new(),
@@ -225,7 +225,7 @@
         let lost = self.play.lost;
         let router = &mut self.routers[at];
         router.gateway = None;
-        router.jobs.clear();
+        router.requests.clear();
         router.connections.clear();
         if lost {
             router.disk = None;
@@ -282,8 +282,10 @@
         let deadline = now + PATIENCE;
         let cost = Some(work);
         let taken = Taken { table_group: group, cost, memory_mb: Some(10.0), deadline, ..Taken::default() };
-        gateway.job_taken(now, router.next, taken);
-        router.jobs.insert(router.next, Job { sent: now, work, deadline, out: Vec::new(), over: false });
+        gateway.request_received(now, router.next, taken);
+        router
+            .requests
+            .insert(router.next, Request { sent: now, work, deadline, out: Vec::new(), over: false });
         router.wake = now;
     }
 
@@ -295,30 +297,30 @@
         gateway.round(now, &mut book);
         router.wake = if book.wake.is_finite() { book.wake } else { router.wake };
         for (id, engine, time_out) in book.pushes {
-            let Some(job) = router.jobs.get_mut(&id) else { continue };
-            let until = time_out.map_or(job.deadline, |wait| job.deadline.min(now + wait));
-            if !job.out.is_empty() {
+            let Some(request) = router.requests.get_mut(&id) else { continue };
+            let until = time_out.map_or(request.deadline, |wait| request.deadline.min(now + wait));
+            if !request.out.is_empty() {
                 router.further.push(now);
                 router.puts.changed();
             }
             if router.connections.insert(engine, now).is_none_or(|last| now > last + IDLE) {
                 *self.connected.entry(tenth(now)).or_default() += 1;
             }
-            let number = job.out.len();
-            job.out.push((engine, true, Some(until)));
-            let (life, work) = (router.life, job.work);
+            let number = request.out.len();
+            request.out.push((engine, true, Some(until)));
+            let (life, work) = (router.life, request.work);
             self.engines[engine].given.push((now, work));
             self.engines[engine].running.push(Running {
                 router: at,
                 life,
-                job: id,
+                request: id,
                 number,
                 left: work,
                 sent: now,
             });
         }
         for id in book.ended {
-            self.routers[at].jobs.get_mut(&id).into_iter().for_each(|job| job.over = true);
+            self.routers[at].requests.get_mut(&id).into_iter().for_each(|request| request.over = true);
             self.drop_pushes(at, id, Ending::CalledOff, None);
         }
         for (id, number) in book.called_off {
@@ -326,22 +328,24 @@
         }
     }
 
-    /// Pushes of a job are given up, and their ends are news at once.
+    /// Pushes of a request are given up, and their ends are news at once.
     fn drop_pushes(&mut self, at: usize, id: usize, ending: Ending, only: Option<usize>) {
         let now = self.now;
-        let Some(job) = self.routers[at].jobs.get_mut(&id) else { return };
+        let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let mut ends = Vec::new();
-        for (number, (engine, out, _)) in job.out.iter_mut().enumerate() {
+        for (number, (engine, out, _)) in request.out.iter_mut().enumerate() {
             if *out && only.is_none_or(|only| only == number) {
                 *out = false;
                 ends.push((*engine, number));
             }
         }
-        let job_over = job.over;
+        let request_done = request.over;
         for (engine, number) in ends {
-            self.engines[engine].running.retain(|run| (run.router, run.job, run.number) != (at, id, number));
+            self.engines[engine]
+                .running
+                .retain(|run| (run.router, run.request, run.number) != (at, id, number));
             let load = Load::default();
-            let end = PushEnd { job: id, engine, ending, job_over, spent: 0.1, told: None, load };
+            let end = PushEnd { request: id, engine, ending, request_done, spent: 0.1, told: None, load };
             self.routers[at].gateway.iter_mut().for_each(|gateway| gateway.push_over(now, &end));
         }
         self.routers[at].wake = now;
@@ -349,15 +353,18 @@
 
     fn time_outs(&mut self, at: usize) {
         let now = self.now;
-        let due =
-            |job: &Job| job.out.iter().any(|(_, out, until)| *out && until.is_some_and(|until| now >= until));
+        let due = |request: &Request| {
+            request.out.iter().any(|(_, out, until)| *out && until.is_some_and(|until| now >= until))
+        };
         let late: Vec<usize> =
-            self.routers[at].jobs.iter().filter(|(_, job)| due(job)).map(|(id, _)| *id).collect();
+            self.routers[at].requests.iter().filter(|(_, request)| due(request)).map(|(id, _)| *id).collect();
         for id in late {
             self.drop_pushes(at, id, Ending::TimedOut, None);
         }
-        let cut = |job: &Job| job.over && job.out.iter().all(|(_, out, _)| !out) || now > job.deadline + 1.0;
-        self.routers[at].jobs.retain(|_, job| !cut(job));
+        let cut = |request: &Request| {
+            request.over && request.out.iter().all(|(_, out, _)| !out) || now > request.deadline + 1.0
+        };
+        self.routers[at].requests.retain(|_, request| !cut(request));
     }
 
     fn work(&mut self) {
@@ -378,16 +385,20 @@
                 let Some(gateway) = router.gateway.as_mut().filter(|_| router.life == run.life) else {
                     continue;
                 };
-                let Some(job) = router.jobs.get_mut(&run.job).filter(|job| !job.over) else { continue };
-                (job.out[run.number].1, job.over) = (false, true);
+                let Some(request) = router.requests.get_mut(&run.request).filter(|request| !request.over)
+                else {
+                    continue;
+                };
+                (request.out[run.number].1, request.over) = (false, true);
                 router.connections.insert(at, now);
-                if now - job.sent <= EXPECTED {
+                if now - request.sent <= EXPECTED {
                     *self.served.entry(tenth(now)).or_default() += 1;
                 }
-                let told = Some((job.work, 10.0));
+                let told = Some((request.work, 10.0));
                 let (spent, load) = (now - run.sent, Load::default());
-                let (ending, job_over) = (Ending::Delivered, true);
-                let end = PushEnd { job: run.job, engine: at, ending, job_over, spent, told, load };
+                let (ending, request_done) = (Ending::Delivered, true);
+                let end =
+                    PushEnd { request: run.request, engine: at, ending, request_done, spent, told, load };
                 gateway.push_over(now, &end);
                 router.wake = now;
             }
@@ -402,7 +413,7 @@
         let lost: Vec<Running> = std::mem::take(&mut engine.running);
         let listing = engine.listing;
         for run in lost {
-            self.drop_pushes(run.router, run.job, Ending::Broken, Some(run.number));
+            self.drop_pushes(run.router, run.request, Ending::Broken, Some(run.number));
         }
         for router in &mut self.routers {
             router.gateway.iter_mut().for_each(|gateway| gateway.engines_listed(now, &[listing], false));
--- a/crates/queue/src/bucket.rs
+++ b/crates/queue/src/bucket.rs
@@ -19,7 +19,7 @@
         self.at = self.at.max(now);
     }
 
-    /// Work beyond what is saved up is owed: a budget smaller than one job still lets one through, and then none for
+    /// Work beyond what is saved up is owed: a budget smaller than one request still lets one through, and then none for
     /// as long as it takes to earn it.
     pub fn spend(&mut self, work: f64, now: f64) {
         self.fill(now);
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,12 +1,12 @@
-//! The line of held jobs: whose turn it is. Teams share what engines do by weight, in up to three levels; the share is
-//! of work, not of jobs. No I/O, and nothing is decided here of engines, pushes or refusals: the decision module asks
-//! for the next job to try, and for the one to displace where a line is longer than it may be.
+//! The line of held requests: whose turn it is. Teams share what engines do by weight, in up to three levels; the share is
+//! of work, not of requests. No I/O, and nothing is decided here of engines, pushes or refusals: the decision module asks
+//! for the next request to try, and for the one to displace where a line is longer than it may be.
 //!
 //! The order between teams is hierarchical start-time fair queueing (Goyal, Vin and Cheng, "Start-Time Fair Queueing",
 //! 1996; Bennett and Zhang, "Hierarchical Packet Fair Queueing Algorithms", 1996): of the teams that wait, the one goes
 //! next whose work so far, for its weight, is least. A team that was idle joins where the others are: it has saved
 //! nothing. A team within its budget goes before one that is over, so unused share is lent and taken back by time.
-//! Within a team the rank of a job decides, which the module hands in, aged or not ([`Terms::ageing`]).
+//! Within a team the rank of a request decides, which the module hands in, aged or not ([`Terms::ageing`]).
 //!
 //! Times are seconds on the host's clock, work is seconds of one core.
 
@@ -30,15 +30,15 @@
     pub weight: f64,
     /// Its budget: seconds of work a second, and how many seconds it may save up. None: never over.
     pub budget: Option<(f64, f64)>,
-    /// Jobs, and seconds of work, that may be in line; beyond them the last is displaced.
+    /// Requests, and seconds of work, that may be in line; beyond them the last is displaced.
     pub most_queued: usize,
     pub most_queued_work: f64,
-    /// Jobs that may be out at engines at once.
+    /// Requests that may be out at engines at once.
     pub most_out: usize,
-    /// A job goes ahead of a denser one that came so many seconds later for each halving of its density. None: the
+    /// A request goes ahead of a denser one that came so many seconds later for each halving of its density. None: the
     /// densest first, however long others wait.
     pub ageing: Option<f64>,
-    /// By class: so many doublings of its density a job counts as denser. Classes behind the end have none.
+    /// By class: so many doublings of its density a request counts as denser. Classes behind the end have none.
     pub order: Vec<f64>,
 }
 
@@ -57,10 +57,10 @@
     }
 }
 
-/// A job that waits.
+/// A request that waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Waiting {
-    pub job: usize,
+    pub request: usize,
     /// A leaf of the tree.
     pub team: usize,
     pub class: usize,
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug)]
 struct Node {
     terms: Terms,
-    /// Children that have a job to offer, in turn.
+    /// Children that have a request to offer, in turn.
     active: BTreeSet<(Place, usize)>,
     /// The work for its weight that children were last served at: where those that come join.
     virtual_time: f64,
@@ -124,7 +124,7 @@
     }
 }
 
-/// A job that is being tried: its team, and those above it, are charged already.
+/// A request that is being tried: its team, and those above it, are charged already.
 #[derive(Clone, Debug)]
 struct Offer {
     waiting: Waiting,
@@ -186,13 +186,13 @@
         }
     }
 
-    /// There are teams: not all jobs stand in one line.
+    /// There are teams: not all requests stand in one line.
     pub fn parted(&self) -> bool {
         self.nodes.len() > 1
     }
 
-    pub fn holds(&self, job: usize) -> bool {
-        self.waiting.contains_key(&job)
+    pub fn holds(&self, request: usize) -> bool {
+        self.waiting.contains_key(&request)
     }
 
     pub fn len(&self) -> usize {
@@ -203,7 +203,7 @@
         self.len() == 0
     }
 
-    /// Jobs and seconds of work that a team has in line, and jobs that it has out.
+    /// Requests and seconds of work that a team has in line, and requests that it has out.
     pub fn of(&self, team: usize) -> (usize, f64, usize) {
         self.nodes.get(team).map_or((0, 0.0, 0), |node| (node.queued, node.queued_work, node.out))
     }
@@ -218,17 +218,17 @@
             // A denser one stands as if it had come earlier; times are shifted to stay positive.
             Some(ageing) => rank(waiting.since - ageing * density.max(1e-9).log2() + 1e6),
         };
-        (key, waiting.job)
+        (key, waiting.request)
     }
 
-    /// The job waits from now on.
+    /// The request waits from now on.
     pub fn hold(&mut self, waiting: Waiting, now: f64) {
-        if self.waiting.contains_key(&waiting.job) {
+        if self.waiting.contains_key(&waiting.request) {
             return;
         }
         let waiting = Waiting { team: waiting.team.min(self.nodes.len() - 1), ..waiting };
         self.waits.joins(waiting.team, self.nodes[waiting.team].queued == 0, self.waiting.is_empty(), now);
-        self.waiting.insert(waiting.job, waiting);
+        self.waiting.insert(waiting.request, waiting);
         self.enter(&waiting);
         self.refilled(now);
         self.activate(waiting.team);
@@ -273,7 +273,7 @@
         if node.queued > 0 {
             self.longest.insert(after);
         }
-        // One job alone is never too much work: it could not come at all.
+        // One request alone is never too much work: it could not come at all.
         let much = node.queued_work > node.terms.most_queued_work && node.queued > 1;
         match much || node.queued > node.terms.most_queued {
             true => self.too_long.insert(team),
@@ -287,19 +287,19 @@
     }
 
     /// It waits no more: it was answered, or its client has gone.
-    pub fn leave(&mut self, job: usize) {
+    pub fn leave(&mut self, request: usize) {
         // One that is on offer goes back into line first, so that what it was charged comes back.
-        if self.offers.iter().any(|offer| offer.waiting.job == job) {
+        if self.offers.iter().any(|offer| offer.waiting.request == request) {
             self.put_back(f64::NEG_INFINITY);
         }
-        self.waits.left(job);
-        if let Some(waiting) = self.waiting.remove(&job) {
+        self.waits.left(request);
+        if let Some(waiting) = self.waiting.remove(&request) {
             self.exit(&waiting);
             self.settle(waiting.team);
         }
     }
 
-    /// A leaf has something to offer: a job in line, and room for one more out.
+    /// A leaf has something to offer: a request in line, and room for one more out.
     fn offers_any(&self, at: usize) -> bool {
         let node = &self.nodes[at];
         !node.active.is_empty() || !node.line.is_empty() && node.out < node.terms.most_out
@@ -365,7 +365,7 @@
         }
     }
 
-    /// The next job to try. It is on offer until [`Line::went`], or is put back by [`Line::put_back`].
+    /// The next request to try. It is on offer until [`Line::went`], or is put back by [`Line::put_back`].
     pub fn next(&mut self, now: f64) -> Option<usize> {
         self.refilled(now);
         let mut at = ROOT;
@@ -376,8 +376,8 @@
         if self.nodes[team].out >= self.nodes[team].terms.most_out {
             return None;
         }
-        let &(_, job) = self.nodes[team].line.first()?;
-        let waiting = self.waiting.remove(&job)?;
+        let &(_, request) = self.nodes[team].line.first()?;
+        let waiting = self.waiting.remove(&request)?;
         self.exit(&waiting);
         let mut path = Vec::new();
         while at != ROOT {
@@ -388,7 +388,7 @@
         self.nodes[team].out += 1;
         self.settle(team);
         self.offers.push(Offer { waiting, path });
-        Some(job)
+        Some(request)
     }
 
     fn charge(&mut self, at: usize, work: f64, now: f64) {
@@ -400,9 +400,9 @@
         self.owes(at, now);
     }
 
-    /// A job on offer was pushed; it stays charged, and those that join from now on join where it stood.
-    pub fn went(&mut self, job: usize, now: f64) {
-        if let Some(at) = self.offers.iter().position(|offer| offer.waiting.job == job) {
+    /// A request on offer was pushed; it stays charged, and those that join from now on join where it stood.
+    pub fn went(&mut self, request: usize, now: f64) {
+        if let Some(at) = self.offers.iter().position(|offer| offer.waiting.request == request) {
             let Offer { waiting, path } = self.offers.remove(at);
             for (node, start) in path {
                 let parent = self.nodes[node].terms.parent;
@@ -420,7 +420,7 @@
                 self.charge(at, -waiting.work, now);
             }
             self.nodes[waiting.team].out -= 1;
-            self.waiting.insert(waiting.job, waiting);
+            self.waiting.insert(waiting.request, waiting);
             self.enter(&waiting);
             self.settle(waiting.team);
         }
@@ -447,11 +447,11 @@
         self.settle(team);
     }
 
-    /// A job to displace, if a line is longer than it may be: the last in line, of those that can't have run, of the
+    /// A request to displace, if a line is longer than it may be: the last in line, of those that can't have run, of the
     /// team whose own bound is passed; or, where the bound of all is, of the team with the most work in line for its
     /// weight. It stays in line until it is taken off by [`Line::leave`].
     pub fn surplus(&self) -> Option<usize> {
-        let last = |team: usize| self.nodes[team].movable.last().map(|&(_, job)| job);
+        let last = |team: usize| self.nodes[team].movable.last().map(|&(_, request)| request);
         let longest = || self.longest.iter().rev().find_map(|&(_, team)| last(team));
         let of_all = self.waiting.len() > self.most_queued;
         of_all.then(longest).flatten().or_else(|| self.too_long.iter().find_map(|team| last(*team)))
@@ -476,18 +476,18 @@
         share
     }
 
-    /// A push of this team's is out already: lines that are set up while jobs are under way begin with those.
+    /// A push of this team's is out already: lines that are set up while requests are under way begin with those.
     pub fn carries(&mut self, team: usize) {
         let team = team.min(self.nodes.len() - 1);
         self.nodes[team].out += 1;
         self.settle(team);
     }
 
-    /// How long a job of this team and so much work would wait if it came now, behind all of its line.
+    /// How long a request of this team and so much work would wait if it came now, behind all of its line.
     pub fn wait_for(&self, team: usize, work: f64, now: f64) -> Option<Wait> {
         let node = self.nodes.get(team)?;
         let waiting =
-            Waiting { job: usize::MAX, team, class: 0, density: 1.0, work, since: now, never_ran: true };
+            Waiting { request: usize::MAX, team, class: 0, density: 1.0, work, since: now, never_ran: true };
         self.waits.estimate(&waiting, node.queued_work, node.queued_work, self.share(team), now)
     }
 
@@ -496,13 +496,13 @@
         self.nodes.len()
     }
 
-    /// How long this job will wait from now to its first push, as far as can be told.
-    pub fn wait_of(&self, job: usize, now: f64) -> Option<Wait> {
-        let waiting = self.waiting.get(&job)?;
+    /// How long this request will wait from now to its first push, as far as can be told.
+    pub fn wait_of(&self, request: usize, now: f64) -> Option<Wait> {
+        let waiting = self.waiting.get(&request)?;
         let key = self.key(waiting);
         let line = &self.nodes[waiting.team].line;
         // Work ahead in its own line; far back in a long one, all of that line is taken to be ahead.
-        let ahead = line.range(..key).take(256).filter_map(|(_, job)| self.waiting.get(job));
+        let ahead = line.range(..key).take(256).filter_map(|(_, request)| self.waiting.get(request));
         let (count, work) = ahead.fold((0usize, 0.0), |(count, work), one| (count + 1, work + one.work));
         let all = self.nodes[waiting.team].queued_work;
         let work = if count == 256 { all.max(work) } else { work };
--- a/crates/queue/src/tests.rs
+++ b/crates/queue/src/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 use proptest::prelude::*;
 
-/// A server that takes work at `speed`, one job at a time, and a line before it.
+/// A server that takes work at `speed`, one request at a time, and a line before it.
 struct World {
     line: Line,
     now: f64,
     speed: f64,
     free_at: f64,
     next: usize,
-    jobs: BTreeMap<usize, (usize, f64, f64)>,
+    requests: BTreeMap<usize, (usize, f64, f64)>,
     /// By team: the work that went through.
     had: Vec<f64>,
     waits: Vec<Vec<f64>>,
@@ -33,20 +33,20 @@
             speed: 1.0,
             free_at: 0.0,
             next: 0,
-            jobs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             had: vec![0.0; count],
             waits: vec![Vec::new(); count],
         }
     }
 
     fn arrives(&mut self, team: usize, work: f64) -> usize {
-        let job = self.next;
+        let request = self.next;
         self.next += 1;
         let waiting =
-            Waiting { job, team, class: 0, density: 1.0 / work, work, since: self.now, never_ran: true };
-        self.jobs.insert(job, (team, work, self.now));
+            Waiting { request, team, class: 0, density: 1.0 / work, work, since: self.now, never_ran: true };
+        self.requests.insert(request, (team, work, self.now));
         self.line.hold(waiting, self.now);
-        job
+        request
     }
 
     /// Serves until then.
@@ -57,13 +57,13 @@
                 return;
             }
             self.now = self.now.max(self.free_at);
-            let Some(job) = self.line.next(self.now) else {
+            let Some(request) = self.line.next(self.now) else {
                 // Only a budget can make it go on by itself; teams over theirs are served all the same.
                 self.now = until;
                 return;
             };
-            self.line.went(job, self.now);
-            let (team, work, since) = self.jobs.remove(&job).unwrap();
+            self.line.went(request, self.now);
+            let (team, work, since) = self.requests.remove(&request).unwrap();
             self.waits[team].push(self.now - since);
             self.had[team] += work;
             self.free_at = self.now + work / self.speed;
@@ -71,18 +71,21 @@
         }
     }
 
-    fn fill(&mut self, team: usize, jobs: usize, work: f64) {
-        (0..jobs).for_each(|_| {
+    fn fill(&mut self, team: usize, requests: usize, work: f64) {
+        (0..requests).for_each(|_| {
             self.arrives(team, work);
         });
     }
 }
 
 #[test]
-fn one_team_alone_goes_densest_first_and_a_job_that_does_not_go_stays_in_its_place() {
+fn one_team_alone_goes_densest_first_and_a_request_that_does_not_go_stays_in_its_place() {
     let mut line = Line::single();
-    for (job, density) in [(1, 2.0), (2, 9.0), (3, 5.0)] {
-        line.hold(Waiting { job, team: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true }, 0.0);
+    for (request, density) in [(1, 2.0), (2, 9.0), (3, 5.0)] {
+        line.hold(
+            Waiting { request, team: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true },
+            0.0,
+        );
     }
     assert_eq!(
         [line.next(0.0), line.next(0.0), line.next(0.0), line.next(0.0)],
@@ -94,9 +97,9 @@
 }
 
 #[test]
-fn teams_that_always_wait_have_work_by_their_weights_whatever_their_jobs_weigh() {
+fn teams_that_always_wait_have_work_by_their_weights_whatever_their_requests_weigh() {
     let mut world = World::new(teams(&[3.0, 1.0, 1.0]));
-    // The second has jobs of fifty times the first one's work.
+    // The second has requests of fifty times the first one's work.
     world.fill(1, 4000, 0.02);
     world.fill(2, 100, 1.0);
     world.fill(3, 1000, 0.1);
@@ -164,16 +167,16 @@
     assert!(world.had[2] > 39.0 && world.had[1] > 38.0, "{:?}", world.had);
 }
 
-/// Hard case: a budget smaller than one job.
+/// Hard case: a budget smaller than one request.
 #[test]
-fn a_budget_smaller_than_one_job_lets_one_through_and_then_waits() {
+fn a_budget_smaller_than_one_request_lets_one_through_and_then_waits() {
     let mut tree = teams(&[1.0, 1.0]);
     tree[1].budget = Some((0.1, 0.5));
     let mut world = World::new(tree);
     world.fill(1, 100, 2.0);
     world.fill(2, 10_000, 0.01);
     world.run(60.0);
-    // 0.5 saved up and 6 earned: three or four jobs of two.
+    // 0.5 saved up and 6 earned: three or four requests of two.
     assert!((6.0..=8.0).contains(&world.had[1]), "{:?}", world.had);
 }
 
@@ -204,10 +207,10 @@
     let before = world.had[1];
     // What waits goes over to the new lines, as the module has it.
     let mut new = Line::new(tree(0.2), world.now);
-    for (job, (team, work, since)) in &world.jobs {
-        let (job, team, work, since) = (*job, *team, *work, *since);
+    for (request, (team, work, since)) in &world.requests {
+        let (request, team, work, since) = (*request, *team, *work, *since);
         let density = 1.0 / work;
-        new.hold(Waiting { job, team, class: 0, density, work, since, never_ran: true }, world.now);
+        new.hold(Waiting { request, team, class: 0, density, work, since, never_ran: true }, world.now);
     }
     world.line = new;
     world.run(80.0);
@@ -237,15 +240,23 @@
             while line.of(team).0 < 3 {
                 let work = if team == 1 { 0.1 } else { 1.0 };
                 line.hold(
-                    Waiting { job: next, team, class: 0, density: 1.0, work, since: now, never_ran: true },
+                    Waiting {
+                        request: next,
+                        team,
+                        class: 0,
+                        density: 1.0,
+                        work,
+                        since: now,
+                        never_ran: true,
+                    },
                     now,
                 );
                 next += 1;
             }
         }
-        let job = line.next(now).unwrap();
-        line.went(job, now);
-        // The first one's jobs need ten times what they say: all need the same.
+        let request = line.next(now).unwrap();
+        line.went(request, now);
+        // The first one's requests need ten times what they say: all need the same.
         let team = if line.of(1).2 > 0 { 1 } else { 2 };
         had[team] += 1.0;
         line.over(team, if team == 1 { 0.1 } else { 1.0 }, 1.0, now);
@@ -254,7 +265,7 @@
 }
 
 #[test]
-fn aged_jobs_go_before_denser_ones_that_came_much_later() {
+fn aged_requests_go_before_denser_ones_that_came_much_later() {
     let with = |ageing| {
         let mut world = World::new(vec![Terms { ageing, ..Terms::default() }]);
         world.fill(0, 10, 0.05);
@@ -263,7 +274,7 @@
             world.run(f64::from(step) * 0.1);
             world.fill(0, 3, 0.05);
         }
-        (world.jobs.contains_key(&old), world.now)
+        (world.requests.contains_key(&old), world.now)
     };
     assert!(with(None).0, "the densest first starves it");
     assert!(!with(Some(1.0)).0);
@@ -272,8 +283,8 @@
 #[test]
 fn a_teams_own_order_of_classes_comes_before_their_density() {
     let mut line = Line::new(vec![Terms { order: vec![0.0, 10.0], ..Terms::default() }], 0.0);
-    for (job, class, density) in [(1, 0, 5.0), (2, 1, 1.0), (3, 1, 2.0), (4, 2, 9.0)] {
-        line.hold(Waiting { job, team: 0, class, density, work: 1.0, since: 0.0, never_ran: true }, 0.0);
+    for (request, class, density) in [(1, 0, 5.0), (2, 1, 1.0), (3, 1, 2.0), (4, 2, 9.0)] {
+        line.hold(Waiting { request, team: 0, class, density, work: 1.0, since: 0.0, never_ran: true }, 0.0);
     }
     assert_eq!([0; 4].map(|_| line.next(0.0).unwrap()), [3, 2, 4, 1]);
 }
@@ -283,11 +294,11 @@
     let mut tree = teams(&[1.0, 1.0]);
     tree[1].most_queued = 3;
     let mut line = Line::new(tree, 0.0);
-    let hold = |line: &mut Line, job: usize, team, never_ran| {
-        line.hold(Waiting { job, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran }, 0.0);
+    let hold = |line: &mut Line, request: usize, team, never_ran| {
+        line.hold(Waiting { request, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran }, 0.0);
     };
-    (0..3).for_each(|job| hold(&mut line, job, 1, true));
-    (10..30).for_each(|job| hold(&mut line, job, 2, true));
+    (0..3).for_each(|request| hold(&mut line, request, 1, true));
+    (10..30).for_each(|request| hold(&mut line, request, 2, true));
     assert_eq!(line.surplus(), None);
     // The last one may have run: the one before it goes.
     hold(&mut line, 3, 1, false);
@@ -296,7 +307,7 @@
     assert_eq!((line.surplus(), line.len()), (None, 23));
     // All may have run: nobody is displaced, however long it is.
     let mut line = Line::new(vec![Terms { most_queued: 2, ..Terms::default() }], 0.0);
-    (0..9).for_each(|job| hold(&mut line, job, 0, false));
+    (0..9).for_each(|request| hold(&mut line, request, 0, false));
     assert_eq!(line.surplus(), None);
 }
 
@@ -306,9 +317,9 @@
     let mut tree = teams(&[1.0; 50]);
     tree[50].most_queued = 1;
     let mut line = Line::new(tree, 0.0);
-    for job in 0..100 {
-        let (team, work) = if job < 98 { (1 + job % 49, 1.0) } else { (50, 0.01) };
-        line.hold(Waiting { job, team, class: 0, density: 1.0, work, since: 0.0, never_ran: true }, 0.0);
+    for request in 0..100 {
+        let (team, work) = if request < 98 { (1 + request % 49, 1.0) } else { (50, 0.01) };
+        line.hold(Waiting { request, team, class: 0, density: 1.0, work, since: 0.0, never_ran: true }, 0.0);
     }
     assert_eq!(line.surplus(), Some(99));
     line.leave(99);
@@ -320,14 +331,17 @@
     let mut tree = teams(&[1.0, 4.0]);
     tree[0].most_queued = 10;
     let mut line = Line::new(tree, 0.0);
-    for job in 0..12 {
-        let team = 1 + job % 2;
-        line.hold(Waiting { job, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true }, 0.0);
+    for request in 0..12 {
+        let team = 1 + request % 2;
+        line.hold(
+            Waiting { request, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+            0.0,
+        );
     }
     let mut gone = Vec::new();
-    while let Some(job) = line.surplus() {
-        line.leave(job);
-        gone.push(job % 2);
+    while let Some(request) = line.surplus() {
+        line.leave(request);
+        gone.push(request % 2);
     }
     assert_eq!(gone, [0, 0]);
 }
@@ -337,16 +351,16 @@
     let mut tree = teams(&[1.0, 1.0]);
     tree[1].most_out = 2;
     let mut line = Line::new(tree, 0.0);
-    for job in 0..5 {
+    for request in 0..5 {
         line.hold(
-            Waiting { job, team: 1, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+            Waiting { request, team: 1, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
     let mut went = Vec::new();
-    while let Some(job) = line.next(0.0) {
-        line.went(job, 0.0);
-        went.push(job);
+    while let Some(request) = line.next(0.0) {
+        line.went(request, 0.0);
+        went.push(request);
     }
     assert_eq!(went, [0, 1]);
     line.over(1, 1.0, 1.0, 0.0);
@@ -361,24 +375,24 @@
         world.run(f64::from(step) * 0.02);
         // Together a tenth more than it does, so that lines grow slowly.
         for team in [1, 2] {
-            let job = world.arrives(team, 0.044);
-            let wait = world.line.wait_of(job, world.now);
-            world.line.waits.told(job, wait, world.now);
+            let request = world.arrives(team, 0.044);
+            let wait = world.line.wait_of(request, world.now);
+            world.line.waits.told(request, wait, world.now);
         }
     }
     let waits = &world.line.waits;
     let share = waits.within_a_fifth as f64 / waits.compared as f64;
     assert!(waits.compared > 2000 && share > 0.9, "{share} of {}", waits.compared);
     // The server falls silent: nothing can be told.
-    let job = world.arrives(1, 0.044);
-    assert!(world.line.wait_of(job, world.now + 0.5).is_some());
-    assert!(world.line.wait_of(job, world.now + 3.0).is_none());
+    let request = world.arrives(1, 0.044);
+    assert!(world.line.wait_of(request, world.now + 0.5).is_some());
+    assert!(world.line.wait_of(request, world.now + 3.0).is_none());
 }
 
 proptest! {
-    /// Whatever comes and goes: no job is lost or offered twice, counts add up, and what never was offered can be.
+    /// Whatever comes and goes: no request is lost or offered twice, counts add up, and what never was offered can be.
     #[test]
-    fn no_job_is_lost_or_offered_twice(steps in proptest::collection::vec((0u8..6, 0usize..5, 1u32..100), 1..300)) {
+    fn no_request_is_lost_or_offered_twice(steps in proptest::collection::vec((0u8..6, 0usize..5, 1u32..100), 1..300)) {
         let mut tree = teams(&[1.0, 2.0]);
         tree.extend([Terms { parent: 1, most_out: 2, ..team(1.0) }, Terms { parent: 1, budget: Some((0.5, 1.0)), ..team(2.0) }]);
         tree.push(Terms { parent: 2, ageing: Some(1.0), ..team(1.0) });
@@ -392,13 +406,13 @@
             match what {
                 0 | 1 => {
                     let team = leaves[which % 3];
-                    line.hold(Waiting { job: next, team, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
+                    line.hold(Waiting { request: next, team, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
                     waiting.insert((next, team, work.to_bits()));
                     next += 1;
                 }
                 2 => {
-                    if let Some(job) = line.next(now) {
-                        let entry = *waiting.iter().find(|entry| entry.0 == job).expect("in line, and not on offer");
+                    if let Some(request) = line.next(now) {
+                        let entry = *waiting.iter().find(|entry| entry.0 == request).expect("in line, and not on offer");
                         waiting.remove(&entry);
                         offered.push(entry);
                     }
@@ -435,9 +449,9 @@
         line.put_back(now);
         waiting.extend(offered);
         out.into_iter().for_each(|(_, team, work)| line.over(team, f64::from_bits(work), 0.0, now));
-        while let Some(job) = line.next(now) {
-            line.went(job, now);
-            let entry = *waiting.iter().find(|entry| entry.0 == job).expect("in line");
+        while let Some(request) = line.next(now) {
+            line.went(request, now);
+            let entry = *waiting.iter().find(|entry| entry.0 == request).expect("in line");
             waiting.remove(&entry);
             line.over(entry.1, f64::from_bits(entry.2), f64::from_bits(entry.2), now);
         }
--- a/crates/queue/src/waits.rs
+++ b/crates/queue/src/waits.rs
@@ -1,4 +1,4 @@
-//! How long a job in line will wait: from how fast work has gone through of late, the work ahead, and what was learned
+//! How long a request in line will wait: from how fast work has gone through of late, the work ahead, and what was learned
 //! of this estimate's own errors.
 
 use crate::Waiting;
@@ -68,7 +68,7 @@
     }
 }
 
-/// Estimates err otherwise at a line's front, where luck decides, than at its end, where later and denser jobs go ahead.
+/// Estimates err otherwise at a line's front, where luck decides, than at its end, where later and denser requests go ahead.
 const PARTS: usize = 4;
 
 #[derive(Clone, Debug, Default)]
@@ -81,9 +81,9 @@
 pub struct Waits {
     teams: Vec<Team>,
     all: Rate,
-    /// Estimates that were made, until their jobs go: when, how long, and from which part of the line. Bounded.
+    /// Estimates that were made, until their requests go: when, how long, and from which part of the line. Bounded.
     made: std::collections::BTreeMap<usize, (f64, f64, usize)>,
-    /// Estimates that were compared, those within a fifth of the truth, those within that or 20 ms, and jobs that waited
+    /// Estimates that were compared, those within a fifth of the truth, those within that or 20 ms, and requests that waited
     /// without one.
     pub compared: u64,
     pub within_a_fifth: u64,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A job joins a line in which none, of its team and of all, stood before: the time of idleness does not count.
+    /// A request joins a line in which none, of its team and of all, stood before: the time of idleness does not count.
     pub fn joins(&mut self, team: usize, first_of_team: bool, first_of_all: bool, now: f64) {
         if first_of_team {
             self.teams[team].rate.last = self.teams[team].rate.last.map(|_| now);
@@ -122,11 +122,11 @@
         }
     }
 
-    /// A job has gone: the rates, and what its estimate was worth.
+    /// A request has gone: the rates, and what its estimate was worth.
     pub fn went(&mut self, waiting: &Waiting, now: f64) {
         self.all.went(waiting.work, now);
         self.teams[waiting.team].rate.went(waiting.work, now);
-        let Some((made, estimate, part)) = self.made.remove(&waiting.job) else { return };
+        let Some((made, estimate, part)) = self.made.remove(&waiting.request) else { return };
         let truth = now - made;
         if truth < Waits::LEAST {
             return;
@@ -143,15 +143,15 @@
     }
 
     /// It waits no more, and did not go.
-    pub fn left(&mut self, job: usize) {
-        self.made.remove(&job);
+    pub fn left(&mut self, request: usize) {
+        self.made.remove(&request);
     }
 
     /// Remembers an estimate to compare it with the truth.
-    pub fn told(&mut self, job: usize, wait: Option<Wait>, now: f64) {
+    pub fn told(&mut self, request: usize, wait: Option<Wait>, now: f64) {
         match wait {
             Some(wait) if self.made.len() < Waits::MOST_MADE => {
-                self.made.insert(job, (now, wait.expected, wait.part));
+                self.made.insert(request, (now, wait.expected, wait.part));
             }
             _ => self.unknown += 1,
         }
--- a/crates/queue/tests/model.rs
+++ b/crates/queue/tests/model.rs
@@ -9,18 +9,18 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Planted {
     Nothing,
-    /// The host says of every job that it never ran.
+    /// The host says of every request that it never ran.
     ForgetsThatItRan,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A job comes to this team.
+    /// A request comes to this team.
     Comes(usize),
     /// The next one is offered and pushed, or goes back.
     Push,
     NotPushed,
-    /// The oldest push ends without an answer: its job may have run, or never did, and waits again.
+    /// The oldest push ends without an answer: its request may have run, or never did, and waits again.
     EndsAgain {
         ran: bool,
     },
@@ -36,7 +36,7 @@
     next: usize,
     waiting: BTreeSet<usize>,
     out: Vec<usize>,
-    /// Jobs that may have run, and those that were displaced.
+    /// Requests that may have run, and those that were displaced.
     ran: BTreeSet<usize>,
     displaced: BTreeSet<usize>,
 }
@@ -46,12 +46,12 @@
         format!("{:?}{:?}{:?}{:?}{:?}", self.line, self.waiting, self.out, self.ran, self.displaced)
     }
 
-    fn hold(&mut self, job: usize, planted: Planted) {
-        let never_ran = planted == Planted::ForgetsThatItRan || !self.ran.contains(&job);
+    fn hold(&mut self, request: usize, planted: Planted) {
+        let never_ran = planted == Planted::ForgetsThatItRan || !self.ran.contains(&request);
         // Later ones are denser, so that any may be the last.
-        let (team, now, density) = (1 + job % 2, self.now, 1.0 + job as f64);
-        self.line.hold(Waiting { job, team, class: 0, density, work: 1.0, since: now, never_ran }, now);
-        self.waiting.insert(job);
+        let (team, now, density) = (1 + request % 2, self.now, 1.0 + request as f64);
+        self.line.hold(Waiting { request, team, class: 0, density, work: 1.0, since: now, never_ran }, now);
+        self.waiting.insert(request);
     }
 }
 
@@ -93,37 +93,37 @@
         let mut next = at.clone();
         match step {
             Step::Comes(team) => {
-                let job = 2 * next.next + team;
+                let request = 2 * next.next + team;
                 next.next += 1;
-                next.hold(job, self.0);
+                next.hold(request, self.0);
             }
             Step::Push => {
-                let job = next.line.next(next.now)?;
-                next.line.went(job, next.now);
-                next.waiting.remove(&job);
-                next.out.push(job);
+                let request = next.line.next(next.now)?;
+                next.line.went(request, next.now);
+                next.waiting.remove(&request);
+                next.out.push(request);
             }
             Step::NotPushed => {
                 next.line.next(next.now)?;
                 next.line.put_back(next.now);
             }
             Step::EndsAgain { ran } => {
-                let job = if next.out.is_empty() { return None } else { next.out.remove(0) };
+                let request = if next.out.is_empty() { return None } else { next.out.remove(0) };
                 if ran {
-                    next.ran.insert(job);
+                    next.ran.insert(request);
                 }
-                next.line.over(1 + job % 2, 1.0, if ran { 1.0 } else { 0.0 }, next.now);
-                next.hold(job, self.0);
+                next.line.over(1 + request % 2, 1.0, if ran { 1.0 } else { 0.0 }, next.now);
+                next.hold(request, self.0);
             }
             Step::Ends => {
-                let job = if next.out.is_empty() { return None } else { next.out.remove(0) };
-                next.line.over(1 + job % 2, 1.0, 2.0, next.now);
+                let request = if next.out.is_empty() { return None } else { next.out.remove(0) };
+                next.line.over(1 + request % 2, 1.0, 2.0, next.now);
             }
             Step::Displace => {
-                let job = next.line.surplus()?;
-                next.line.leave(job);
-                next.waiting.remove(&job);
-                next.displaced.insert(job);
+                let request = next.line.surplus()?;
+                next.line.leave(request);
+                next.waiting.remove(&request);
+                next.displaced.insert(request);
             }
         }
         Some(next)
@@ -135,34 +135,34 @@
                 at.ran.is_disjoint(&at.displaced)
             }),
             Property::always("no job is lost", |_, at: &At| {
-                at.line.len() == at.waiting.len() && at.waiting.iter().all(|job| at.line.holds(*job))
+                at.line.len() == at.waiting.len() && at.waiting.iter().all(|request| at.line.holds(*request))
             }),
             Property::always("what waits goes once there is room", |_, at: &At| {
                 let mut line = at.line.clone();
-                at.out.iter().for_each(|job| line.over(1 + job % 2, 1.0, 1.0, at.now));
+                at.out.iter().for_each(|request| line.over(1 + request % 2, 1.0, 1.0, at.now));
                 let mut gone = 0;
-                while let Some(job) = line.next(at.now) {
-                    line.went(job, at.now);
-                    line.over(1 + job % 2, 1.0, 1.0, at.now);
+                while let Some(request) = line.next(at.now) {
+                    line.went(request, at.now);
+                    line.over(1 + request % 2, 1.0, 1.0, at.now);
                     gone += 1;
                 }
                 gone == at.waiting.len()
             }),
             Property::always("no line stays too long while one in it can go", |_, at: &At| {
                 let mut line = at.line.clone();
-                while let Some(job) = line.surplus() {
-                    line.leave(job);
+                while let Some(request) = line.surplus() {
+                    line.leave(request);
                 }
                 let over = |team: usize| line.of(team).0 > 1;
                 let movable = |team: usize| {
-                    at.waiting
-                        .iter()
-                        .any(|job| 1 + job % 2 == team && line.holds(*job) && !at.ran.contains(job))
+                    at.waiting.iter().any(|request| {
+                        1 + request % 2 == team && line.holds(*request) && !at.ran.contains(request)
+                    })
                 };
                 (1..=2).all(|team| !over(team) || !movable(team))
             }),
             Property::sometimes("one is displaced while another that ran waits", |_, at: &At| {
-                !at.displaced.is_empty() && at.waiting.iter().any(|job| at.ran.contains(job))
+                !at.displaced.is_empty() && at.waiting.iter().any(|request| at.ran.contains(request))
             }),
         ]
     }
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_host_that_forgets_that_a_job_ran_is_found_out() {
+fn a_host_that_forgets_that_a_request_ran_is_found_out() {
     let done = Lines(Planted::ForgetsThatItRan).checker().threads(4).target_max_depth(8).spawn_bfs().join();
     assert!(done.discovery("what may have run is never displaced").is_some());
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -94,7 +94,7 @@
             descriptors: count(&limits["sockets"], "limits.sockets", 65536.0)?,
             memory: count(&limits["memory_mb"], "limits.memory_mb", 256.0)? << 20,
             links: pairs.link_limits().map_err(within)?,
-            longest_job: pairs.longest_job().map_err(within)?,
+            longest_request: pairs.longest_request().map_err(within)?,
         },
         known: events,
         deployment,
--- a/crates/router/src/protocol/engine.rs
+++ b/crates/router/src/protocol/engine.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, PartialEq)]
 pub struct Malformed(pub &'static str);
 
-/// A job as an engine is asked to run it.
+/// A request as an engine is asked to run it.
 #[derive(Debug)]
 pub struct Ask<'a> {
     pub id: &'a str,
@@ -100,7 +100,7 @@
 pub struct Answer<'a> {
     pub id: &'a str,
     pub word: Word,
-    /// Milliseconds of work and megabytes of memory that the job needed.
+    /// Milliseconds of work and megabytes of memory that the request needed.
     pub work: Option<f64>,
     pub peak: Option<f64>,
     pub pages: Option<usize>,
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -1,4 +1,4 @@
-//! Statements: the fields comment ahead of a job, its table group, and what drivers send beside jobs.
+//! Statements: the fields comment ahead of a request, its table group, and what drivers send beside requests.
 
 use super::pairs;
 use std::collections::HashSet;
@@ -28,7 +28,7 @@
     Store,
 }
 
-/// A job as its client asks for it.
+/// A request as its client asks for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedStatement {
     pub id: String,
@@ -129,7 +129,7 @@
     })
 }
 
-/// Why a job that was well asked for cannot be taken.
+/// Why a request that was well asked for cannot be taken.
 pub fn unknown(field: &str, got: &str, known: &[String]) -> String {
     format!("field {field}: expected one of {}, got \"{got}\"", known.join(" "))
 }
--- a/crates/router/src/protocol/statement/tests.rs
+++ b/crates/router/src/protocol/statement/tests.rs
@@ -2,7 +2,7 @@
 
 const FIELDS: &str = "op=report,call=9b1f03aa5c7e2d41,ttl=1500";
 
-fn job(text: &str) -> ParsedStatement {
+fn request(text: &str) -> ParsedStatement {
     match read(text.as_bytes()) {
         Ok(Statement::Query(request)) => request,
         other => panic!("{other:?}"),
@@ -12,7 +12,7 @@
 #[test]
 fn the_fields_are_taken_off_and_the_rest_goes_on_byte_for_byte() {
     let rest = "SELECT 'é\\'', \"/* op=x */\"  FROM sales_17.orders -- end";
-    let request = job(&format!("/* {FIELDS},org=acme,rep=1,dedupe=5c0f,work=820.0,mb=96 */ {rest}"));
+    let request = request(&format!("/* {FIELDS},org=acme,rep=1,dedupe=5c0f,work=820.0,mb=96 */ {rest}"));
     assert_eq!(request.text, rest.as_bytes());
     assert_eq!((request.id.as_str(), request.class.as_str()), ("9b1f03aa5c7e2d41", "report"));
     assert_eq!((request.patience, request.idempotency_key.as_deref()), (1.5, Some("5c0f")));
@@ -22,7 +22,7 @@
 #[test]
 fn estimates_may_be_absent_but_no_field_may_be_unfit_for_use() {
     for absent in ["", ",rep=1", ",,=,work", ",work=0,mb=0", ",later=x"] {
-        let request = job(&format!("/*{FIELDS}{absent}*/SELECT 1 FROM a_1.b"));
+        let request = request(&format!("/*{FIELDS}{absent}*/SELECT 1 FROM a_1.b"));
         assert_eq!(
             (request.work, request.memory_mb, request.idempotency_key),
             (None, None, None),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_that_no_job_can_be_made_of_says_why() {
+fn a_request_that_no_request_can_be_made_of_says_why() {
     for (text, why) in [
         ("/* op=report,ttl=1500 */ SELECT 1", "field call: expected 16 hex digits, got \"\""),
         ("/* call=9b1f03aa5c7e2d41,ttl=1500 */ SELECT 1", "field op: expected a category, got \"\""),
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -32,9 +32,9 @@
     terminated: "terminated",
     withdrawn: "withdrawn",
     open: "open",
-    /// Jobs delivered within their expected time.
+    /// Requests delivered within their expected time.
     in_time: "in_time",
-    /// Queries that no job could be made of.
+    /// Queries that no request could be made of.
     unusable: "unusable",
     pushes: "pushes",
     pushes_delivered: "pushes_delivered",
@@ -79,7 +79,7 @@
     announce_guarded: "announce_guarded",
     announce_damped: "announce_damped",
     announce_capped: "announce_capped",
-    /// Estimated waits that were compared with the true ones, those within a fifth, and jobs that waited without one.
+    /// Estimated waits that were compared with the true ones, those within a fifth, and requests that waited without one.
     waits_compared: "waits_compared",
     waits_within_a_fifth: "waits_within_a_fifth",
     /// Within a fifth or 20 ms.
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Names to indices and back, one state for each job and each push: hands a turn's news to the decisions, and
+//! Names to indices and back, one state for each request and each push: hands a turn's news to the decisions, and
 //! carries out what they write. It decides nothing; it only checks that what it does is legal.
 
 mod counters;
@@ -25,10 +25,10 @@
 /// So many engines of a whole list are named in one line of the log.
 const ENGINES_A_LINE: usize = 40;
 
-/// One push: its job, and its number among the job's.
+/// One push: its request, and its number among the request's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PushId {
-    pub job: usize,
+    pub request: usize,
     pub number: u32,
 }
 
@@ -61,7 +61,7 @@
 
 pub type Outcome = Result<Reply, Failure>;
 
-/// The final answer to a job.
+/// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     Delivered(Vec<u8>),
@@ -69,7 +69,7 @@
         come_back_in: Option<f64>,
     },
     Terminated,
-    /// None is owed: the client gave the job up.
+    /// None is owed: the client gave the request up.
     Withdrawn,
 }
 
@@ -106,14 +106,14 @@
     Over,
 }
 
-enum JobState {
+enum RequestState {
     Open { session: SessionId },
     Over,
 }
 
-struct Job {
+struct Request {
     statement: ParsedStatement,
-    state: JobState,
+    state: RequestState,
     deadline: f64,
     /// An answer by then is in time, as the deployment states it.
     expected_at: f64,
@@ -124,7 +124,7 @@
     mark: Option<u64>,
 }
 
-impl Job {
+impl Request {
     fn out(&self) -> bool {
         self.pushes.iter().any(|push| matches!(push, PushState::Out { .. }))
     }
@@ -135,9 +135,9 @@
 struct Desk {
     now: f64,
     engines: Vec<Engine>,
-    jobs: HashMap<usize, Job>,
-    job_of: HashMap<SessionId, usize>,
-    /// The ids of jobs that are open.
+    requests: HashMap<usize, Request>,
+    request_of: HashMap<SessionId, usize>,
+    /// The ids of requests that are open.
     ids: HashSet<String>,
     /// When each push that is out has waited long enough.
     due: BTreeSet<(u64, PushId)>,
@@ -156,11 +156,11 @@
     names: Names,
     seed: u64,
     desk: Desk,
-    /// Clients that asked in this turn, and whose jobs are not taken yet.
+    /// Clients that asked in this turn, and whose requests are not taken yet.
     untaken: VecDeque<SessionId>,
     /// Who shares the engines, and which line a name stands in.
     teams: Option<(TeamsFile, TeamNames)>,
-    next_job: usize,
+    next_request: usize,
     next_engine: u64,
     stops_at: f64,
     /// When its drain began.
@@ -186,8 +186,8 @@
 impl Desk {
     /// Closes a push's state; tells how it ended, its engine, and how long it was out.
     fn push_over(&mut self, push: PushId, ending: Ending) -> Option<(Ending, usize, f64)> {
-        let job = self.jobs.get_mut(&push.job)?;
-        let state = job.pushes.get_mut(push.number as usize)?;
+        let request = self.requests.get_mut(&push.request)?;
+        let state = request.pushes.get_mut(push.number as usize)?;
         let PushState::Out { engine, sent, until, given_up } = *state else { return None };
         // What never left is reported so, whatever it was given up for; so is an answer that was quicker.
         let ending = match (given_up, ending) {
@@ -197,7 +197,7 @@
         };
         *state = PushState::Over;
         self.due.remove(&(order(until), push));
-        if let (true, Some(marks), Some(mark)) = (ending.never_ran(), &mut self.marks, job.mark) {
+        if let (true, Some(marks), Some(mark)) = (ending.never_ran(), &mut self.marks, request.mark) {
             marks.never_ran(mark, sent);
         }
         let counters = &mut self.counters;
@@ -216,7 +216,10 @@
 
     /// Gives a push up; its end is news of a later turn.
     fn give_up(&mut self, push: PushId, ending: Ending, peers: &mut dyn Peers) {
-        let state = self.jobs.get_mut(&push.job).and_then(|job| job.pushes.get_mut(push.number as usize));
+        let state = self
+            .requests
+            .get_mut(&push.request)
+            .and_then(|request| request.pushes.get_mut(push.number as usize));
         let Some(PushState::Out { until, given_up: given_up @ None, .. }) = state else { return };
         *given_up = Some(ending);
         self.due.remove(&(order(*until), push));
@@ -225,7 +228,7 @@
 
     /// The index of an engine that has gone, with nothing of ours left on it.
     fn spare_index(&self) -> Option<usize> {
-        let states = self.jobs.values().flat_map(|job| &job.pushes);
+        let states = self.requests.values().flat_map(|request| &request.pushes);
         let used: HashSet<usize> = states
             .filter_map(|push| match push {
                 PushState::Out { engine, .. } => Some(*engine),
@@ -236,16 +239,18 @@
         (0..self.engines.len()).find(gone)
     }
 
-    fn pushes_out(&self, job: usize) -> Vec<PushId> {
-        let pushes = self.jobs.get(&job).map_or(&[][..], |job| &job.pushes);
+    fn pushes_out(&self, request: usize) -> Vec<PushId> {
+        let pushes = self.requests.get(&request).map_or(&[][..], |request| &request.pushes);
         let out = pushes.iter().enumerate().filter(|(_, push)| matches!(push, PushState::Out { .. }));
-        out.map(|(number, _)| PushId { job, number: number as u32 }).collect()
+        out.map(|(number, _)| PushId { request, number: number as u32 }).collect()
     }
 
-    /// A job's one final answer.
+    /// A request's one final answer.
     fn answer(&mut self, id: usize, answer: Answer, peers: &mut dyn Peers) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let JobState::Open { session } = std::mem::replace(&mut job.state, JobState::Over) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let RequestState::Open { session } = std::mem::replace(&mut request.state, RequestState::Over) else {
+            return;
+        };
         let counters = &mut self.counters;
         *match answer {
             Answer::Delivered(_) => &mut counters.delivered,
@@ -253,18 +258,22 @@
             Answer::Terminated => &mut counters.terminated,
             Answer::Withdrawn => &mut counters.withdrawn,
         } += 1;
-        if matches!(answer, Answer::Delivered(_)) && self.now <= job.expected_at {
+        if matches!(answer, Answer::Delivered(_)) && self.now <= request.expected_at {
             counters.in_time += 1;
         }
-        self.job_of.remove(&session);
-        self.ids.remove(&job.statement.id);
+        self.request_of.remove(&session);
+        self.ids.remove(&request.statement.id);
         peers.answer(session, answer);
         self.forget_if_done(id);
     }
 
     fn forget_if_done(&mut self, id: usize) {
-        if self.jobs.get(&id).is_some_and(|job| matches!(job.state, JobState::Over) && !job.out()) {
-            self.jobs.remove(&id);
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|request| matches!(request.state, RequestState::Over) && !request.out())
+        {
+            self.requests.remove(&id);
         }
     }
 }
@@ -276,7 +285,7 @@
 }
 
 impl Pen<'_> {
-    /// Nothing more is done for a job that has its answer.
+    /// Nothing more is done for a request that has its answer.
     fn end(&mut self, id: usize, answer: Answer) {
         for push in self.desk.pushes_out(id) {
             self.desk.give_up(push, Ending::CalledOff, self.peers);
@@ -286,38 +295,38 @@
 }
 
 impl Writer for Pen<'_> {
-    fn terms(&mut self, job: usize, lane: u8, memory_mb: f64) {
-        let out = self.desk.pushes_out(job);
-        let Some(job) = self.desk.jobs.get_mut(&job) else { return };
-        job.grant_mb = memory_mb;
-        if std::mem::replace(&mut job.lane, lane) != lane {
+    fn terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+        let out = self.desk.pushes_out(request);
+        let Some(request) = self.desk.requests.get_mut(&request) else { return };
+        request.grant_mb = memory_mb;
+        if std::mem::replace(&mut request.lane, lane) != lane {
             out.into_iter().for_each(|push| self.peers.change_lane(push, lane));
         }
     }
 
     fn push(&mut self, id: usize, at: usize, time_out: Option<f64>, leave_by: f64) {
         let desk = &mut *self.desk;
-        let (Some(job), Some(engine)) = (desk.jobs.get(&id), desk.engines.get(at)) else {
+        let (Some(request), Some(engine)) = (desk.requests.get(&id), desk.engines.get(at)) else {
             return log::error!("a push of an unknown job or to an unknown engine: {id} to {at}");
         };
-        let open = matches!(job.state, JobState::Open { .. }) && job.deadline > desk.now;
-        let another = (desk.deployment.copies || !job.out())
-            && (job.pushes.len() as u32) < desk.deployment.most_pushes.max(1);
-        let push = PushId { job: id, number: job.pushes.len() as u32 };
-        let until = time_out.map_or(job.deadline, |wait| job.deadline.min(desk.now + wait));
+        let open = matches!(request.state, RequestState::Open { .. }) && request.deadline > desk.now;
+        let another = (desk.deployment.copies || !request.out())
+            && (request.pushes.len() as u32) < desk.deployment.most_pushes.max(1);
+        let push = PushId { request: id, number: request.pushes.len() as u32 };
+        let until = time_out.map_or(request.deadline, |wait| request.deadline.min(desk.now + wait));
         let legal = open && another && engine.listing.stage == Stage::Ready;
         if legal {
             let ask = Ask {
-                id: &job.statement.id,
-                class: &job.statement.class,
+                id: &request.statement.id,
+                class: &request.statement.class,
                 wait: until - desk.now,
-                idempotency_key: job.statement.idempotency_key.as_deref(),
-                grant_mb: job.grant_mb,
-                lane: job.lane,
-                statement: &job.statement.text,
+                idempotency_key: request.statement.idempotency_key.as_deref(),
+                grant_mb: request.grant_mb,
+                lane: request.lane,
+                statement: &request.statement.text,
             };
             self.peers.push(push, engine.number, engine.address, &ask, leave_by);
-            if let (Some(marks), Some(mark)) = (&mut desk.marks, job.mark) {
+            if let (Some(marks), Some(mark)) = (&mut desk.marks, request.mark) {
                 desk.changes += u64::from(marks.pushed(mark, desk.now));
             }
             desk.changes += u64::from(push.number > 0);
@@ -327,13 +336,13 @@
             log::error!("a push that is not legal was not made: job {id} to engine {at}");
             desk.later.push((push, Ending::NeverSent));
         }
-        let job = desk.jobs.get_mut(&id).expect("just seen");
-        job.pushes.push(PushState::Out { engine: at, sent: desk.now, until, given_up: None });
+        let request = desk.requests.get_mut(&id).expect("just seen");
+        request.pushes.push(PushState::Out { engine: at, sent: desk.now, until, given_up: None });
     }
 
-    fn waits(&mut self, job: usize, wait: Option<Wait>) {
-        let Some(job) = self.desk.jobs.get(&job) else { return };
-        let id = job.statement.id.as_str();
+    fn waits(&mut self, request: usize, wait: Option<Wait>) {
+        let Some(request) = self.desk.requests.get(&request) else { return };
+        let id = request.statement.id.as_str();
         match wait {
             Some(Wait { expected, from, to, .. }) => {
                 log::debug!(call = id, wait = expected, from = from, to = to; "job {id} is thought to wait {expected:.3} s");
@@ -342,19 +351,19 @@
         }
     }
 
-    fn call_off(&mut self, job: usize, number: u32) {
-        let push = PushId { job, number };
+    fn call_off(&mut self, request: usize, number: u32) {
+        let push = PushId { request, number };
         if self.desk.deployment.call_off {
             self.desk.give_up(push, Ending::CalledOff, self.peers);
         }
     }
 
-    fn turn_back(&mut self, job: usize, come_back_in: Option<f64>) {
-        self.end(job, Answer::TurnedBack { come_back_in });
+    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
+        self.end(request, Answer::TurnedBack { come_back_in });
     }
 
-    fn terminate(&mut self, job: usize) {
-        self.end(job, Answer::Terminated);
+    fn terminate(&mut self, request: usize) {
+        self.end(request, Answer::Terminated);
     }
 
     /// The board sends its changes unasked.
@@ -402,7 +411,7 @@
             desk,
             untaken: VecDeque::new(),
             teams: None,
-            next_job: 0,
+            next_request: 0,
             next_engine: 0,
             stops_at: f64::INFINITY,
             drained_at: None,
@@ -410,13 +419,13 @@
         }
     }
 
-    /// Engines are known: jobs can be served.
+    /// Engines are known: requests can be served.
     pub fn ready(&self) -> bool {
         self.listed
     }
 
     pub fn open(&self) -> usize {
-        self.desk.job_of.len()
+        self.desk.request_of.len()
     }
 
     pub fn counters(&mut self) -> &mut Counters {
@@ -425,33 +434,34 @@
         self.desk.counters.waits_within_a_fifth = waits.within_a_fifth;
         self.desk.counters.waits_near = waits.near;
         self.desk.counters.waits_unknown = waits.unknown;
-        self.desk.counters.open = self.desk.job_of.len() as u64;
+        self.desk.counters.open = self.desk.request_of.len() as u64;
         &mut self.desk.counters
     }
 
-    /// This instance ends then: no job has longer.
+    /// This instance ends then: no request has longer.
     pub fn stop_at(&mut self, at: f64) {
         self.stops_at = at;
         self.gateway.stop_at(at);
-        self.desk.jobs.values_mut().for_each(|job| job.deadline = job.deadline.min(at));
+        self.desk.requests.values_mut().for_each(|request| request.deadline = request.deadline.min(at));
     }
 
-    /// This instance drains; tells until when it takes new jobs.
+    /// This instance drains; tells until when it takes new requests.
     pub fn drain(&mut self, now: f64) -> f64 {
         self.drained_at = Some(now);
         self.gateway.drain(now)
     }
 
-    /// Teams share the engines by this file from now on; jobs that wait move to their lines by their names.
+    /// Teams share the engines by this file from now on; requests that wait move to their lines by their names.
     pub fn teams(&mut self, file: TeamsFile) {
         let (line, names) = file.line(self.desk.now, &self.names.classes);
-        let jobs = &self.desk.jobs;
-        let team_of = |id: usize| names.of(jobs.get(&id).and_then(|job| job.statement.tenant.as_deref()));
+        let requests = &self.desk.requests;
+        let team_of =
+            |id: usize| names.of(requests.get(&id).and_then(|request| request.statement.tenant.as_deref()));
         self.gateway.teams(self.desk.now, line, &team_of);
         self.teams = Some((file, names));
     }
 
-    /// How the teams stand, in rows of three: those that have jobs in line or out, at most so many.
+    /// How the teams stand, in rows of three: those that have requests in line or out, at most so many.
     pub fn teams_status(&self) -> Option<Vec<[String; 3]>> {
         const MOST: usize = 256;
         let (_, names) = self.teams.as_ref()?;
@@ -556,7 +566,7 @@
         self.gateway.sound_engines()
     }
 
-    /// One turn: all news in, one round, and what was decided carried out. Returns what is wrong with jobs that
+    /// One turn: all news in, one round, and what was decided carried out. Returns what is wrong with requests that
     /// could not be taken, and when the next turn is due.
     pub fn turn(
         &mut self,
@@ -692,7 +702,7 @@
         if let Some(name) = tenant.filter(|name| !tenants.is_empty() && !tenants.contains(name)) {
             return Err(statements::unknown("org", &name, tenants));
         }
-        // The first job under an id keeps its one answer.
+        // The first request under an id keeps its one answer.
         if self.desk.ids.contains(&statement.id) {
             return Err(statements::id_in_use(&statement.id));
         }
@@ -710,8 +720,8 @@
         let longest = self.desk.deployment.classes[class].longest;
         let gives_up = since.unwrap_or(now) + statement.patience.min(longest);
         let deadline = gives_up.min(self.stops_at);
-        let id = self.next_job;
-        self.next_job += 1;
+        let id = self.next_request;
+        self.next_request += 1;
         let taken = Taken {
             class,
             key: None,
@@ -722,17 +732,18 @@
             team: self.teams.as_ref().map_or(0, |(_, names)| names.of(statement.tenant.as_deref())),
             earlier,
         };
-        let state = JobState::Open { session };
+        let state = RequestState::Open { session };
         let of = &self.desk.deployment.classes[class];
         let expected_at = since.unwrap_or(now) + of.expected_for(statement.work.unwrap_or(0.0));
         let pushes = Vec::new();
-        let job = Job { statement, state, deadline, expected_at, lane: 1, grant_mb: 0.0, pushes, mark };
-        self.desk.ids.insert(job.statement.id.clone());
-        self.desk.jobs.insert(id, job);
-        self.desk.job_of.insert(session, id);
+        let request =
+            Request { statement, state, deadline, expected_at, lane: 1, grant_mb: 0.0, pushes, mark };
+        self.desk.ids.insert(request.statement.id.clone());
+        self.desk.requests.insert(id, request);
+        self.desk.request_of.insert(session, id);
         self.desk.counters.taken += 1;
         self.untaken.pop_front();
-        self.gateway.job_taken(now, id, taken);
+        self.gateway.request_received(now, id, taken);
         Ok(())
     }
 
@@ -744,21 +755,25 @@
         let mut told = None;
         if let Some(Reply::Done { rows, told: needed }) = reply {
             told = needed;
-            self.desk.answer(push.job, Answer::Delivered(rows), peers);
+            self.desk.answer(push.request, Answer::Delivered(rows), peers);
         }
-        let job_over = self.desk.jobs.get(&push.job).is_none_or(|job| matches!(job.state, JobState::Over));
+        let request_done = self
+            .desk
+            .requests
+            .get(&push.request)
+            .is_none_or(|request| matches!(request.state, RequestState::Over));
         let load = Load::default();
-        let end = PushEnd { job: push.job, engine, ending, job_over, spent, told, load };
+        let end = PushEnd { request: push.request, engine, ending, request_done, spent, told, load };
         self.gateway.push_over(self.desk.now, &end);
-        self.desk.forget_if_done(push.job);
+        self.desk.forget_if_done(push.request);
     }
 
-    /// A client has given its job up, and so is the push that is out for it.
+    /// A client has given its request up, and so is the push that is out for it.
     fn withdraw(&mut self, session: SessionId, peers: &mut dyn Peers) {
-        let Some(&job) = self.desk.job_of.get(&session) else { return };
-        let out = self.desk.pushes_out(job);
-        self.desk.answer(job, Answer::Withdrawn, peers);
-        self.gateway.job_withdrawn(job);
+        let Some(&request) = self.desk.request_of.get(&session) else { return };
+        let out = self.desk.pushes_out(request);
+        self.desk.answer(request, Answer::Withdrawn, peers);
+        self.gateway.request_withdrawn(request);
         for push in out {
             self.desk.give_up(push, Ending::CalledOff, peers);
         }
@@ -770,8 +785,8 @@
             "the decisions failed: {} open jobs are terminated, the gateway begins anew",
             self.open()
         );
-        let jobs: Vec<usize> = self.desk.jobs.keys().copied().collect();
-        for id in jobs {
+        let requests: Vec<usize> = self.desk.requests.keys().copied().collect();
+        for id in requests {
             for push in self.desk.pushes_out(id) {
                 self.desk.give_up(push, Ending::CalledOff, peers);
                 self.desk.push_over(push, Ending::Broken);
@@ -784,7 +799,7 @@
             peers.answer(session, Answer::Terminated);
         }
         self.desk.counters.module_panics += 1;
-        self.desk.jobs.clear();
+        self.desk.requests.clear();
         self.desk.ids.clear();
         self.desk.later.clear();
         self.desk.due.clear();
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -75,7 +75,7 @@
 }
 
 impl Host {
-    /// Two engines; jobs that look up are pure, those that load are deduplicated.
+    /// Two engines; requests that look up are pure, those that load are deduplicated.
     fn new() -> Host {
         let class = RequestClass {
             credit: 1.0,
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_job_is_pushed_and_its_result_delivered_once() {
+fn a_request_is_pushed_and_its_result_delivered_once() {
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     host.end(done());
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_withdrawn_job_has_its_push_given_up_and_gets_no_other_answer() {
+fn a_withdrawn_request_has_its_push_given_up_and_gets_no_other_answer() {
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     host.turn(News { withdrawn: vec![4], ..News::default() });
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn an_answer_that_crosses_its_giving_up_is_delivered_while_its_job_is_open() {
+fn an_answer_that_crosses_its_giving_up_is_delivered_while_its_request_is_open() {
     let mut host = Host::new();
     host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
     while host.peers.given_up.is_empty() {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_job_withdrawn_in_the_turn_it_came_in_is_never_pushed() {
+fn a_request_withdrawn_in_the_turn_it_came_in_is_never_pushed() {
     let mut host = Host::new();
     host.turn(News { asked: vec![(4, parsed("look"))], withdrawn: vec![4], ..News::default() });
     assert!(host.peers.pushes.is_empty());
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn an_unanswered_job_is_given_up_and_answered_at_its_deadline() {
+fn an_unanswered_request_is_given_up_and_answered_at_its_deadline() {
     let mut host = Host::new();
     host.ask(4, ParsedStatement { patience: 0.5, ..parsed("look") });
     for _ in 0..20 {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_job_that_came_while_we_had_no_turn_is_answered_at_its_clients_time() {
+fn a_request_that_came_while_we_had_no_turn_is_answered_at_its_clients_time() {
     let mut host = Host::new();
     host.now = 110.0;
     host.turn(News { asked: vec![(4, parsed("look"))], since: Some(108.5), ..News::default() });
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn jobs_that_cannot_be_taken_are_told_why() {
+fn requests_that_cannot_be_taken_are_told_why() {
     let mut host = Host::new();
     host.ask(4, parsed("lok"));
     host.ask(5, parsed("load"));
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn after_a_stop_every_job_has_its_answer_in_time() {
+fn after_a_stop_every_request_has_its_answer_in_time() {
     let mut host = Host::new();
     host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
     host.routing.stop_at(103.0);
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn when_the_decisions_fail_open_jobs_are_terminated_and_later_ones_served() {
+fn when_the_decisions_fail_open_requests_are_terminated_and_later_ones_served() {
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     let asked = vec![(5, parsed("broken")), (6, parsed("look"))];
@@ -378,7 +378,7 @@
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     let mut pen = Pen { desk: &mut host.routing.desk, peers: &mut host.peers };
-    let lane = pen.desk.jobs[&0].lane;
+    let lane = pen.desk.requests[&0].lane;
     pen.terms(0, lane, 64.0);
     pen.terms(0, 3 - lane, 64.0);
     pen.call_off(0, 0);
--- a/crates/router/src/transport/engine.rs
+++ b/crates/router/src/transport/engine.rs
@@ -34,7 +34,7 @@
     pages: Option<Pages>,
 }
 
-struct Request {
+struct QueuedAttempt {
     id: String,
     push: PushId,
     unsent: engine::Unsent,
@@ -63,7 +63,7 @@
     state: State,
     buffer: Buffer,
     /// Requests that wait for the connection, none of which has left.
-    waiting: Vec<Request>,
+    waiting: Vec<QueuedAttempt>,
     exchanges: HashMap<String, Exchange>,
     given_up: HashSet<String>,
     /// Given up, but its engine may not know yet.
@@ -175,7 +175,7 @@
         let stale = self.carries() == 0 && now > self.idle_since + stated.idle_after * IDLE_CAUTION;
         let known = self.given_up.contains(id)
             || self.exchanges.contains_key(id)
-            || self.waiting.iter().any(|request| request.id == id);
+            || self.waiting.iter().any(|queued| queued.id == id);
         let full = self.carries() >= stated.pushes_each
             || self.given_up.len() >= MOST_GIVEN_UP
             || self.buffer.unsent() > MOST_UNSENT;
@@ -221,7 +221,7 @@
             State::Up => f64::INFINITY,
         };
         let leaving = self.leaving.values().map(|leaving| leaving.until);
-        let leaving = leaving.chain(self.waiting.iter().map(|request| request.leave_by));
+        let leaving = leaving.chain(self.waiting.iter().map(|queued| queued.leave_by));
         let unfinished = self.begun_at.map(|begun| begun + UNFINISHED);
         leaving.chain(unfinished).fold(due, f64::min)
     }
@@ -235,7 +235,7 @@
         ends: &mut Vec<(PushId, Outcome)>,
     ) -> io::Result<()> {
         let (id, unsent, until) = (ask.id.to_string(), engine::Unsent::new(ask), now + ask.wait);
-        self.waiting.push(Request { id, push, unsent, leave_by, until });
+        self.waiting.push(QueuedAttempt { id, push, unsent, leave_by, until });
         if self.up() {
             self.send_waiting(now, ends)?;
         }
@@ -246,7 +246,7 @@
     pub fn send_waiting(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> io::Result<()> {
         self.idle_since = now;
         self.too_late_to_leave(now, ends);
-        for Request { id, push, unsent, until, .. } in std::mem::take(&mut self.waiting) {
+        for QueuedAttempt { id, push, unsent, until, .. } in std::mem::take(&mut self.waiting) {
             let mut bytes = Vec::new();
             unsent.leaves(&mut bytes, until - now);
             self.put(&bytes);
@@ -256,16 +256,16 @@
     }
 
     fn too_late_to_leave(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) {
-        self.waiting.retain(|request| {
-            let late = now >= request.leave_by;
-            ends.extend(late.then_some((request.push, Err(Failure::NeverSent))));
+        self.waiting.retain(|queued| {
+            let late = now >= queued.leave_by;
+            ends.extend(late.then_some((queued.push, Err(Failure::NeverSent))));
             !late
         });
     }
 
     /// Nothing that waits for it to come up leaves any more.
     pub fn call_back(&mut self, ends: &mut Vec<(PushId, Outcome)>) {
-        ends.extend(self.waiting.drain(..).map(|request| (request.push, Err(Failure::NeverSent))));
+        ends.extend(self.waiting.drain(..).map(|queued| (queued.push, Err(Failure::NeverSent))));
     }
 
     /// Its engine has yet to take bytes that were put on it.
@@ -305,7 +305,7 @@
     /// Gives a push up. Where another connection's words may overtake ours, the engine would run two at once: so
     /// it is over once the engine has answered what was said behind.
     pub fn give_up(&mut self, push: PushId, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> io::Result<()> {
-        if let Some(at) = self.waiting.iter().position(|request| request.push == push) {
+        if let Some(at) = self.waiting.iter().position(|queued| queued.push == push) {
             self.waiting.remove(at);
             ends.push((push, Err(Failure::NeverSent)));
             return Ok(());
@@ -421,7 +421,7 @@
                     let exchange = self.exchanges.remove(answer.id).expect("just seen");
                     if !matches!(reply, Reply::Done { .. }) {
                         // A second copy of it, or its other pages, may still come: they must not pass for an answer to the
-                        // job's next push.
+                        // request's next push.
                         self.given_up.insert(answer.id.to_string());
                     }
                     ends.push((exchange.push, Ok(reply)));
@@ -449,6 +449,6 @@
             };
             ends.push((exchange.push, Err(failure)));
         }
-        ends.extend(self.waiting.into_iter().map(|request| (request.push, Err(Failure::Refused))));
+        ends.extend(self.waiting.into_iter().map(|queued| (queued.push, Err(Failure::Refused))));
     }
 }
--- a/crates/router/src/transport/links/tests.rs
+++ b/crates/router/src/transport/links/tests.rs
@@ -15,8 +15,8 @@
     now: f64,
 }
 
-fn push(job: usize) -> PushId {
-    PushId { job, number: 0 }
+fn push(request: usize) -> PushId {
+    PushId { request, number: 0 }
 }
 
 impl Story {
@@ -28,8 +28,8 @@
         Story { _turns: turns, links, listener, address, now: 100.0 }
     }
 
-    fn push(&mut self, job: usize) {
-        self.push_by(push(job), f64::INFINITY);
+    fn push(&mut self, request: usize) {
+        self.push_by(push(request), f64::INFINITY);
     }
 
     /// A push that must have left by then.
@@ -38,7 +38,7 @@
     }
 
     fn push_to(&mut self, push: PushId, engine: u64, leave_by: f64) {
-        let id = format!("{:016x}", push.job);
+        let id = format!("{:016x}", push.request);
         let ask = Ask {
             id: &id,
             class: "look",
@@ -101,19 +101,19 @@
             }
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
-        ended.into_iter().map(|(push, outcome)| (push.job, outcome)).collect()
+        ended.into_iter().map(|(push, outcome)| (push.request, outcome)).collect()
     }
 
     fn ends(&mut self) -> Vec<(usize, Outcome)> {
         self.work();
         let mut ended = Vec::new();
         self.links.ended(&mut ended);
-        ended.into_iter().map(|(push, outcome)| (push.job, outcome)).collect()
+        ended.into_iter().map(|(push, outcome)| (push.request, outcome)).collect()
     }
 }
 
-fn answer(job: usize, word: &str, fields: &str, body: &str) -> String {
-    format!("{job:016x} {word} {fields} {}\r\n{body}\r\n", body.len())
+fn answer(request: usize, word: &str, fields: &str, body: &str) -> String {
+    format!("{request:016x} {word} {fields} {}\r\n{body}\r\n", body.len())
 }
 
 fn done() -> Outcome {
@@ -157,7 +157,7 @@
     assert_eq!((story.links.links.len(), story.links.counters.links_malformed), (0, 1));
     story.now += 0.06;
     let mut ends = story.ends();
-    ends.sort_by_key(|(job, _)| *job);
+    ends.sort_by_key(|(request, _)| *request);
     assert_eq!(ends, [(1, Err(Failure::Sent)), (2, Err(Failure::Sent))]);
 }
 
@@ -199,7 +199,7 @@
     assert_eq!(story.links.links.len(), 1, "the other goes on");
 }
 
-/// Hard case: a repeat of a deduplicated job waits for a connection that comes up just after its window.
+/// Hard case: a repeat of a deduplicated request waits for a connection that comes up just after its window.
 #[test]
 fn what_must_have_left_by_some_time_does_not_leave_later() {
     let mut story = Story::new();
@@ -225,7 +225,7 @@
     assert_eq!(story.ends(), [(4, Err(Failure::NeverSent))]);
 }
 
-/// Hard case: an engine turns a job away, gets it again, and a second copy of its first answer comes late. Taken for the
+/// Hard case: an engine turns a request away, gets it again, and a second copy of its first answer comes late. Taken for the
 /// second push's own, it would prove that nothing ran while that push runs.
 #[test]
 fn a_second_copy_of_an_answer_that_comes_late_is_no_answer_to_the_next_push() {
@@ -239,7 +239,7 @@
         let mut far = story.accepted("GET");
         let first = answer(1, word, "-", "");
         assert_eq!(story.says(&mut far, &first, 1), [(1, Ok(reply))]);
-        story.push_by(PushId { job: 1, number: 1 }, f64::INFINITY);
+        story.push_by(PushId { request: 1, number: 1 }, f64::INFINITY);
         let mut other = story.accepted("GET");
         far.write_all(first.as_bytes()).unwrap();
         story.push(2);
@@ -325,8 +325,8 @@
 fn what_concerns_one_engine_looks_at_its_connections_alone() {
     for size in [30, 3000] {
         let (mut story, _far) = many(size);
-        for job in 0..20 {
-            let push = |story: &mut Story| story.push_to(push(job), 7, f64::INFINITY);
+        for request in 0..20 {
+            let push = |story: &mut Story| story.push_to(push(request), 7, f64::INFINITY);
             assert!(looks(&mut story, push) <= 6, "of {size}");
         }
         assert_eq!(looks(&mut story, turn), 0, "a turn with nothing due, of {size}");
@@ -358,8 +358,8 @@
         let (mut story, _far) = many(size);
         assert_eq!(looks(&mut story, |story| story.links.sweep(story.now)), 0, "{size} wait for nothing");
         story.links.stated.pushes_each = 1;
-        for job in 0..size {
-            story.push_to(push(job as usize), job / 3, f64::INFINITY);
+        for request in 0..size {
+            story.push_to(push(request as usize), request / 3, f64::INFINITY);
         }
         let quiet = looks(&mut story, |story| story.links.sweep(story.now));
         story.now += 0.3;
@@ -426,7 +426,7 @@
 }
 
 /// What the filing gives against a plain walk over all; how many were found, due, idle, unfinished and mute.
-fn compared(links: &Links, addresses: &[SocketAddr], job: usize, now: f64) -> [usize; 5] {
+fn compared(links: &Links, addresses: &[SocketAddr], request: usize, now: f64) -> [usize; 5] {
     let all = || links.links.all();
     let mut found = 0;
     for (engine, address) in (0..5).flat_map(|engine| addresses.iter().map(move |address| (engine, *address)))
@@ -437,7 +437,7 @@
             all().filter(|(_, link)| link.engine == engine).map(|(id, _)| id).collect();
         walked.sort();
         assert_eq!(here, walked);
-        for (push, leave_by) in [(job, f64::INFINITY), (job, now), (usize::MAX, f64::INFINITY)] {
+        for (push, leave_by) in [(request, f64::INFINITY), (request, now), (usize::MAX, f64::INFINITY)] {
             let push = format!("{push:016x}");
             let fits = |link: &Link| {
                 let here = link.engine == engine && link.address == address;
@@ -491,11 +491,11 @@
         let (mut now, mut ended) = (100.0, Vec::new());
         for step in 0..1200 {
             now += [0.0, 0.002, 0.01, 0.05, 0.3][[0, 1, 1, 2, 2, 2, 3, 3, 4][wild.below(9)]];
-            let (job, engine) = (wild.below(60), wild.below(5));
-            let recent = PushId { job: step - wild.below(30).min(step), number: 0 };
+            let (request, engine) = (wild.below(60), wild.below(5));
+            let recent = PushId { request: step - wild.below(30).min(step), number: 0 };
             match wild.below(12) {
                 0..=4 => {
-                    let id = format!("{job:016x}");
+                    let id = format!("{request:016x}");
                     let address = addresses[(engine + usize::from(wild.below(8) == 0)) % addresses.len()];
                     let leave_by = [f64::INFINITY, now + 0.1][usize::from(wild.below(4) == 0)];
                     let ask = Ask {
@@ -507,7 +507,7 @@
                         lane: 1,
                         statement: b"x",
                     };
-                    let push = PushId { job: step, number: 0 };
+                    let push = PushId { request: step, number: 0 };
                     links.push(push, engine as u64, address, &ask, leave_by, now);
                 }
                 5 => links.give_up(recent, now),
@@ -524,7 +524,7 @@
             }
             wild.act();
             links.ended(&mut ended);
-            let more = compared(&links, &addresses, job, now);
+            let more = compared(&links, &addresses, request, now);
             seen.iter_mut().zip(more).for_each(|(seen, more)| *seen += more);
         }
         let counters = [links.counters.links, links.counters.links_failed, links.counters.links_malformed];
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -44,7 +44,7 @@
 const MOST_LOOKS: usize = 3;
 /// Other routers are told of engines, and heard, so often.
 const WORDS: f64 = 0.25;
-/// After a planned stop, requests come for this long, and the router is killed so long after its longest job.
+/// After a planned stop, requests come for this long, and the router is killed so long after its longest request.
 const STILL_COMING: f64 = 0.75;
 const KILLED_AFTER: f64 = 0.7;
 const LONGEST_GIVEN: f64 = 3.0;
@@ -135,8 +135,8 @@
     pub descriptors: usize,
     pub memory: usize,
     pub links: LinkLimits,
-    /// How long a client waits for a job at most.
-    pub longest_job: Option<f64>,
+    /// How long a client waits for a request at most.
+    pub longest_request: Option<f64>,
 }
 
 /// What a new configuration changes while the router runs.
@@ -218,7 +218,7 @@
     clock: Clock,
     /// When the router was told to stop, and by when it must have.
     stopping: Option<(f64, f64)>,
-    longest_job: f64,
+    longest_request: f64,
     reread: Rereads,
     speaker: Option<Speaker>,
     steady: Steady,
@@ -228,7 +228,7 @@
     keeper: Option<Keeper>,
     words_at: f64,
     reread_cluster: Box<dyn Fn() -> Result<Joining, String>>,
-    /// Jobs answered in time of late, and when the decisions last failed.
+    /// Requests answered in time of late, and when the decisions last failed.
     recent: InTimeShare,
     failed: (u64, f64),
     counters: Counters,
@@ -274,7 +274,7 @@
     }
 }
 
-/// Serves until it is told to stop and every job has its answer.
+/// Serves until it is told to stop and every request has its answer.
 pub fn serve(
     place: Place,
     routing: Routing,
@@ -290,7 +290,7 @@
     noted.map_err(|error| io::Error::other(error.error))?;
     let mut clock = Clock::default();
     let now = clock.read();
-    let longest_job = place.longest_job.unwrap_or(LONGEST_GIVEN);
+    let longest_request = place.longest_request.unwrap_or(LONGEST_GIVEN);
     let sessions = Sessions::open(&handle, place.listen, place.descriptors, place.memory)?;
     let links = Links::new(&handle, place.links, place.descriptors / 4);
     let Operators { service, reread_service, reread_teams, cluster, reread_cluster, store } = operators;
@@ -315,7 +315,7 @@
         clock,
         serving: false,
         stopping: None,
-        longest_job,
+        longest_request,
         reread,
         speaker,
         steady: Steady(Instant::now()),
@@ -492,9 +492,9 @@
             return self.new_configuration(now);
         }
         if self.stopping.is_none() {
-            let last = now + self.longest_job.min(LONGEST_GIVEN) + KILLED_AFTER - STOP_MARGIN;
+            let last = now + self.longest_request.min(LONGEST_GIVEN) + KILLED_AFTER - STOP_MARGIN;
             let open = self.routing.open();
-            log::info!(jobs = open, signal:? = signal; "{signal:?}: stopping, {open} jobs open");
+            log::info!(requests = open, signal:? = signal; "{signal:?}: stopping, {open} jobs open");
             self.routing.stop_at(last);
             // Nothing new within the second, whatever routing peers do; what is announced goes at once.
             let new_work = self.routing.drain(now) - now;
@@ -524,7 +524,7 @@
         }
     }
 
-    /// The speaker's turn; what it says goes out before this turn's jobs are weighed.
+    /// The speaker's turn; what it says goes out before this turn's requests are weighed.
     fn announce(&mut self, now: f64) {
         let Some(mut speaker) = self.speaker.take() else { return };
         speaker.turn(self.steady.read(), || self.readings(now));
@@ -599,7 +599,7 @@
         }
     }
 
-    /// All jobs have their answers, or the time is over; then clients and routing peers are told goodbye, those peers first
+    /// All requests have their answers, or the time is over; then clients and routing peers are told goodbye, those peers first
     /// that may keep routes of ours, for as long as there is time.
     fn stopped(&mut self) -> bool {
         let Some((at, last)) = self.stopping else { return false };
--- a/crates/router/src/transport/sessions/tests.rs
+++ b/crates/router/src/transport/sessions/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use calloop::EventLoop;
-use cleatgw_lab::standins::{job, login, packet, query};
+use cleatgw_lab::standins::{login, packet, query, request};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
@@ -76,7 +76,7 @@
     story.now += 1.0;
     // The session idle for longest has a request that came after all had been read.
     story.sessions.sessions.get_mut(&asking).unwrap().since = 99.0;
-    asks.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    asks.write_all(&query(&request("look", 5000, "x"))).unwrap();
     let _third = TcpStream::connect(story.address).unwrap();
     story.sessions.accept(story.now);
     let open = |id: &SessionId| story.sessions.sessions.contains_key(id);
@@ -91,7 +91,7 @@
     let (mut one, _) = story.client();
     let (mut other, _) = story.client();
     story.now += 1.0;
-    one.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    one.write_all(&query(&request("look", 5000, "x"))).unwrap();
     other.write_all(&packet(0, &[0x0e])).unwrap();
     let _third = TcpStream::connect(story.address).unwrap();
     story.sessions.accept(story.now);
@@ -110,7 +110,7 @@
     let (mut crosses, _) = story.client();
     let (rests, _) = story.client();
     assert!(!story.sessions.farewell(story.now));
-    crosses.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    crosses.write_all(&query(&request("look", 5000, "x"))).unwrap();
     assert!(story.hears(&mut crosses, 1).unwrap().is_empty(), "an end, and no error");
     assert!(story.news.asked.is_empty());
     assert!(TcpStream::connect(story.address).is_err(), "nobody else is let in");
@@ -127,9 +127,9 @@
     let mut story = Story::new(8);
     let (mut asks, asking) = story.client();
     let (_rests, resting) = story.client();
-    asks.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    asks.write_all(&query(&request("look", 5000, "x"))).unwrap();
     let mut newcomer = TcpStream::connect(story.address).unwrap();
-    newcomer.write_all(&[login(), query(&job("look", 5000, "x"))].concat()).unwrap();
+    newcomer.write_all(&[login(), query(&request("look", 5000, "x"))].concat()).unwrap();
     assert!(!story.sessions.farewell(story.now), "one has connected");
     story.turn();
     let asked: Vec<SessionId> = story.news.asked.iter().map(|(id, _)| *id).collect();
@@ -139,7 +139,7 @@
         story.sessions.answer(id, Answer::Terminated, story.now);
     }
     story.turn();
-    asks.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    asks.write_all(&query(&request("look", 5000, "x"))).unwrap();
     assert!(!story.sessions.farewell(story.now));
     story.turn();
     assert_eq!(story.news.asked.last().map(|(id, _)| *id), Some(asking));
@@ -152,7 +152,7 @@
     let (mut asks, id) = story.client();
     let (_deaf, _) = story.client();
     // Two at once: the second is still to be taken when the first has its answer.
-    asks.write_all(&query(&job("look", 5000, "x")).repeat(2)).unwrap();
+    asks.write_all(&query(&request("look", 5000, "x")).repeat(2)).unwrap();
     story.turn();
     assert_eq!(story.news.asked.len(), 1);
     assert!(!story.sessions.farewell(story.now));
@@ -202,7 +202,7 @@
 fn one_that_takes_its_answer_by_and_by_has_only_so_long() {
     let mut story = Story::new(8);
     let (mut slow, id) = story.client();
-    slow.write_all(&query(&job("look", 5000, "x"))).unwrap();
+    slow.write_all(&query(&request("look", 5000, "x"))).unwrap();
     while story.news.asked.is_empty() {
         story.turn();
     }
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -37,7 +37,7 @@
 fn serves(router: &Router, engine: &Engine, groups: usize) {
     let mut client = Client::new(router);
     for group in 0..groups {
-        assert_eq!(client.ask(&job("look", 5000, &format!("x FROM sales_{group}.t"))), row());
+        assert_eq!(client.ask(&request("look", 5000, &format!("x FROM sales_{group}.t"))), row());
     }
     assert_eq!(engine.seen.wait("GET", groups).len(), groups);
 }
@@ -98,13 +98,13 @@
     board.tell(true, &[engine.entry("ready")]);
     let router = Router::changed(PROGRAM, &board, 256, &[], |text| sized(text, 1, 1));
     let mut client = Client::new(&router);
-    assert_eq!(client.ask(&job("look", 5000, "x")), row());
+    assert_eq!(client.ask(&request("look", 5000, "x")), row());
     board.tell(true, &entries(&engine, MANY + 100, 1000));
     let told = router.log.wait("notice board lost", 1).pop().unwrap();
     assert!(told.contains(&format!("a line of more than {LINE} bytes")), "{told}");
     // Asked again and again, it has nothing else to say.
     board.seen.wait("watch 1", 3);
-    assert_eq!(client.ask(&job("look", 5000, "x")), row());
+    assert_eq!(client.ask(&request("look", 5000, "x")), row());
     let counters = client.counters("open", 0);
     assert_eq!((counter(&counters, "board_events"), counter(&counters, "panics")), (0, 0));
     // Another one is taken.
@@ -113,7 +113,7 @@
     sound.tell(false, &[Engine { uid: "second".to_string(), ..engine.clone() }.entry("ready")]);
     router.reload(&router.configuration(&sound, r#"{"rev":1,"notices":[]}"#));
     router.log.wait("is second", 1);
-    assert_eq!(client.ask(&job("look", 5000, "x")), row());
+    assert_eq!(client.ask(&request("look", 5000, "x")), row());
 }
 
 #[test]
@@ -130,7 +130,7 @@
     router.reload(&bad);
     let told = router.log.wait("the configuration is not taken, the running one stands", 1).pop().unwrap();
     assert!(told.contains("field settings: setting tenants.count: expected 0 to 10000, got 10001"), "{told}");
-    assert_eq!(client.ask(&job("look", 5000, "x")), row());
+    assert_eq!(client.ask(&request("look", 5000, "x")), row());
     client.counters("reloads_refused", 1);
 }
 
@@ -147,7 +147,7 @@
             .replace("\"balancers\":1,", "\"balancers\":3,\"self-index\":3,")
     };
     let router = Router::changed(PROGRAM, &board, 256, &[], contradictory);
-    assert_eq!(Client::new(&router).ask(&job("look", 5000, "x")), row());
+    assert_eq!(Client::new(&router).ask(&request("look", 5000, "x")), row());
     let file = std::env::temp_dir().join(format!("cleatgw-{}-contradictory.json", std::process::id()));
     std::fs::write(&file, contradictory(router.configuration(&board, "{}"))).unwrap();
     let check = Command::new(PROGRAM).arg("check").arg(&file).output().unwrap();
@@ -229,7 +229,7 @@
                 assert!(begun.elapsed() < GENEROUS, "no crowd");
                 std::thread::sleep(Duration::from_millis(1));
             }
-            let counters = asked(address, || job("look", 5000, "x"));
+            let counters = asked(address, || request("look", 5000, "x"));
             let closed = counter(&counters, "sessions_closed_for_room");
             assert!(closed > 0, "life {life}: the crowd did not fill it: {counters}");
             router.signal(Signal::KILL);
--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -40,7 +40,7 @@
     board.tell(true, &entries(&engine, count));
     let router = Router::with(PROGRAM, &board, 256, &[]);
     let mut client = Client::new(&router);
-    assert!(matches!(client.ask(&job("look", 5000, "x")), Answered::Rows(_)));
+    assert!(matches!(client.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let before = client.counters("delivered", 1);
     // A log has so many lines a second: those on hundreds of engines at the start are not to hide what comes now.
     std::thread::sleep(std::time::Duration::from_millis(1200));
@@ -70,7 +70,7 @@
     let after = client.counters("reloads", 4);
     let grown = |name: &str| counter(&after, name) - counter(&before, name);
     // The session is still there and is served, on the connection that was there.
-    assert!(matches!(client.ask(&job("look", 5000, "x")), Answered::Rows(_)));
+    assert!(matches!(client.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let lines = router.log.all();
     let count_of = |words: &str| lines.iter().filter(|line| line.contains(words)).count();
     Counted {
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -31,7 +31,7 @@
     assert!(agreed.is_some_and(|agreed| agreed <= 4000), "{agreed:?}");
 }
 
-/// All jobs were answered by routers that ran, and no rule was broken, by what clients and engines saw.
+/// All requests were answered by routers that ran, and no rule was broken, by what clients and engines saw.
 fn served(cluster: &Cluster, load: Load, least: u64) {
     let tally = load.tally(cluster);
     assert!(tally.answered > least, "{} jobs", tally.answered);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn two_halves_stand_as_halves_serve_their_jobs_and_agree_once_healed() {
+fn two_halves_stand_as_halves_serve_their_requests_and_agree_once_healed() {
     let mut cluster = whole(4, 4);
     let load = Load::start(&cluster, 50.0);
     cluster.play(&vec![(0.0, Act::Part(vec![0, 0, 1, 1]))], 6.0);
@@ -120,8 +120,8 @@
         cluster.engines[0].silent(true);
         let load = Load::some(&cluster, &[0, 1, 2], 40.0);
         std::thread::sleep(Duration::from_secs(5));
-        let (jobs, unanswered) = load.end(&cluster);
-        assert!(jobs > 50 && unanswered == 0, "{jobs} jobs, {unanswered} unanswered");
+        let (requests, unanswered) = load.end(&cluster);
+        assert!(requests > 50 && unanswered == 0, "{requests} jobs, {unanswered} unanswered");
         let doubts = |router: usize| {
             let lines = cluster.router(router).log.all();
             lines.iter().any(|line| line.contains("doubted"))
@@ -133,7 +133,7 @@
 
 /// Hard case: strangers, noise and a foreign cluster at full speed, from another address and from that of a member's.
 #[test]
-fn a_flood_of_strangers_costs_no_job_its_answer() {
+fn a_flood_of_strangers_costs_no_request_its_answer() {
     let cluster = whole(3, 7);
     let load = Load::start(&cluster, 100.0);
     let target = cluster.relays.listens[0];
@@ -144,8 +144,8 @@
         let bytes = [b'c', b'G', 1, sent as u8, 4, 5, 6, 7, 8, 9].repeat(1 + (sent % 120) as usize);
         sent += u64::from(socket.send_to(&bytes, target).is_ok());
     }
-    let (jobs, unanswered) = load.end(&cluster);
-    assert!(jobs > 200 && unanswered == 0, "{jobs} jobs, {unanswered} unanswered");
+    let (requests, unanswered) = load.end(&cluster);
+    assert!(requests > 200 && unanswered == 0, "{requests} jobs, {unanswered} unanswered");
     cluster.stands(0, "whole");
     let counters = Client::at(cluster.address(0)).unwrap().counters_now();
     let strangers = counter(&counters, "cluster_strangers");
@@ -419,7 +419,7 @@
 }
 
 /// Faults between routers and their engines and boards: answers that stall, connections that are reset or come up late,
-/// a board that is cut off while an engine is drained. No rule is broken and no job goes unanswered.
+/// a board that is cut off while an engine is drained. No rule is broken and no request goes unanswered.
 #[test]
 fn faults_on_the_ways_to_engines_and_boards_break_no_rule() {
     let mut cluster = whole(3, 22);
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -12,7 +12,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
-/// Routers with a budget of four further pushes in ten seconds, and none more for jobs taken.
+/// Routers with a budget of four further pushes in ten seconds, and none more for requests taken.
 fn tight(routers: usize, seed: u64, keeps: bool) -> Plan {
     let rules = r#""settings":{"rules":{"look-back-us":10000000,"spare-attempts":4,"budget-share":0.0},"#;
     let changes = vec![(r#""settings":{"#.to_string(), rules.to_string())];
@@ -61,11 +61,11 @@
     }
 }
 
-/// Hard case: a deduplicated job is pushed just before the kill; its client repeats it 1 s and 13 s after the start. Its estimate
+/// Hard case: a deduplicated request is pushed just before the kill; its client repeats it 1 s and 13 s after the start. Its estimate
 /// is so large that no time-out falls into the silence before the kill, nor on an answer that a busy machine holds up: either
 /// would use up the budget of further pushes, which is another story's.
 #[test]
-fn a_deduplicated_job_that_may_have_run_is_repeated_within_its_window_and_terminated_after_it() {
+fn a_deduplicated_request_that_may_have_run_is_repeated_within_its_window_and_terminated_after_it() {
     let mut cluster = start(Plan { knows: false, ..tight(1, 2, true) });
     full(&cluster, 0);
     cluster.engines.iter().for_each(|engine| engine.silent(true));
@@ -109,7 +109,7 @@
 
 /// Hard cases: the file is lost, garbage, cut, has flipped bits, or is another router's; each time it is said, and served.
 #[test]
-fn a_store_that_can_not_be_used_is_set_aside_and_said_so_and_jobs_are_served() {
+fn a_store_that_can_not_be_used_is_set_aside_and_said_so_and_requests_are_served() {
     let mut cluster = start(Plan { knows: false, ..tight(2, 3, true) });
     let settled =
         |cluster: &Cluster, router: usize| cluster.router(router).log.wait("coming back: settling", 1);
@@ -172,7 +172,7 @@
 
 /// Hard cases: the disk hangs from the first second, or later, fails, or is full. The loop does not wait for it.
 #[test]
-fn a_disk_that_hangs_or_fails_costs_no_job_its_answer_and_no_turn_its_time() {
+fn a_disk_that_hangs_or_fails_costs_no_request_its_answer_and_no_turn_its_time() {
     let environment = Shims::environment();
     let mut cluster = start(Plan { knows: false, environment, ..tight(2, 5, true) });
     let shims = Shims::of(&cluster.folder);
