--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -27,27 +27,27 @@
     Answered::Rows(vec!["0,one,two".to_string()])
 }
 
-/// An engine comes, and one job more is asked: the statements that the engine has had by its answer.
+/// An engine comes, and one request more is asked: the statements that the engine has had by its answer.
 fn pushed_once_an_engine_comes(board: &Board, router: &Router) -> Vec<String> {
     let engine = Engine::start("e");
     board.tell(false, &[engine.entry("ready")]);
     router.log.wait("is e at", 1);
-    assert_eq!(Client::new(router).ask(&job("look", 5000, "the last")), row());
+    assert_eq!(Client::new(router).ask(&request("look", 5000, "the last")), row());
     let seen = engine.seen.all();
     seen.iter().filter_map(|line| Some(line.strip_prefix("GET ")?.split_once(": ")?.1.to_string())).collect()
 }
 
 #[test]
-fn nothing_is_begun_for_a_client_that_closed_reset_or_half_closed_while_its_job_waited() {
+fn nothing_is_begun_for_a_client_that_closed_reset_or_half_closed_while_its_request_waited() {
     let (board, router) = without_engines();
     let mut closes = Client::new(&router);
-    closes.send(&job("look", 20000, "closed"));
+    closes.send(&request("look", 20000, "closed"));
     let mut resets = Client::new(&router);
     // An answer that it leaves unread makes its end a reset.
     resets.stream.write_all(&packet(0, &[0x0e])).unwrap();
-    resets.send(&job("look", 20000, "reset"));
+    resets.send(&request("look", 20000, "reset"));
     let mut half = Client::new(&router);
-    half.send(&job("look", 20000, "half-closed"));
+    half.send(&request("look", 20000, "half-closed"));
     let mut witness = Client::new(&router);
     witness.counters("open", 3);
     drop((closes, resets));
@@ -61,7 +61,7 @@
 #[test]
 fn what_a_client_sent_at_once_before_it_went_is_not_begun() {
     let (board, router) = without_engines();
-    let many: Vec<u8> = (0..20).flat_map(|_| query(&job("look", 20000, "sent and gone"))).collect();
+    let many: Vec<u8> = (0..20).flat_map(|_| query(&request("look", 20000, "sent and gone"))).collect();
     let mut half = Client::early(&router, &[login(), many.clone()].concat());
     half.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(half.answer(), Answered::Ok);
@@ -82,10 +82,10 @@
     let small = |text: String| text.replace("\"memory_mb\":192", "\"memory_mb\":4");
     let router = Router::changed(PROGRAM, &board, 256, &[], small);
     let mut client = Client::new(&router);
-    client.send(&job("look", 20000, "hidden"));
+    client.send(&request("look", 20000, "hidden"));
     let mut witness = Client::new(&router);
     witness.counters("open", 1);
-    let behind = query(&job("look", 20000, "x")).repeat(400);
+    let behind = query(&request("look", 20000, "x")).repeat(400);
     assert!(behind.len() > 24 * 1024, "more than the buffer holds");
     client.stream.write_all(&behind).unwrap();
     drop(client);
@@ -100,7 +100,7 @@
     let engine = Engine::start("e");
     let (_board, router) = with_engine(&engine);
     let mut client = Client::new(&router);
-    client.send(&job("look", 20000, "hold"));
+    client.send(&request("look", 20000, "hold"));
     engine.seen.wait("GET", 1);
     drop(client);
     engine.seen.wait("DROP", 1);
@@ -121,15 +121,15 @@
         router.stop_for(Duration::ZERO, || {
             if kill_first {
                 killer.send(&kill);
-                target.send(&job("look", 20000, "killed"));
+                target.send(&request("look", 20000, "killed"));
             } else {
-                target.send(&job("look", 20000, "killed"));
+                target.send(&request("look", 20000, "killed"));
                 killer.send(&kill);
             }
         });
         assert_eq!(killer.answer(), Answered::Ok);
         assert!(matches!(target.answer(), Answered::Error(1317, _)));
-        assert_eq!(target.ask(&job("look", 5000, "x")), row());
+        assert_eq!(target.ask(&request("look", 5000, "x")), row());
     }
     assert!(!engine.seen.all().iter().any(|line| line.contains("killed")));
 }
@@ -142,7 +142,7 @@
     let mut target = Client::new(&router);
     let mut killer = Client::new(&router);
     let pings = 20;
-    let sent = [packet(0, &[0x0e]).repeat(pings), query(&job("look", 20000, "killed"))].concat();
+    let sent = [packet(0, &[0x0e]).repeat(pings), query(&request("look", 20000, "killed"))].concat();
     router.stop_for(Duration::ZERO, || {
         target.stream.write_all(&sent).unwrap();
         killer.send(&format!("KILL QUERY {}", target.session));
@@ -153,7 +153,7 @@
     assert!(!engine.seen.all().iter().any(|line| line.contains("killed")));
 }
 
-/// One whose jobs last half a second at most, so that its planned stop is soon over.
+/// One whose requests last half a second at most, so that its planned stop is soon over.
 fn quick(engine: &Engine) -> (Board, Router) {
     let board = Board::start();
     board.tell(true, &[engine.entry("ready")]);
@@ -163,14 +163,14 @@
 }
 
 #[test]
-fn a_planned_stop_answers_what_waits_behind_the_last_job_and_ends_every_session_in_order() {
+fn a_planned_stop_answers_what_waits_behind_the_last_request_and_ends_every_session_in_order() {
     let engine = Engine::start("e");
     let (_board, mut router) = quick(&engine);
     let mut rests = Client::new(&router);
     let mut asks = Client::new(&router);
     let behind = 20;
-    let jobs: Vec<u8> = (0..=behind).flat_map(|_| query(&job("look", 500, "hold"))).collect();
-    asks.stream.write_all(&jobs).unwrap();
+    let requests: Vec<u8> = (0..=behind).flat_map(|_| query(&request("look", 500, "hold"))).collect();
+    asks.stream.write_all(&requests).unwrap();
     engine.seen.wait("GET", 1);
     router.terminate();
     for at in 0..=behind {
@@ -201,7 +201,7 @@
         router.terminate();
         router.reload(&text);
         router.terminate();
-        asks.send(&job("look", 500, "x"));
+        asks.send(&request("look", 500, "x"));
     });
     assert_eq!(asks.answer(), row());
     let (code, counters) = router.ended();
@@ -217,7 +217,7 @@
     let mut pings = Client::new(&router);
     pings.stream.write_all(&packet(0, &[0x0e])).unwrap();
     let mut asks = Client::new(&router);
-    asks.send(&job("once", 500, "x"));
+    asks.send(&request("once", 500, "x"));
     Client::new(&router).counters("open", 1);
     router.terminate();
     assert!(matches!(asks.answer(), Answered::Error(1040, _)));
@@ -227,14 +227,14 @@
     assert_eq!((code, counter(&counters, "turned_back"), counter(&counters, "open")), (Some(0), 1, 0));
 }
 
-/// The engine hangs from before the stop until after it, under a job longer than what is left.
+/// The engine hangs from before the stop until after it, under a request longer than what is left.
 #[test]
 fn an_engine_that_hangs_through_the_whole_stop_costs_no_answer() {
     let engine = Engine::start("e");
     let (_board, mut router) = quick(&engine);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::new(&router)).collect();
     for (client, class) in clients.iter_mut().zip(["look", "load", "once"]) {
-        client.send(&job(class, 500, "hold"));
+        client.send(&request(class, 500, "hold"));
     }
     engine.seen.wait("GET", 3);
     let begun = Instant::now();
@@ -267,7 +267,7 @@
     let mut asks = Client::new(&router);
     // Some group begins with each of them.
     for group in 0..400 {
-        let _ = asks.ask(&job("look", 5000, &format!("x FROM sales_{group}.t")));
+        let _ = asks.ask(&request("look", 5000, &format!("x FROM sales_{group}.t")));
         if engines.iter().all(|engine| engine.seen.all().iter().any(|line| line.starts_with("GET"))) {
             break;
         }
@@ -280,13 +280,13 @@
     drop(half);
 }
 
-/// A new process comes while the one before it still holds the port and has a job open; discovery is down.
+/// A new process comes while the one before it still holds the port and has a request open; discovery is down.
 #[test]
 fn a_restarted_router_is_ready_as_soon_as_the_one_before_it_lets_go_of_the_port() {
     let engine = Engine::start("e");
     let (mut board, mut router) = quick(&engine);
     let mut long = Client::new(&router);
-    long.send(&job("look", 500, "hold"));
+    long.send(&request("look", 500, "hold"));
     engine.seen.wait("GET", 1);
     router.terminate();
     router.log.wait("stopping", 1);
--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -23,7 +23,7 @@
 
 /// Connects, and writes login and request at once; nothing is read yet.
 fn newcomer(router: &Router) -> Client {
-    newcomer_with(router, &job("look", 5000, "new"))
+    newcomer_with(router, &request("look", 5000, "new"))
 }
 
 fn newcomer_with(router: &Router, text: &str) -> Client {
@@ -74,7 +74,7 @@
     let mut clients = Vec::new();
     router.stop_for(Duration::from_millis(900), || {
         clients.extend((0..10).map(|_| newcomer(&router)));
-        rest.iter_mut().for_each(|client| client.send(&job("look", 5000, "rests")));
+        rest.iter_mut().for_each(|client| client.send(&request("look", 5000, "rests")));
     });
     all_answered(clients, "at the end");
     for client in &mut rest {
@@ -95,7 +95,7 @@
     router.stop_for(Duration::ZERO, || {
         clients.extend((0..60).map(|_| newcomer(&router)));
         // Half of those that could be closed for room have just asked.
-        rest.iter_mut().step_by(2).for_each(|client| client.send(&job("look", 5000, "rests")));
+        rest.iter_mut().step_by(2).for_each(|client| client.send(&request("look", 5000, "rests")));
     });
     all_answered(clients, "for room");
     for client in rest.iter_mut().step_by(2) {
@@ -161,13 +161,13 @@
 /// in its time, and its session serves on.
 fn all_have_their_answers_beside(name: &str, trouble: Trouble, router: &Router, engine: &Engine) {
     let mut target = Client::new(router);
-    let text = job("look", TTL, "hold").replace("work=5.0", "work=800");
+    let text = request("look", TTL, "hold").replace("work=5.0", "work=800");
     let call = text.split_once("call=").unwrap().1[..16].to_string();
     let mut beside: Vec<Client> = CLASSES.map(|_| Client::new(router)).into();
     let sent = Instant::now();
     target.send(&text);
     for (client, class) in beside.iter_mut().zip(CLASSES) {
-        client.send(&job(class, TTL, "hold").replace("work=5.0", "work=800"));
+        client.send(&request(class, TTL, "hold").replace("work=5.0", "work=800"));
     }
     engine.seen.wait("GET", 4);
     assert!(trouble(engine, &call) > 0, "{name}: it took no effect");
@@ -182,7 +182,7 @@
         );
     }
     for client in &mut beside {
-        let next = client.ask(&job("look", 5000, "x"));
+        let next = client.ask(&request("look", 5000, "x"));
         assert_eq!(next, row(), "{name}: nothing came behind the answer");
     }
     let counters = beside[0].counters("open", 0);
@@ -209,7 +209,7 @@
         login()[..9].to_vec(),
         [login(), packet(0, &[0x0e]).repeat(200)].concat(),
         [login(), query("SELECT 1").repeat(50)].concat(),
-        [login(), query(&job("look", 100, "hold")).repeat(3)].concat(),
+        [login(), query(&request("look", 100, "hold")).repeat(3)].concat(),
     ]
 }
 
@@ -248,7 +248,7 @@
         for _ in 0..10 {
             let sent = Instant::now();
             // A session that rests between two requests may be closed for room; one that comes with its request may not.
-            let clients = CLASSES.map(|class| newcomer_with(&router, &job(class, TTL, "x")));
+            let clients = CLASSES.map(|class| newcomer_with(&router, &request(class, TTL, "x")));
             for mut client in clients {
                 let answer = had(&mut client);
                 assert!(answer.is_some(), "an end and no answer");
--- a/crates/router/tests/golden_status.rs
+++ b/crates/router/tests/golden_status.rs
@@ -71,7 +71,7 @@
     let names = r#"[{"name":"greedy"},{"name":"modest"}]"#;
     let router =
         Router::changed(PROGRAM, &board, 512, &arguments, |text| text.replace(r#"[{"name":"town"}]"#, names));
-    Client::new(&router).ask(&job("look", 5000, "x"));
+    Client::new(&router).ask(&request("look", 5000, "x"));
     // Until the store and the cluster have come to rest.
     let begun = Instant::now();
     while !shown(&router, "STORE").contains("full") || shown(&router, "CLUSTER").contains("just") {
--- a/crates/router/tests/run_form.rs
+++ b/crates/router/tests/run_form.rs
@@ -134,7 +134,7 @@
     for round in 0..20 {
         clients
             .iter_mut()
-            .for_each(|client| client.send(&job("look", 5000, &format!("pages {}", 1 + round % 4))));
+            .for_each(|client| client.send(&request("look", 5000, &format!("pages {}", 1 + round % 4))));
         looks(1);
         for client in &mut clients {
             assert!(matches!(client.answer(), Answered::Rows(_)));
@@ -144,7 +144,7 @@
     router.reload(&router.configuration(&board, r#"{"rev":0,"notices":[]}"#));
     router.signal(Signal::USR1);
     looks(20);
-    clients[0].send(&job("look", 1500, "hold"));
+    clients[0].send(&request("look", 1500, "hold"));
     engine.seen.wait("hold", 1);
     router.terminate();
     looks(100);
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -44,7 +44,7 @@
     }
 
     fn serves(&self) {
-        let answered = Client::new(&self.router).ask(&job("look", 5000, "x"));
+        let answered = Client::new(&self.router).ask(&request("look", 5000, "x"));
         assert_eq!(answered, Answered::Rows(vec!["0,one,two".to_string()]));
     }
 }
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_address_is_announced_shown_and_withdrawn_by_a_planned_stop_with_its_jobs_answered() {
+fn an_address_is_announced_shown_and_withdrawn_by_a_planned_stop_with_its_requests_answered() {
     let peering = Peering::start(open(false));
     let mut world = World::new(&service_file(&[&peering], ""));
     peering.wait("announced for good", |peering| announced(peering) == 2);
@@ -90,7 +90,7 @@
     let status = Command::new(PROGRAM).args(["status", &world.router.address.to_string()]).output().unwrap();
     assert!(String::from_utf8(status.stdout).unwrap().contains("announced  well, for"));
     let mut long = Client::new(&world.router);
-    long.send(&job("load", 20000, "hold"));
+    long.send(&request("load", 20000, "hold"));
     world.engine.seen.wait("GET", 2);
     world.router.terminate();
     world.router.log.wait("drain begins", 1);
@@ -98,7 +98,7 @@
     // How soon is for the laboratory to measure.
     peering.wait("withdrawn", |peering| !has_route(peering));
     std::thread::sleep(Duration::from_secs(1).saturating_sub(began.elapsed()));
-    let late = Client::new(&world.router).ask(&job("look", 5000, "x"));
+    let late = Client::new(&world.router).ask(&request("look", 5000, "x"));
     assert!(matches!(late, Answered::Error(1040, _)), "{late:?}");
     assert!(matches!(long.answer(), Answered::Error(1040, _)));
     let (code, counters) = world.router.ended();
@@ -136,7 +136,7 @@
             peering.mode(Mode::Deaf);
         }
         let mut long = Client::new(&world.router);
-        long.send(&job("load", 20000, "hold"));
+        long.send(&request("load", 20000, "hold"));
         world.engine.seen.wait("GET", 1);
         world.router.terminate();
         world.router.log.wait("drain begins", 1);
@@ -150,7 +150,7 @@
             peering.mode(Mode::Well);
         }
         std::thread::sleep(Duration::from_millis(1000).saturating_sub(began.elapsed()));
-        let late = Client::new(&world.router).ask(&job("look", 5000, "x"));
+        let late = Client::new(&world.router).ask(&request("look", 5000, "x"));
         assert!(matches!(late, Answered::Error(1040, _)), "{name}: {late:?}");
         assert!(matches!(long.answer(), Answered::Error(1040, _)), "{name}");
         let (code, counters) = world.router.ended();
@@ -222,7 +222,7 @@
 
 /// Hard case: the session flaps again and again, ended in one way after another.
 #[test]
-fn a_flapping_peer_has_the_route_again_after_each_flap_and_costs_no_job() {
+fn a_flapping_peer_has_the_route_again_after_each_flap_and_costs_no_request() {
     let peering = Peering::start(open(false));
     let world = World::new(&service_file(&[&peering], ""));
     peering.wait("announced for good", |peering| announced(peering) == 2);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_peer_that_floods_or_sends_what_cannot_be_read_costs_no_job_its_answer() {
+fn a_peer_that_floods_or_sends_what_cannot_be_read_costs_no_request_its_answer() {
     let peering = Peering::start(open(false));
     let world = World::new(&service_file(&[&peering], ""));
     peering.wait("announced for good", |peering| announced(peering) == 2);
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -38,7 +38,7 @@
 
 /// So heavy that its engine is left to it for long.
 fn heavy(class: &str, ttl: u64, statement: &str) -> String {
-    job(class, ttl, statement).replace("work=5.0", "work=4000")
+    request(class, ttl, statement).replace("work=5.0", "work=4000")
 }
 
 /// The statements that an engine was given, in order.
@@ -104,7 +104,7 @@
         board.tell(true, &[]);
         let router = Router::with(PROGRAM, &board, 256, &[]);
         let mut witness = Client::new(&router);
-        let pair = Pair::asking(&router, &job("look", 20000, "left"));
+        let pair = Pair::asking(&router, &request("look", 20000, "left"));
         witness.counters("open", 1);
         board.seen.wait("watch", 1);
         let event = format!(
@@ -122,7 +122,7 @@
             continue;
         }
         witness.counters("withdrawn", 1);
-        assert_eq!(witness.ask(&job("look", 5000, "the last")), row());
+        assert_eq!(witness.ask(&request("look", 5000, "the last")), row());
         assert_eq!(given(&engine), ["the last"], "{how:?}");
     }
 }
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -40,7 +40,7 @@
 }
 
 fn ask(team: &str, work: f64) -> String {
-    job("look", 15000, &format!("work {work} FROM sales_1.t")).replacen(
+    request("look", 15000, &format!("work {work} FROM sales_1.t")).replacen(
         "op=look",
         &format!("op=look,org={team}"),
         1,
@@ -76,9 +76,9 @@
     assert!(answers.iter().all(|answer| matches!(answer, Answered::Rows(_) | Answered::Error(1040, _))));
 }
 
-/// Hard case: an engine is silent while jobs wait, and a reload takes a team away from them.
+/// Hard case: an engine is silent while requests wait, and a reload takes a team away from them.
 #[test]
-fn a_reload_that_removes_a_team_loses_none_of_its_jobs() {
+fn a_reload_that_removes_a_team_loses_none_of_its_requests() {
     let world = started(TWO, 2.0);
     world.engine.silent(true);
     let mut waiting: Vec<Client> = (0..15).map(|_| Client::new(&world.router)).collect();
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -31,7 +31,7 @@
 fn login_and_first_query_before_the_greeting_and_a_result_of_many_pages() {
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
-    let first = job("look", 5000, "pages 8 FROM sales_17.t");
+    let first = request("look", 5000, "pages 8 FROM sales_17.t");
     let mut client = Client::early(&router, &[login(), query(&first)].concat());
     assert_eq!((client.answer(), client.answer()), (Answered::Ok, rows(8)));
     let get = engine.seen.wait("GET", 1).pop().unwrap();
@@ -39,7 +39,7 @@
     // The pages were asked for without waiting, and closed.
     engine.seen.wait("CLOSE", 1);
     assert_eq!(engine.seen.wait("PAGE", 7).len(), 7);
-    assert_eq!(client.ask(&job("look", 5000, "pages 1")), rows(1));
+    assert_eq!(client.ask(&request("look", 5000, "pages 1")), rows(1));
 }
 
 #[test]
@@ -47,19 +47,19 @@
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
     let mut client = Client::early(&router, &[]);
-    for byte in [login(), query(&job("look", 5000, "x"))].concat() {
+    for byte in [login(), query(&request("look", 5000, "x"))].concat() {
         client.stream.write_all(&[byte]).unwrap();
     }
     assert_eq!((client.answer(), client.answer()), (Answered::Ok, rows(1)));
     let joined =
-        [query("SET NAMES utf8mb4"), packet(0, &[0x0e]), query(&job("look", 5000, "x")), packet(0, &[1])];
+        [query("SET NAMES utf8mb4"), packet(0, &[0x0e]), query(&request("look", 5000, "x")), packet(0, &[1])];
     client.stream.write_all(&joined.concat()).unwrap();
     assert_eq!((client.answer(), client.answer(), client.answer()), (Answered::Ok, Answered::Ok, rows(1)));
     assert!(client.closed());
 }
 
 #[test]
-fn what_drivers_ask_at_their_start_and_what_no_job_can_be_made_of() {
+fn what_drivers_ask_at_their_start_and_what_no_request_can_be_made_of() {
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
     let mut client = Client::new(&router);
@@ -70,17 +70,17 @@
         ("SELECT 1".to_string(), "no fields comment"),
         ("SELECT @@version_comment LIMIT 1".to_string(), "no fields comment"),
         ("SHOW WARNINGS".to_string(), "no fields comment"),
-        (job("lok", 50, "x"), "field op: expected one of look load once"),
-        (job("look", 50, "x").replace("ttl=50", "ttl=-1"), "field ttl"),
-        (job("look", 50, "x").replace("work=5.0", "work=nan"), "field work"),
-        (job("look", 50, "x").replace("ttl=50", "org=nobody,ttl=50"), "field org"),
-        (job("load", 50, "x").replace("dedupe=", "dupe="), "field dedupe"),
+        (request("lok", 50, "x"), "field op: expected one of look load once"),
+        (request("look", 50, "x").replace("ttl=50", "ttl=-1"), "field ttl"),
+        (request("look", 50, "x").replace("work=5.0", "work=nan"), "field work"),
+        (request("look", 50, "x").replace("ttl=50", "org=nobody,ttl=50"), "field org"),
+        (request("load", 50, "x").replace("dedupe=", "dupe="), "field dedupe"),
         ("KILL QUERY 999999".to_string(), "unknown connection id"),
     ] {
         let Answered::Error(_, words) = client.ask(&text) else { panic!("{text} was answered") };
         assert!(words.contains(why), "{words}");
     }
-    assert_eq!(client.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     let counters = client.counters("delivered", 1);
     assert_eq!((counter(&counters, "taken"), counter(&counters, "unusable")), (1, 9));
 }
@@ -100,7 +100,7 @@
     let mut half = Client::early(&router, &login()[..20]);
     half.stream.shutdown(Shutdown::Both).unwrap();
     assert!(half.closed());
-    assert_eq!(good.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(good.ask(&request("look", 5000, "x")), rows(1));
     good.counters("sessions_malformed", 4);
 }
 
@@ -109,7 +109,7 @@
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
     let mut client = Client::new(&router);
-    let text = job("look", 20000, "hold");
+    let text = request("look", 20000, "hold");
     client.send(&text);
     engine.seen.wait("GET", 1);
     let other = Client::new(&router).ask(&text.replace("hold", "x"));
@@ -118,7 +118,7 @@
     assert_eq!(killer.ask(&format!("KILL QUERY {}", client.session)), Answered::Ok);
     engine.seen.wait("DROP", 1);
     assert!(matches!(client.answer(), Answered::Error(1317, _)));
-    assert_eq!(client.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     client.counters("withdrawn", 1);
 }
 
@@ -127,21 +127,21 @@
     let away = Engine { address: vacant(), ..Engine::start("away") };
     let (board, router) = started(&[&away]);
     let mut client = Client::new(&router);
-    // A non-idempotent job goes on as nothing ran, and is turned back when no engine can be had.
+    // A non-idempotent request goes on as nothing ran, and is turned back when no engine can be had.
     assert!(
-        matches!(client.ask(&job("once", 1000, "x")), Answered::Error(1040, words) if words.contains("pushback="))
+        matches!(client.ask(&request("once", 1000, "x")), Answered::Error(1040, words) if words.contains("pushback="))
     );
     let resets = Engine::start("resets");
     board.tell(true, &[resets.entry("ready")]);
     router.log.wait("is resets", 1);
-    assert!(matches!(client.ask(&job("once", 5000, "reset")), Answered::Error(1105, _)));
+    assert!(matches!(client.ask(&request("once", 5000, "reset")), Answered::Error(1105, _)));
     assert_eq!(resets.seen.wait("GET", 1).len(), 1);
     let counters = client.counters("terminated", 1);
     assert_eq!((counter(&counters, "turned_back"), counter(&counters, "pushes_broken")), (1, 1));
 }
 
 #[test]
-fn a_idempotent_job_goes_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_talks_nonsense() {
+fn a_idempotent_request_goes_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_talks_nonsense() {
     for (uid, statement) in
         [("resets", "reset"), ("full", "full"), ("loses", "pages 4"), ("garbage", "garbage")]
     {
@@ -152,7 +152,7 @@
         // Whatever order a group's engines have, some group begins with the bad one.
         for group in 0.. {
             let text = format!("{statement} FROM sales_{group}.t");
-            assert_eq!(client.ask(&job("look", 5000, &text)), expected, "{uid}");
+            assert_eq!(client.ask(&request("look", 5000, &text)), expected, "{uid}");
             if bad.seen.all().iter().any(|line| line.starts_with("GET")) {
                 break;
             }
@@ -167,11 +167,11 @@
     let (_board, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     // So heavy that its push is waited for long.
-    client.send(&job("look", 20000, "mute").replace("work=5.0", "work=4000"));
+    client.send(&request("look", 20000, "mute").replace("work=5.0", "work=4000"));
     engine.seen.wait("PING sign on 0", 1);
     router.log.wait("gives no sign", 1);
     let mut other = Client::new(&router);
-    assert_eq!(other.ask(&job("load", 15000, "x")), rows(1));
+    assert_eq!(other.ask(&request("load", 15000, "x")), rows(1));
     assert_eq!(engine.seen.wait("GET", 2).iter().filter(|line| line.contains("on 1")).count(), 1);
 }
 
@@ -181,7 +181,7 @@
     let (board, router) = started(&[&vanished]);
     let mut client = Client::new(&router);
     // So heavy that their pushes would be waited for long.
-    let heavy = |class: &str| job(class, 20000, "x").replace("work=5.0", "work=4000");
+    let heavy = |class: &str| request(class, 20000, "x").replace("work=5.0", "work=4000");
     client.send(&heavy("look"));
     vanished.seen.wait("GET", 1);
     let mut other = Client::new(&router);
@@ -202,7 +202,7 @@
     let first = Engine::start("first");
     let (board, router) = started(&[&first]);
     let mut client = Client::new(&router);
-    assert_eq!(client.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     board.drop_all();
     // It comes again with the last event that it holds.
     assert_eq!(board.seen.wait("watch 1", 2).len(), 2);
@@ -213,7 +213,7 @@
     let second = Engine { uid: "second".to_string(), ..first.clone() };
     board.tell(false, &[first.entry("gone"), second.entry("ready")]);
     router.log.wait("is second", 1);
-    assert_eq!(client.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     assert_eq!(first.seen.wait("connection", 2).len(), 2, "it shares no connection with the old one");
 }
 
@@ -224,9 +224,9 @@
     // More than the descriptors allow: the idle ones make room.
     let mut idle: Vec<Client> = (0..100).map(|_| Client::new(&router)).collect();
     let mut deaf = Client::new(&router);
-    let text = job("look", 5000, "pages 8");
+    let text = request("look", 5000, "pages 8");
     deaf.stream.write_all(&query(&text).repeat(2000)).unwrap_or(());
-    assert_eq!(idle.last_mut().unwrap().ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(idle.last_mut().unwrap().ask(&request("look", 5000, "x")), rows(1));
     let counters = idle.last_mut().unwrap().counters("open", 0);
     assert!(counter(&counters, "sessions_closed_for_room") > 0);
     assert!(counter(&counters, "descriptors_short") == 0 && counter(&counters, "sessions_open") <= 32);
@@ -237,7 +237,7 @@
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
     let mut stays = Client::new(&router);
-    assert_eq!(stays.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(stays.ask(&request("look", 5000, "x")), rows(1));
     let begun = Instant::now();
     let mut silent = Client::early(&router, &[]);
     let mut half = Client::new(&router);
@@ -252,7 +252,7 @@
     });
     assert!(silent.closed() && half.closed() && trickles.closed());
     assert!(begun.elapsed() < GENEROUS / 2, "{:?}", begun.elapsed());
-    assert_eq!(stays.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(stays.ask(&request("look", 5000, "x")), rows(1));
 }
 
 #[test]
@@ -267,7 +267,7 @@
         std::thread::sleep(Duration::from_millis(700));
         let _more: Vec<Client> = (0..23).map(|_| Client::early(&router, half)).collect();
         for client in &mut stay {
-            assert_eq!(client.ask(&job("look", 5000, "x")), rows(1));
+            assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
         }
     }
 }
@@ -277,7 +277,7 @@
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
     let mut client = Client::new(&router);
-    router.stop_for(Duration::from_millis(1500), || client.send(&job("look", 2000, "hold")));
+    router.stop_for(Duration::from_millis(1500), || client.send(&request("look", 2000, "hold")));
     let asked = Instant::now() - Duration::from_millis(1500);
     assert!(matches!(client.answer(), Answered::Error(1040, _)));
     assert!(asked.elapsed() < Duration::from_millis(3000), "{:?}", asked.elapsed());
@@ -289,10 +289,10 @@
     let (_board, router) = started(&[&engine]);
     let mut slow = Client::new(&router);
     // Several times what the system buffers between the two; the queries wait in turn.
-    let text: Vec<Vec<u8>> = (0..300).map(|_| query(&job("look", 30000, "pages 8"))).collect();
+    let text: Vec<Vec<u8>> = (0..300).map(|_| query(&request("look", 30000, "pages 8"))).collect();
     slow.stream.write_all(&text.concat()).unwrap();
     let mut other = Client::new(&router);
-    assert!(matches!(other.ask(&job("look", 5000, "x")), Answered::Rows(_)));
+    assert!(matches!(other.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let row = |page: usize| format!("{page},{},two", "x".repeat(5900));
     for _ in 0..300 {
         assert!(slow.answer() == Answered::Rows((0..8).map(row).collect()));
@@ -305,11 +305,11 @@
     // Fewer than the router's shares for clients and engines and what it needs itself.
     let (_board, router) = limited(&[&engine], 20);
     let mut open = Client::new(&router);
-    open.send(&job("look", 20000, "hold"));
+    open.send(&request("look", 20000, "hold"));
     engine.seen.wait("GET", 1);
     let mut idle: Vec<Client> = (0..30).map(|_| Client::new(&router)).collect();
     let last = idle.last_mut().unwrap();
-    assert_eq!(last.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(last.ask(&request("look", 5000, "x")), rows(1));
     assert_eq!(last.ask(&format!("KILL QUERY {}", open.session)), Answered::Ok);
     assert!(matches!(open.answer(), Answered::Error(1317, _)), "it was not closed for room");
     let counters = last.counters("withdrawn", 1);
@@ -324,11 +324,11 @@
     let started_at = Instant::now();
     let unread = router.reading.lock().unwrap();
     // Each makes a line of thousands of bytes; a pipe holds few of them.
-    let loud = job("look", 50, "x").replace("ttl=50", &format!("ttl={}", "x".repeat(5000)));
+    let loud = request("look", 50, "x").replace("ttl=50", &format!("ttl={}", "x".repeat(5000)));
     for _ in 0..100 {
         assert!(matches!(client.ask(&loud), Answered::Error(1064, _)));
     }
-    assert_eq!(client.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     drop(unread);
     // Told with the first line that gets through again.
     while !router.log.all().iter().any(|line| line.contains("log lines lost")) {
@@ -339,17 +339,17 @@
 }
 
 #[test]
-fn a_planned_stop_serves_what_still_comes_and_answers_every_job() {
+fn a_planned_stop_serves_what_still_comes_and_answers_every_request() {
     let engine = Engine::start("e");
     let (_board, mut router) = started(&[&engine]);
     let mut long = Client::new(&router);
-    long.send(&job("load", 20000, "hold"));
+    long.send(&request("load", 20000, "hold"));
     engine.seen.wait("GET", 1);
     let mut open = Client::new(&router);
     router.terminate();
     router.log.wait("stopping", 1);
-    assert_eq!(Client::new(&router).ask(&job("look", 5000, "pages 2")), rows(2));
-    assert_eq!(open.ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(Client::new(&router).ask(&request("look", 5000, "pages 2")), rows(2));
+    assert_eq!(open.ask(&request("look", 5000, "x")), rows(1));
     // Its deadline lies far beyond the end.
     assert!(matches!(long.answer(), Answered::Error(1040, _)));
     let (code, counters) = router.ended();
@@ -419,7 +419,7 @@
     let router = Router::with(PROGRAM, &board, DESCRIPTORS, &[]);
     let mut client = Client::new(&router);
     // Half a second passes while this waits for its deadline.
-    assert!(matches!(client.ask(&job("look", 500, "hold")), Answered::Error(1040, _)));
+    assert!(matches!(client.ask(&request("look", 500, "hold")), Answered::Error(1040, _)));
     let turns = counter(&client.counters("turned_back", 1), "turns");
     assert!(turns < 300, "{turns} turns");
 }
@@ -429,7 +429,7 @@
     let (first, second, third) = (Engine::start("first"), Engine::start("second"), Engine::start("third"));
     let (old, mut router) = started(&[&first]);
     let mut client = Client::new(&router);
-    client.send(&job("look", 20000, "hold"));
+    client.send(&request("look", 20000, "hold"));
     first.seen.wait("GET", 1);
     for bad in
         ["", "{\"name\":", &router.configuration(&old, "{}").replace("\"gain\":1.0", "\"gain\":\"much\"")]
@@ -452,9 +452,9 @@
     router.reload(&router.configuration(&new, &known(9, first.entry("gone"))));
     new.tell(false, &[first.entry("draining"), third.entry("ready")]);
     router.log.wait("is third", 1);
-    assert_eq!(Client::new(&router).ask(&job("look", 5000, "x")), rows(1));
+    assert_eq!(Client::new(&router).ask(&request("look", 5000, "x")), rows(1));
     assert_eq!(first.seen.all().iter().filter(|line| line.starts_with("GET")).count(), 1);
-    // While stopping too; the job that was open all along has its answer.
+    // While stopping too; the request that was open all along has its answer.
     router.terminate();
     router.log.wait("stopping", 1);
     router.reload(&text);
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -126,8 +126,8 @@
         Ok(self.flag("limits.peers").then_some((me as u16, all as u64)))
     }
 
-    /// How long a client waits for a job at most.
-    pub fn longest_job(&self) -> Result<Option<f64>, Complaint> {
+    /// How long a client waits for a request at most.
+    pub fn longest_request(&self) -> Result<Option<f64>, Complaint> {
         let longest = |at| self.time(&format!("categories.{at}.hard-limit-us"), 0.0);
         let limits: Vec<f64> = (0..self.count("categories")?).map(longest).collect::<Result<_, _>>()?;
         Ok(limits.into_iter().reduce(f64::max).filter(|&longest| longest > 0.0))
@@ -294,7 +294,7 @@
             assert_eq!(names.classes, ["look_up", "load"]);
             assert_eq!(names.tenants, ["town_hall"]);
             assert_eq!(names.zones, ["room_a", "room_b"]);
-            assert_eq!(pairs.longest_job().unwrap(), Some(20.0));
+            assert_eq!(pairs.longest_request().unwrap(), Some(20.0));
             format!("{deployment:?} {:?}", pairs.link_limits().unwrap())
         });
         assert_eq!(both[0], both[1]);
--- a/src/index.rs
+++ b/src/index.rs
@@ -1,4 +1,4 @@
-//! Engines by what a choice asks of them first, so that few are looked at for a job. It decides nothing and holds no value
+//! Engines by what a choice asks of them first, so that few are looked at for a request. It decides nothing and holds no value
 //! that was tuned for a choice: the module says what stands in it, and weighs what it hands out.
 
 use crate::figures::mix;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! This file holds what passes between the decisions ([`logic`]) and whatever carries them: facts that
 //! a host hands in, and the [`Writer`] that it lends for the answers. Nothing here decides. Times are
-//! seconds with fractions on the host's clock; jobs, engines, classes, zones and kinds are
+//! seconds with fractions on the host's clock; requests, engines, classes, zones and kinds are
 //! small indices that the host gives out and keeps.
 
 mod figures;
@@ -12,7 +12,7 @@
 
 pub use cleatgw_queue as queue;
 
-/// How far a repeat of a deduplicated job is dropped as such.
+/// How far a repeat of a deduplicated request is dropped as such.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DeduplicationScope {
     All,
@@ -20,7 +20,7 @@
     Cell,
 }
 
-/// What running a job twice would do.
+/// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
     Idempotent,
@@ -28,7 +28,7 @@
     NonIdempotent,
 }
 
-/// One kind of job.
+/// One kind of request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     pub credit: f64,
@@ -51,7 +51,7 @@
 }
 
 impl RequestClass {
-    /// How soon a job of so much work (seconds of one core) is wanted, in seconds.
+    /// How soon a request of so much work (seconds of one core) is wanted, in seconds.
     pub fn expected_for(&self, work: f64) -> f64 {
         self.expected_time + self.stretch * work / self.threads
     }
@@ -73,7 +73,7 @@
     pub window: f64,
 }
 
-/// How many pushes beyond each job's first one gateway may make in a window.
+/// How many pushes beyond each request's first one gateway may make in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct PushBudget {
     pub spare: f64,
@@ -87,12 +87,12 @@
     pub gateways: f64,
     pub classes: Vec<RequestClass>,
     pub kinds: Vec<Kind>,
-    /// The most of an engine's memory that one job gets.
+    /// The most of an engine's memory that one request gets.
     pub largest_share: f64,
     pub grants: bool,
-    /// Engines short of memory give a job less than its grant.
+    /// Engines short of memory give a request less than its grant.
     pub trims: bool,
-    /// Engines short of memory let every job in, and all of them slow down.
+    /// Engines short of memory let every request in, and all of them slow down.
     pub pages: bool,
     pub lanes: bool,
     pub call_off: bool,
@@ -130,7 +130,7 @@
     pub stage: Stage,
 }
 
-/// A job as it was taken.
+/// A request as it was taken.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Taken {
     pub class: usize,
@@ -141,7 +141,7 @@
     pub deadline: f64,
     /// The line that it stands in while it is held, see [`queue`]; 0 where there are no teams.
     pub team: usize,
-    /// When the same request was first pushed under another job, by us in a former life or by another: it may have run.
+    /// When the same request was first pushed under another request, by us in a former life or by another: it may have run.
     pub earlier: Option<f64>,
 }
 
@@ -169,7 +169,7 @@
 /// What an engine says of its load; what it leaves out is absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    pub jobs: Option<f64>,
+    pub requests: Option<f64>,
     pub memory_waits: Option<f64>,
     pub memory_granted: Option<f64>,
 }
@@ -177,11 +177,11 @@
 /// The end of one push.
 #[derive(Clone, Copy, Debug)]
 pub struct PushEnd {
-    pub job: usize,
+    pub request: usize,
     pub engine: usize,
     pub ending: Ending,
-    /// The job is over: its client has an answer, or wants none.
-    pub job_over: bool,
+    /// The request is over: its client has an answer, or wants none.
+    pub request_done: bool,
     pub spent: f64,
     /// The work, in seconds, and the memory, in MB, that it turned out to need.
     pub told: Option<(f64, f64)>,
@@ -208,16 +208,16 @@
 
 /// Where decisions are written, as they are made.
 pub trait Writer {
-    /// Names the lane (0 to 3) and the memory for the job's pushes; zero MB leaves it to the engine.
-    fn terms(&mut self, job: usize, lane: u8, memory_mb: f64);
-    /// Pushes a job; without a time-out it runs until the deadline. It must have left by `leave_by`, or not at all: what
+    /// Names the lane (0 to 3) and the memory for the request's pushes; zero MB leaves it to the engine.
+    fn terms(&mut self, request: usize, lane: u8, memory_mb: f64);
+    /// Pushes a request; without a time-out it runs until the deadline. It must have left by `leave_by`, or not at all: what
     /// repeats one that may have run is dropped as a repeat for a while only.
-    fn push(&mut self, job: usize, engine: usize, time_out: Option<f64>, leave_by: f64);
-    fn call_off(&mut self, job: usize, push: u32);
-    fn turn_back(&mut self, job: usize, come_back_in: Option<f64>);
-    fn terminate(&mut self, job: usize);
-    /// How long a job that is held now is thought to wait for its first push; none where that can't be told.
-    fn waits(&mut self, _job: usize, _wait: Option<queue::Wait>) {}
+    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64);
+    fn call_off(&mut self, request: usize, push: u32);
+    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>);
+    fn terminate(&mut self, request: usize);
+    /// How long a request that is held now is thought to wait for its first push; none where that can't be told.
+    fn waits(&mut self, _request: usize, _wait: Option<queue::Wait>) {}
     /// Asks for the list's changes from now on.
     fn watch(&mut self, on: bool);
     /// Asks for the whole list once.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,8 +1,8 @@
 //! Every decision of the gateway. The interface (facts in, `Writer` out) is in `lib.rs`.
 //!
-//! A host makes a [`Gateway`], hands it each round's news through `engines_listed`, `job_taken`, `push_over`
+//! A host makes a [`Gateway`], hands it each round's news through `engines_listed`, `request_received`, `push_over`
 //! and their like, and then calls `round` once, which writes the decisions into the writer.
-//! The ordinary path is the design's: a job is granted memory by ROC against θ ([`Threshold`], [`Learned`]),
+//! The ordinary path is the design's: a request is granted memory by ROC against θ ([`Threshold`], [`Learned`]),
 //! goes to that one of the first fitting engines ([`Ledger`]) in its table group's hash order with the fewest
 //! of our threads per core, or is held. `may_push` alone keeps rules 2 to 7, `end` alone keeps rule 1.
 //! Mechanisms beside the design, six at most:
@@ -16,7 +16,7 @@
 
 use crate::figures::{mix, rank, weighted_median, Mean, Shares, Trend, Window};
 use crate::index::{Filed, Orders};
-use crate::state::{Due, Job, KeyLine, Push};
+use crate::state::{Due, KeyLine, Push, Request};
 use crate::*;
 use cleatgw_queue::{Line, Waiting};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -25,7 +25,7 @@
 const TICK: f64 = 0.25;
 /// How much of a cold engine's budget we use: its cores never do all they could, how it warms is not told.
 const COLD_CAUTION: f64 = 0.65;
-/// How much of it is drawn for by lot where it is too small for a job.
+/// How much of it is drawn for by lot where it is too small for a request.
 const LOT: f64 = 0.6;
 
 /// The most that is granted over the guess; an engine that pages counts no more than the need, so that more is free.
@@ -40,7 +40,7 @@
 /// What a repeat may take to get to its engine: so much sooner than its window ends it must have left.
 const EDGE: f64 = 0.02;
 
-/// How long new jobs are taken after a drain began: within the second that is promised, less a slow turn.
+/// How long new requests are taken after a drain began: within the second that is promised, less a slow turn.
 const NEW_WORK: f64 = 0.95;
 
 /// θ and its climb.
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The ROC that parts the memory asked for in half: by count, many small jobs would pass every large one.
+    /// The ROC that parts the memory asked for in half: by count, many small requests would pass every large one.
     fn median(&self) -> f64 {
         weighted_median(self.recent.iter().copied())
     }
@@ -84,11 +84,11 @@
             return false;
         }
         self.review_at = now + Self::PERIOD;
-        // Both for each second of work a thread, so that a few heavy jobs do not pass for a change.
+        // Both for each second of work a thread, so that a few heavy requests do not pass for a change.
         let (wait, run) = (self.waits.sum / self.runs.weight, self.runs.or(0.0));
         let (before, total) = (self.theta, wait + run);
         if wait < Self::NO_WAIT {
-            // Memory that nobody waits for is not worth a spill: θ falls until every job gets its best grant.
+            // Memory that nobody waits for is not worth a spill: θ falls until every request gets its best grant.
             self.climbing = false;
             self.theta = if before < self.median() / 4.0 { 0.0 } else { before * (1.0 - Self::STEP) };
         } else if !self.climbing {
@@ -174,7 +174,7 @@
 
     fn guess(&self, estimate: Option<f64>, mean: f64) -> f64 {
         let Some(estimate) = estimate else { return mean };
-        // A few jobs' worth of belief that estimates are good.
+        // A few requests' worth of belief that estimates are good.
         self.trend.at(estimate.ln(), 2.0).exp() * self.told.or(1.0)
     }
 }
@@ -268,7 +268,7 @@
     }
 }
 
-/// How many threads per core an engine may hold before jobs are held here instead.
+/// How many threads per core an engine may hold before requests are held here instead.
 #[derive(Default)]
 struct Room {
     limit: f64,
@@ -310,7 +310,7 @@
     /// Work pushed of late, by usual weight, for the cold ramp.
     sent: Window,
     peers_sent: f64,
-    /// Table groups that jobs of ours hold there.
+    /// Table groups that requests of ours hold there.
     holding: Vec<u64>,
     cold: bool,
 }
@@ -331,11 +331,11 @@
     /// Engines by class, and those that changed since they were filed there.
     filed: Vec<Filed>,
     unfiled: Vec<usize>,
-    jobs: BTreeMap<usize, Job>,
+    requests: BTreeMap<usize, Request>,
     pub line: Line,
-    /// Jobs that are held since this round began, and those whose push has just ended.
+    /// Requests that are held since this round began, and those whose push has just ended.
     fresh: Vec<usize>,
-    /// With teams: a job whose turn came before found no room in this round.
+    /// With teams: a request whose turn came before found no room in this round.
     passed_by: bool,
     again: Vec<usize>,
     keys: BTreeMap<u64, KeyLine>,
@@ -363,7 +363,7 @@
     stop: f64,
     /// What is taken later is turned back at once: this instance drains.
     takes_until: f64,
-    /// When the last job was turned back, while that mode lasts.
+    /// When the last request was turned back, while that mode lasts.
     turning_back: Option<f64>,
     log: Vec<String>,
 }
@@ -441,10 +441,10 @@
         self.log.push(format!("list out of reach, {} engines known", self.engines.len()));
     }
 
-    pub fn job_taken(&mut self, now: f64, id: usize, mut taken: Taken) {
+    pub fn request_received(&mut self, now: f64, id: usize, mut taken: Taken) {
         self.taken_at.push_back(now);
         let class = &self.given.classes[taken.class];
-        // From here on a job has a key only where its class asks for order.
+        // From here on a request has a key only where its class asks for order.
         taken.key = taken.key.filter(|_| class.in_key_order);
         let learned = &mut self.learned[taken.class];
         let work = learned.work_by_cost.guess(taken.cost, learned.work.or(1.0));
@@ -460,12 +460,12 @@
         let density = class.credit / work.max(1e-3);
         self.density.add(density, work, 0.995);
         self.asked.add(taken.table_group, work);
-        let job = Job { taken, work, memory, density, expected_at, since: now, ..Job::default() };
-        taken.key.into_iter().for_each(|key| self.keys.entry(key).or_default().jobs.push_back(id));
-        // A job that comes too late for a drain is never held, so that nothing new is pushed.
+        let request = Request { taken, work, memory, density, expected_at, since: now, ..Request::default() };
+        taken.key.into_iter().for_each(|key| self.keys.entry(key).or_default().requests.push_back(id));
+        // A request that comes too late for a drain is never held, so that nothing new is pushed.
         let closed = now >= self.takes_until;
         self.due.extend(Some((rank(now), Due::Deadline(id))).filter(|_| closed));
-        self.jobs.insert(id, job);
+        self.requests.insert(id, request);
         if !closed {
             self.hold(now, id);
             self.fresh.push(id);
@@ -474,22 +474,22 @@
         self.time_ends(id, self.stop);
     }
 
-    /// Teams have these lines from now on; jobs that are open move to where `team_of` says.
+    /// Teams have these lines from now on; requests that are open move to where `team_of` says.
     pub fn teams(&mut self, now: f64, line: Line, team_of: &dyn Fn(usize) -> usize) {
         let before = std::mem::replace(&mut self.line, line);
-        let held: Vec<usize> = self.jobs.keys().copied().filter(|id| before.holds(*id)).collect();
-        for (id, job) in &mut self.jobs {
-            job.taken.team = team_of(*id);
-            job.pushes.iter().filter(|push| push.out).for_each(|_| self.line.carries(job.taken.team));
+        let held: Vec<usize> = self.requests.keys().copied().filter(|id| before.holds(*id)).collect();
+        for (id, request) in &mut self.requests {
+            request.taken.team = team_of(*id);
+            request.pushes.iter().filter(|push| push.out).for_each(|_| self.line.carries(request.taken.team));
         }
         held.into_iter().for_each(|id| self.hold(now, id));
     }
 
     fn hold(&mut self, now: f64, id: usize) {
-        let &Job { ref taken, density, work, since, ref pushes, .. } = &self.jobs[&id];
+        let &Request { ref taken, density, work, since, ref pushes, .. } = &self.requests[&id];
         let never_ran = pushes.iter().all(|push| push.never_ran);
         let Taken { team, class, .. } = *taken;
-        self.line.hold(Waiting { job: id, team, class, density, work, since, never_ran }, now);
+        self.line.hold(Waiting { request: id, team, class, density, work, since, never_ran }, now);
     }
 
     /// All that peers have met of an engine of late, each of them once for what went well and badly.
@@ -526,7 +526,7 @@
         }
     }
 
-    /// Our instance drains: no job that is taken from the time that is returned on is pushed.
+    /// Our instance drains: no request that is taken from the time that is returned on is pushed.
     pub fn drain(&mut self, now: f64) -> f64 {
         self.takes_until = self.takes_until.min(now + NEW_WORK);
         self.takes_until
@@ -537,24 +537,25 @@
         self.ready().filter(|engine| !engine.doubt.doubted).count()
     }
 
-    /// Our instance ends then: no job has longer.
+    /// Our instance ends then: no request has longer.
     pub fn stop_at(&mut self, stop: f64) {
         self.stop = stop;
-        let open: Vec<usize> = self.jobs.keys().copied().collect();
+        let open: Vec<usize> = self.requests.keys().copied().collect();
         open.into_iter().for_each(|id| self.time_ends(id, stop));
     }
 
     fn time_ends(&mut self, id: usize, stop: f64) {
-        let job = self.jobs.get_mut(&id).expect("a job that was taken");
-        (job.taken.deadline, job.expected_at) = (job.taken.deadline.min(stop), job.expected_at.min(stop));
-        let job = &self.jobs[&id];
-        self.due.insert((rank(job.taken.deadline), Due::Deadline(id)));
-        self.due.insert((rank(self.last_start(job)), Due::TooLate(id)));
+        let request = self.requests.get_mut(&id).expect("a job that was taken");
+        (request.taken.deadline, request.expected_at) =
+            (request.taken.deadline.min(stop), request.expected_at.min(stop));
+        let request = &self.requests[&id];
+        self.due.insert((rank(request.taken.deadline), Due::Deadline(id)));
+        self.due.insert((rank(self.last_start(request)), Due::TooLate(id)));
     }
 
     pub fn push_noted(&mut self, now: f64, id: usize, note: Note) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let Some(push) = job.pushes.iter().rfind(|push| push.out) else { return };
+        let Some(request) = self.requests.get(&id) else { return };
+        let Some(push) = request.pushes.iter().rfind(|push| push.out) else { return };
         let Some(engine) = self.engines.get_mut(push.engine) else { return };
         engine.last_answer = now;
         match note {
@@ -569,18 +570,18 @@
     }
 
     pub fn push_over(&mut self, now: f64, end: &PushEnd) {
-        let Some(job) = self.jobs.get_mut(&end.job) else { return };
+        let Some(request) = self.requests.get_mut(&end.request) else { return };
         let sent_there = |push: &Push| push.out && push.engine == end.engine;
-        let Some(index) = job.pushes.iter().position(sent_there) else { return };
-        let push = &mut job.pushes[index];
+        let Some(index) = request.pushes.iter().position(sent_there) else { return };
+        let push = &mut request.pushes[index];
         push.out = false;
         push.never_ran = end.ending.never_ran();
         let (sent, quarter) = (push.sent, push.quarter);
-        let (class, key) = (job.taken.class, job.taken.key);
+        let (class, key) = (request.taken.class, request.taken.key);
         let threads = self.given.classes[class].threads;
         // Where work is neither told nor estimated, the time it took is safe for a cold engine.
-        let guess = if job.taken.cost.is_some() { job.work } else { end.spent * threads };
-        let (work, memory) = end.told.unwrap_or((guess, job.memory));
+        let guess = if request.taken.cost.is_some() { request.work } else { end.spent * threads };
+        let (work, memory) = end.told.unwrap_or((guess, request.memory));
         let learned = &mut self.learned[class];
         // A gateway without a turn for a while cannot tell when answers came: their times are no evidence.
         let stalled = now > self.next_tick + TICK;
@@ -589,15 +590,15 @@
         // Many that all know little must rather believe a crowd that is not there than none.
         let cores = self.engines.get(end.engine).map_or(0.0, |engine| engine.cores);
         let untold = learned.work_by_cost.told.weight == 0.0
-            && job.taken.cost.is_some()
+            && request.taken.cost.is_some()
             && self.given.gateways <= cores;
         let evidence = end.ending == Ending::Delivered && !quarter && !stalled;
         let against = (untold && evidence).then(|| learned.against_least(pace, work)).flatten();
         let stood = if untold { against } else { Some(pace) };
         if let Some(engine) = self.engines.get_mut(end.engine) {
-            // The jobs that it tells of have as many threads each as ours; else pace is about threads a core.
+            // The requests that it tells of have as many threads each as ours; else pace is about threads a core.
             let others =
-                end.load.jobs.map(|all| (all - f64::from(engine.pushes)) * self.threads_each.or(1.0));
+                end.load.requests.map(|all| (all - f64::from(engine.pushes)) * self.threads_each.or(1.0));
             let ran = matches!(end.ending, Ending::Delivered | Ending::TimedOut | Ending::CalledOff);
             let felt = stood.map(|pace| Room::USUAL * pace.min(8.0) * engine.cores - engine.threads);
             let felt = felt.filter(|_| ran && !quarter && !stalled && self.given.gateways > 1.0);
@@ -641,44 +642,46 @@
             let paces = if quarter { &mut learned.quarter_pace } else { &mut learned.pace };
             paces.add(pace, work, 0.99);
             self.theta.runs.add(pace, work / threads, 1.0);
-            self.theta.waits.add(job.ledger_wait, 1.0, 1.0);
-            if job.taken.cost.is_none() {
+            self.theta.waits.add(request.ledger_wait, 1.0, 1.0);
+            if request.taken.cost.is_none() {
                 learned.work.add(work, 1.0, 0.99);
             }
             if end.told.is_some() {
                 learned.memory.add(memory, 1.0, 0.99);
-                learned.work_by_cost.add(job.taken.cost, work);
-                learned.memory_by_estimate.add(job.taken.memory_mb, memory);
+                learned.work_by_cost.add(request.taken.cost, work);
+                learned.memory_by_estimate.add(request.taken.memory_mb, memory);
             }
         }
         let may_run = matches!(end.ending, Ending::TimedOut | Ending::Broken | Ending::CalledOff);
         if let Some(line) = key.filter(|_| may_run).and_then(|key| self.keys.get_mut(&key)) {
             line.rests_until = line.rests_until.max(now + self.given.key_rest);
         }
-        self.settle(end.job, index);
+        self.settle(end.request, index);
         let needed = if end.ending.never_ran() { 0.0 } else { work };
-        let Job { taken, work: charged, .. } = &self.jobs[&end.job];
+        let Request { taken, work: charged, .. } = &self.requests[&end.request];
         self.line.over(taken.team, *charged, needed, now);
-        if end.job_over {
-            self.job_withdrawn(end.job);
-        } else if let Some(job) = self.jobs.get(&end.job).filter(|job| !job.over && !job.out()) {
-            self.due.insert((rank(self.last_start(job)), Due::TooLate(end.job)));
-            self.expires(end.job);
-            self.hold(now, end.job);
-            self.again.push(end.job);
+        if end.request_done {
+            self.request_withdrawn(end.request);
+        } else if let Some(request) =
+            self.requests.get(&end.request).filter(|request| !request.over && !request.out())
+        {
+            self.due.insert((rank(self.last_start(request)), Due::TooLate(end.request)));
+            self.expires(end.request);
+            self.hold(now, end.request);
+            self.again.push(end.request);
         }
-        self.forget_if_done(end.job);
+        self.forget_if_done(end.request);
     }
 
     /// A push no longer counts on its engine.
     fn settle(&mut self, id: usize, index: usize) {
-        let job = &self.jobs[&id];
-        let (push, class) = (&job.pushes[index], &self.given.classes[job.taken.class]);
+        let request = &self.requests[&id];
+        let (push, class) = (&request.pushes[index], &self.given.classes[request.taken.class]);
         if let Some(engine) = self.engines.get_mut(push.engine) {
             self.threads -= class.threads;
             self.unfiled.push(push.engine);
             (engine.threads, engine.pushes) = (engine.threads - class.threads, engine.pushes - 1);
-            let held = engine.holding.iter().position(|&group| group == job.taken.table_group);
+            let held = engine.holding.iter().position(|&group| group == request.taken.table_group);
             held.filter(|_| class.holds_tables).map(|at| engine.holding.swap_remove(at));
             engine.ledger.granted = (engine.ledger.granted - push.grant).max(0.0);
             engine.ledger.open -= 1;
@@ -693,7 +696,7 @@
             self.next_tick = now + TICK;
             self.tick(now);
         }
-        // Jobs are tried before they are found too late: room may just have come free.
+        // Requests are tried before they are found too late: room may just have come free.
         self.push_held(now, out);
         while let Some((_, due)) = self.due.first().copied().filter(|&(at, _)| at <= rank(now)) {
             self.due.pop_first();
@@ -750,7 +753,7 @@
         }
         self.unfiled = (0..self.engines.len()).collect();
         // Tables that clients' keys fill are kept small.
-        self.keys.retain(|_, line| !line.jobs.is_empty() || now < line.rests_until);
+        self.keys.retain(|_, line| !line.requests.is_empty() || now < line.rests_until);
         let from = now - self.repeat_budget().window.max(1.0);
         let forget = |all: &mut VecDeque<f64>| drop(all.drain(..all.partition_point(|&at| at < from)));
         [&mut self.taken_at, &mut self.repeats].into_iter().for_each(forget);
@@ -770,7 +773,7 @@
         let mut failures = 0;
         while failures < 12 {
             let Some(id) = self.line.next(now) else { break };
-            // Another team's light jobs must not fill what a heavy one, whose turn it is, waits for.
+            // Another team's light requests must not fill what a heavy one, whose turn it is, waits for.
             self.passed_by = failures > 0 && self.line.parted();
             match self.in_turn(id, now) && !self.can_never_push(id, now) {
                 true if self.place(now, id, out) => self.line.went(id, now),
@@ -787,9 +790,9 @@
         }
     }
 
-    /// A held job that no push can follow any more has its answer.
+    /// A held request that no push can follow any more has its answer.
     fn end_if_stuck(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
-        let held = self.jobs.get(&id).is_some_and(|job| !job.over && !job.out());
+        let held = self.requests.get(&id).is_some_and(|request| !request.over && !request.out());
         if held && self.can_never_push(id, now) {
             self.end(now, id, out);
         }
@@ -797,15 +800,15 @@
 
     /// Grants by ROC against θ: the grant, and whether it is the quarter.
     fn grant(&mut self, id: usize) -> (f64, f64, bool) {
-        let job = &self.jobs[&id];
+        let request = &self.requests[&id];
         let most = self.given.kinds.iter().map(|kind| kind.memory_mb).fold(0.0, f64::max);
         let cap = most * self.given.largest_share.min(0.5);
-        let spill = self.learned[job.taken.class].spill_factor();
-        let full = if cap > 0.0 { job.memory.min(cap) } else { job.memory };
-        let quarter = job.memory / 4.0;
+        let spill = self.learned[request.taken.class].spill_factor();
+        let full = if cap > 0.0 { request.memory.min(cap) } else { request.memory };
+        let quarter = request.memory / 4.0;
         let time = |grant: f64| {
-            let missing = (1.0 - grant / job.memory.max(1e-9)).max(0.0) / 0.75;
-            job.work * (1.0 + (spill - 1.0) * missing)
+            let missing = (1.0 - grant / request.memory.max(1e-9)).max(0.0) / 0.75;
+            request.work * (1.0 + (spill - 1.0) * missing)
         };
         let (fast, slow) = (time(full), time(quarter));
         let extra = fast * full - slow * quarter;
@@ -818,7 +821,7 @@
         (if best { full } else { quarter }, quarter, !best)
     }
 
-    /// Finds the job's engine and pushes it there; false: it is held.
+    /// Finds the request's engine and pushes it there; false: it is held.
     fn place(&mut self, now: f64, id: usize, out: &mut dyn Writer) -> bool {
         let (grant, least, quarter) = self.grant(id);
         self.file();
@@ -826,7 +829,7 @@
         if !self.may_go(id, now) {
             return false;
         }
-        let Taken { class: of, table_group: group, .. } = self.jobs[&id].taken;
+        let Taken { class: of, table_group: group, .. } = self.requests[&id].taken;
         let (class, ready) = (&self.given.classes[of], self.orders.ready());
         // So many of the first fitting are weighed: in a larger fleet a hot group is more for one engine. Many gateways,
         // each with few requests, see no crowd of their own: there a hot group's engines follow its share of the work.
@@ -842,8 +845,8 @@
         if untold && self.fills(self.threads + class.threads, self.cores) {
             roomy.join(&self.filed[of].even);
         }
-        // A job that holds its tables keeps to the order's far half while it has time, clear of its readers.
-        let far = self.last_start(&self.jobs[&id]) - now > self.run_time(&self.jobs[&id]);
+        // A request that holds its tables keeps to the order's far half while it has time, clear of its readers.
+        let far = self.last_start(&self.requests[&id]) - now > self.run_time(&self.requests[&id]);
         let walk = match class.holds_tables {
             true => self.orders.walk_back(group, roomy, if far { ready.div_ceil(2) } else { ready }),
             false => self.orders.walk(group, roomy, few),
@@ -857,7 +860,7 @@
         };
         let best = self.filed[of].trusted.of(&mut |at| walk.covers(&self.orders, at) && allowed(at));
         let trust = Doubt::TRUST * best;
-        // One light job at a time, and one a draw, tries an engine in doubt: failures must not draw in more.
+        // One light request at a time, and one a draw, tries an engine in doubt: failures must not draw in more.
         let tries = |engine: &EngineState| light && engine.pushes == 0 && engine.doubt.drawn >= trust;
         let (mut open, mut fitting) = (Vec::new(), Vec::new());
         walk.each(&self.orders, &mut |at| {
@@ -867,7 +870,7 @@
             fitting.len() == few
         });
         // What stood in its way may stand there still. Where ours are none, our peers' decide, then chance.
-        let been = |at: usize| self.jobs[&id].pushes.iter().any(|push| push.engine == at);
+        let been = |at: usize| self.requests[&id].pushes.iter().any(|push| push.engine == at);
         let key = |at: &&usize| {
             let EngineState { threads, cores, room, best_pace, .. } = engine(**at);
             let [ours, felt] = [threads / cores, room.peers.with(self.belief, 1.0)].map(rank);
@@ -883,8 +886,8 @@
         let choice = choice.map(|&at| (at, grant, quarter)).or(least);
         let Some((at, grant, quarter)) = choice else {
             let waits = (!open.is_empty()).then_some(now);
-            let job = self.jobs.get_mut(&id).expect("a held job");
-            job.ledger_held_at = job.ledger_held_at.or(waits);
+            let request = self.requests.get_mut(&id).expect("a held job");
+            request.ledger_held_at = request.ledger_held_at.or(waits);
             return false;
         };
         self.push(now, id, at, grant, quarter, out);
@@ -899,13 +902,13 @@
     fn has_room(&self, class: usize, engine: &EngineState, light: bool) -> bool {
         let peers = engine.room.peers.with(self.belief, 1.0).max(0.0);
         let threads = self.given.classes[class].threads;
-        // Light jobs may pass the heavy ones that fill an engine: by more where they cannot make it page.
+        // Light requests may pass the heavy ones that fill an engine: by more where they cannot make it page.
         let passing = if self.given.pages { 1.5 } else { 2.0 };
         let limit = if light { engine.room.limit * passing } else { engine.room.limit };
         // Reports lag: no gateway takes more than twice its share. Without any, most may come from one.
         let ours = (engine.threads + threads) / engine.cores;
         let share = (2.0 / self.given.gateways).max(if engine.room.tells { 0.0 } else { 0.6 });
-        // Where we hold nothing, nothing is told, and a slow spell is felt for long: a light job finds out.
+        // Where we hold nothing, nothing is told, and a slow spell is felt for long: a light request finds out.
         let finds_out = light && self.given.gateways * threads <= engine.cores;
         // What all send a cold engine is bounded by its budget, and the crowd felt elsewhere is not there.
         engine.pushes == 0 && (finds_out || engine.cold)
@@ -915,24 +918,24 @@
 
     fn push(&mut self, now: f64, id: usize, at: usize, grant: f64, quarter: bool, out: &mut dyn Writer) {
         let lane = self.lane(id);
-        let (time_out, patience) = (self.time_out(now, id, at), self.patience(&self.jobs[&id]));
-        let weight = self.usual_work(self.jobs[&id].taken.class);
-        let leave_by = self.repeats_until(&self.jobs[&id]);
-        let job = self.jobs.get_mut(&id).expect("a held job");
-        let class = &self.given.classes[job.taken.class];
-        job.ledger_wait += job.ledger_held_at.take().map_or(0.0, |since| now - since);
-        if !job.pushes.is_empty() {
+        let (time_out, patience) = (self.time_out(now, id, at), self.patience(&self.requests[&id]));
+        let weight = self.usual_work(self.requests[&id].taken.class);
+        let leave_by = self.repeats_until(&self.requests[&id]);
+        let request = self.requests.get_mut(&id).expect("a held job");
+        let class = &self.given.classes[request.taken.class];
+        request.ledger_wait += request.ledger_held_at.take().map_or(0.0, |since| now - since);
+        if !request.pushes.is_empty() {
             self.repeats.push_back(now);
             self.ahead = self.ahead.map(|left| left.saturating_sub(1));
         }
-        job.pushes.push(Push { engine: at, sent: now, grant, quarter, out: true, ..Push::default() });
-        self.due.insert((rank(now + patience), Due::Overdue(id, job.pushes.len() - 1)));
+        request.pushes.push(Push { engine: at, sent: now, grant, quarter, out: true, ..Push::default() });
+        self.due.insert((rank(now + patience), Due::Overdue(id, request.pushes.len() - 1)));
         let engine = self.engines.get_mut(at).expect("a listed engine");
         engine.doubt.drawn = 0.0;
         self.threads += class.threads;
         self.unfiled.push(at);
         (engine.threads, engine.pushes) = (engine.threads + class.threads, engine.pushes + 1);
-        engine.holding.extend(Some(job.taken.table_group).filter(|_| class.holds_tables));
+        engine.holding.extend(Some(request.taken.table_group).filter(|_| class.holds_tables));
         engine.ledger.granted += grant;
         engine.ledger.open += 1;
         engine.sent.add(now, weight, self.given.cold.window);
@@ -947,18 +950,20 @@
         self.may_go(id, now) && self.may_take(id, at, now)
     }
 
-    /// Whether the job may be pushed at all now.
+    /// Whether the request may be pushed at all now.
     fn may_go(&self, id: usize, now: f64) -> bool {
-        let Some(job) = self.jobs.get(&id).filter(|job| !job.over && now < job.taken.deadline) else {
+        let Some(request) =
+            self.requests.get(&id).filter(|request| !request.over && now < request.taken.deadline)
+        else {
             return false;
         };
         // Rule 2: no second effect, and one push out unless copies are allowed. Rule 5: key order, and the rest after
         // a push that may still run.
-        if self.can_never_push(id, now) || (job.out() && !self.given.copies) || !self.in_turn(id, now) {
+        if self.can_never_push(id, now) || (request.out() && !self.given.copies) || !self.in_turn(id, now) {
             return false;
         }
         // Rule 7: the budget of further pushes.
-        if job.pushes.is_empty() {
+        if request.pushes.is_empty() {
             return true;
         }
         let budget = self.repeat_budget();
@@ -967,12 +972,14 @@
         self.ahead != Some(0) && repeats as f64 + 1.0 <= budget.spare + budget.share * taken as f64
     }
 
-    /// Whether this engine may take the job now.
+    /// Whether this engine may take the request now.
     fn may_take(&self, id: usize, at: usize, now: f64) -> bool {
-        let (Some(job), Some(engine)) = (self.jobs.get(&id), self.engines.get(at)) else { return false };
+        let (Some(request), Some(engine)) = (self.requests.get(&id), self.engines.get(at)) else {
+            return false;
+        };
         let near = |push: &Push| {
             let first = &self.engines[push.engine].at;
-            match self.given.classes[job.taken.class].idempotency {
+            match self.given.classes[request.taken.class].idempotency {
                 Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
                     first.zone == engine.at.zone
                 }
@@ -986,9 +993,9 @@
         // placement. Rule 4: a cold engine's budget.
         engine.at.stage == Stage::Ready
             && engine.cores > 0.0
-            && job.pushes.iter().filter(|push| !push.never_ran).all(near)
-            && self.placed(job.taken.class, engine)
-            && self.cold_room(engine, now) >= self.usual_work(job.taken.class)
+            && request.pushes.iter().filter(|push| !push.never_ran).all(near)
+            && self.placed(request.taken.class, engine)
+            && self.cold_room(engine, now) >= self.usual_work(request.taken.class)
     }
 
     fn placed(&self, class: usize, engine: &EngineState) -> bool {
@@ -998,10 +1005,10 @@
     }
 
     fn in_turn(&self, id: usize, now: f64) -> bool {
-        let job = &self.jobs[&id];
-        let line = job.taken.key.and_then(|key| self.keys.get(&key));
+        let request = &self.requests[&id];
+        let line = request.taken.key.and_then(|key| self.keys.get(&key));
         line.is_none_or(|line| {
-            line.jobs.front() == Some(&id) && (!job.pushes.is_empty() || now >= line.rests_until)
+            line.requests.front() == Some(&id) && (!request.pushes.is_empty() || now >= line.rests_until)
         })
     }
 
@@ -1010,8 +1017,8 @@
         self.given.budget.unwrap_or(PushBudget { spare: 10.0, share: 0.2, window: 10.0 })
     }
 
-    /// What a job of a class counts for at a cold engine. Until some have told, as much as runs within its
-    /// expected time: many gateways that know nothing yet must not all take heavy jobs for light ones.
+    /// What a request of a class counts for at a cold engine. Until some have told, as much as runs within its
+    /// expected time: many gateways that know nothing yet must not all take heavy requests for light ones.
     fn usual_work(&self, class: usize) -> f64 {
         let of = &self.given.classes[class];
         self.learned[class].work.with(of.expected_time * of.threads, 1.0)
@@ -1033,7 +1040,7 @@
         let known = f64::from(u8::from(now >= self.forgot_at + cold.window));
         let stands = known * cold.multiple * engine.cores * warmth * cold.window * COLD_CAUTION;
         let (sent, share) = (engine.sent.after(now - cold.window), stands / self.given.gateways);
-        // Among many gateways no job fits a share: each draws once a window, and all send about LOT of it.
+        // Among many gateways no request fits a share: each draws once a window, and all send about LOT of it.
         let draw = mix((self.seed, engine.at.name_hash, (now / cold.window) as u64)) as f64 / u64::MAX as f64;
         let lot = if sent == 0.0 { (LOT * share / draw).min(stands / 4.0) } else { 0.0 };
         // What others say that they sent makes it less, never more: they may be wrong, or have restarted.
@@ -1042,46 +1049,46 @@
 
     /// No push can follow, whatever comes.
     fn can_never_push(&self, id: usize, now: f64) -> bool {
-        let job = &self.jobs[&id];
-        now >= self.repeats_until(job) || job.pushes.len() as u32 >= self.given.most_pushes
+        let request = &self.requests[&id];
+        now >= self.repeats_until(request) || request.pushes.len() as u32 >= self.given.most_pushes
     }
 
     /// Until when a push may leave, by the earlier ones that may have run.
-    fn repeats_until(&self, job: &Job) -> f64 {
-        let (lasts, lasts_elsewhere) = match self.given.classes[job.taken.class].idempotency {
+    fn repeats_until(&self, request: &Request) -> f64 {
+        let (lasts, lasts_elsewhere) = match self.given.classes[request.taken.class].idempotency {
             Idempotency::Idempotent => return f64::INFINITY,
             Idempotency::NonIdempotent => (f64::NEG_INFINITY, f64::NEG_INFINITY),
             Idempotency::Deduplicated { window, scope: DeduplicationScope::All } => {
                 (window - EDGE, window - EDGE)
             }
-            // Of one under another job only the time is known, not where it ran.
+            // Of one under another request only the time is known, not where it ran.
             Idempotency::Deduplicated { window, .. } => (window - EDGE, f64::NEG_INFINITY),
         };
-        let ran = job.pushes.iter().filter(|push| !push.never_ran).map(|push| push.sent + lasts);
-        ran.chain(job.taken.earlier.map(|sent| sent + lasts_elsewhere)).fold(f64::INFINITY, f64::min)
+        let ran = request.pushes.iter().filter(|push| !push.never_ran).map(|push| push.sent + lasts);
+        ran.chain(request.taken.earlier.map(|sent| sent + lasts_elsewhere)).fold(f64::INFINITY, f64::min)
     }
 
-    /// Sees to it that a held job is looked at when no push can follow any more.
+    /// Sees to it that a held request is looked at when no push can follow any more.
     fn expires(&mut self, id: usize) {
-        let until = self.repeats_until(&self.jobs[&id]);
+        let until = self.repeats_until(&self.requests[&id]);
         self.due.extend((until < f64::INFINITY).then_some((rank(until), Due::Expired(id))));
     }
 
-    /// When to come back, no later than clients follow: with teams, once the line would take the job.
+    /// When to come back, no later than clients follow: with teams, once the line would take the request.
     /// Spread by chance, so that those that are turned back together do not return as one.
     fn advice(&mut self, now: f64, id: usize) -> Option<f64> {
-        let (most, job) = (self.given.advice?, &self.jobs[&id]);
-        let wait = self.line.wait_for(job.taken.team, job.work, now).filter(|_| self.line.parted());
+        let (most, request) = (self.given.advice?, &self.requests[&id]);
+        let wait = self.line.wait_for(request.taken.team, request.work, now).filter(|_| self.line.parted());
         self.draws += u64::from(wait.is_some());
         let spread = 0.8 + 0.4 * mix((self.seed, self.draws)) as f64 / u64::MAX as f64;
         Some(wait.map_or(most, |wait| (spread * wait.expected).clamp(most / 10.0, most)))
     }
 
-    /// Rule 1: the one place where a job gets its answer from us.
+    /// Rule 1: the one place where a request gets its answer from us.
     fn end(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
-        let Some(job) = self.jobs.get(&id).filter(|job| !job.over) else { return };
-        let (unseen, earlier) = (job.pushes.iter().all(|push| push.never_ran), job.taken.earlier);
-        let harmless = match self.given.classes[job.taken.class].idempotency {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.over) else { return };
+        let (unseen, earlier) = (request.pushes.iter().all(|push| push.never_ran), request.taken.earlier);
+        let harmless = match self.given.classes[request.taken.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Deduplicated { scope: DeduplicationScope::All, window } => {
                 earlier.is_none_or(|sent| now < sent + window)
@@ -1094,75 +1101,82 @@
         } else {
             out.terminate(id);
         }
-        self.job_withdrawn(id);
+        self.request_withdrawn(id);
     }
 
-    /// The job is over, by our answer or without it.
-    pub fn job_withdrawn(&mut self, id: usize) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.over = true;
+    /// The request is over, by our answer or without it.
+    pub fn request_withdrawn(&mut self, id: usize) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.over = true;
         self.line.leave(id);
-        self.due.remove(&(rank(job.taken.deadline), Due::Deadline(id)));
+        self.due.remove(&(rank(request.taken.deadline), Due::Deadline(id)));
         self.forget_if_done(id);
     }
 
     fn forget_if_done(&mut self, id: usize) {
-        let Some(job) = self.jobs.get(&id).filter(|job| job.over && !job.out()) else { return };
-        if let Some(line) = job.taken.key.and_then(|key| self.keys.get_mut(&key)) {
-            line.jobs.retain(|&other| other != id);
+        let Some(request) = self.requests.get(&id).filter(|request| request.over && !request.out()) else {
+            return;
+        };
+        if let Some(line) = request.taken.key.and_then(|key| self.keys.get_mut(&key)) {
+            line.requests.retain(|&other| other != id);
         }
-        self.jobs.remove(&id);
+        self.requests.remove(&id);
     }
 
-    /// Much credit for its work, as jobs go.
+    /// Much credit for its work, as requests go.
     fn light(&self, id: usize) -> bool {
-        self.jobs[&id].density >= self.density.or(0.0)
+        self.requests[&id].density >= self.density.or(0.0)
     }
 
     fn lane(&self, id: usize) -> u8 {
         // Whatever stands still behind a holder of tables waits for as long as it runs: it goes fast.
-        let holds = self.given.classes[self.jobs[&id].taken.class].holds_tables;
+        let holds = self.given.classes[self.requests[&id].taken.class].holds_tables;
         1 + (2 * u8::from(self.light(id))).max(u8::from(holds))
     }
 
-    fn run_time(&self, job: &Job) -> f64 {
-        let threads = self.given.classes[job.taken.class].threads;
-        job.work / threads * self.learned[job.taken.class].pace()
+    fn run_time(&self, request: &Request) -> f64 {
+        let threads = self.given.classes[request.taken.class].threads;
+        request.work / threads * self.learned[request.taken.class].pace()
     }
 
-    /// When a push is overdue, even if the job outgrew its estimate as far as such jobs do.
-    fn patience(&self, job: &Job) -> f64 {
-        let scatter = self.learned[job.taken.class].work_by_cost.scatter;
-        let outgrown = job.taken.cost.map_or(2.0, |_| scatter.or(0.5).exp());
-        0.5 * self.quick + 2.0 * outgrown * self.run_time(job)
+    /// When a push is overdue, even if the request outgrew its estimate as far as such requests do.
+    fn patience(&self, request: &Request) -> f64 {
+        let scatter = self.learned[request.taken.class].work_by_cost.scatter;
+        let outgrown = request.taken.cost.map_or(2.0, |_| scatter.or(0.5).exp());
+        0.5 * self.quick + 2.0 * outgrown * self.run_time(request)
     }
 
-    fn last_start(&self, job: &Job) -> f64 {
-        job.expected_at - self.run_time(job)
+    fn last_start(&self, request: &Request) -> f64 {
+        request.expected_at - self.run_time(request)
     }
 
     /// So long that, should it pass unanswered, a push elsewhere may still come in time.
     /// Where the work goes on all the same, only an engine in doubt is not worth waiting for.
     fn time_out(&self, now: f64, id: usize, at: usize) -> Option<f64> {
-        let job = &self.jobs[&id];
+        let request = &self.requests[&id];
         if !self.given.call_off && self.engines[at].doubt.mean() > Doubt::TRUST {
             return None;
         }
-        let slow = (self.median / self.learned[job.taken.class].pace()).max(1.0);
-        let (run, left) = (self.run_time(job) * slow, job.taken.deadline - now);
-        let early = (2.8 * run + 0.1 * self.quick).max(0.5 * (job.expected_at - now));
-        // A job that holds its tables stands behind others that do, and would lose its place.
-        let holds = self.given.classes[job.taken.class].holds_tables;
-        let wait =
-            if holds { (2.0 * self.patience(job)).max(job.expected_at - now - 1.5 * run) } else { early };
-        (wait + run < left && job.pushes.len() + 1 < self.given.most_pushes as usize).then_some(wait)
+        let slow = (self.median / self.learned[request.taken.class].pace()).max(1.0);
+        let (run, left) = (self.run_time(request) * slow, request.taken.deadline - now);
+        let early = (2.8 * run + 0.1 * self.quick).max(0.5 * (request.expected_at - now));
+        // A request that holds its tables stands behind others that do, and would lose its place.
+        let holds = self.given.classes[request.taken.class].holds_tables;
+        let wait = if holds {
+            (2.0 * self.patience(request)).max(request.expected_at - now - 1.5 * run)
+        } else {
+            early
+        };
+        (wait + run < left && request.pushes.len() + 1 < self.given.most_pushes as usize).then_some(wait)
     }
 
-    /// A held job that can't come in time: turned back, unless what it earns late beats the work that waits.
+    /// A held request that can't come in time: turned back, unless what it earns late beats the work that waits.
     fn too_late(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
-        let Some(job) = self.jobs.get(&id).filter(|job| !job.over && !job.out()) else { return };
-        let late = job.density * self.given.classes[job.taken.class].late_share;
-        let last = job.taken.deadline - self.run_time(job);
+        let Some(request) = self.requests.get(&id).filter(|request| !request.over && !request.out()) else {
+            return;
+        };
+        let late = request.density * self.given.classes[request.taken.class].late_share;
+        let last = request.taken.deadline - self.run_time(request);
         if late >= self.density.or(0.0) && now < last - 0.05 {
             self.due.insert((rank(last), Due::TooLate(id)));
             return;
@@ -1172,7 +1186,7 @@
 
     fn turns_back(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
         if self.turning_back.replace(now).is_none() {
-            let (held, density) = (self.line.len(), self.jobs[&id].density);
+            let (held, density) = (self.line.len(), self.requests[&id].density);
             self.log.push(format!("turning back: {held} held, credit for work {density:.2}"));
         }
         self.end(now, id, out);
@@ -1180,11 +1194,11 @@
 
     /// A push is out for too long, and its engine has answered nothing since: counted again while it lasts.
     fn overdue(&mut self, now: f64, id: usize, index: usize, out: &mut dyn Writer) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let (over, number, push) = (job.over, index as u32, &mut job.pushes[index]);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let (over, number, push) = (request.over, index as u32, &mut request.pushes[index]);
         let engine = self.engines.get_mut(push.engine).filter(|one| push.out && one.last_answer < push.sent);
         let Some(engine) = engine else { return };
-        engine.doubt.add(job.taken.class, 0.0, 1.0, 1.0);
+        engine.doubt.add(request.taken.class, 0.0, 1.0, 1.0);
         self.unfiled.push(push.engine);
         self.due.insert((rank(now + 2.0), Due::Overdue(id, index)));
         if self.given.call_off && !over && !push.called_off && engine.doubt.mean() < 0.5 {
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -10,8 +10,8 @@
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, job: usize, engine: usize, _: Option<f64>, _: f64) {
-        self.pushes.push((job, engine));
+    fn push(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
+        self.pushes.push((request, engine));
     }
     fn call_off(&mut self, _: usize, _: u32) {}
     fn turn_back(&mut self, _: usize, _: Option<f64>) {}
@@ -29,8 +29,8 @@
 fn plain_walk(gateway: &mut Gateway, now: f64, id: usize) -> Option<(usize, f64)> {
     let (grant, least, _) = gateway.grant(id);
     let gateway = &*gateway;
-    let job = &gateway.jobs[&id];
-    let (group, of) = (job.taken.table_group, job.taken.class);
+    let request = &gateway.requests[&id];
+    let (group, of) = (request.taken.table_group, request.taken.class);
     let ready = gateway.engines.iter().enumerate();
     let ready = ready.filter(|(_, engine)| engine.at.stage == Stage::Ready && engine.cores > 0.0);
     let ready = ready.map(|(at, engine)| (mix((engine.at.name_hash, group)), at));
@@ -42,7 +42,7 @@
     let few = (open.len() / 3).clamp(2, 3).max(hot.ceil() as usize);
     if class.holds_tables {
         open.reverse();
-        let far = gateway.last_start(job) - now > gateway.run_time(job);
+        let far = gateway.last_start(request) - now > gateway.run_time(request);
         open.truncate(if far { open.len().div_ceil(2) } else { open.len() });
     }
     let stalls = class.holds_tables || class.waits_for_holders;
@@ -61,7 +61,7 @@
             && (engine.pushes == 0 || gateway.fills(engine.threads + class.threads, engine.cores))
     };
     open.retain(|at| gateway.has_room(of, engine(at), light) || even && alone(at));
-    let been = |at: &usize| job.pushes.iter().any(|push| push.engine == *at);
+    let been = |at: &usize| request.pushes.iter().any(|push| push.engine == *at);
     let key = |at: &&usize| {
         let peers = engine(at).room.peers.with(gateway.belief, 1.0);
         let [ours, felt] = [engine(at).threads / engine(at).cores, peers].map(rank);
@@ -92,7 +92,7 @@
     }
 }
 
-/// Light, heavy, holding and confined jobs, before engines of two kinds in three zones.
+/// Light, heavy, holding and confined requests, before engines of two kinds in three zones.
 fn deployment(gateways: f64, tells: bool) -> Deployment {
     let all = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 5.0 };
     let near = Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: 5.0 };
@@ -133,7 +133,7 @@
     seed: u64,
     engines: Vec<Listing>,
     names: u64,
-    jobs: usize,
+    requests: usize,
     tells: bool,
     /// Choices that were compared, and what took effect in them.
     choices: usize,
@@ -152,7 +152,7 @@
             seed,
             engines: Vec::new(),
             names: 0,
-            jobs: 0,
+            requests: 0,
             tells,
             choices: 0,
             held: 0,
@@ -217,8 +217,8 @@
             deadline: self.now + 4.0,
             ..Taken::default()
         };
-        self.gateway.job_taken(self.now, self.jobs, taken);
-        self.jobs += 1;
+        self.gateway.request_received(self.now, self.requests, taken);
+        self.requests += 1;
     }
 
     /// One of those that are out ends.
@@ -227,7 +227,7 @@
             return;
         }
         let which = self.draw(self.book.pushes.len());
-        let (job, engine) = self.book.pushes.swap_remove(which);
+        let (request, engine) = self.book.pushes.swap_remove(which);
         // A third of the engines breaks what it gets.
         let bad = [Ending::Erred, Ending::Unreached, Ending::Full, Ending::Broken, Ending::TimedOut];
         let ending = match engine % 3 {
@@ -237,15 +237,16 @@
         let spent = 0.05 * (1 + self.draw(30)) as f64;
         let told = (self.tells && ending == Ending::Delivered).then_some((spent * 0.7, 300.0));
         let load = Load {
-            jobs: self.tells.then_some(self.draw(30) as f64),
+            requests: self.tells.then_some(self.draw(30) as f64),
             memory_waits: (self.draw(30) == 0).then_some(1.0),
             memory_granted: (self.draw(10) == 0).then_some(1.0),
         };
-        let job_over = ending == Ending::Delivered;
-        self.gateway.push_over(self.now, &PushEnd { job, engine, ending, job_over, spent, told, load });
+        let request_done = ending == Ending::Delivered;
+        self.gateway
+            .push_over(self.now, &PushEnd { request, engine, ending, request_done, spent, told, load });
     }
 
-    /// Jobs are tried as `push_held` tries them, each choice beside the plain walk's.
+    /// Requests are tried as `push_held` tries them, each choice beside the plain walk's.
     fn compare(&mut self) {
         let gateway = &mut self.gateway;
         let mut failures = 0;
@@ -261,7 +262,7 @@
             let found = self.book.pushes[pushed..].first().map(|(_, engine)| *engine);
             assert_eq!(found, expected.map(|(at, _)| at), "job {id} at {}, seed {}", self.now, self.seed);
             if let Some((_, grant)) = expected {
-                let push = gateway.jobs[&id].pushes.last().expect("it was pushed");
+                let push = gateway.requests[&id].pushes.last().expect("it was pushed");
                 assert_eq!(push.grant, grant, "job {id}");
                 self.roomiest += usize::from(push.quarter);
             }
@@ -314,7 +315,7 @@
     assert!(choices > 15_000 && held > 1_000 && quarters > 100, "{choices} choices, {held} held, {quarters}");
 }
 
-/// With teams a heavy job whose turn came before keeps light ones from passing.
+/// With teams a heavy request whose turn came before keeps light ones from passing.
 #[test]
 fn the_index_finds_the_same_with_teams() {
     let mut story = Story::new(30, 3.0, true, 77);
@@ -324,7 +325,7 @@
     assert!(story.choices > 1_000 && story.held > 100, "{} {}", story.choices, story.held);
 }
 
-/// How many engines a job's choice looks at, in a fleet of so many whose jobs read so many table groups alike.
+/// How many engines a request's choice looks at, in a fleet of so many whose requests read so many table groups alike.
 fn looks(engines: usize, groups: usize, bad: bool, changes: usize) -> f64 {
     let mut story = Story::new(engines, (engines * 550 / 690) as f64, true, 5);
     let (mut took, mut before) = (0, 0);
@@ -341,16 +342,16 @@
             deadline: story.now + 2.0,
             ..Taken::default()
         };
-        story.gateway.job_taken(story.now, story.jobs, taken);
-        (story.jobs, took) = (story.jobs + 1, took + 1);
+        story.gateway.request_received(story.now, story.requests, taken);
+        (story.requests, took) = (story.requests + 1, took + 1);
         story.gateway.round(story.now, &mut story.book);
         while story.book.pushes.len() > 10 {
-            let (job, engine) = story.book.pushes.remove(0);
+            let (request, engine) = story.book.pushes.remove(0);
             let ending = if bad && engine % 3 == 0 { Ending::Broken } else { Ending::Delivered };
             let told = (ending == Ending::Delivered).then_some((0.02, 50.0));
-            let load = Load { jobs: Some(1.0), ..Load::default() };
-            let job_over = ending == Ending::Delivered;
-            let end = PushEnd { job, engine, ending, job_over, spent: 0.03, told, load };
+            let load = Load { requests: Some(1.0), ..Load::default() };
+            let request_done = ending == Ending::Delivered;
+            let end = PushEnd { request, engine, ending, request_done, spent: 0.03, told, load };
             story.gateway.push_over(story.now, &end);
         }
         if changes > 0 && step % changes == 0 {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What is kept of a job while it is open. It decides nothing, and holds no value that was tuned.
+//! What is kept of a request while it is open. It decides nothing, and holds no value that was tuned.
 
 use crate::Taken;
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
 }
 
 #[derive(Default)]
-pub struct Job {
+pub struct Request {
     pub taken: Taken,
     pub work: f64,
     pub memory: f64,
@@ -28,7 +28,7 @@
     pub over: bool,
 }
 
-impl Job {
+impl Request {
     pub fn out(&self) -> bool {
         self.pushes.iter().any(|push| push.out)
     }
@@ -36,11 +36,11 @@
 
 #[derive(Default)]
 pub struct KeyLine {
-    pub jobs: VecDeque<usize>,
+    pub requests: VecDeque<usize>,
     pub rests_until: f64,
 }
 
-/// What falls due: a job's deadline or last sensible start; a push out for too long.
+/// What falls due: a request's deadline or last sensible start; a push out for too long.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Deadline(usize),
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -17,10 +17,10 @@
     gateways: usize,
     /// So many of them have all the traffic.
     busy: usize,
-    /// Work of a light and of a heavy job, and how many times what the engine can do warm is asked for.
+    /// Work of a light and of a heavy request, and how many times what the engine can do warm is asked for.
     work: [f64; 2],
     demand: f64,
-    /// Jobs tell what they cost.
+    /// Requests tell what they cost.
     estimates: bool,
     /// Seven in ten restart at once, knowing nothing, and again every one and a half seconds.
     restart: bool,
@@ -76,8 +76,8 @@
             world.now = now;
             let done: Vec<_> = out[at].iter().copied().filter(|(end, ..)| *end <= now).collect();
             out[at].retain(|(end, ..)| *end > now);
-            for (_, job, work) in done {
-                world.tell(job, PACE * work, work, 100.0);
+            for (_, request, work) in done {
+                world.tell(request, PACE * work, work, 100.0);
             }
             let mut left = if at < play.busy { rate * step } else { 0.0 };
             while left > 0.0 && draw(&mut seed) < left {
@@ -86,16 +86,16 @@
                 let work = play.work[class] * (0.5 + draw(&mut seed));
                 let told = play.estimates.then_some(work);
                 let group = (draw(&mut seed) * 300.0) as u64;
-                world.job(class, |taken| (taken.cost, taken.table_group) = (told, group));
+                world.request(class, |taken| (taken.cost, taken.table_group) = (told, group));
                 costs[at].push(work);
             }
             let before = world.book.wrote.len();
             world.round();
             let wrote = world.book.wrote[before..].to_vec();
             for (_, what) in wrote {
-                if let Wrote::Push { job, engine, .. } = what {
-                    let work = costs[at][job];
-                    out[at].push_back((now + PACE * work, job, work));
+                if let Wrote::Push { request, engine, .. } = what {
+                    let work = costs[at][request];
+                    out[at].push_back((now + PACE * work, request, work));
                     if engine == 0 {
                         sent.push_back((now, work));
                     }
@@ -113,7 +113,7 @@
     most
 }
 
-/// A light job in a sixtieth of a heavy one, which passes no lot.
+/// A light request in a sixtieth of a heavy one, which passes no lot.
 const UNEVEN: [f64; 2] = [0.1, 6.0];
 
 #[test]
@@ -139,7 +139,7 @@
     }
 }
 
-/// Jobs of which each could pass a lot, and so many that every gateway has one for each: the lots alone hold them back.
+/// Requests of which each could pass a lot, and so many that every gateway has one for each: the lots alone hold them back.
 #[test]
 fn gateways_that_use_every_lot_keep_a_cold_engines_budget() {
     for gateways in [30, 120, 300] {
@@ -210,24 +210,24 @@
             for (world, out) in self.worlds.iter_mut().zip(&mut self.out) {
                 world.now += Self::STEP;
                 while out.front().is_some_and(|(end, ..)| *end <= world.now) {
-                    let (_, job, spent) = out.pop_front().expect("there is one");
-                    world.over(job, Ending::Delivered, spent);
+                    let (_, request, spent) = out.pop_front().expect("there is one");
+                    world.over(request, Ending::Delivered, spent);
                 }
                 let mut left = rate * Self::STEP;
                 while left > 0.0 && draw(&mut self.seed) < left {
                     left -= 1.0;
                     let group = (draw(&mut self.seed) * 300.0) as u64;
-                    world.job(0, |taken| taken.table_group = group);
+                    world.request(0, |taken| taken.table_group = group);
                 }
                 let before = world.book.wrote.len();
                 world.round();
                 for (_, what) in &world.book.wrote[before..] {
                     match *what {
-                        Wrote::Push { job, engine, .. } => {
+                        Wrote::Push { request, engine, .. } => {
                             let new = engine >= Self::ENGINES;
                             self.sent_to_new += if new { WORK } else { 0.0 };
                             let spent = WORK * if new { Self::PACE_NEW } else { Self::PACE_OLD };
-                            out.push_back((world.now + spent, job, spent));
+                            out.push_back((world.now + spent, request, spent));
                         }
                         Wrote::TurnBack(_) => self.rejected += 1,
                         _ => {}
@@ -273,10 +273,10 @@
         for _ in 0..60 {
             let hot = draw(&mut seed) < HOT_SHARE;
             let group = if hot { 7 } else { 100 + (draw(&mut seed) * 300.0) as u64 };
-            let job = world.job(0, |taken| taken.table_group = group);
+            let request = world.request(0, |taken| taken.table_group = group);
             world.pass(0.1);
-            sent[*world.engines_of(job).first().expect("there is room")] += 1.0;
-            world.tell(job, 0.1, 0.1, 50.0);
+            sent[*world.engines_of(request).first().expect("there is room")] += 1.0;
+            world.tell(request, 0.1, 0.1, 50.0);
         }
     }
     let mean = sent.iter().sum::<f64>() / ENGINES as f64;
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -437,7 +437,7 @@
             earlier,
         };
         self.requests.insert(id, Truth { class, work, memory, deadline, attempts: 0 });
-        self.gateway.job_taken(self.now, id, taken);
+        self.gateway.request_received(self.now, id, taken);
     }
 
     /// An attempt reaches its engine: how it will end, and when.
@@ -502,7 +502,7 @@
             let index = self.below(open.max(1));
             if let Some(&request) = self.requests.keys().nth(index) {
                 self.requests.remove(&request);
-                self.gateway.job_withdrawn(request);
+                self.gateway.request_withdrawn(request);
                 self.cancel(request, None);
             }
         }
@@ -524,15 +524,15 @@
         }
         let reports = known && engine.is_multiple_of(2);
         let load = Load {
-            jobs: (reports && delivered).then_some(running / 1.5 + 1.0),
+            requests: (reports && delivered).then_some(running / 1.5 + 1.0),
             memory_waits: (reports && delivered).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
             memory_granted: (known && delivered && engine % 3 == 0).then_some((running / 24.0).min(1.0)),
         };
         let end = PushEnd {
-            job: request,
+            request: request,
             engine,
             ending,
-            job_over: !self.requests.contains_key(&request),
+            request_done: !self.requests.contains_key(&request),
             spent: self.now - sent,
             told: (known && delivered && engine % 5 != 0).then_some((work, memory)),
             load,
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -5,7 +5,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wrote {
-    Push { job: usize, engine: usize, grant: f64, lane: u8 },
+    Push { request: usize, engine: usize, grant: f64, lane: u8 },
     CallOff(usize),
     TurnBack(usize),
     Terminate(usize),
@@ -19,7 +19,7 @@
     /// Of each push.
     pub time_outs: Vec<Option<f64>>,
     pub leave_by: Vec<f64>,
-    /// Of each job turned back.
+    /// Of each request turned back.
     pub advice: Vec<Option<f64>>,
     now: f64,
     terms: (u8, f64),
@@ -32,24 +32,24 @@
 }
 
 impl Writer for Book {
-    fn terms(&mut self, _job: usize, lane: u8, memory_mb: f64) {
+    fn terms(&mut self, _request: usize, lane: u8, memory_mb: f64) {
         self.terms = (lane, memory_mb);
     }
-    fn push(&mut self, job: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
+    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
         self.time_outs.push(time_out);
         self.leave_by.push(leave_by);
         let (lane, grant) = self.terms;
-        self.note(Wrote::Push { job, engine, grant, lane });
+        self.note(Wrote::Push { request, engine, grant, lane });
     }
-    fn call_off(&mut self, job: usize, _push: u32) {
-        self.note(Wrote::CallOff(job));
+    fn call_off(&mut self, request: usize, _push: u32) {
+        self.note(Wrote::CallOff(request));
     }
-    fn turn_back(&mut self, job: usize, come_back_in: Option<f64>) {
+    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
         self.advice.push(come_back_in);
-        self.note(Wrote::TurnBack(job));
+        self.note(Wrote::TurnBack(request));
     }
-    fn terminate(&mut self, job: usize) {
-        self.note(Wrote::Terminate(job));
+    fn terminate(&mut self, request: usize) {
+        self.note(Wrote::Terminate(request));
     }
     fn watch(&mut self, _on: bool) {
         self.note(Wrote::Watch);
@@ -81,7 +81,7 @@
     }
 }
 
-/// One gateway; light jobs are class 0, heavy ones 1, both pure.
+/// One gateway; light requests are class 0, heavy ones 1, both pure.
 pub fn plain() -> Deployment {
     Deployment {
         gateways: 1.0,
@@ -100,7 +100,7 @@
     pub gateway: Gateway,
     pub book: Book,
     pub now: f64,
-    pub next_job: usize,
+    pub next_request: usize,
 }
 
 impl World {
@@ -110,21 +110,21 @@
 
     pub fn seeded(deployment: Deployment, engines: usize, seed: u64) -> World {
         let gateway = Gateway::new(deployment, seed, 100.0);
-        let mut world = World { gateway, book: Book::default(), now: 100.0, next_job: 0 };
+        let mut world = World { gateway, book: Book::default(), now: 100.0, next_request: 0 };
         let listings: Vec<Listing> = (0..engines).map(listing).collect();
         world.gateway.engines_listed(100.0, &listings, true);
         world
     }
 
-    pub fn job(&mut self, class: usize, change: impl Fn(&mut Taken)) -> usize {
+    pub fn request(&mut self, class: usize, change: impl Fn(&mut Taken)) -> usize {
         let cost = Some(if class == 0 { 0.1 } else { 4.0 });
         let memory_mb = Some(if class == 0 { 50.0 } else { 1000.0 });
         let deadline = self.now + 10.0;
         let mut taken = Taken { class, cost, memory_mb, deadline, ..Taken::default() };
         change(&mut taken);
-        self.gateway.job_taken(self.now, self.next_job, taken);
-        self.next_job += 1;
-        self.next_job - 1
+        self.gateway.request_received(self.now, self.next_request, taken);
+        self.next_request += 1;
+        self.next_request - 1
     }
 
     pub fn round(&mut self) {
@@ -141,31 +141,37 @@
         }
     }
 
-    pub fn over(&mut self, job: usize, ending: Ending, spent: f64) {
-        self.end(job, ending, spent, None, Load::default());
+    pub fn over(&mut self, request: usize, ending: Ending, spent: f64) {
+        self.end(request, ending, spent, None, Load::default());
     }
 
-    /// Delivered by an engine that tells how many jobs it holds.
-    pub fn report(&mut self, job: usize, spent: f64, jobs: f64) {
-        self.end(job, Ending::Delivered, spent, None, Load { jobs: Some(jobs), ..Load::default() });
+    /// Delivered by an engine that tells how many requests it holds.
+    pub fn report(&mut self, request: usize, spent: f64, requests: f64) {
+        self.end(
+            request,
+            Ending::Delivered,
+            spent,
+            None,
+            Load { requests: Some(requests), ..Load::default() },
+        );
     }
 
     /// Delivered, and told what it needed.
-    pub fn tell(&mut self, job: usize, spent: f64, work: f64, memory: f64) {
-        self.end(job, Ending::Delivered, spent, Some((work, memory)), Load::default());
+    pub fn tell(&mut self, request: usize, spent: f64, work: f64, memory: f64) {
+        self.end(request, Ending::Delivered, spent, Some((work, memory)), Load::default());
     }
 
-    fn end(&mut self, job: usize, ending: Ending, spent: f64, told: Option<(f64, f64)>, load: Load) {
-        let engine = self.engines_of(job).pop().expect("it was pushed");
-        let job_over = ending == Ending::Delivered;
-        let end = PushEnd { job, engine, ending, job_over, spent, told, load };
+    fn end(&mut self, request: usize, ending: Ending, spent: f64, told: Option<(f64, f64)>, load: Load) {
+        let engine = self.engines_of(request).pop().expect("it was pushed");
+        let request_done = ending == Ending::Delivered;
+        let end = PushEnd { request, engine, ending, request_done, spent, told, load };
         self.gateway.push_over(self.now, &end);
     }
 
-    /// Where a job was pushed, in turn.
+    /// Where a request was pushed, in turn.
     pub fn engines_of(&self, id: usize) -> Vec<usize> {
         let of = |what: &Wrote| match *what {
-            Wrote::Push { job, engine, .. } if job == id => Some(engine),
+            Wrote::Push { request, engine, .. } if request == id => Some(engine),
             _ => None,
         };
         self.book.wrote.iter().filter_map(|(_, what)| of(what)).collect()
@@ -173,15 +179,15 @@
 
     pub fn grant_of(&self, id: usize) -> f64 {
         let of = |what: &Wrote| match *what {
-            Wrote::Push { job, grant, .. } if job == id => Some(grant),
+            Wrote::Push { request, grant, .. } if request == id => Some(grant),
             _ => None,
         };
         self.book.wrote.iter().rev().find_map(|(_, what)| of(what)).expect("it was pushed")
     }
 
-    /// The answers a job got from us, with their times.
-    pub fn answers(&self, job: usize) -> Vec<(f64, Wrote)> {
-        let ends = [Wrote::TurnBack(job), Wrote::Terminate(job)];
+    /// The answers a request got from us, with their times.
+    pub fn answers(&self, request: usize) -> Vec<(f64, Wrote)> {
+        let ends = [Wrote::TurnBack(request), Wrote::Terminate(request)];
         self.book.wrote.iter().filter(|(_, what)| ends.contains(what)).cloned().collect()
     }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -9,53 +9,53 @@
 // ---- the rules ----
 
 #[test]
-fn a_job_that_no_engine_can_take_is_answered_once_before_its_deadline() {
+fn a_request_that_no_engine_can_take_is_answered_once_before_its_deadline() {
     let mut world = World::new(plain(), 0);
-    let job = world.job(0, |_| ());
+    let request = world.request(0, |_| ());
     world.pass(20.0);
-    let answers = world.answers(job);
+    let answers = world.answers(request);
     assert_eq!(answers.len(), 1);
     assert!(answers[0].0 < 110.0);
 }
 
 #[test]
-fn a_job_whose_push_never_ends_is_answered_at_its_deadline() {
+fn a_request_whose_push_never_ends_is_answered_at_its_deadline() {
     let mut world = World::new(plain(), 2);
-    let job = world.job(0, |_| ());
+    let request = world.request(0, |_| ());
     world.pass(20.0);
-    assert_eq!(world.engines_of(job).len(), 1);
-    let answers = world.answers(job);
+    assert_eq!(world.engines_of(request).len(), 1);
+    let answers = world.answers(request);
     assert_eq!(answers.len(), 1);
     assert!(answers[0].0 < 110.1);
 }
 
 #[test]
-fn an_non_idempotent_job_that_may_have_run_is_terminated_at_once() {
+fn an_non_idempotent_request_that_may_have_run_is_terminated_at_once() {
     let mut deployment = plain();
     deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
-    let job = world.job(0, |_| ());
+    let request = world.request(0, |_| ());
     world.round();
-    world.over(job, Ending::Broken, 0.1);
+    world.over(request, Ending::Broken, 0.1);
     world.pass(0.05);
-    assert_eq!(world.engines_of(job).len(), 1);
-    assert_eq!(world.answers(job).last().map(|(_, what)| what), Some(&Wrote::Terminate(job)));
+    assert_eq!(world.engines_of(request).len(), 1);
+    assert_eq!(world.answers(request).last().map(|(_, what)| what), Some(&Wrote::Terminate(request)));
 }
 
 #[test]
-fn an_non_idempotent_job_that_never_ran_is_pushed_again() {
+fn an_non_idempotent_request_that_never_ran_is_pushed_again() {
     let mut deployment = plain();
     deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
-    let job = world.job(0, |_| ());
+    let request = world.request(0, |_| ());
     world.round();
-    world.over(job, Ending::Unreached, 0.1);
+    world.over(request, Ending::Unreached, 0.1);
     world.pass(0.05);
-    assert_eq!(world.engines_of(job).len(), 2);
+    assert_eq!(world.engines_of(request).len(), 2);
 }
 
 #[test]
-fn a_deduplicated_job_is_repeated_only_in_its_cell_and_window() {
+fn a_deduplicated_request_is_repeated_only_in_its_cell_and_window() {
     let mut deployment = plain();
     deployment.classes[0].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 1.0 };
@@ -63,7 +63,7 @@
     let mut world = World::new(deployment, 0);
     let cells: Vec<Listing> = (0..6).map(|at| Listing { cell: at as u64 % 2, ..listing(at) }).collect();
     world.gateway.engines_listed(100.0, &cells, true);
-    let (early, late) = (world.job(0, |_| ()), world.job(0, |_| ()));
+    let (early, late) = (world.request(0, |_| ()), world.request(0, |_| ()));
     world.round();
     world.now += 0.5;
     world.over(early, Ending::Broken, 0.5);
@@ -78,7 +78,7 @@
 }
 
 /// Rule 2 at the very edge of a short window: a repeat is made only where it can still be there in time, its host is told
-/// by when it must have left, and where it did not, the job has its answer at once. All counts from the first push that
+/// by when it must have left, and where it did not, the request has its answer at once. All counts from the first push that
 /// may have run.
 #[test]
 fn a_repeat_at_the_edge_of_its_window_leaves_in_time_or_not_at_all() {
@@ -87,42 +87,42 @@
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
     deployment.classes[0].expected_time = 8.0;
     let mut world = World::new(deployment, 6);
-    let jobs: Vec<usize> = (0..3).map(|_| world.job(0, |_| ())).collect();
+    let requests: Vec<usize> = (0..3).map(|_| world.request(0, |_| ())).collect();
     world.round();
     let begun = world.now;
     assert_eq!(world.book.leave_by, [f64::INFINITY; 3], "nothing has run before");
     // The first of these never ran: only the second one's time counts.
     world.now = begun + 0.4;
-    world.over(jobs[0], Ending::Unreached, 0.4);
+    world.over(requests[0], Ending::Unreached, 0.4);
     world.round();
     assert_eq!(world.book.leave_by[3], f64::INFINITY);
     world.now = begun + 0.5;
-    world.over(jobs[0], Ending::Broken, 0.1);
-    world.over(jobs[1], Ending::Broken, 0.5);
+    world.over(requests[0], Ending::Broken, 0.1);
+    world.over(requests[1], Ending::Broken, 0.5);
     world.round();
     let mut by = world.book.leave_by[4..].to_vec();
     by.sort_by(f64::total_cmp);
     assert!((by[0] - (begun + 0.98)).abs() < 1e-9 && (by[1] - (begun + 1.38)).abs() < 1e-9, "{by:?}");
     // Its connection did not come up in time; and one whose push ends when a repeat could not be there any more.
     world.now = begun + 0.985;
-    world.over(jobs[1], Ending::NeverSent, 0.485);
-    world.over(jobs[2], Ending::Broken, 0.985);
+    world.over(requests[1], Ending::NeverSent, 0.485);
+    world.over(requests[2], Ending::Broken, 0.985);
     world.round();
-    assert_eq!((world.engines_of(jobs[1]).len(), world.engines_of(jobs[2]).len()), (2, 1));
-    assert_eq!((world.answers(jobs[1]).len(), world.answers(jobs[2]).len()), (1, 1));
+    assert_eq!((world.engines_of(requests[1]).len(), world.engines_of(requests[2]).len()), (2, 1));
+    assert_eq!((world.answers(requests[1]).len(), world.answers(requests[2]).len()), (1, 1));
 }
 
 #[test]
-fn a_job_has_no_more_pushes_than_are_allowed() {
+fn a_request_has_no_more_pushes_than_are_allowed() {
     let mut world = World::new(plain(), 3);
-    let job = world.job(0, |taken| taken.deadline += 50.0);
+    let request = world.request(0, |taken| taken.deadline += 50.0);
     for _ in 0..3 {
         world.round();
-        world.over(job, Ending::Full, 0.0);
+        world.over(request, Ending::Full, 0.0);
     }
     world.pass(1.0);
-    assert_eq!(world.engines_of(job).len(), 3);
-    assert_eq!(world.answers(job).len(), 1);
+    assert_eq!(world.engines_of(request).len(), 3);
+    assert_eq!(world.answers(request).len(), 1);
 }
 
 #[test]
@@ -131,16 +131,16 @@
     let draining = Listing { stage: Stage::Draining, ..listing(0) };
     world.gateway.engines_listed(100.0, &[draining, listing(1)], true);
     for group in 0..20 {
-        let job = world.job(0, |taken| taken.table_group = group);
+        let request = world.request(0, |taken| taken.table_group = group);
         world.pass(0.1);
-        assert_eq!(world.engines_of(job), [1]);
-        world.over(job, Ending::Delivered, 0.1);
+        assert_eq!(world.engines_of(request), [1]);
+        world.over(request, Ending::Delivered, 0.1);
     }
     // Missing from a whole list is gone.
     world.gateway.engines_listed(world.now, &[draining], true);
-    let job = world.job(0, |_| ());
+    let request = world.request(0, |_| ());
     world.pass(1.0);
-    assert_eq!(world.engines_of(job), []);
+    assert_eq!(world.engines_of(request), []);
 }
 
 #[test]
@@ -151,41 +151,41 @@
     let mut world = World::new(deployment, 0);
     world.gateway.engines_listed(100.0, &[Listing { since: Some(99.9), ..listing(0) }], true);
     for step in 0..100 {
-        let job = world.job(0, |_| ());
+        let request = world.request(0, |_| ());
         world.pass(0.02);
-        if !world.engines_of(job).is_empty() {
-            world.over(job, Ending::Delivered, 0.1);
+        if !world.engines_of(request).is_empty() {
+            world.over(request, Ending::Delivered, 0.1);
         }
         if step == 0 {
-            assert!(!world.engines_of(job).is_empty());
+            assert!(!world.engines_of(request).is_empty());
         }
     }
     let mut sent: Vec<f64> = world.book.wrote.iter().map(|(at, _)| *at).collect();
     sent.dedup();
     let warmth = cold.from + 0.7 * 0.2;
     let stands = cold.multiple * 8.0 * warmth * cold.window / 2.0;
-    let pushes = (0..world.next_job).map(|job| world.engines_of(job).len()).sum::<usize>();
+    let pushes = (0..world.next_request).map(|request| world.engines_of(request).len()).sum::<usize>();
     assert!(pushes as f64 * 0.1 <= stands);
-    // Many heavy jobs at once: most of them wait.
-    let heavy: Vec<usize> = (0..20).map(|_| world.job(1, |_| ())).collect();
+    // Many heavy requests at once: most of them wait.
+    let heavy: Vec<usize> = (0..20).map(|_| world.request(1, |_| ())).collect();
     world.pass(0.05);
-    let pushed = heavy.iter().filter(|&&job| !world.engines_of(job).is_empty()).count();
+    let pushed = heavy.iter().filter(|&&request| !world.engines_of(request).is_empty()).count();
     assert!(pushed as f64 * 4.0 <= stands);
 }
 
 #[test]
-fn jobs_of_one_key_run_in_turn_and_rest_after_a_time_out() {
+fn requests_of_one_key_run_in_turn_and_rest_after_a_time_out() {
     let mut deployment = plain();
     deployment.classes[0].in_key_order = true;
     deployment.key_rest = 1.0;
     let mut world = World::new(deployment, 3);
-    let first = world.job(0, |taken| taken.key = Some(5));
-    let second = world.job(0, |taken| taken.key = Some(5));
-    let other = world.job(0, |taken| taken.key = Some(6));
+    let first = world.request(0, |taken| taken.key = Some(5));
+    let second = world.request(0, |taken| taken.key = Some(5));
+    let other = world.request(0, |taken| taken.key = Some(6));
     world.pass(0.1);
-    assert_eq!([first, second, other].map(|job| world.engines_of(job).len()), [1, 0, 1]);
+    assert_eq!([first, second, other].map(|request| world.engines_of(request).len()), [1, 0, 1]);
     world.over(first, Ending::TimedOut, 0.1);
-    world.gateway.job_withdrawn(first);
+    world.gateway.request_withdrawn(first);
     world.pass(0.9);
     assert_eq!(world.engines_of(second).len(), 0);
     world.pass(0.2);
@@ -199,23 +199,23 @@
     deployment.classes[0].credit = 50.0;
     let mut world = World::new(deployment, 3);
     for _ in 0..30 {
-        world.job(0, |taken| taken.key = Some(5));
+        world.request(0, |taken| taken.key = Some(5));
     }
-    let other = world.job(1, |_| ());
+    let other = world.request(1, |_| ());
     world.round();
     assert_eq!(world.engines_of(other).len(), 1);
 }
 
 #[test]
-fn a_bound_job_goes_nowhere_else_even_when_its_places_are_down() {
+fn a_bound_request_goes_nowhere_else_even_when_its_places_are_down() {
     let mut deployment = plain();
     deployment.classes[0].only_zones = Some(vec![1]);
     deployment.classes[1].only_kinds = Some(vec![1]);
     let mut world = World::new(deployment, 3);
-    let jobs = [world.job(0, |_| ()), world.job(1, |_| ())];
+    let requests = [world.request(0, |_| ()), world.request(1, |_| ())];
     world.pass(15.0);
-    for job in jobs {
-        assert_eq!((world.engines_of(job).len(), world.answers(job).len()), (0, 1));
+    for request in requests {
+        assert_eq!((world.engines_of(request).len(), world.answers(request).len()), (0, 1));
     }
 }
 
@@ -224,48 +224,49 @@
     let mut deployment = plain();
     deployment.budget = Some(PushBudget { spare: 2.0, share: 0.1, window: 10.0 });
     let mut world = World::new(deployment, 6);
-    let jobs: Vec<usize> = (0..10).map(|_| world.job(0, |_| ())).collect();
+    let requests: Vec<usize> = (0..10).map(|_| world.request(0, |_| ())).collect();
     world.round();
-    for &job in &jobs {
-        world.over(job, Ending::Erred, 0.0);
+    for &request in &requests {
+        world.over(request, Ending::Erred, 0.0);
     }
     world.pass(1.0);
-    let further: usize = jobs.iter().map(|&job| world.engines_of(job).len() - 1).sum();
+    let further: usize = requests.iter().map(|&request| world.engines_of(request).len() - 1).sum();
     assert!(further <= 3);
 }
 
 // ---- the design's path ----
 
 #[test]
-fn every_job_gets_its_best_grant_until_memory_is_waited_for() {
+fn every_request_gets_its_best_grant_until_memory_is_waited_for() {
     let mut world = World::new(plain(), 4);
-    let calm = world.job(1, |_| ());
+    let calm = world.request(1, |_| ());
     world.round();
     assert!(world.grant_of(calm) > 999.0);
     world.over(calm, Ending::Delivered, 1.0);
     // Two periods of work with waits for memory: θ jumps, and half the memory asked for is no longer given.
     let mut quarters = 0;
     for step in 0..60 {
-        let job = world.job(1, |taken| taken.memory_mb = Some(if step % 2 == 0 { 1000.0 } else { 500.0 }));
+        let request =
+            world.request(1, |taken| taken.memory_mb = Some(if step % 2 == 0 { 1000.0 } else { 500.0 }));
         world.pass(0.1);
-        if world.engines_of(job).is_empty() {
+        if world.engines_of(request).is_empty() {
             continue;
         }
-        world.gateway.push_noted(world.now, job, Note::WaitsForMemory);
-        let quarter = world.grant_of(job) <= 420.0;
+        world.gateway.push_noted(world.now, request, Note::WaitsForMemory);
+        let quarter = world.grant_of(request) <= 420.0;
         quarters += usize::from(quarter);
-        world.over(job, Ending::Delivered, if quarter { 2.0 } else { 1.0 });
+        world.over(request, Ending::Delivered, if quarter { 2.0 } else { 1.0 });
     }
     assert!(world.logged("θ"));
     assert!(quarters > 5);
-    // The waits end: θ falls, and in time every job has its best grant again.
+    // The waits end: θ falls, and in time every request has its best grant again.
     for _ in 0..300 {
-        let job = world.job(1, |_| ());
+        let request = world.request(1, |_| ());
         world.pass(0.1);
-        let quarter = world.grant_of(job) <= 500.0;
-        world.over(job, Ending::Delivered, if quarter { 2.0 } else { 1.0 });
+        let quarter = world.grant_of(request) <= 500.0;
+        world.over(request, Ending::Delivered, if quarter { 2.0 } else { 1.0 });
     }
-    assert!(world.grant_of(world.next_job - 1) > 900.0);
+    assert!(world.grant_of(world.next_request - 1) > 900.0);
 }
 
 #[test]
@@ -273,9 +274,9 @@
     let mut deployment = plain();
     deployment.largest_share = 0.9;
     let mut world = World::new(deployment, 1);
-    let job = world.job(1, |taken| taken.memory_mb = Some(7000.0));
+    let request = world.request(1, |taken| taken.memory_mb = Some(7000.0));
     world.round();
-    assert_eq!(world.grant_of(job), 4000.0);
+    assert_eq!(world.grant_of(request), 4000.0);
 }
 
 #[test]
@@ -286,12 +287,12 @@
     deployment.kinds[0].cores = 64.0;
     let mut world = World::new(deployment, 1);
     let large = |taken: &mut Taken| taken.memory_mb = Some(3000.0);
-    let calm = [world.job(1, large), world.job(1, large)];
+    let calm = [world.request(1, large), world.request(1, large)];
     world.round();
-    assert!(calm.iter().all(|&job| world.grant_of(job) > 2999.0));
+    assert!(calm.iter().all(|&request| world.grant_of(request) > 2999.0));
     world.over(calm[1], Ending::Delivered, 1.0);
     world.gateway.push_noted(world.now, calm[0], Note::WaitsForMemory);
-    let pressed = world.job(1, large);
+    let pressed = world.request(1, large);
     world.round();
     assert_ne!(world.engines_of(pressed).len(), 1, "3000 and 750 MB are past what is left of 3200 MB");
     world.over(calm[0], Ending::Delivered, 1.0);
@@ -300,15 +301,15 @@
 }
 
 #[test]
-fn jobs_of_one_group_go_to_a_few_engines_alike_at_every_gateway() {
+fn requests_of_one_group_go_to_a_few_engines_alike_at_every_gateway() {
     let homes = |seed_engines: usize| {
         let mut world = World::new(plain(), seed_engines);
         let mut homes = Vec::new();
         for _ in 0..30 {
-            let job = world.job(0, |taken| taken.table_group = 3);
+            let request = world.request(0, |taken| taken.table_group = 3);
             world.round();
-            homes.extend(world.engines_of(job));
-            world.over(job, Ending::Delivered, 0.1);
+            homes.extend(world.engines_of(request));
+            world.over(request, Ending::Delivered, 0.1);
         }
         homes.sort_unstable();
         homes.dedup();
@@ -321,19 +322,22 @@
 // ---- failures met ----
 
 #[test]
-fn no_job_is_pushed_behind_a_holder_of_its_tables() {
+fn no_request_is_pushed_behind_a_holder_of_its_tables() {
     let mut deployment = plain();
     deployment.classes.push(RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 1);
-    let (holder, second) = (world.job(2, |_| ()), world.job(2, |_| ()));
-    let elsewhere = world.job(0, |taken| taken.table_group = 8);
+    let (holder, second) = (world.request(2, |_| ()), world.request(2, |_| ()));
+    let elsewhere = world.request(0, |taken| taken.table_group = 8);
     world.round();
-    let reader = world.job(0, |_| ());
+    let reader = world.request(0, |_| ());
     world.round();
-    assert_eq!([holder, second, reader, elsewhere].map(|job| world.engines_of(job).len()), [1, 0, 0, 1]);
+    assert_eq!(
+        [holder, second, reader, elsewhere].map(|request| world.engines_of(request).len()),
+        [1, 0, 0, 1]
+    );
     world.over(holder, Ending::Delivered, 1.0);
     world.round();
-    assert_eq!([second, reader].map(|job| world.engines_of(job).len()), [1, 1]);
+    assert_eq!([second, reader].map(|request| world.engines_of(request).len()), [1, 1]);
 }
 
 #[test]
@@ -341,28 +345,28 @@
     let mut deployment = plain();
     deployment.classes.push(RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 6);
-    let holder = world.job(2, |_| ());
+    let holder = world.request(2, |_| ());
     world.round();
     for _ in 0..8 {
-        let reader = world.job(0, |_| ());
+        let reader = world.request(0, |_| ());
         world.round();
         assert_ne!(world.engines_of(reader), world.engines_of(holder));
     }
 }
 
 #[test]
-fn an_engine_that_fails_at_once_does_not_draw_in_job_after_job() {
+fn an_engine_that_fails_at_once_does_not_draw_in_request_after_request() {
     let mut world = World::new(plain(), 4);
     let mut failed = 0;
     for _ in 0..400 {
-        let job = world.job(0, |_| ());
+        let request = world.request(0, |_| ());
         world.pass(0.02);
-        let Some(&engine) = world.engines_of(job).last() else { continue };
+        let Some(&engine) = world.engines_of(request).last() else { continue };
         if engine == world.engines_of(0)[0] {
             failed += 1;
-            world.over(job, Ending::Broken, 0.001);
+            world.over(request, Ending::Broken, 0.001);
         } else {
-            world.over(job, Ending::Delivered, 0.1);
+            world.over(request, Ending::Delivered, 0.1);
         }
     }
     assert!(world.logged("doubted"));
@@ -374,18 +378,18 @@
     let mut deployment = plain();
     deployment.call_off = true;
     let mut world = World::new(deployment, 4);
-    let jobs: Vec<usize> = (0..6).map(|_| world.job(0, |_| ())).collect();
+    let requests: Vec<usize> = (0..6).map(|_| world.request(0, |_| ())).collect();
     world.pass(1.5);
     let called_off = world.book.wrote.iter().any(|(_, what)| matches!(what, Wrote::CallOff(_)));
     assert!(world.logged("doubted") && called_off);
-    let silent = world.engines_of(jobs[0])[0];
-    let later = world.job(0, |_| ());
+    let silent = world.engines_of(requests[0])[0];
+    let later = world.request(0, |_| ());
     world.round();
     assert_ne!(world.engines_of(later).last(), Some(&silent));
 }
 
 #[test]
-fn a_light_job_that_stands_still_goes_elsewhere_before_its_expected_time() {
+fn a_light_request_that_stands_still_goes_elsewhere_before_its_expected_time() {
     // Whatever it stands behind: a holder of its tables, a lost answer, a dead engine. Quick and slow deployments.
     for pace in [0.2, 1.0] {
         let mut deployment = plain();
@@ -393,15 +397,15 @@
         deployment.classes.iter_mut().for_each(|class| class.expected_time = pace);
         for seed in 0..8 {
             let mut world = World::seeded(deployment.clone(), 3, seed);
-            let job = world.job(0, |taken| taken.cost = Some(0.05 * pace));
+            let request = world.request(0, |taken| taken.cost = Some(0.05 * pace));
             world.round();
             let wait = world.book.time_outs[0].expect("a time-out");
             let (expected, run) = (1.1 * pace, 0.075 * pace);
             assert!((2.0 * run..expected - 2.0 * run).contains(&wait), "{wait} s of {expected} s");
             world.now += wait;
-            world.over(job, Ending::TimedOut, wait);
+            world.over(request, Ending::TimedOut, wait);
             world.round();
-            let engines = world.engines_of(job);
+            let engines = world.engines_of(request);
             assert!(engines.len() == 2 && engines[0] != engines[1], "{engines:?}");
             // The second is given time for more than its work, though little is left.
             assert!(world.book.time_outs[1].is_some_and(|wait| wait > 3.5 * run));
@@ -416,7 +420,7 @@
     let mut waits = |holds| {
         deployment.classes[1].holds_tables = holds;
         let mut world = World::new(deployment.clone(), 3);
-        world.job(1, |taken| taken.deadline += 60.0);
+        world.request(1, |taken| taken.deadline += 60.0);
         world.round();
         world.book.time_outs[0].expect("a time-out")
     };
@@ -434,21 +438,21 @@
         let mut there = [0, 0];
         for round in 0..300 {
             // The others are answered, so the engine is not silent.
-            let jobs = [1, 1, 0].map(|class| {
+            let requests = [1, 1, 0].map(|class| {
                 let cost = Some(0.1 + class as f64);
-                (class, world.job(class, |taken| (taken.table_group, taken.cost) = (round, cost)))
+                (class, world.request(class, |taken| (taken.table_group, taken.cost) = (round, cost)))
             });
             world.round();
             world.now += 0.1;
-            for (class, job) in jobs {
-                if world.engines_of(job) == [0] {
+            for (class, request) in requests {
+                if world.engines_of(request) == [0] {
                     there[class] += u32::from(round >= 150);
                     if class == 0 {
-                        world.over(job, ending, 0.1);
+                        world.over(request, ending, 0.1);
                         world.round();
                     }
                 }
-                world.over(job, Ending::Delivered, 0.1 + class as f64);
+                world.over(request, Ending::Delivered, 0.1 + class as f64);
             }
         }
         assert!(there[0] < 30 && there[1] > 50, "{ending:?}: {there:?} of 150 and 300");
@@ -461,14 +465,14 @@
     deployment.call_off = true;
     deployment.classes[0].expected_time = 0.2;
     let mut world = World::new(deployment, 4);
-    let mut asked = |jobs: usize, pace: f64| {
-        for _ in 0..jobs {
-            let job = world.job(0, |_| ());
+    let mut asked = |requests: usize, pace: f64| {
+        for _ in 0..requests {
+            let request = world.request(0, |_| ());
             world.round();
             world.now += 0.05;
-            world.over(job, Ending::Delivered, 0.1 * pace);
+            world.over(request, Ending::Delivered, 0.1 * pace);
         }
-        world.job(0, |taken| taken.cost = Some(0.4));
+        world.request(0, |taken| taken.cost = Some(0.4));
         world.round();
         world.book.time_outs.last().copied().flatten().expect("a time-out")
     };
@@ -484,11 +488,13 @@
         deployment.kinds[0].cores = 64.0;
         deployment.trims = trims;
         let mut world = World::new(deployment, 1);
-        let jobs: Vec<usize> =
-            (0..3).map(|_| world.job(1, |taken| taken.memory_mb = Some(3000.0))).inspect(|_| ()).collect();
+        let requests: Vec<usize> = (0..3)
+            .map(|_| world.request(1, |taken| taken.memory_mb = Some(3000.0)))
+            .inspect(|_| ())
+            .collect();
         world.round();
-        world.gateway.push_noted(world.now, jobs[0], Note::Spills);
-        let next = world.job(1, |taken| taken.memory_mb = Some(3000.0));
+        world.gateway.push_noted(world.now, requests[0], Note::Spills);
+        let next = world.request(1, |taken| taken.memory_mb = Some(3000.0));
         world.round();
         assert_eq!(world.engines_of(next).is_empty(), trims);
     }
@@ -497,25 +503,25 @@
 #[test]
 fn what_would_come_too_late_is_turned_back_before_its_time_is_up() {
     let mut world = World::new(plain(), 1);
-    let jobs: Vec<usize> = (0..12).map(|_| world.job(1, |_| ())).collect();
+    let requests: Vec<usize> = (0..12).map(|_| world.request(1, |_| ())).collect();
     world.pass(6.0);
-    let turned_back = jobs.iter().filter(|&&job| world.engines_of(job).is_empty());
-    for &job in turned_back {
-        assert!(world.answers(job)[0].0 < 104.0);
+    let turned_back = requests.iter().filter(|&&request| world.engines_of(request).is_empty());
+    for &request in turned_back {
+        assert!(world.answers(request)[0].0 < 104.0);
     }
     assert!(world.logged("turning back"));
 }
 
 #[test]
-fn a_job_held_again_past_its_time_is_turned_back_not_sat_on() {
+fn a_request_held_again_past_its_time_is_turned_back_not_sat_on() {
     let mut world = World::new(plain(), 1);
-    let job = world.job(0, |_| ());
+    let request = world.request(0, |_| ());
     world.round();
     world.now += 3.0;
-    world.over(job, Ending::Unreached, 0.2);
+    world.over(request, Ending::Unreached, 0.2);
     world.pass(0.3);
-    let again = world.engines_of(job).len() > 1;
-    assert!(again || world.answers(job).len() == 1);
+    let again = world.engines_of(request).len() > 1;
+    assert!(again || world.answers(request).len() == 1);
 }
 
 #[test]
@@ -539,16 +545,16 @@
     // Estimates from a fifth of the truth to twice as much: those that lie low run, and all seem too low.
     for step in 0..60 {
         let cost = [0.2, 0.5, 1.0, 2.0][step % 4];
-        let job = world.job(1, |taken| taken.cost = Some(cost));
+        let request = world.request(1, |taken| taken.cost = Some(cost));
         world.pass(0.5);
-        world.tell(job, 0.5, 1.0, 1000.0);
+        world.tell(request, 0.5, 1.0, 1000.0);
     }
     for _ in 0..4 {
-        world.job(1, |taken| taken.cost = Some(0.2));
+        world.request(1, |taken| taken.cost = Some(0.2));
     }
     world.round();
     // Held, and at its word it could never come in time.
-    let large = world.job(1, |taken| taken.cost = Some(8.0));
+    let large = world.request(1, |taken| taken.cost = Some(8.0));
     world.pass(0.5);
     assert_eq!((world.engines_of(large).len(), world.answers(large).len()), (0, 0));
 }
@@ -556,68 +562,70 @@
 #[test]
 fn a_backlog_after_a_freeze_is_tried_before_it_is_turned_back() {
     let mut world = World::new(plain(), 4);
-    let early = world.job(0, |_| ());
+    let early = world.request(0, |_| ());
     world.round();
     world.over(early, Ending::Delivered, 0.1);
-    // Frozen for two and a half seconds: the jobs that came meanwhile are late when they are seen.
+    // Frozen for two and a half seconds: the requests that came meanwhile are late when they are seen.
     world.now += 2.5;
-    let late: Vec<usize> = (0..4).map(|_| world.job(0, |taken| taken.deadline -= 2.5)).collect();
+    let late: Vec<usize> = (0..4).map(|_| world.request(0, |taken| taken.deadline -= 2.5)).collect();
     world.round();
-    assert!(late.iter().all(|&job| world.engines_of(job).len() == 1));
+    assert!(late.iter().all(|&request| world.engines_of(request).len() == 1));
 }
 
 #[test]
-fn a_job_that_came_late_has_less_time_to_be_held() {
+fn a_request_that_came_late_has_less_time_to_be_held() {
     let mut world = World::new(plain(), 1);
-    let full: Vec<usize> = (0..8).map(|_| world.job(1, |_| ())).collect();
+    let full: Vec<usize> = (0..8).map(|_| world.request(1, |_| ())).collect();
     world.round();
-    let late = world.job(1, |taken| taken.deadline -= 2.0);
+    let late = world.request(1, |taken| taken.deadline -= 2.0);
     world.pass(1.0);
     assert_eq!(world.answers(late).len(), 1);
-    assert!(full.iter().any(|&job| world.engines_of(job).is_empty() && world.answers(job).is_empty()));
+    assert!(full
+        .iter()
+        .any(|&request| world.engines_of(request).is_empty() && world.answers(request).is_empty()));
 }
 
 #[test]
-fn bound_jobs_are_not_starved_when_all_their_places_are_in_doubt() {
+fn bound_requests_are_not_starved_when_all_their_places_are_in_doubt() {
     let mut deployment = plain();
     deployment.classes[1].only_zones = Some(vec![1]);
     let mut world = World::new(deployment, 3);
     world.gateway.engines_listed(100.0, &[Listing { zone: 1, ..listing(9) }], false);
     for _ in 0..3 {
-        let job = world.job(1, |_| ());
+        let request = world.request(1, |_| ());
         world.round();
-        world.over(job, Ending::Broken, 0.1);
-        world.gateway.job_withdrawn(job);
+        world.over(request, Ending::Broken, 0.1);
+        world.gateway.request_withdrawn(request);
     }
     world.pass(0.5);
     assert!(world.logged("engine 9 doubted"));
-    let job = world.job(1, |_| ());
+    let request = world.request(1, |_| ());
     world.round();
-    assert_eq!(world.engines_of(job), [9]);
+    assert_eq!(world.engines_of(request), [9]);
 }
 
 #[test]
-fn without_estimates_a_cold_engine_is_spared_by_what_jobs_took() {
+fn without_estimates_a_cold_engine_is_spared_by_what_requests_took() {
     let mut deployment = plain();
     deployment.gateways = 2.0;
     let mut world = World::new(deployment, 2);
     let bare = |taken: &mut Taken| (taken.cost, taken.memory_mb) = (None, None);
     for _ in 0..20 {
-        let job = world.job(1, bare);
+        let request = world.request(1, bare);
         world.pass(0.1);
-        world.over(job, Ending::Delivered, 2.0);
+        world.over(request, Ending::Delivered, 2.0);
     }
     // Eight seconds of work each: our share of what a cold engine stands is under six in its window.
     let gone = |engine| Listing { stage: Stage::Gone, ..listing(engine) };
     let cold = Listing { since: Some(world.now), ..listing(5) };
     world.gateway.engines_listed(world.now, &[gone(0), gone(1), cold], false);
-    let job = world.job(1, bare);
+    let request = world.request(1, bare);
     world.pass(0.5);
-    assert_eq!(world.engines_of(job), []);
+    assert_eq!(world.engines_of(request), []);
 }
 
 #[test]
-fn the_gate_alone_keeps_a_job_from_a_second_effect_a_second_copy_and_one_push_too_many() {
+fn the_gate_alone_keeps_a_request_from_a_second_effect_a_second_copy_and_one_push_too_many() {
     let mut deployment = plain();
     let window = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
     deployment.classes = vec![
@@ -627,18 +635,19 @@
     ];
     deployment.most_pushes = 2;
     let mut world = World::new(deployment, 2);
-    let jobs = [0, 1, 2].map(|class| world.job(class, |_| ()));
+    let requests = [0, 1, 2].map(|class| world.request(class, |_| ()));
     world.round();
-    let gate = |world: &World, job| (0..2).any(|engine| world.gateway.may_push(job, engine, world.now));
-    assert_eq!(jobs.map(|job| gate(&world, job)), [false; 3], "one is out");
+    let gate =
+        |world: &World, request| (0..2).any(|engine| world.gateway.may_push(request, engine, world.now));
+    assert_eq!(requests.map(|request| gate(&world, request)), [false; 3], "one is out");
     world.now += 0.9;
-    jobs.iter().for_each(|&job| world.over(job, Ending::Broken, 0.9));
-    assert_eq!(jobs.map(|job| gate(&world, job)), [false, true, true]);
+    requests.iter().for_each(|&request| world.over(request, Ending::Broken, 0.9));
+    assert_eq!(requests.map(|request| gate(&world, request)), [false, true, true]);
     world.now += 0.2;
-    assert!(!gate(&world, jobs[1]), "its window is over");
+    assert!(!gate(&world, requests[1]), "its window is over");
     world.round();
-    world.over(jobs[2], Ending::Erred, 0.1);
-    assert!(!gate(&world, jobs[2]), "it has had two");
+    world.over(requests[2], Ending::Erred, 0.1);
+    assert!(!gate(&world, requests[2]), "it has had two");
 }
 
 #[test]
@@ -646,8 +655,8 @@
     let mut deployment = plain();
     deployment.classes[0].in_key_order = true;
     let mut world = World::new(deployment, 2);
-    let jobs = [0, 1].map(|_| world.job(0, |taken| taken.key = Some(4)));
-    assert_eq!(jobs.map(|job| world.gateway.may_push(job, 0, world.now)), [true, false]);
+    let requests = [0, 1].map(|_| world.request(0, |taken| taken.key = Some(4)));
+    assert_eq!(requests.map(|request| world.gateway.may_push(request, 0, world.now)), [true, false]);
 }
 
 #[test]
@@ -656,8 +665,9 @@
     let holder = RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) };
     deployment.classes.push(RequestClass { expected_time: 8.0, ..holder });
     let mut world = World::new(deployment, 6);
-    let jobs: Vec<usize> = (0..5).map(|_| world.job(2, |taken| taken.deadline += 20.0)).collect();
-    let pushed = |world: &World| jobs.iter().filter(|&&job| !world.engines_of(job).is_empty()).count();
+    let requests: Vec<usize> = (0..5).map(|_| world.request(2, |taken| taken.deadline += 20.0)).collect();
+    let pushed =
+        |world: &World| requests.iter().filter(|&&request| !world.engines_of(request).is_empty()).count();
     world.round();
     assert_eq!(pushed(&world), 3);
     world.pass(12.0);
@@ -669,19 +679,19 @@
     let mut deployment = plain();
     deployment.gateways = 20.0;
     let mut world = World::new(deployment, 1);
-    for (jobs, pushes) in [(1.0, 1), (7.0, 0)] {
+    for (requests, pushes) in [(1.0, 1), (7.0, 0)] {
         for _ in 0..20 {
-            let light = world.job(0, |_| ());
+            let light = world.request(0, |_| ());
             world.pass(0.1);
             if !world.engines_of(light).is_empty() {
-                world.report(light, 0.1, jobs);
+                world.report(light, 0.1, requests);
             }
         }
-        let heavy = world.job(1, |_| ());
+        let heavy = world.request(1, |_| ());
         world.pass(0.05);
-        assert_eq!(world.engines_of(heavy).len(), pushes, "{jobs} in hand");
+        assert_eq!(world.engines_of(heavy).len(), pushes, "{requests} in hand");
         if pushes > 0 {
-            world.report(heavy, 1.0, jobs);
+            world.report(heavy, 1.0, requests);
         }
     }
 }
@@ -692,17 +702,18 @@
     deployment.gateways = 200.0;
     let mut world = World::new(deployment, 8);
     for _ in 0..20 {
-        let light = world.job(0, |taken| taken.table_group = 1);
+        let light = world.request(0, |taken| taken.table_group = 1);
         world.round();
         world.report(light, 0.1, 15.0);
     }
     world.pass(0.3);
-    let heavy: Vec<usize> = (0..20).map(|group| world.job(1, |taken| taken.table_group = group)).collect();
+    let heavy: Vec<usize> =
+        (0..20).map(|group| world.request(1, |taken| taken.table_group = group)).collect();
     world.round();
-    assert!(heavy.iter().all(|&job| world.engines_of(job).is_empty()));
+    assert!(heavy.iter().all(|&request| world.engines_of(request).is_empty()));
     // The news fades: in time engines are tried again.
     world.pass(15.0);
-    let later = world.job(1, |_| ());
+    let later = world.request(1, |_| ());
     world.round();
     assert_eq!(world.engines_of(later).len(), 1);
 }
@@ -713,13 +724,13 @@
     deployment.gateways = 200.0;
     let mut world = World::new(deployment, 2);
     for _ in 0..40 {
-        let job = world.job(0, |_| ());
+        let request = world.request(0, |_| ());
         world.pass(0.1);
-        world.over(job, Ending::Delivered, 0.08);
+        world.over(request, Ending::Delivered, 0.08);
     }
-    let burst: Vec<usize> = (0..8).map(|_| world.job(0, |_| ())).collect();
+    let burst: Vec<usize> = (0..8).map(|_| world.request(0, |_| ())).collect();
     world.round();
-    assert!(burst.iter().all(|&job| world.engines_of(job).len() == 1));
+    assert!(burst.iter().all(|&request| world.engines_of(request).len() == 1));
 }
 
 #[test]
@@ -727,10 +738,10 @@
     let mut world = World::new(plain(), 2);
     let mut grants = Vec::new();
     for _ in 0..80 {
-        let job = world.job(1, |_| ());
+        let request = world.request(1, |_| ());
         world.pass(0.1);
-        grants.push(world.grant_of(job));
-        world.tell(job, 1.0, 4.0, 1000.0);
+        grants.push(world.grant_of(request));
+        world.tell(request, 1.0, 4.0, 1000.0);
     }
     assert!((1300.0..1700.0).contains(&grants[0]), "{}", grants[0]);
     assert!((1000.0..1100.0).contains(&grants[79]), "{}", grants[79]);
@@ -746,9 +757,12 @@
     for seed in 0..300 {
         let mut world = World::seeded(deployment.clone(), 0, seed);
         world.gateway.engines_listed(100.0, &[Listing { since: Some(100.0), ..listing(0) }], true);
-        let jobs: Vec<usize> = (0..4).map(|at| world.job(usize::from(at == 3), |_| ())).collect();
+        let requests: Vec<usize> = (0..4).map(|at| world.request(usize::from(at == 3), |_| ())).collect();
         world.pass(window / 2.0);
-        work += jobs.iter().map(|&job| world.engines_of(job).len() as f64 * [0.1, 4.0][job / 3]).sum::<f64>();
+        work += requests
+            .iter()
+            .map(|&request| world.engines_of(request).len() as f64 * [0.1, 4.0][request / 3])
+            .sum::<f64>();
     }
     assert!(work > 0.0 && work < stands / 2.0, "{work} of {stands}");
 }
@@ -757,15 +771,15 @@
 fn answers_seen_after_a_gap_of_our_own_turn_are_no_evidence() {
     for (gap, doubted) in [(0.2, true), (6.0, false)] {
         let mut world = World::new(plain(), 1);
-        let early = world.job(0, |_| ());
+        let early = world.request(0, |_| ());
         world.round();
         world.over(early, Ending::Delivered, 0.1);
-        let jobs: Vec<usize> = (0..10).map(|_| world.job(0, |_| ())).collect();
+        let requests: Vec<usize> = (0..10).map(|_| world.request(0, |_| ())).collect();
         world.round();
         world.pass(6.0 - gap);
         // Time goes on, but we have no turn.
         world.now += gap;
-        jobs.iter().for_each(|&job| world.over(job, Ending::Delivered, 6.0));
+        requests.iter().for_each(|&request| world.over(request, Ending::Delivered, 6.0));
         world.round();
         world.pass(0.3);
         assert_eq!(world.logged("doubted"), doubted, "a gap of {gap}");
@@ -777,16 +791,17 @@
     let mut deployment = plain();
     deployment.gateways = 500.0;
     let mut world = World::new(deployment, 0);
-    let early = world.job(0, |_| ());
+    let early = world.request(0, |_| ());
     world.pass(0.5);
     for count in [2, 10] {
         let since = Some(world.now);
         let cold: Vec<Listing> = (0..count).map(|at| Listing { since, ..listing(at) }).collect();
         world.gateway.engines_listed(world.now, &cold, true);
         world.pass(30.0);
-        let warm: Vec<usize> = (0..40).map(|group| world.job(0, |taken| taken.table_group = group)).collect();
+        let warm: Vec<usize> =
+            (0..40).map(|group| world.request(0, |taken| taken.table_group = group)).collect();
         world.round();
-        let mut used: Vec<usize> = warm.iter().flat_map(|&job| world.engines_of(job)).collect();
+        let mut used: Vec<usize> = warm.iter().flat_map(|&request| world.engines_of(request)).collect();
         used.sort_unstable();
         used.dedup();
         assert!(used.len() > count / 2, "{used:?} of {count}");
@@ -798,14 +813,14 @@
 fn an_engine_that_stays_silent_stays_in_doubt() {
     let mut world = World::new(plain(), 2);
     world.pass(0.1);
-    let silent = world.job(1, |taken| taken.deadline += 50.0);
+    let silent = world.request(1, |taken| taken.deadline += 50.0);
     world.round();
     let at = world.engines_of(silent)[0];
     // One push in all tells of it, long ago: nothing heavy goes there while it lasts.
     world.pass(25.0);
-    let heavy: Vec<usize> = (0..3).map(|group| world.job(1, |taken| taken.table_group = group)).collect();
+    let heavy: Vec<usize> = (0..3).map(|group| world.request(1, |taken| taken.table_group = group)).collect();
     world.round();
-    assert!(heavy.iter().all(|&job| !world.engines_of(job).contains(&at)));
+    assert!(heavy.iter().all(|&request| !world.engines_of(request).contains(&at)));
 }
 
 #[test]
@@ -815,14 +830,14 @@
     let mut world = World::new(deployment, 4);
     let mut used = vec![0; 4];
     for step in 0..240 {
-        let job = world.job(step % 2, |taken| taken.table_group = step as u64 % 12);
+        let request = world.request(step % 2, |taken| taken.table_group = step as u64 % 12);
         world.pass(0.05);
-        let Some(&at) = world.engines_of(job).last() else { continue };
+        let Some(&at) = world.engines_of(request).last() else { continue };
         used[at] += usize::from(step > 120);
         let ending = if step % 3 == 0 { Ending::Broken } else { Ending::Delivered };
-        world.over(job, ending, 0.1);
+        world.over(request, ending, 0.1);
         if ending == Ending::Broken {
-            world.gateway.job_withdrawn(job);
+            world.gateway.request_withdrawn(request);
         }
     }
     assert!(used.iter().all(|&count| count > 5), "{used:?}");
@@ -831,65 +846,65 @@
 #[test]
 fn what_came_and_passed_while_we_had_no_turn_is_handled_at_once() {
     let mut world = World::new(plain(), 2);
-    let passed = world.job(1, |taken| taken.deadline -= 9.0);
+    let passed = world.request(1, |taken| taken.deadline -= 9.0);
     world.round();
     world.now += 2.0;
     let draining = Listing { stage: Stage::Draining, ..listing(0) };
-    let new: Vec<usize> = (0..6).map(|group| world.job(0, |taken| taken.table_group = group)).collect();
+    let new: Vec<usize> = (0..6).map(|group| world.request(0, |taken| taken.table_group = group)).collect();
     world.gateway.engines_listed(world.now, &[draining], false);
     world.round();
     assert_eq!(world.answers(passed).len(), 1);
-    assert!(new.iter().all(|&job| world.engines_of(job) == [1]));
+    assert!(new.iter().all(|&request| world.engines_of(request) == [1]));
 }
 
 #[test]
-fn an_engine_that_we_hold_nothing_on_is_found_out_about_by_a_light_job() {
+fn an_engine_that_we_hold_nothing_on_is_found_out_about_by_a_light_request() {
     for (gateways, found) in [(3.0, true), (30.0, false)] {
         let mut deployment = plain();
         deployment.gateways = gateways;
         let mut world = World::new(deployment, 1);
         // A slow spell: what is felt of peers there fills the engine long after it is over.
         for _ in 0..30 {
-            let job = world.job(0, |taken| taken.deadline += 50.0);
+            let request = world.request(0, |taken| taken.deadline += 50.0);
             world.round();
-            if !world.engines_of(job).is_empty() {
+            if !world.engines_of(request).is_empty() {
                 world.pass(1.0);
-                world.tell(job, 1.0, 0.1, 50.0);
+                world.tell(request, 1.0, 0.1, 50.0);
             }
         }
         world.pass(0.5);
-        let later = world.job(0, |_| ());
+        let later = world.request(0, |_| ());
         world.round();
         assert_eq!(!world.engines_of(later).is_empty(), found, "{gateways} gateways");
     }
 }
 
 #[test]
-fn an_instance_that_ends_answers_every_job_before() {
+fn an_instance_that_ends_answers_every_request_before() {
     let mut world = World::new(plain(), 2);
-    let out = world.job(0, |_| ());
+    let out = world.request(0, |_| ());
     world.round();
     world.gateway.stop_at(world.now + 3.0);
-    let late = world.job(0, |_| ());
+    let late = world.request(0, |_| ());
     world.round();
     assert_eq!(world.engines_of(late).len(), 1);
     world.pass(3.05);
-    let answered = [out, late].map(|job| world.answers(job));
+    let answered = [out, late].map(|request| world.answers(request));
     assert!(answered.iter().all(|answers| answers.len() == 1 && answers[0].0 < 103.1), "{answered:?}");
 }
 
 #[test]
 fn an_instance_that_drains_turns_back_what_comes_too_late_and_finishes_the_rest() {
     let mut world = World::new(plain(), 3);
-    let out = world.job(0, |_| ());
+    let out = world.request(0, |_| ());
     world.round();
     assert!(world.gateway.drain(world.now) < world.now + 1.0);
     world.pass(0.9);
-    let just = world.job(0, |_| ());
+    let just = world.request(0, |_| ());
     world.round();
     assert_eq!(world.engines_of(just).len(), 1);
     world.pass(0.2);
-    let late = world.job(0, |_| ());
+    let late = world.request(0, |_| ());
     world.round();
     assert_eq!((world.engines_of(late).len(), world.answers(late).len()), (0, 1));
     assert_eq!(world.answers(late)[0].1, Wrote::TurnBack(late));
@@ -903,25 +918,25 @@
 fn an_engine_under_an_old_ones_index_has_none_of_its_history() {
     let mut world = World::new(plain(), 1);
     for _ in 0..8 {
-        let job = world.job(0, |_| ());
+        let request = world.request(0, |_| ());
         world.round();
-        if !world.engines_of(job).is_empty() {
-            world.over(job, Ending::Broken, 0.1);
+        if !world.engines_of(request).is_empty() {
+            world.over(request, Ending::Broken, 0.1);
         }
-        world.gateway.job_withdrawn(job);
+        world.gateway.request_withdrawn(request);
     }
     world.pass(0.3);
     assert!(world.logged("doubted"));
     let new = Listing { name_hash: 7, ..listing(0) };
     world.gateway.engines_listed(world.now, &[new], true);
-    let heavy = world.job(1, |_| ());
+    let heavy = world.request(1, |_| ());
     world.round();
     assert_eq!(world.engines_of(heavy), [0]);
 }
 
 // ---- teams ----
 
-/// Two teams of these weights, whose lines hold so many jobs.
+/// Two teams of these weights, whose lines hold so many requests.
 fn teams(world: &mut World, weights: [f64; 2], most_queued: usize) {
     teams_moved(world, weights, most_queued, 0);
 }
@@ -935,19 +950,23 @@
 }
 
 #[test]
-fn a_greedy_team_does_not_keep_another_ones_jobs_from_their_engines() {
+fn a_greedy_team_does_not_keep_another_ones_requests_from_their_engines() {
     let order = |parted: bool| {
         let mut world = World::new(plain(), 1);
         if parted {
             teams(&mut world, [1.0, 1.0], 1000);
         }
-        // The greedy one's jobs are the denser ones, and there are a hundred.
-        let greedy: Vec<usize> =
-            (0..100).map(|_| world.job(0, |job| (job.team, job.cost) = (1, Some(0.1)))).collect();
-        let modest: Vec<usize> =
-            (0..3).map(|_| world.job(0, |job| (job.team, job.cost) = (2, Some(0.2)))).collect();
+        // The greedy one's requests are the denser ones, and there are a hundred.
+        let greedy: Vec<usize> = (0..100)
+            .map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.1))))
+            .collect();
+        let modest: Vec<usize> = (0..3)
+            .map(|_| world.request(0, |request| (request.team, request.cost) = (2, Some(0.2))))
+            .collect();
         world.round();
-        let out = |jobs: &[usize]| jobs.iter().filter(|job| !world.engines_of(**job).is_empty()).count();
+        let out = |requests: &[usize]| {
+            requests.iter().filter(|request| !world.engines_of(**request).is_empty()).count()
+        };
         (out(&greedy), out(&modest))
     };
     let (greedy, modest) = order(false);
@@ -960,38 +979,38 @@
 fn a_line_that_is_too_long_has_its_last_turned_back_at_once_but_none_that_may_have_run() {
     let mut world = World::new(plain(), 1);
     teams(&mut world, [1.0, 1.0], 2);
-    let ran = world.job(0, |job| (job.team, job.cost) = (1, Some(9.0)));
+    let ran = world.request(0, |request| (request.team, request.cost) = (1, Some(9.0)));
     world.round();
     assert_eq!(world.engines_of(ran).len(), 1);
     let later: Vec<usize> =
-        (0..60).map(|_| world.job(0, |job| (job.team, job.cost) = (1, Some(0.1)))).collect();
+        (0..60).map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)))).collect();
     world.round();
     // Its push breaks: it may have run, and waits for the last in the line.
     world.over(ran, Ending::Broken, 0.1);
     world.round();
     world.round();
-    let back = |job: &usize| matches!(world.answers(*job)[..], [(_, Wrote::TurnBack(_))]);
-    let out = later.iter().filter(|job| !world.engines_of(**job).is_empty()).count();
-    let told = later.iter().filter(|job| back(job)).count();
+    let back = |request: &usize| matches!(world.answers(*request)[..], [(_, Wrote::TurnBack(_))]);
+    let out = later.iter().filter(|request| !world.engines_of(**request).is_empty()).count();
+    let told = later.iter().filter(|request| back(request)).count();
     // One more than two, as the one that may have run is not displaced.
     assert!(told > 20 && told + out <= 60 && told + out + 2 >= 60, "{told} told, {out} out");
     assert!(world.answers(ran).is_empty());
 }
 
-/// Hard case: clients vanish while their jobs are in line.
+/// Hard case: clients vanish while their requests are in line.
 #[test]
-fn jobs_whose_clients_vanish_leave_the_line_and_hold_nobody_up() {
+fn requests_whose_clients_vanish_leave_the_line_and_hold_nobody_up() {
     let mut world = World::new(plain(), 1);
     teams(&mut world, [1.0, 1.0], 40);
     let gone: Vec<usize> =
-        (0..40).map(|_| world.job(0, |job| (job.team, job.cost) = (1, Some(0.1)))).collect();
+        (0..40).map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)))).collect();
     world.round();
     let waited = world.gateway.line.of(1).0;
-    gone.iter().for_each(|job| world.gateway.job_withdrawn(*job));
+    gone.iter().for_each(|request| world.gateway.request_withdrawn(*request));
     assert!(waited > 0 && world.gateway.line.is_empty(), "{waited}");
     // Its line has room again: none of those that come now is displaced.
     for _ in 0..40 {
-        world.job(0, |job| (job.team, job.cost) = (1, Some(0.1)));
+        world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)));
     }
     world.round();
     assert!(world.book.advice.is_empty(), "{:?}", world.book.advice);
@@ -1001,16 +1020,17 @@
 fn new_lines_take_over_what_waits_and_what_is_out() {
     let mut world = World::new(plain(), 1);
     teams(&mut world, [1.0, 1.0], 1000);
-    let jobs: Vec<usize> =
-        (0..50).map(|_| world.job(0, |job| (job.team, job.cost) = (1, Some(0.2)))).collect();
+    let requests: Vec<usize> =
+        (0..50).map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.2)))).collect();
     world.round();
-    let out = |world: &World| jobs.iter().filter(|job| !world.engines_of(**job).is_empty()).count();
+    let out =
+        |world: &World| requests.iter().filter(|request| !world.engines_of(**request).is_empty()).count();
     let before = out(&world);
     assert!(before > 0 && before < 50);
-    // The team is gone from the file: its jobs wait among the others, and none is lost.
+    // The team is gone from the file: its requests wait among the others, and none is lost.
     teams_moved(&mut world, [1.0, 1.0], 1000, 2);
     assert_eq!((world.gateway.line.len(), world.gateway.line.of(2).2), (50 - before, before));
-    let first = *jobs.iter().find(|job| !world.engines_of(**job).is_empty()).unwrap();
+    let first = *requests.iter().find(|request| !world.engines_of(**request).is_empty()).unwrap();
     world.over(first, Ending::Delivered, 0.2);
     world.pass(0.05);
     assert_eq!(out(&world), before + 1);
@@ -1023,21 +1043,23 @@
         if parted {
             teams(&mut world, [1.0, 1.0], 30);
         }
-        // Its line moves: eight jobs go and end each tenth of a second.
+        // Its line moves: eight requests go and end each tenth of a second.
         let mut out = Vec::new();
         for _ in 0..30 {
-            (0..8).for_each(|_| out.push(world.job(0, |job| (job.team, job.cost) = (1, Some(0.1)))));
+            (0..8).for_each(|_| {
+                out.push(world.request(0, |request| (request.team, request.cost) = (1, Some(0.1))))
+            });
             world.round();
             world.pass(0.1);
-            for job in std::mem::take(&mut out) {
-                match world.engines_of(job).is_empty() {
-                    true => out.push(job),
-                    false => world.over(job, Ending::Delivered, 0.1),
+            for request in std::mem::take(&mut out) {
+                match world.engines_of(request).is_empty() {
+                    true => out.push(request),
+                    false => world.over(request, Ending::Delivered, 0.1),
                 }
             }
         }
         for _ in 0..100 {
-            world.job(0, |job| (job.team, job.cost) = (1, Some(0.1)));
+            world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)));
         }
         world.pass(3.0);
         world.book.advice.clone()
@@ -1054,10 +1076,10 @@
     for group in 0..8 {
         let mut used: Vec<usize> = (0..6)
             .flat_map(|_| {
-                let job = world.job(0, |taken| taken.table_group = group);
+                let request = world.request(0, |taken| taken.table_group = group);
                 world.pass(0.1);
-                world.over(job, Ending::Delivered, 0.1);
-                world.engines_of(job)
+                world.over(request, Ending::Delivered, 0.1);
+                world.engines_of(request)
             })
             .collect();
         used.dedup();
@@ -1076,9 +1098,9 @@
     assert!(world.logged("engine 0 doubted"));
     // What we meet ourselves outweighs it.
     for group in 0..30 {
-        let job = world.job(0, |taken| taken.table_group = group);
+        let request = world.request(0, |taken| taken.table_group = group);
         world.round();
-        world.over(job, Ending::Delivered, 0.1);
+        world.over(request, Ending::Delivered, 0.1);
     }
     world.gateway.peers_say(0, Met::default());
     world.pass(0.5);
@@ -1095,11 +1117,11 @@
         let mut world = World::new(Deployment { gateways: 2.0, ..plain() }, 0);
         world.gateway.engines_listed(100.0, &[Listing { since: Some(99.9), ..listing(0) }], true);
         for _ in 0..60 {
-            world.job(0, |_| ());
+            world.request(0, |_| ());
         }
         world.gateway.peers_say(0, Met { sent, ..Met::default() });
         world.pass(0.05);
-        (0..world.next_job).map(|job| world.engines_of(job).len()).sum::<usize>()
+        (0..world.next_request).map(|request| world.engines_of(request).len()).sum::<usize>()
     };
     let ours = pushes_with(0.0);
     assert!(ours > 5 && pushes_with(-5.0) == ours, "{ours}");
@@ -1117,18 +1139,18 @@
     }
 }
 
-/// Rule 2 over a restart: what was pushed before under another job may be pushed again only where that is provably safe,
+/// Rule 2 over a restart: what was pushed before under another request may be pushed again only where that is provably safe,
 /// and what can't be is answered at once, never as harmless.
 #[test]
 fn a_request_that_was_pushed_before_runs_again_only_within_its_window_and_is_else_terminated_at_once() {
     let play = |scope: DeduplicationScope, class: usize, ago: f64| {
         let mut world = World::new(keyed(scope), 3);
         let earlier = Some(world.now - ago);
-        let job = world.job(class, |taken| taken.earlier = earlier);
+        let request = world.request(class, |taken| taken.earlier = earlier);
         world.pass(0.1);
         (
-            world.engines_of(job).len(),
-            world.book.wrote.iter().any(|(_, wrote)| *wrote == Wrote::Terminate(job)),
+            world.engines_of(request).len(),
+            world.book.wrote.iter().any(|(_, wrote)| *wrote == Wrote::Terminate(request)),
         )
     };
     assert_eq!(
@@ -1151,13 +1173,13 @@
         if let Some(repeats) = told {
             world.gateway.remembers(repeats, &[]);
         }
-        let jobs: Vec<usize> = (0..8).map(|_| world.job(0, |_| ())).collect();
+        let requests: Vec<usize> = (0..8).map(|_| world.request(0, |_| ())).collect();
         world.pass(0.1);
-        for job in &jobs {
-            world.over(*job, Ending::Broken, 0.05);
+        for request in &requests {
+            world.over(*request, Ending::Broken, 0.05);
         }
         world.pass(0.1);
-        jobs.iter().filter(|job| world.engines_of(**job).len() > 1).count()
+        requests.iter().filter(|request| world.engines_of(**request).len() > 1).count()
     };
     assert_eq!(play(None), 0);
     assert_eq!(play(Some(&[99.0, 98.0, 95.0])), 1);
@@ -1174,7 +1196,7 @@
         if let Some(sent) = told {
             world.gateway.remembers(&[], sent);
         }
-        let first = world.job(0, |_| ());
+        let first = world.request(0, |_| ());
         world.pass(0.5);
         let early = world.engines_of(first).len();
         world.pass(1.8);
@@ -1193,19 +1215,20 @@
         4,
     );
     world.gateway.ahead = Some(2);
-    let jobs: Vec<usize> = (0..8).map(|_| world.job(0, |_| ())).collect();
+    let requests: Vec<usize> = (0..8).map(|_| world.request(0, |_| ())).collect();
     world.pass(0.1);
-    jobs.iter().for_each(|job| world.over(*job, Ending::Broken, 0.05));
+    requests.iter().for_each(|request| world.over(*request, Ending::Broken, 0.05));
     world.pass(0.1);
-    let again = |world: &World| jobs.iter().filter(|job| world.engines_of(**job).len() > 1).count();
+    let again =
+        |world: &World| requests.iter().filter(|request| world.engines_of(**request).len() > 1).count();
     assert_eq!(again(&world), 2);
     world.gateway.ahead = Some(3);
     world.pass(0.1);
     assert_eq!(again(&world), 5);
 }
 
-/// Hard case: answers tell no work, and the estimates of light jobs are far too low, single ones by twenty times. Six
-/// gateways before engines that stand all but idle must not believe in a crowd there and turn the heavy jobs back.
+/// Hard case: answers tell no work, and the estimates of light requests are far too low, single ones by twenty times. Six
+/// gateways before engines that stand all but idle must not believe in a crowd there and turn the heavy requests back.
 #[test]
 fn few_gateways_see_no_crowd_in_estimates_that_no_answer_corrects() {
     let mut deployment = plain();
@@ -1216,13 +1239,13 @@
     let off = [0.05, 0.6, 0.1, 0.3];
     let mut heavy = Vec::new();
     for round in 0..200 {
-        // A light job that needs 0.3 s, whatever is said of it; now and then a heavy one that is said to need 3 s, and does.
+        // A light request that needs 0.3 s, whatever is said of it; now and then a heavy one that is said to need 3 s, and does.
         let group = round as u64 % 40;
         let light =
-            world.job(0, |taken| (taken.cost, taken.table_group) = (Some(0.3 * off[round % 4]), group));
+            world.request(0, |taken| (taken.cost, taken.table_group) = (Some(0.3 * off[round % 4]), group));
         heavy.extend(
             (round % 20 == 19)
-                .then(|| world.job(1, |taken| (taken.cost, taken.table_group) = (Some(3.0), group))),
+                .then(|| world.request(1, |taken| (taken.cost, taken.table_group) = (Some(3.0), group))),
         );
         world.round();
         world.now += 0.3;
@@ -1230,16 +1253,16 @@
             world.over(light, Ending::Delivered, 0.3);
         }
         world.pass(0.1);
-        for job in heavy.clone() {
-            let out = world.engines_of(job).len() == 1;
+        for request in heavy.clone() {
+            let out = world.engines_of(request).len() == 1;
             let since = world
                 .book
                 .wrote
                 .iter()
-                .find(|(_, what)| matches!(what, Wrote::Push { job: of, .. } if *of == job));
+                .find(|(_, what)| matches!(what, Wrote::Push { request: of, .. } if *of == request));
             if out && since.is_some_and(|(at, _)| world.now >= at + 1.2) {
-                world.over(job, Ending::Delivered, 1.2);
-                heavy.retain(|other| *other != job);
+                world.over(request, Ending::Delivered, 1.2);
+                heavy.retain(|other| *other != request);
             }
         }
     }
@@ -1247,7 +1270,7 @@
     assert_eq!(turned_back, 0, "of 200 light jobs and 10 heavy ones");
 }
 
-/// Thirty-two gateways before eight engines of sixteen cores. No answer tells work, and what jobs are said to need is a
+/// Thirty-two gateways before eight engines of sixteen cores. No answer tells work, and what requests are said to need is a
 /// tenth of what they take: by the first answers a crowd stands on every engine.
 fn many_that_feel_a_crowd() -> World {
     let mut deployment = plain();
@@ -1256,11 +1279,11 @@
     deployment.classes[1].threads = 3.0;
     let mut world = World::new(deployment, 8);
     for group in 0..40 {
-        let job = world.job(0, |taken| (taken.cost, taken.table_group) = (Some(0.002), group));
+        let request = world.request(0, |taken| (taken.cost, taken.table_group) = (Some(0.002), group));
         world.round();
-        if !world.engines_of(job).is_empty() {
+        if !world.engines_of(request).is_empty() {
             world.now += 0.022;
-            world.over(job, Ending::Delivered, 0.022);
+            world.over(request, Ending::Delivered, 0.022);
         }
         world.now += 0.01;
     }
@@ -1276,29 +1299,29 @@
     for round in 0..100 {
         let heavy = usize::from(round % 10 == 9);
         let (said, takes) = if heavy == 1 { (1.0, 1.2) } else { (0.002, 0.022) };
-        let job = world.job(heavy, |taken| (taken.cost, taken.table_group) = (Some(said), round));
+        let request = world.request(heavy, |taken| (taken.cost, taken.table_group) = (Some(said), round));
         world.pass(0.05);
-        (pushed, of) = (pushed + world.engines_of(job).len(), of + 1);
+        (pushed, of) = (pushed + world.engines_of(request).len(), of + 1);
         world.now += takes;
-        if !world.engines_of(job).is_empty() {
-            world.over(job, Ending::Delivered, takes);
+        if !world.engines_of(request).is_empty() {
+            world.over(request, Ending::Delivered, takes);
         }
     }
     assert_eq!((pushed, of), (100, 100));
 }
 
-/// If all gateways take their even part, each core has a thread: four light jobs here, or one heavy one.
+/// If all gateways take their even part, each core has a thread: four light requests here, or one heavy one.
 #[test]
 fn the_even_part_is_no_more_than_a_thread_a_core_from_all_gateways_together() {
     for (class, said, even) in [(0, 0.002, 4), (1, 1.0, 1)] {
         let mut world = many_that_feel_a_crowd();
-        let jobs: Vec<usize> = (0..30)
+        let requests: Vec<usize> = (0..30)
             .map(|group| {
-                world.job(class, |taken| (taken.cost, taken.table_group) = (Some(said), 100 + group))
+                world.request(class, |taken| (taken.cost, taken.table_group) = (Some(said), 100 + group))
             })
             .collect();
         world.pass(0.1);
-        let pushed = jobs.iter().filter(|job| !world.engines_of(**job).is_empty()).count();
+        let pushed = requests.iter().filter(|request| !world.engines_of(**request).is_empty()).count();
         assert_eq!(pushed, even, "category {class}");
     }
 }
@@ -1308,9 +1331,9 @@
 fn grants_have_more_headroom_where_engines_page() {
     let granted = |pages: bool| {
         let mut world = World::new(Deployment { pages, ..plain() }, 2);
-        let job = world.job(1, |taken| taken.memory_mb = Some(1000.0));
+        let request = world.request(1, |taken| taken.memory_mb = Some(1000.0));
         world.round();
-        world.grant_of(job)
+        world.grant_of(request)
     };
     assert!((1599.0..1601.0).contains(&granted(false)), "{}", granted(false));
     assert!(granted(true) > 1.2 * granted(false), "{}", granted(true));
