--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -529,7 +529,7 @@
             memory_granted: (known && delivered && engine % 3 == 0).then_some((running / 24.0).min(1.0)),
         };
         let end = PushEnd {
-            request: request,
+            request,
             engine,
             ending,
             request_done: !self.requests.contains_key(&request),
