--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -3,7 +3,7 @@
 use crate::wire::{micros, seconds, Fields};
 use base64::{engine::general_purpose::STANDARD, Engine as _};
 use cleatgw::logic::Gateway;
-use cleatgw::{Ending, Listing, Load, Met, Note, PushEnd, Stage, Taken, Writer};
+use cleatgw::{AttemptEnd, Ending, Listing, Load, Met, Note, Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineLife, PeerEvidence, Rounds};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_start::{self as start, name_hash, Complaint, Names, Pairs};
@@ -87,8 +87,8 @@
         write_line(self.reply, format_args!("PROVIDE {} {id} {lane} {:.1}", self.instance, memory_mb));
     }
 
-    /// On this wire a push leaves at once.
-    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
+    /// On this wire an attempt leaves at once.
+    fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
         let Some(name) = self.ids.requests.get_mut(&request) else { return };
         name.out += 1;
         let (id, time_out) = (name.id, time_out.map_or(0, |limit| micros(limit).max(1)));
@@ -96,9 +96,9 @@
         write_line(self.reply, format_args!("ASSIGN {} {id} {time_out} {address}", self.instance));
     }
 
-    fn call_off(&mut self, request: usize, push: u32) {
+    fn cancel(&mut self, request: usize, attempt: u32) {
         let Some(id) = self.id(request) else { return };
-        write_line(self.reply, format_args!("WITHDRAW {} {id} {push}", self.instance));
+        write_line(self.reply, format_args!("WITHDRAW {} {id} {attempt}", self.instance));
     }
 
     fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
@@ -355,7 +355,7 @@
         "etimedout" => Ending::TimedOut,
         "econnrefused" => Ending::Unreached,
         "econnreset" => Ending::Broken,
-        "ecanceled" => Ending::CalledOff,
+        "ecanceled" => Ending::Cancelled,
         "skipped" => Ending::NeverSent,
         other => return Err(fields.complain("state-code", "an outcome", other)),
     })
@@ -393,7 +393,7 @@
                     _ => return Ok(()),
                 };
                 if let Some(&request) = self.ids.request_of.get(&wire_id) {
-                    self.gateway.push_noted(now, request, note);
+                    self.gateway.attempt_noted(now, request, note);
                 }
                 Ok(())
             }
@@ -541,7 +541,8 @@
             name.over |= request_done;
         }
         let told = told.map(|told| ((told / 4096) as f64 / 1e3, (told % 4096) as f64 * 4.0));
-        self.gateway.push_over(now, &PushEnd { request, engine, ending, request_done, spent, told, load });
+        self.gateway
+            .attempt_ended(now, &AttemptEnd { request, engine, ending, request_done, spent, told, load });
         self.ids.drop_if_done(request);
         Ok(())
     }
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Third {
     Sound,
-    /// It breaks every push.
+    /// It breaks every attempt.
     Fails,
     /// It has just started, and stays cold.
     Cold,
-    /// It turns every push away as full.
+    /// It turns every attempt away as full.
     Full,
 }
 
@@ -46,10 +46,10 @@
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
+    fn dispatch(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
         self.0.push((request, engine));
     }
-    fn call_off(&mut self, _: usize, _: u32) {}
+    fn cancel(&mut self, _: usize, _: u32) {}
     fn turn_back(&mut self, _: usize, _: Option<f64>) {}
     fn terminate(&mut self, _: usize) {}
     fn watch(&mut self, _: bool) {}
@@ -85,13 +85,13 @@
         largest_share: 0.5,
         grants: true,
         lanes: true,
-        most_pushes: 3,
+        max_attempts: 3,
         cold: ColdStart { from: 0.3, warm_after: 1e6, multiple: 2.0, window: 1.0 },
         ..Deployment::default()
     }
 }
 
-/// Microseconds a request, and the longest round in milliseconds; requests that were pushed at least once of those that came.
+/// Microseconds a request, and the longest round in milliseconds; requests that were dispatched at least once of those that came.
 fn play(play: Play, seed: u64) -> (f64, f64, f64) {
     let mut chance = SmallRng::seed_from_u64(seed);
     let rate = target::STATEMENTS / target::ROUTERS as f64;
@@ -149,8 +149,10 @@
             let request_done = ending == Ending::Delivered;
             let told = request_done.then_some((WORK, 50.0));
             let load = Load { requests: Some(stands), ..Load::default() };
-            gateway
-                .push_over(now, &PushEnd { request, engine, ending, request_done, spent: WORK, told, load });
+            gateway.attempt_ended(
+                now,
+                &AttemptEnd { request, engine, ending, request_done, spent: WORK, told, load },
+            );
         }
         gateway.request_received(now, request, taken(0, group, now + 5.0));
         gateway.round(now, &mut book);
@@ -169,7 +171,7 @@
 
 struct Rows {
     rows: Vec<Row>,
-    pushed: f64,
+    dispatched: f64,
 }
 
 impl Rows {
@@ -178,7 +180,8 @@
         let mut plays = |size: f64| {
             let plays: Vec<_> =
                 (0..ask.plays as u64).map(|number| play(at(size), ask.seed + number)).collect();
-            self.pushed = plays.iter().fold(self.pushed, |least, (.., pushed)| least.min(*pushed));
+            self.dispatched =
+                plays.iter().fold(self.dispatched, |least, (.., dispatched)| least.min(*dispatched));
             let of = |which: fn(&(f64, f64, f64)) -> f64| plays.iter().map(which).collect::<Vec<f64>>();
             (of(|play| play.0), of(|play| play.1))
         };
@@ -204,7 +207,7 @@
     if let Some(size) = sizes.iter().find(|size| **size > 100_000.0) {
         return Err(format!("`--sizes {size}`: 100000 engines are the most that are played"));
     }
-    let mut rows = Rows { rows: Vec::new(), pushed: 1.0 };
+    let mut rows = Rows { rows: Vec::new(), dispatched: 1.0 };
     let engines = target::ENGINES as f64;
     let of = |third, changes| move |size: f64| Play { engines: size as usize, third, changes, ..USUAL };
     rows.add(ask, "by engines", &sizes, engines, of(Third::Sound, 0.0));
@@ -225,7 +228,7 @@
     let more = json!({
         "jobs_a_second": target::STATEMENTS / target::ROUTERS as f64,
         "times_the_cost_at_30": times,
-        "least_share_of_jobs_pushed": rows.pushed,
+        "least_share_of_jobs_pushed": rows.dispatched,
     });
     Ok(report("decisions", ask, &rows.rows, more))
 }
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -1,11 +1,12 @@
 //! A whole fleet in virtual time, many routers to a process: each has the real decisions and the real membership, no
 //! clients and no sockets; the engines are servers of some cores with a queue. One ordered queue of events carries all:
-//! datagrams, pushes, answers and news of the list travel for as long as the regions lie apart.
+//! datagrams, attempts, answers and news of the list travel for as long as the regions lie apart.
 
 use super::target::{REGIONS, ROUTERS, ZONES};
 use cleatgw::logic::Gateway;
 use cleatgw::{
-    ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, PushBudget, PushEnd, RequestClass,
+    AttemptEnd, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, RequestClass,
+    RetryBudget,
 };
 use cleatgw::{Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineLife, LASTS};
@@ -134,8 +135,8 @@
         self.cold.insert(engine, (now, VecDeque::new()));
     }
 
-    /// A push left, `calls` being its work against the mean.
-    fn pushed(&mut self, router: usize, engine: usize, calls: f64, mean: f64, now: f64) {
+    /// An attempt left, `calls` being its work against the mean.
+    fn dispatched(&mut self, router: usize, engine: usize, calls: f64, mean: f64, now: f64) {
         self.looked("nothing new to the closed");
         if let Some(&since) = self.closed.get(&(router, engine)) {
             if now > since + Self::GRACE {
@@ -186,7 +187,7 @@
     }
 }
 
-/// One push on its way to an engine or there.
+/// One attempt on its way to an engine or there.
 #[derive(Clone, Copy)]
 struct Work {
     router: usize,
@@ -209,7 +210,7 @@
     Words(usize, u32),
     Listed(usize, u32, Rc<[Listing]>),
     TimeOut(Work),
-    /// Of a push, as its router hears of it; and how many requests the engine holds.
+    /// Of an attempt, as its router hears of it; and how many requests the engine holds.
     Ended(Work, Ending, f64),
     Arrives(usize, Work),
     Dropped(usize, Work),
@@ -237,7 +238,7 @@
     work: f64,
     since: f64,
     /// Engine as the gateway has it, as it was sent to, when, and whether it is out.
-    pushes: Vec<(usize, usize, f64, bool)>,
+    attempts: Vec<(usize, usize, f64, bool)>,
     over: bool,
 }
 
@@ -266,19 +267,19 @@
 /// What one round wrote.
 #[derive(Default)]
 struct Book {
-    pushes: Vec<(usize, usize, Option<f64>)>,
+    attempts: Vec<(usize, usize, Option<f64>)>,
     ended: Vec<(usize, bool)>,
-    called_off: Vec<(usize, u32)>,
+    cancelled: Vec<(usize, u32)>,
     wake: Option<f64>,
 }
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
-        self.pushes.push((request, engine, time_out));
+    fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
+        self.attempts.push((request, engine, time_out));
     }
-    fn call_off(&mut self, request: usize, push: u32) {
-        self.called_off.push((request, push));
+    fn cancel(&mut self, request: usize, attempt: u32) {
+        self.cancelled.push((request, attempt));
     }
     fn turn_back(&mut self, request: usize, _: Option<f64>) {
         self.ended.push((request, true));
@@ -344,7 +345,7 @@
     /// Hollow routers that panicked: which, when and on what.
     pub died: Vec<String>,
     pub events: u64,
-    /// Pushes beyond a request's first.
+    /// Attempts beyond a request's first.
     pub further: u64,
     holder: Option<usize>,
     holder_lost_at: Option<f64>,
@@ -439,10 +440,10 @@
             classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
             kinds: vec![Kind { cores: CORES, memory_mb: 8192.0 }],
             largest_share: 0.5,
-            call_off: true,
-            most_pushes: 3,
+            cancel: true,
+            max_attempts: 3,
             cold: COLD,
-            budget: Some(PushBudget { spare: 10.0, share: 0.2, window: 10.0 }),
+            budget: Some(RetryBudget { spare: 10.0, share: 0.2, window: 10.0 }),
             ..Deployment::default()
         }
     }
@@ -734,7 +735,7 @@
         self.spent.decisions += began.elapsed();
         router
             .requests
-            .insert(router.next, Request { id, work, since: now, pushes: Vec::new(), over: false });
+            .insert(router.next, Request { id, work, since: now, attempts: Vec::new(), over: false });
         self.checker.taken(id, deadline, non_idempotent);
         self.phase(now).taken += 1;
         self.round(at);
@@ -752,8 +753,8 @@
         gateway.round(now, &mut book);
         self.spent.decisions += began.elapsed();
         book.wake.into_iter().for_each(|wake| self.at(wake, Event::Wake(at, life)));
-        for (id, engine, time_out) in book.pushes {
-            self.push(at, id, engine, time_out);
+        for (id, engine, time_out) in book.attempts {
+            self.dispatch(at, id, engine, time_out);
         }
         for (id, back) in book.ended {
             let Some(request) = self.routers[at].requests.get_mut(&id) else { continue };
@@ -762,10 +763,10 @@
             let phase = self.phase(since);
             *if back { &mut phase.turned_back } else { &mut phase.terminated } += 1;
             self.answered(number);
-            self.give_up(at, id, None, Ending::CalledOff);
+            self.give_up(at, id, None, Ending::Cancelled);
         }
-        for (id, number) in book.called_off {
-            self.give_up(at, id, Some(number as usize), Ending::CalledOff);
+        for (id, number) in book.cancelled {
+            self.give_up(at, id, Some(number as usize), Ending::Cancelled);
         }
     }
 
@@ -779,7 +780,7 @@
         }
     }
 
-    fn push(&mut self, at: usize, id: usize, engine: usize, time_out: Option<f64>) {
+    fn dispatch(&mut self, at: usize, id: usize, engine: usize, time_out: Option<f64>) {
         let (now, life, mean) = (self.now, self.routers[at].life, self.mean);
         let planted = self.play.planted;
         let other = match planted {
@@ -791,11 +792,11 @@
         };
         let sent_to = other.map_or(engine, |other| other.engine);
         let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
-        let number = request.pushes.len();
-        request.pushes.push((engine, sent_to, now, true));
+        let number = request.attempts.len();
+        request.attempts.push((engine, sent_to, now, true));
         let work = Work { router: at, life, request: id, number, id: request.id, work: request.work };
         self.further += u64::from(number > 0);
-        self.checker.pushed(at, sent_to, work.work / mean, mean, now);
+        self.checker.dispatched(at, sent_to, work.work / mean, mean, now);
         time_out.into_iter().for_each(|wait| self.at(now + wait, Event::TimeOut(work)));
         let way = self.engine_way(at, sent_to);
         self.at(now + way, Event::Arrives(sent_to, work));
@@ -804,12 +805,12 @@
         }
     }
 
-    /// Pushes of a request are given up, and their ends are news in this turn.
+    /// Attempts of a request are given up, and their ends are news in this turn.
     fn give_up(&mut self, at: usize, id: usize, only: Option<usize>, ending: Ending) {
         let (now, life) = (self.now, self.routers[at].life);
         let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let mut ends = Vec::new();
-        for (number, (engine, sent_to, sent, out)) in request.pushes.iter_mut().enumerate() {
+        for (number, (engine, sent_to, sent, out)) in request.attempts.iter_mut().enumerate() {
             if *out && only.is_none_or(|only| only == number) {
                 *out = false;
                 let work = Work { router: at, life, request: id, number, id: request.id, work: request.work };
@@ -821,21 +822,21 @@
             let way = self.engine_way(at, sent_to);
             self.at(now + way, Event::Dropped(sent_to, work));
             let (spent, load) = (now - sent, Load::default());
-            self.push_over(
+            self.attempt_ended(
                 at,
-                &PushEnd { request: id, engine, ending, request_done, spent, told: None, load },
+                &AttemptEnd { request: id, engine, ending, request_done, spent, told: None, load },
             );
         }
     }
 
-    fn push_over(&mut self, at: usize, end: &PushEnd) {
+    fn attempt_ended(&mut self, at: usize, end: &AttemptEnd) {
         let (now, life) = (self.now, self.routers[at].life);
         let router = &mut self.routers[at];
         let Some(gateway) = &mut router.gateway else { return };
         let began = Instant::now();
-        gateway.push_over(now, end);
+        gateway.attempt_ended(now, end);
         self.spent.decisions += began.elapsed();
-        let done = |request: &Request| request.over && request.pushes.iter().all(|push| !push.3);
+        let done = |request: &Request| request.over && request.attempts.iter().all(|attempt| !attempt.3);
         if router.requests.get(&end.request).is_some_and(done) {
             router.requests.remove(&end.request);
         }
@@ -845,11 +846,11 @@
     fn ended(&mut self, work: Work, ending: Ending, held: f64) {
         let (now, at) = (self.now, work.router);
         let Some(request) = self.routers[at].requests.get_mut(&work.request) else { return };
-        let push = &mut request.pushes[work.number];
-        if !std::mem::replace(&mut push.3, false) {
+        let attempt = &mut request.attempts[work.number];
+        if !std::mem::replace(&mut attempt.3, false) {
             return;
         }
-        let (engine, spent, since) = (push.0, now - push.2, request.since);
+        let (engine, spent, since) = (attempt.0, now - attempt.2, request.since);
         let delivered = ending == Ending::Delivered;
         if delivered && !std::mem::replace(&mut request.over, true) {
             self.answered(work.id);
@@ -860,9 +861,9 @@
         let told = delivered.then_some((work.work, 10.0));
         let load = Load { requests: delivered.then_some(held), ..Load::default() };
         let request_done = self.routers[at].requests[&work.request].over;
-        self.push_over(
+        self.attempt_ended(
             at,
-            &PushEnd { request: work.request, engine, ending, request_done, spent, told, load },
+            &AttemptEnd { request: work.request, engine, ending, request_done, spent, told, load },
         );
     }
 
--- a/crates/lab/src/capacity/links.rs
+++ b/crates/lab/src/capacity/links.rs
@@ -1,4 +1,4 @@
-//! What connections to engines cost one router: processor time a push by how many are open, how many it opens, and how many
+//! What connections to engines cost one router: processor time an attempt by how many are open, how many it opens, and how many
 //! come anew after a restart. The real program, before hollow engines on one thread of this process.
 
 use super::{report, target, Ask, Need, Row};
@@ -206,7 +206,7 @@
     }
 }
 
-/// A router before these engines that keeps idle connections, with so many pushes on each at most.
+/// A router before these engines that keeps idle connections, with so many attempts on each at most.
 fn router(ask: &Ask, board: &Board, cores: usize, each: usize) -> Router {
     let program = ask.program.to_string_lossy();
     Router::changed(&program, board, 16_000, &["--log-format", "text"], |text| {
@@ -295,9 +295,9 @@
     }
 }
 
-/// With so many connections open, or a few more: how many they were, and the processor time a push and of an idle second in
+/// With so many connections open, or a few more: how many they were, and the processor time an attempt and of an idle second in
 /// microseconds.
-fn pushes(ask: &Ask, links: u64) -> Result<(f64, Vec<f64>, Vec<f64>), String> {
+fn attempts(ask: &Ask, links: u64) -> Result<(f64, Vec<f64>, Vec<f64>), String> {
     let hollow = Hollow::start(FEW)?;
     let board = hollow.board();
     let router = router(ask, &board, 8000, 1);
@@ -305,21 +305,21 @@
     open(&router, &hollow, links)?;
     // The clients that had them opened are gone by then.
     std::thread::sleep(Duration::from_secs(1));
-    let (mut push, mut idle) = (Vec::new(), Vec::new());
+    let (mut attempt, mut idle) = (Vec::new(), Vec::new());
     for _ in 0..ask.plays {
         let before = spent(router.process());
         std::thread::sleep(Duration::from_secs_f64(PLAY / 2.0));
         idle.push((spent(router.process()) - before) * 1e6 / (PLAY / 2.0));
         let before = spent(router.process());
         let (_, rows) = load(&router, 1, RATE, PLAY)?;
-        push.push((spent(router.process()) - before) * 1e6 / rows as f64);
+        attempt.push((spent(router.process()) - before) * 1e6 / rows as f64);
     }
     hollow.sound()?;
     let open = sum(&hollow.shared.open);
     if open < links || open > links + links / 20 + FEW as u64 {
         return Err(format!("{open} connections were open at the end, {links} were asked for"));
     }
-    Ok((open as f64, push, idle))
+    Ok((open as f64, attempt, idle))
 }
 
 /// What one router opens before a fleet of engines at its rate.
@@ -371,14 +371,14 @@
     if most > 4000 {
         return Err(format!("{} descriptors of the router are lacking: 16000 bear 4000", 4 * (most - 4000)));
     }
-    let (mut push, mut idle) = (Vec::new(), Vec::new());
+    let (mut attempt, mut idle) = (Vec::new(), Vec::new());
     for size in sizes {
-        let (size, pushes, idles) = pushes(ask, size as u64)?;
-        eprintln!("{size} connections: {pushes:.0?} us a push, {idles:.0?} us an idle second");
-        push.push((size, pushes));
+        let (size, attempts, idles) = attempts(ask, size as u64)?;
+        eprintln!("{size} connections: {attempts:.0?} us a push, {idles:.0?} us an idle second");
+        attempt.push((size, attempts));
         idle.push((size, idles));
     }
-    let (open, push_at, idle_at) = pushes(ask, OPEN as u64)?;
+    let (open, attempt_at, idle_at) = attempts(ask, OPEN as u64)?;
     let (mut links, mut rates) = (Vec::new(), Vec::new());
     for fleet in FLEETS {
         let mut plays = Vec::new();
@@ -401,7 +401,7 @@
         budget: None,
     };
     let rows = [
-        row("CPU a push, by open connections", "us", push, open, Ok(push_at)),
+        row("CPU a push, by open connections", "us", attempt, open, Ok(attempt_at)),
         row("CPU of an idle second, by open connections", "us", idle, open, Ok(idle_at)),
         row("connections one router opens, by engines", "connections", links, engines, Ok(vec![at.links])),
     ];
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -470,7 +470,7 @@
         record
     }
 
-    /// What clients and engines saw, judged against the rules; `kept` where further pushes are kept over a start.
+    /// What clients and engines saw, judged against the rules; `kept` where retries are kept over a start.
     pub fn verdict(&self, tally: &Tally, kept: bool) -> Verdict {
         let rough = |router: usize, engine: usize, from: f64, to: f64| {
             self.ways[router][engine].was_rough(from, to, 1.0) || !self.was_up(router, from, to)
@@ -493,8 +493,8 @@
         judge(&asked, &ran, &facts)
     }
 
-    /// The most further pushes of a router within so many seconds, over all its lives, by what engines were given.
-    pub fn further_pushes(&self, tally: &Tally, router: usize, window: f64) -> usize {
+    /// The most retries of a router within so many seconds, over all its lives, by what engines were given.
+    pub fn retries(&self, tally: &Tally, router: usize, window: f64) -> usize {
         let calls: std::collections::HashSet<&str> = tally
             .asked
             .iter()
--- a/crates/lab/src/comeback.rs
+++ b/crates/lab/src/comeback.rs
@@ -148,7 +148,7 @@
         }
         all
     });
-    // One engine is silent for a while, so that further pushes are made.
+    // One engine is silent for a while, so that retries are made.
     std::thread::sleep(Duration::from_secs(4));
     cluster.engines[0].silent(true);
     std::thread::sleep(Duration::from_secs(2));
@@ -206,8 +206,8 @@
         "new_connections_peak_per_s": peak(&links, started_at, end),
         "board_calls_peak_per_s": peak(&boards, started_at, end),
         "cold_over_budget": cold,
-        "pushes_over_budget": verdict.pushes_over_budget,
-        "further_pushes_most": victims.iter().map(|at| cluster.further_pushes(&tally, *at, 10.0)).max(),
+        "pushes_over_budget": verdict.attempts_over_budget,
+        "further_pushes_most": victims.iter().map(|at| cluster.retries(&tally, *at, 10.0)).max(),
         "stale_decisions": verdict.to_draining,
         "ran_twice": verdict.ran_twice,
         "two_answers": verdict.two_answers,
--- a/crates/lab/src/line.rs
+++ b/crates/lab/src/line.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// Nanoseconds for one request's whole way (held, estimated, offered, pushed, over) with so many in line of so many teams.
+/// Nanoseconds for one request's whole way (held, estimated, offered, dispatched, over) with so many in line of so many teams.
 fn cost(requests: usize, teams: usize, seed: u64) -> f64 {
     let mut chance = SmallRng::seed_from_u64(seed);
     let leaf =
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     pub answered: u64,
-    /// Rows so soon that no second push was needed: within three tenths of the expected time of a second.
+    /// Rows so soon that no second attempt was needed: within three tenths of the expected time of a second.
     pub at_once: u64,
     /// Sent whole to a router that ran all the while, and never answered.
     pub unanswered: u64,
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -32,7 +32,7 @@
     pub twice: bool,
 }
 
-/// What an engine saw of one push.
+/// What an engine saw of one attempt.
 #[derive(Clone, Debug)]
 pub struct Ran {
     pub engine: usize,
@@ -49,7 +49,7 @@
 pub struct Stated {
     /// How long an idempotency key is known.
     pub window: f64,
-    /// Further pushes: so many, and such a share of the requests taken, in so many seconds.
+    /// Retries: so many, and such a share of the requests taken, in so many seconds.
     pub spare: f64,
     pub share: f64,
     pub look_back: f64,
@@ -76,8 +76,8 @@
     pub ran_twice: usize,
     pub turned_back_after_run: usize,
     pub two_out: usize,
-    pub pushes_over_budget: usize,
-    /// Pushes that came to an engine after it was told to drain, or had gone.
+    pub attempts_over_budget: usize,
+    /// Attempts that came to an engine after it was told to drain, or had gone.
     pub to_draining: usize,
     pub late: usize,
     pub finds: Vec<String>,
@@ -89,7 +89,7 @@
             + self.ran_twice
             + self.turned_back_after_run
             + self.two_out
-            + self.pushes_over_budget
+            + self.attempts_over_budget
             + self.to_draining
             + self.late
     }
@@ -107,7 +107,7 @@
             "ran_twice": self.ran_twice,
             "turned_back_after_run": self.turned_back_after_run,
             "two_out": self.two_out,
-            "pushes_over_budget": self.pushes_over_budget,
+            "pushes_over_budget": self.attempts_over_budget,
             "to_draining": self.to_draining,
             "late": self.late,
             "finds": self.finds,
@@ -122,9 +122,9 @@
     pub drained: Vec<Option<f64>>,
     /// Something was done to the way from this router to this engine between these times.
     pub rough: &'a dyn Fn(usize, usize, f64, f64) -> bool,
-    /// This router was started at these times; its budget of further pushes begins anew where nothing is kept.
+    /// This router was started at these times; its budget of retries begins anew where nothing is kept.
     pub started: Vec<Vec<f64>>,
-    /// It kept what it pushed over its starts, so that the budget has to hold over them.
+    /// It kept what it dispatched over its starts, so that the budget has to hold over them.
     pub kept: bool,
 }
 
@@ -202,7 +202,7 @@
     }
 }
 
-/// Further pushes of each router, over every window that ends with one.
+/// Retries of each router, over every window that ends with one.
 fn budgets(asked: &[Asked], runs: &HashMap<&str, Vec<&Ran>>, facts: &Facts, verdict: &mut Verdict) {
     let routers = asked.iter().map(|request| request.router + 1).max().unwrap_or(0);
     let mut taken = vec![Vec::new(); routers];
@@ -229,7 +229,7 @@
             let requests = between(&taken[router], from - SLACK, *at) as f64;
             // What engines see may be closer together than what was sent, by what is on the way.
             if repeats > (spare + share * requests) * 1.15 + 1.0 {
-                verdict.pushes_over_budget += 1;
+                verdict.attempts_over_budget += 1;
                 verdict
                     .find(format!("router {router}: {repeats} further pushes, {requests} jobs by {at:.2}"));
             }
@@ -341,7 +341,7 @@
     }
 
     #[test]
-    fn further_pushes_beyond_the_budget_are_found_also_over_a_start_where_they_are_kept() {
+    fn further_attempts_beyond_the_budget_are_found_also_over_a_start_where_they_are_kept() {
         let rows = |at: f64| Some((at + 0.5, Outcome::Rows));
         let asked: Vec<Asked> =
             (0..40).map(|at| request(&format!("{at}"), "look", 10.0 + at as f64 * 0.1, rows(10.0))).collect();
@@ -353,10 +353,10 @@
             (0..most).flat_map(two).collect()
         };
         assert_eq!(judge(&asked, &again(15), &facts(&sound)).breaks(), 0);
-        assert!(judge(&asked, &again(40), &facts(&sound)).pushes_over_budget > 0);
+        assert!(judge(&asked, &again(40), &facts(&sound)).attempts_over_budget > 0);
         let halfway = Facts { started: vec![vec![0.0, 11.15]], ..facts(&sound) };
         assert_eq!(judge(&asked, &again(26), &halfway).breaks(), 0, "anew at the start");
-        assert!(judge(&asked, &again(26), &Facts { kept: true, ..halfway }).pushes_over_budget > 0);
+        assert!(judge(&asked, &again(26), &Facts { kept: true, ..halfway }).attempts_over_budget > 0);
     }
 
     #[test]
--- a/crates/lab/src/virtual_comeback.rs
+++ b/crates/lab/src/virtual_comeback.rs
@@ -3,7 +3,7 @@
 
 use cleatgw::logic::Gateway;
 use cleatgw::{
-    ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, PushBudget, PushEnd, RequestClass,
+    AttemptEnd, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, RequestClass, RetryBudget,
 };
 use cleatgw::{Stage, Taken, Writer};
 use cleatgw_recovery::{Kept, Looks, Moment, Pieces, Puts, Recovery, Sent, Step, AHEAD};
@@ -47,10 +47,10 @@
         classes: vec![class],
         kinds: vec![Kind { cores: CORES, memory_mb: 8192.0 }],
         largest_share: 0.5,
-        call_off: true,
-        most_pushes: 3,
+        cancel: true,
+        max_attempts: 3,
         cold: ColdStart { from: 0.2, warm_after: 6.0, multiple: 1.5, window: 1.0 },
-        budget: Some(PushBudget { spare: 4.0, share: 0.1, window: 10.0 }),
+        budget: Some(RetryBudget { spare: 4.0, share: 0.1, window: 10.0 }),
         ..Deployment::default()
     }
 }
@@ -77,7 +77,7 @@
     sent: f64,
     work: f64,
     deadline: f64,
-    /// Out at which engines, by number of the push; when each is over.
+    /// Out at which engines, by number of the attempt; when each is over.
     out: Vec<(usize, bool, Option<f64>)>,
     over: bool,
 }
@@ -99,19 +99,19 @@
 /// What one round wrote.
 #[derive(Default)]
 struct Book {
-    pushes: Vec<(usize, usize, Option<f64>)>,
+    attempts: Vec<(usize, usize, Option<f64>)>,
     ended: Vec<usize>,
-    called_off: Vec<(usize, u32)>,
+    cancelled: Vec<(usize, u32)>,
     wake: f64,
 }
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
-        self.pushes.push((request, engine, time_out));
+    fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
+        self.attempts.push((request, engine, time_out));
     }
-    fn call_off(&mut self, request: usize, push: u32) {
-        self.called_off.push((request, push));
+    fn cancel(&mut self, request: usize, attempt: u32) {
+        self.cancelled.push((request, attempt));
     }
     fn turn_back(&mut self, request: usize, _: Option<f64>) {
         self.ended.push(request);
@@ -296,7 +296,7 @@
         let Some(gateway) = &mut router.gateway else { return };
         gateway.round(now, &mut book);
         router.wake = if book.wake.is_finite() { book.wake } else { router.wake };
-        for (id, engine, time_out) in book.pushes {
+        for (id, engine, time_out) in book.attempts {
             let Some(request) = router.requests.get_mut(&id) else { continue };
             let until = time_out.map_or(request.deadline, |wait| request.deadline.min(now + wait));
             if !request.out.is_empty() {
@@ -321,15 +321,15 @@
         }
         for id in book.ended {
             self.routers[at].requests.get_mut(&id).into_iter().for_each(|request| request.over = true);
-            self.drop_pushes(at, id, Ending::CalledOff, None);
+            self.drop_attempts(at, id, Ending::Cancelled, None);
         }
-        for (id, number) in book.called_off {
-            self.drop_pushes(at, id, Ending::CalledOff, Some(number as usize));
+        for (id, number) in book.cancelled {
+            self.drop_attempts(at, id, Ending::Cancelled, Some(number as usize));
         }
     }
 
-    /// Pushes of a request are given up, and their ends are news at once.
-    fn drop_pushes(&mut self, at: usize, id: usize, ending: Ending, only: Option<usize>) {
+    /// Attempts of a request are given up, and their ends are news at once.
+    fn drop_attempts(&mut self, at: usize, id: usize, ending: Ending, only: Option<usize>) {
         let now = self.now;
         let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let mut ends = Vec::new();
@@ -345,8 +345,8 @@
                 .running
                 .retain(|run| (run.router, run.request, run.number) != (at, id, number));
             let load = Load::default();
-            let end = PushEnd { request: id, engine, ending, request_done, spent: 0.1, told: None, load };
-            self.routers[at].gateway.iter_mut().for_each(|gateway| gateway.push_over(now, &end));
+            let end = AttemptEnd { request: id, engine, ending, request_done, spent: 0.1, told: None, load };
+            self.routers[at].gateway.iter_mut().for_each(|gateway| gateway.attempt_ended(now, &end));
         }
         self.routers[at].wake = now;
     }
@@ -359,7 +359,7 @@
         let late: Vec<usize> =
             self.routers[at].requests.iter().filter(|(_, request)| due(request)).map(|(id, _)| *id).collect();
         for id in late {
-            self.drop_pushes(at, id, Ending::TimedOut, None);
+            self.drop_attempts(at, id, Ending::TimedOut, None);
         }
         let cut = |request: &Request| {
             request.over && request.out.iter().all(|(_, out, _)| !out) || now > request.deadline + 1.0
@@ -398,8 +398,8 @@
                 let (spent, load) = (now - run.sent, Load::default());
                 let (ending, request_done) = (Ending::Delivered, true);
                 let end =
-                    PushEnd { request: run.request, engine: at, ending, request_done, spent, told, load };
-                gateway.push_over(now, &end);
+                    AttemptEnd { request: run.request, engine: at, ending, request_done, spent, told, load };
+                gateway.attempt_ended(now, &end);
                 router.wake = now;
             }
         }
@@ -413,7 +413,7 @@
         let lost: Vec<Running> = std::mem::take(&mut engine.running);
         let listing = engine.listing;
         for run in lost {
-            self.drop_pushes(run.router, run.request, Ending::Broken, Some(run.number));
+            self.drop_attempts(run.router, run.request, Ending::Broken, Some(run.number));
         }
         for router in &mut self.routers {
             router.gateway.iter_mut().for_each(|gateway| gateway.engines_listed(now, &[listing], false));
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,5 +1,5 @@
 //! The line of held requests: whose turn it is. Teams share what engines do by weight, in up to three levels; the share is
-//! of work, not of requests. No I/O, and nothing is decided here of engines, pushes or refusals: the decision module asks
+//! of work, not of requests. No I/O, and nothing is decided here of engines, attempts or refusals: the decision module asks
 //! for the next request to try, and for the one to displace where a line is longer than it may be.
 //!
 //! The order between teams is hierarchical start-time fair queueing (Goyal, Vin and Cheng, "Start-Time Fair Queueing",
@@ -68,7 +68,7 @@
     pub density: f64,
     pub work: f64,
     pub since: f64,
-    /// None of its pushes may have run: it may be displaced.
+    /// None of its attempts may have run: it may be displaced.
     pub never_ran: bool,
 }
 
@@ -400,7 +400,7 @@
         self.owes(at, now);
     }
 
-    /// A request on offer was pushed; it stays charged, and those that join from now on join where it stood.
+    /// A request on offer was dispatched; it stays charged, and those that join from now on join where it stood.
     pub fn went(&mut self, request: usize, now: f64) {
         if let Some(at) = self.offers.iter().position(|offer| offer.waiting.request == request) {
             let Offer { waiting, path } = self.offers.remove(at);
@@ -413,7 +413,7 @@
         }
     }
 
-    /// Those on offer that were not pushed go back into line, and their teams have their charges back.
+    /// Those on offer that were not dispatched go back into line, and their teams have their charges back.
     pub fn put_back(&mut self, now: f64) {
         while let Some(Offer { waiting, path }) = self.offers.pop() {
             for (at, _) in path {
@@ -426,7 +426,7 @@
         }
     }
 
-    /// A push of the team's is over: it needed so much work where so much was charged. Who asks for little and needs
+    /// An attempt of the team's is over: it needed so much work where so much was charged. Who asks for little and needs
     /// much pays later; who asked for much gets it back.
     pub fn over(&mut self, team: usize, charged: f64, needed: f64, now: f64) {
         let team = team.min(self.nodes.len() - 1);
@@ -476,7 +476,7 @@
         share
     }
 
-    /// A push of this team's is out already: lines that are set up while requests are under way begin with those.
+    /// An attempt of this team's is out already: lines that are set up while requests are under way begin with those.
     pub fn carries(&mut self, team: usize) {
         let team = team.min(self.nodes.len() - 1);
         self.nodes[team].out += 1;
@@ -496,7 +496,7 @@
         self.nodes.len()
     }
 
-    /// How long this request will wait from now to its first push, as far as can be told.
+    /// How long this request will wait from now to its first attempt, as far as can be told.
     pub fn wait_of(&self, request: usize, now: f64) -> Option<Wait> {
         let waiting = self.waiting.get(&request)?;
         let key = self.key(waiting);
--- a/crates/queue/src/waits.rs
+++ b/crates/queue/src/waits.rs
@@ -3,7 +3,7 @@
 
 use crate::Waiting;
 
-/// An estimate, in seconds from now to the first push.
+/// An estimate, in seconds from now to the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wait {
     pub expected: f64,
--- a/crates/queue/tests/model.rs
+++ b/crates/queue/tests/model.rs
@@ -1,4 +1,4 @@
-//! Model checking (stateright) of the real line: an adversary holds, offers, pushes, ends and displaces in any order.
+//! Model checking (stateright) of the real line: an adversary holds, offers, attempts, ends and displaces in any order.
 
 use cleatgw_queue::{Line, Terms, Waiting};
 use stateright::{Checker, Model, Property};
@@ -17,14 +17,14 @@
 enum Step {
     /// A request comes to this team.
     Comes(usize),
-    /// The next one is offered and pushed, or goes back.
-    Push,
-    NotPushed,
-    /// The oldest push ends without an answer: its request may have run, or never did, and waits again.
+    /// The next one is offered and dispatched, or goes back.
+    Attempt,
+    NotDispatched,
+    /// The oldest attempt ends without an answer: its request may have run, or never did, and waits again.
     EndsAgain {
         ran: bool,
     },
-    /// The oldest push ends for good.
+    /// The oldest attempt ends for good.
     Ends,
     Displace,
 }
@@ -86,7 +86,14 @@
         if at.next < 5 {
             steps.extend([Comes(0), Comes(1)]);
         }
-        steps.extend([Push, NotPushed, EndsAgain { ran: true }, EndsAgain { ran: false }, Ends, Displace]);
+        steps.extend([
+            Attempt,
+            NotDispatched,
+            EndsAgain { ran: true },
+            EndsAgain { ran: false },
+            Ends,
+            Displace,
+        ]);
     }
 
     fn next_state(&self, at: &At, step: Step) -> Option<At> {
@@ -97,13 +104,13 @@
                 next.next += 1;
                 next.hold(request, self.0);
             }
-            Step::Push => {
+            Step::Attempt => {
                 let request = next.line.next(next.now)?;
                 next.line.went(request, next.now);
                 next.waiting.remove(&request);
                 next.out.push(request);
             }
-            Step::NotPushed => {
+            Step::NotDispatched => {
                 next.line.next(next.now)?;
                 next.line.put_back(next.now);
             }
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -36,15 +36,15 @@
     in_time: "in_time",
     /// Queries that no request could be made of.
     unusable: "unusable",
-    pushes: "pushes",
-    pushes_delivered: "pushes_delivered",
-    pushes_erred: "pushes_erred",
-    pushes_full: "pushes_full",
-    pushes_timed_out: "pushes_timed_out",
-    pushes_unreached: "pushes_unreached",
-    pushes_broken: "pushes_broken",
-    pushes_called_off: "pushes_called_off",
-    pushes_never_sent: "pushes_never_sent",
+    attempts: "pushes",
+    attempts_completed: "pushes_delivered",
+    attempts_erred: "pushes_erred",
+    attempts_full: "pushes_full",
+    attempts_timed_out: "pushes_timed_out",
+    attempts_unreached: "pushes_unreached",
+    attempts_broken: "pushes_broken",
+    attempts_cancelled: "pushes_called_off",
+    attempts_never_sent: "pushes_never_sent",
     /// Answers of engines to what had been given up.
     answers_dropped: "answers_dropped",
     sessions: "sessions",
@@ -105,7 +105,7 @@
     cluster_new_lives: "cluster_new_lives",
     cluster_contradicted: "cluster_contradicted",
     cluster_pauses: "cluster_pauses",
-    /// Puts of what is kept that are on the disk, and those that failed; requests that had been pushed before, by their
+    /// Puts of what is kept that are on the disk, and those that failed; requests that had been dispatched before, by their
     /// idempotency keys.
     store_puts: "store_puts",
     store_failed: "store_failed",
--- a/crates/router/src/routing/marks.rs
+++ b/crates/router/src/routing/marks.rs
@@ -1,18 +1,18 @@
-//! Deduplicated requests that were pushed and may have run, by a hash of their idempotency keys: bounded, the oldest go first.
+//! Deduplicated requests that were dispatched and may have run, by a hash of their idempotency keys: bounded, the oldest go first.
 
 use cleatgw_recovery::MAX_MARKS;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Default)]
 pub struct Marks {
-    /// When each was first pushed.
+    /// When each was first dispatched.
     first: HashMap<u64, f64>,
     order: VecDeque<(u64, f64)>,
 }
 
 impl Marks {
-    /// It is pushed now; tells whether that is new.
-    pub fn pushed(&mut self, idempotency_key: u64, now: f64) -> bool {
+    /// It is dispatched now; tells whether that is new.
+    pub fn dispatched(&mut self, idempotency_key: u64, now: f64) -> bool {
         if self.first.contains_key(&idempotency_key) {
             return false;
         }
@@ -24,7 +24,7 @@
         true
     }
 
-    /// The push of that moment never ran: if it was the first, nothing did.
+    /// The attempt of that moment never ran: if it was the first, nothing did.
     pub fn never_ran(&mut self, idempotency_key: u64, at: f64) {
         if self.first.get(&idempotency_key) == Some(&at) {
             self.first.remove(&idempotency_key);
@@ -56,7 +56,7 @@
         all.sort_by(|one, other| one.1.total_cmp(&other.1));
         self.first.clear();
         for (idempotency_key, at) in all {
-            self.pushed(idempotency_key, at);
+            self.dispatched(idempotency_key, at);
         }
     }
 }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Names to indices and back, one state for each request and each push: hands a turn's news to the decisions, and
+//! Names to indices and back, one state for each request and each attempt: hands a turn's news to the decisions, and
 //! carries out what they write. It decides nothing; it only checks that what it does is legal.
 
 mod counters;
@@ -9,7 +9,7 @@
 use crate::protocol::statement::{self as statements, ParsedStatement};
 use cleatgw::logic::Gateway;
 use cleatgw::queue::Wait;
-use cleatgw::{Deployment, Ending, Idempotency, Listing, Load, Met, PushEnd, Stage, Taken, Writer};
+use cleatgw::{AttemptEnd, Deployment, Ending, Idempotency, Listing, Load, Met, Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineLife, Observation, PeerEvidence};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_recovery::{Looks, Sent, StillValid};
@@ -25,14 +25,14 @@
 /// So many engines of a whole list are named in one line of the log.
 const ENGINES_A_LINE: usize = 40;
 
-/// One push: its request, and its number among the request's.
+/// One attempt: its request, and its number among the request's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PushId {
+pub struct AttemptId {
     pub request: usize,
     pub number: u32,
 }
 
-/// What an engine made of a push.
+/// What an engine made of an attempt.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
     /// The whole result, and the work (seconds) and memory (MB) that it needed.
@@ -47,7 +47,7 @@
     TooLate,
 }
 
-/// How far a push had come that got no answer.
+/// How far an attempt had come that got no answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
     /// It did not leave this router, for the router's own reasons.
@@ -76,11 +76,11 @@
 /// What routing asks of the connections.
 pub trait Peers {
     fn answer(&mut self, session: SessionId, answer: Answer);
-    /// Pushes, as long as that can leave by then; else it is over, and never left.
-    fn push(&mut self, push: PushId, engine: u64, address: SocketAddr, ask: &Ask, leave_by: f64);
-    fn change_lane(&mut self, push: PushId, lane: u8);
-    /// Gives a push up. How far it had come is news once its engine has let go of it, or had time to.
-    fn give_up(&mut self, push: PushId);
+    /// Attempts, as long as that can leave by then; else it is over, and never left.
+    fn dispatch(&mut self, attempt: AttemptId, engine: u64, address: SocketAddr, ask: &Ask, leave_by: f64);
+    fn change_lane(&mut self, attempt: AttemptId, lane: u8);
+    /// Gives an attempt up. How far it had come is news once its engine has let go of it, or had time to.
+    fn give_up(&mut self, attempt: AttemptId);
     /// Closes the connections to an engine that carry nothing.
     fn close_idle(&mut self, engine: u64);
     /// What still waits for a connection to an engine does not leave any more: it drains, or has gone.
@@ -95,7 +95,7 @@
     listing: Listing,
 }
 
-enum PushState {
+enum AttemptState {
     /// Given up for that reason, it is out until its end has come.
     Out {
         engine: usize,
@@ -119,14 +119,14 @@
     expected_at: f64,
     lane: u8,
     grant_mb: f64,
-    pushes: Vec<PushState>,
+    attempts: Vec<AttemptState>,
     /// Its idempotency key's hash, where its class has idempotency keys.
     mark: Option<u64>,
 }
 
 impl Request {
     fn out(&self) -> bool {
-        self.pushes.iter().any(|push| matches!(push, PushState::Out { .. }))
+        self.attempts.iter().any(|attempt| matches!(attempt, AttemptState::Out { .. }))
     }
 }
 
@@ -139,10 +139,10 @@
     request_of: HashMap<SessionId, usize>,
     /// The ids of requests that are open.
     ids: HashSet<String>,
-    /// When each push that is out has waited long enough.
-    due: BTreeSet<(u64, PushId)>,
+    /// When each attempt that is out has waited long enough.
+    due: BTreeSet<(u64, AttemptId)>,
     /// Ends brought about by decisions: news of the next turn.
-    later: Vec<(PushId, Ending)>,
+    later: Vec<(AttemptId, Ending)>,
     wake: f64,
     deployment: Deployment,
     counters: Counters,
@@ -184,65 +184,66 @@
 }
 
 impl Desk {
-    /// Closes a push's state; tells how it ended, its engine, and how long it was out.
-    fn push_over(&mut self, push: PushId, ending: Ending) -> Option<(Ending, usize, f64)> {
-        let request = self.requests.get_mut(&push.request)?;
-        let state = request.pushes.get_mut(push.number as usize)?;
-        let PushState::Out { engine, sent, until, given_up } = *state else { return None };
+    /// Closes an attempt's state; tells how it ended, its engine, and how long it was out.
+    fn attempt_ended(&mut self, attempt: AttemptId, ending: Ending) -> Option<(Ending, usize, f64)> {
+        let request = self.requests.get_mut(&attempt.request)?;
+        let state = request.attempts.get_mut(attempt.number as usize)?;
+        let AttemptState::Out { engine, sent, until, given_up } = *state else { return None };
         // What never left is reported so, whatever it was given up for; so is an answer that was quicker.
         let ending = match (given_up, ending) {
             (Some(asked), Ending::Broken) => asked,
             (Some(_), Ending::NeverSent) => Ending::Unreached,
             (_, ending) => ending,
         };
-        *state = PushState::Over;
-        self.due.remove(&(order(until), push));
+        *state = AttemptState::Over;
+        self.due.remove(&(order(until), attempt));
         if let (true, Some(marks), Some(mark)) = (ending.never_ran(), &mut self.marks, request.mark) {
             marks.never_ran(mark, sent);
         }
         let counters = &mut self.counters;
         *match ending {
-            Ending::Delivered => &mut counters.pushes_delivered,
-            Ending::Erred => &mut counters.pushes_erred,
-            Ending::Full => &mut counters.pushes_full,
-            Ending::TimedOut => &mut counters.pushes_timed_out,
-            Ending::Unreached => &mut counters.pushes_unreached,
-            Ending::Broken => &mut counters.pushes_broken,
-            Ending::CalledOff => &mut counters.pushes_called_off,
-            Ending::NeverSent => &mut counters.pushes_never_sent,
+            Ending::Delivered => &mut counters.attempts_completed,
+            Ending::Erred => &mut counters.attempts_erred,
+            Ending::Full => &mut counters.attempts_full,
+            Ending::TimedOut => &mut counters.attempts_timed_out,
+            Ending::Unreached => &mut counters.attempts_unreached,
+            Ending::Broken => &mut counters.attempts_broken,
+            Ending::Cancelled => &mut counters.attempts_cancelled,
+            Ending::NeverSent => &mut counters.attempts_never_sent,
         } += 1;
         Some((ending, engine, (self.now - sent).max(0.0)))
     }
 
-    /// Gives a push up; its end is news of a later turn.
-    fn give_up(&mut self, push: PushId, ending: Ending, peers: &mut dyn Peers) {
+    /// Gives an attempt up; its end is news of a later turn.
+    fn give_up(&mut self, attempt: AttemptId, ending: Ending, peers: &mut dyn Peers) {
         let state = self
             .requests
-            .get_mut(&push.request)
-            .and_then(|request| request.pushes.get_mut(push.number as usize));
-        let Some(PushState::Out { until, given_up: given_up @ None, .. }) = state else { return };
+            .get_mut(&attempt.request)
+            .and_then(|request| request.attempts.get_mut(attempt.number as usize));
+        let Some(AttemptState::Out { until, given_up: given_up @ None, .. }) = state else { return };
         *given_up = Some(ending);
-        self.due.remove(&(order(*until), push));
-        peers.give_up(push);
+        self.due.remove(&(order(*until), attempt));
+        peers.give_up(attempt);
     }
 
     /// The index of an engine that has gone, with nothing of ours left on it.
     fn spare_index(&self) -> Option<usize> {
-        let states = self.requests.values().flat_map(|request| &request.pushes);
+        let states = self.requests.values().flat_map(|request| &request.attempts);
         let used: HashSet<usize> = states
-            .filter_map(|push| match push {
-                PushState::Out { engine, .. } => Some(*engine),
-                PushState::Over => None,
+            .filter_map(|attempt| match attempt {
+                AttemptState::Out { engine, .. } => Some(*engine),
+                AttemptState::Over => None,
             })
             .collect();
         let gone = |at: &usize| self.engines[*at].listing.stage == Stage::Gone && !used.contains(at);
         (0..self.engines.len()).find(gone)
     }
 
-    fn pushes_out(&self, request: usize) -> Vec<PushId> {
-        let pushes = self.requests.get(&request).map_or(&[][..], |request| &request.pushes);
-        let out = pushes.iter().enumerate().filter(|(_, push)| matches!(push, PushState::Out { .. }));
-        out.map(|(number, _)| PushId { request, number: number as u32 }).collect()
+    fn attempts_in_flight(&self, request: usize) -> Vec<AttemptId> {
+        let attempts = self.requests.get(&request).map_or(&[][..], |request| &request.attempts);
+        let out =
+            attempts.iter().enumerate().filter(|(_, attempt)| matches!(attempt, AttemptState::Out { .. }));
+        out.map(|(number, _)| AttemptId { request, number: number as u32 }).collect()
     }
 
     /// A request's one final answer.
@@ -287,8 +288,8 @@
 impl Pen<'_> {
     /// Nothing more is done for a request that has its answer.
     fn end(&mut self, id: usize, answer: Answer) {
-        for push in self.desk.pushes_out(id) {
-            self.desk.give_up(push, Ending::CalledOff, self.peers);
+        for attempt in self.desk.attempts_in_flight(id) {
+            self.desk.give_up(attempt, Ending::Cancelled, self.peers);
         }
         self.desk.answer(id, answer, self.peers);
     }
@@ -296,23 +297,23 @@
 
 impl Writer for Pen<'_> {
     fn terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
-        let out = self.desk.pushes_out(request);
+        let out = self.desk.attempts_in_flight(request);
         let Some(request) = self.desk.requests.get_mut(&request) else { return };
         request.grant_mb = memory_mb;
         if std::mem::replace(&mut request.lane, lane) != lane {
-            out.into_iter().for_each(|push| self.peers.change_lane(push, lane));
+            out.into_iter().for_each(|attempt| self.peers.change_lane(attempt, lane));
         }
     }
 
-    fn push(&mut self, id: usize, at: usize, time_out: Option<f64>, leave_by: f64) {
+    fn dispatch(&mut self, id: usize, at: usize, time_out: Option<f64>, leave_by: f64) {
         let desk = &mut *self.desk;
         let (Some(request), Some(engine)) = (desk.requests.get(&id), desk.engines.get(at)) else {
             return log::error!("a push of an unknown job or to an unknown engine: {id} to {at}");
         };
         let open = matches!(request.state, RequestState::Open { .. }) && request.deadline > desk.now;
         let another = (desk.deployment.copies || !request.out())
-            && (request.pushes.len() as u32) < desk.deployment.most_pushes.max(1);
-        let push = PushId { request: id, number: request.pushes.len() as u32 };
+            && (request.attempts.len() as u32) < desk.deployment.max_attempts.max(1);
+        let attempt = AttemptId { request: id, number: request.attempts.len() as u32 };
         let until = time_out.map_or(request.deadline, |wait| request.deadline.min(desk.now + wait));
         let legal = open && another && engine.listing.stage == Stage::Ready;
         if legal {
@@ -325,19 +326,19 @@
                 lane: request.lane,
                 statement: &request.statement.text,
             };
-            self.peers.push(push, engine.number, engine.address, &ask, leave_by);
+            self.peers.dispatch(attempt, engine.number, engine.address, &ask, leave_by);
             if let (Some(marks), Some(mark)) = (&mut desk.marks, request.mark) {
-                desk.changes += u64::from(marks.pushed(mark, desk.now));
+                desk.changes += u64::from(marks.dispatched(mark, desk.now));
             }
-            desk.changes += u64::from(push.number > 0);
-            desk.counters.pushes += 1;
-            desk.due.insert((order(until), push));
+            desk.changes += u64::from(attempt.number > 0);
+            desk.counters.attempts += 1;
+            desk.due.insert((order(until), attempt));
         } else {
             log::error!("a push that is not legal was not made: job {id} to engine {at}");
-            desk.later.push((push, Ending::NeverSent));
+            desk.later.push((attempt, Ending::NeverSent));
         }
         let request = desk.requests.get_mut(&id).expect("just seen");
-        request.pushes.push(PushState::Out { engine: at, sent: desk.now, until, given_up: None });
+        request.attempts.push(AttemptState::Out { engine: at, sent: desk.now, until, given_up: None });
     }
 
     fn waits(&mut self, request: usize, wait: Option<Wait>) {
@@ -351,10 +352,10 @@
         }
     }
 
-    fn call_off(&mut self, request: usize, number: u32) {
-        let push = PushId { request, number };
-        if self.desk.deployment.call_off {
-            self.desk.give_up(push, Ending::CalledOff, self.peers);
+    fn cancel(&mut self, request: usize, number: u32) {
+        let attempt = AttemptId { request, number };
+        if self.desk.deployment.cancel {
+            self.desk.give_up(attempt, Ending::Cancelled, self.peers);
         }
     }
 
@@ -393,7 +394,7 @@
 #[derive(Default)]
 pub struct News {
     pub lists: Vec<Event>,
-    pub ends: Vec<(PushId, Outcome)>,
+    pub ends: Vec<(AttemptId, Outcome)>,
     pub asked: Vec<(SessionId, ParsedStatement)>,
     /// When it can have been asked at the earliest, if that was well before now.
     pub since: Option<f64>,
@@ -491,13 +492,13 @@
             _ => None,
         });
         Looks {
-            repeats: self.gateway.repeat_budget().window,
+            repeats: self.gateway.retry_budget().window,
             cold: cold.window,
             receipts: windows.fold(0.0, f64::max),
         }
     }
 
-    /// This router begins without knowing what it pushed before; from now on it is kept.
+    /// This router begins without knowing what it dispatched before; from now on it is kept.
     pub fn forgot(&mut self, now: f64) {
         self.desk.marks = Some(Marks::default());
         self.gateway.forgot(now);
@@ -524,7 +525,7 @@
         self.desk.changes
     }
 
-    /// What is to be kept, with ages at `now`: further pushes, work sent to cold engines, and idempotency keys.
+    /// What is to be kept, with ages at `now`: retries, work sent to cold engines, and idempotency keys.
     pub fn kept(&mut self, now: f64) -> (Vec<f64>, Vec<Sent>, Vec<(u64, f64)>) {
         let looks = self.looks();
         let age = |at: &f64| Some((now - at).max(0.0)).filter(|age| *age < looks.repeats);
@@ -540,7 +541,7 @@
         (repeats, cold, marks.ages(now))
     }
 
-    /// How many further pushes may be made, by their times so far.
+    /// How many retries may be made, by their times so far.
     pub fn ahead(&mut self, may: impl Fn(&mut dyn Iterator<Item = f64>) -> u32) {
         let ahead = may(&mut self.gateway.repeats.iter().copied());
         self.gateway.ahead = Some(ahead);
@@ -585,8 +586,8 @@
         if done.is_err() {
             self.begin_anew(peers);
         }
-        let pushes = self.desk.due.first().map_or(f64::INFINITY, |&(at, _)| f64::from_bits(at));
-        let wake = if self.desk.later.is_empty() { self.desk.wake.min(pushes) } else { now };
+        let attempts = self.desk.due.first().map_or(f64::INFINITY, |&(at, _)| f64::from_bits(at));
+        let wake = if self.desk.later.is_empty() { self.desk.wake.min(attempts) } else { now };
         (unusable, wake)
     }
 
@@ -606,16 +607,16 @@
                 .filter(|engine| !ready(engine))
                 .for_each(|engine| peers.call_back(engine.number));
         }
-        for (push, ending) in std::mem::take(&mut self.desk.later) {
-            self.push_over(push, ending, None, peers);
+        for (attempt, ending) in std::mem::take(&mut self.desk.later) {
+            self.attempt_ended(attempt, ending, None, peers);
         }
-        for (push, outcome) in news.ends {
+        for (attempt, outcome) in news.ends {
             let ending = ending(&outcome);
-            self.push_over(push, ending, outcome.ok(), peers);
+            self.attempt_ended(attempt, ending, outcome.ok(), peers);
         }
-        while let Some(&(at, push)) = self.desk.due.first().filter(|(at, _)| *at <= order(self.desk.now)) {
-            self.desk.due.remove(&(at, push));
-            self.desk.give_up(push, Ending::TimedOut, peers);
+        while let Some(&(at, attempt)) = self.desk.due.first().filter(|(at, _)| *at <= order(self.desk.now)) {
+            self.desk.due.remove(&(at, attempt));
+            self.desk.give_up(attempt, Ending::TimedOut, peers);
         }
         for (session, statement) in news.asked {
             if let Err(why) = self.take(session, statement, news.since) {
@@ -735,9 +736,9 @@
         let state = RequestState::Open { session };
         let of = &self.desk.deployment.classes[class];
         let expected_at = since.unwrap_or(now) + of.expected_for(statement.work.unwrap_or(0.0));
-        let pushes = Vec::new();
+        let attempts = Vec::new();
         let request =
-            Request { statement, state, deadline, expected_at, lane: 1, grant_mb: 0.0, pushes, mark };
+            Request { statement, state, deadline, expected_at, lane: 1, grant_mb: 0.0, attempts, mark };
         self.desk.ids.insert(request.statement.id.clone());
         self.desk.requests.insert(id, request);
         self.desk.request_of.insert(session, id);
@@ -747,35 +748,41 @@
         Ok(())
     }
 
-    fn push_over(&mut self, push: PushId, ending: Ending, reply: Option<Reply>, peers: &mut dyn Peers) {
-        let Some((ending, engine, spent)) = self.desk.push_over(push, ending) else {
+    fn attempt_ended(
+        &mut self,
+        attempt: AttemptId,
+        ending: Ending,
+        reply: Option<Reply>,
+        peers: &mut dyn Peers,
+    ) {
+        let Some((ending, engine, spent)) = self.desk.attempt_ended(attempt, ending) else {
             self.desk.counters.answers_dropped += u64::from(reply.is_some());
             return;
         };
         let mut told = None;
         if let Some(Reply::Done { rows, told: needed }) = reply {
             told = needed;
-            self.desk.answer(push.request, Answer::Delivered(rows), peers);
+            self.desk.answer(attempt.request, Answer::Delivered(rows), peers);
         }
         let request_done = self
             .desk
             .requests
-            .get(&push.request)
+            .get(&attempt.request)
             .is_none_or(|request| matches!(request.state, RequestState::Over));
         let load = Load::default();
-        let end = PushEnd { request: push.request, engine, ending, request_done, spent, told, load };
-        self.gateway.push_over(self.desk.now, &end);
-        self.desk.forget_if_done(push.request);
+        let end = AttemptEnd { request: attempt.request, engine, ending, request_done, spent, told, load };
+        self.gateway.attempt_ended(self.desk.now, &end);
+        self.desk.forget_if_done(attempt.request);
     }
 
-    /// A client has given its request up, and so is the push that is out for it.
+    /// A client has given its request up, and so is the attempt that is out for it.
     fn withdraw(&mut self, session: SessionId, peers: &mut dyn Peers) {
         let Some(&request) = self.desk.request_of.get(&session) else { return };
-        let out = self.desk.pushes_out(request);
+        let out = self.desk.attempts_in_flight(request);
         self.desk.answer(request, Answer::Withdrawn, peers);
         self.gateway.request_withdrawn(request);
-        for push in out {
-            self.desk.give_up(push, Ending::CalledOff, peers);
+        for attempt in out {
+            self.desk.give_up(attempt, Ending::Cancelled, peers);
         }
     }
 
@@ -787,9 +794,9 @@
         );
         let requests: Vec<usize> = self.desk.requests.keys().copied().collect();
         for id in requests {
-            for push in self.desk.pushes_out(id) {
-                self.desk.give_up(push, Ending::CalledOff, peers);
-                self.desk.push_over(push, Ending::Broken);
+            for attempt in self.desk.attempts_in_flight(id) {
+                self.desk.give_up(attempt, Ending::Cancelled, peers);
+                self.desk.attempt_ended(attempt, Ending::Broken);
             }
             self.desk.answer(id, Answer::Terminated, peers);
         }
@@ -805,7 +812,7 @@
         self.desk.due.clear();
         self.seed = self.seed.wrapping_add(1);
         self.gateway = Gateway::new(self.desk.deployment.clone(), self.seed, self.desk.now);
-        // What it pushed before still counts, and it does not know it.
+        // What it dispatched before still counts, and it does not know it.
         self.gateway.forgot(self.desk.now);
         self.gateway.stop_at(self.stops_at);
         if let Some(began) = self.drained_at {
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -6,11 +6,11 @@
 
 #[derive(Default)]
 struct Scripted {
-    pushes: Vec<(PushId, u64, String)>,
+    attempts: Vec<(AttemptId, u64, String)>,
     answers: Vec<(SessionId, Answer)>,
-    given_up: Vec<PushId>,
+    given_up: Vec<AttemptId>,
     /// Ends of what was given up: news of the next turn.
-    leaving: Vec<(PushId, Outcome)>,
+    leaving: Vec<(AttemptId, Outcome)>,
     lanes: Vec<u8>,
     called_back: Vec<u64>,
     /// What giving up reports.
@@ -21,15 +21,15 @@
     fn answer(&mut self, session: SessionId, answer: Answer) {
         self.answers.push((session, answer));
     }
-    fn push(&mut self, push: PushId, engine: u64, _address: SocketAddr, ask: &Ask, _leave_by: f64) {
-        self.pushes.push((push, engine, ask.class.to_string()));
+    fn dispatch(&mut self, attempt: AttemptId, engine: u64, _address: SocketAddr, ask: &Ask, _leave_by: f64) {
+        self.attempts.push((attempt, engine, ask.class.to_string()));
     }
-    fn change_lane(&mut self, _push: PushId, lane: u8) {
+    fn change_lane(&mut self, _attempt: AttemptId, lane: u8) {
         self.lanes.push(lane);
     }
-    fn give_up(&mut self, push: PushId) {
-        self.given_up.push(push);
-        self.leaving.push((push, Err(self.how_far.unwrap_or(Failure::Sent))));
+    fn give_up(&mut self, attempt: AttemptId) {
+        self.given_up.push(attempt);
+        self.leaving.push((attempt, Err(self.how_far.unwrap_or(Failure::Sent))));
     }
     fn close_idle(&mut self, _engine: u64) {}
     fn call_back(&mut self, engine: u64) {
@@ -98,8 +98,8 @@
             kinds: vec![Kind { cores: 8.0, memory_mb: 8000.0 }],
             largest_share: 0.5,
             grants: true,
-            call_off: true,
-            most_pushes: 3,
+            cancel: true,
+            max_attempts: 3,
             ..Deployment::default()
         };
         // The third is named and not described: taking one makes the decisions fail.
@@ -124,8 +124,8 @@
     }
 
     fn end(&mut self, outcome: Outcome) {
-        let (push, ..) = *self.peers.pushes.last().expect("a push");
-        self.turn(News { ends: vec![(push, outcome)], ..News::default() });
+        let (attempt, ..) = *self.peers.attempts.last().expect("a push");
+        self.turn(News { ends: vec![(attempt, outcome)], ..News::default() });
     }
 
     fn adds_up(&mut self) {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_request_is_pushed_and_its_result_delivered_once() {
+fn a_request_is_dispatched_and_its_result_delivered_once() {
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     host.end(done());
@@ -148,13 +148,13 @@
     host.end(done());
     host.now += 5.0;
     host.turn(News::default());
-    assert_eq!((host.peers.answers.len(), host.peers.pushes.len()), (1, 1));
+    assert_eq!((host.peers.answers.len(), host.peers.attempts.len()), (1, 1));
     assert_eq!(host.routing.counters().answers_dropped, 1);
     host.adds_up();
 }
 
 #[test]
-fn what_became_of_a_push_is_told_by_how_far_it_came() {
+fn what_became_of_a_attempt_is_told_by_how_far_it_came() {
     for (outcome, ending) in [
         (Ok(Reply::Full), Ending::Full),
         (Ok(Reply::Erred), Ending::Erred),
@@ -169,7 +169,7 @@
         host.ask(4, parsed("look"));
         host.end(outcome);
         host.turn(News::default());
-        assert_eq!(host.peers.pushes.len(), 2, "{ending:?}: a pure job is pushed again");
+        assert_eq!(host.peers.attempts.len(), 2, "{ending:?}: a pure job is pushed again");
         host.end(done());
         assert_eq!(host.peers.answers.len(), 1);
         host.adds_up();
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_withdrawn_request_has_its_push_given_up_and_gets_no_other_answer() {
+fn a_withdrawn_request_has_its_attempt_given_up_and_gets_no_other_answer() {
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     host.turn(News { withdrawn: vec![4], ..News::default() });
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn no_other_push_goes_out_before_the_end_of_one_that_was_given_up() {
+fn no_other_attempt_goes_out_before_the_end_of_one_that_was_given_up() {
     let mut host = Host::new();
     host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
     while host.peers.given_up.is_empty() {
@@ -200,10 +200,10 @@
     let leaving = std::mem::take(&mut host.peers.leaving);
     host.now += 0.05;
     host.turn(News::default());
-    assert_eq!((host.peers.pushes.len(), host.peers.answers.len()), (1, 0));
+    assert_eq!((host.peers.attempts.len(), host.peers.answers.len()), (1, 0));
     host.turn(News { ends: leaving, ..News::default() });
-    assert_eq!(host.peers.pushes.len(), 2);
-    assert_eq!(host.routing.counters().pushes_timed_out, 1);
+    assert_eq!(host.peers.attempts.len(), 2);
+    assert_eq!(host.routing.counters().attempts_timed_out, 1);
     host.end(done());
     assert_eq!(host.peers.answers.len(), 1);
     host.adds_up();
@@ -224,10 +224,10 @@
 }
 
 #[test]
-fn a_request_withdrawn_in_the_turn_it_came_in_is_never_pushed() {
+fn a_request_withdrawn_in_the_turn_it_came_in_is_never_dispatched() {
     let mut host = Host::new();
     host.turn(News { asked: vec![(4, parsed("look"))], withdrawn: vec![4], ..News::default() });
-    assert!(host.peers.pushes.is_empty());
+    assert!(host.peers.attempts.is_empty());
     host.adds_up();
 }
 
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_push_given_up_before_it_left_is_told_as_one_that_never_ran() {
+fn a_attempt_given_up_before_it_left_is_told_as_one_that_never_ran() {
     let mut host = Host::new();
     host.peers.how_far = Some(Failure::NeverSent);
     host.ask(4, ParsedStatement { patience: 0.5, ..parsed("look") });
@@ -269,7 +269,7 @@
     host.turn(News::default());
     host.turn(News::default());
     let counters = host.routing.counters();
-    assert_eq!((counters.pushes_timed_out, counters.pushes_unreached), (0, 1));
+    assert_eq!((counters.attempts_timed_out, counters.attempts_unreached), (0, 1));
 }
 
 #[test]
@@ -281,11 +281,11 @@
     assert!(words[0].contains("op: expected one of look load"), "{words:?}");
     assert!(words[1].contains("dedupe: expected"), "{words:?}");
     host.ask(6, ParsedStatement { idempotency_key: Some("5c".to_string()), ..parsed("load") });
-    assert_eq!((host.unusable.len(), host.peers.pushes.len()), (2, 1));
+    assert_eq!((host.unusable.len(), host.peers.attempts.len()), (2, 1));
     host.ask(7, ParsedStatement { tenant: Some("nobody".to_string()), ..parsed("look") });
     assert!(host.unusable[2].1.contains("org: expected one of town"), "{:?}", host.unusable);
     host.ask(8, ParsedStatement { tenant: Some("town".to_string()), ..parsed("look") });
-    assert_eq!((host.unusable.len(), host.peers.pushes.len()), (3, 2));
+    assert_eq!((host.unusable.len(), host.peers.attempts.len()), (3, 2));
     host.adds_up();
 }
 
@@ -302,7 +302,7 @@
     host.ask(6, first.clone());
     host.turn(News { withdrawn: vec![6], ..News::default() });
     host.ask(7, first);
-    assert_eq!((host.unusable.len(), host.peers.pushes.len()), (1, 3));
+    assert_eq!((host.unusable.len(), host.peers.attempts.len()), (1, 3));
     host.adds_up();
 }
 
@@ -332,7 +332,7 @@
     host.turn(news(list(2, false, vec![gone("a", 1), gone("b", 2)])));
     host.turn(news(list(3, false, vec![entry("c", 1)])));
     host.ask(4, parsed("look"));
-    assert_eq!(host.peers.pushes[0].1, 3, "its number is its own");
+    assert_eq!(host.peers.attempts[0].1, 3, "its number is its own");
     // Engines come and go for long without the table growing.
     for number in 4..200 {
         host.turn(news(list(number, true, vec![entry("c", 1), entry(&format!("d{number}"), 2)])));
@@ -366,7 +366,7 @@
     assert!(host.peers.answers.iter().all(|(_, answer)| *answer == Answer::Terminated));
     assert_eq!(host.peers.given_up.len(), 1);
     host.ask(7, parsed("look"));
-    assert_eq!(host.peers.pushes.last().unwrap().1, 3, "the list that came with it holds");
+    assert_eq!(host.peers.attempts.last().unwrap().1, 3, "the list that came with it holds");
     host.end(done());
     assert!(matches!(host.peers.answers[3], (7, Answer::Delivered(_))));
     assert_eq!(host.routing.counters().module_panics, 1);
@@ -381,11 +381,11 @@
     let lane = pen.desk.requests[&0].lane;
     pen.terms(0, lane, 64.0);
     pen.terms(0, 3 - lane, 64.0);
-    pen.call_off(0, 0);
-    pen.call_off(0, 0);
+    pen.cancel(0, 0);
+    pen.cancel(0, 0);
     assert_eq!((&host.peers.lanes[..], host.peers.given_up.len()), (&[3 - lane][..], 1));
     host.turn(News::default());
-    assert_eq!(host.routing.counters().pushes_called_off, 1);
+    assert_eq!(host.routing.counters().attempts_cancelled, 1);
     host.adds_up();
 }
 
@@ -394,11 +394,11 @@
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     let mut pen = Pen { desk: &mut host.routing.desk, peers: &mut host.peers };
-    // One push is out, and copies are not allowed.
-    pen.push(0, 1, None, f64::INFINITY);
-    pen.push(9, 0, None, f64::INFINITY);
-    pen.push(0, 9, None, f64::INFINITY);
-    assert_eq!(host.peers.pushes.len(), 1);
+    // One attempt is out, and copies are not allowed.
+    pen.dispatch(0, 1, None, f64::INFINITY);
+    pen.dispatch(9, 0, None, f64::INFINITY);
+    pen.dispatch(0, 9, None, f64::INFINITY);
+    assert_eq!(host.peers.attempts.len(), 1);
     host.end(done());
     assert_eq!(host.peers.answers.len(), 1);
 }
@@ -407,7 +407,7 @@
 fn what_waits_for_an_engine_that_drains_or_has_gone_is_called_back() {
     let mut host = Host::new();
     host.ask(1, parsed("look"));
-    let (push, engine, _) = host.peers.pushes[0].clone();
+    let (attempt, engine, _) = host.peers.attempts[0].clone();
     let [first, second] =
         ["a", "b"].map(|uid| host.routing.desk.engines.iter().find(|one| one.uid == uid).unwrap().number);
     let (uid, port, other) = if engine == first { ("a", 1, second) } else { ("b", 2, first) };
@@ -415,6 +415,6 @@
     host.turn(News { lists: vec![list(2, false, vec![drains])], ..News::default() });
     assert_eq!(host.peers.called_back, [engine]);
     // It never left, so that it goes elsewhere.
-    host.turn(News { ends: vec![(push, Err(Failure::NeverSent))], ..News::default() });
-    assert_eq!(host.peers.pushes[1].1, other);
+    host.turn(News { ends: vec![(attempt, Err(Failure::NeverSent))], ..News::default() });
+    assert_eq!(host.peers.attempts[1].1, other);
 }
--- a/crates/router/src/transport/engine.rs
+++ b/crates/router/src/transport/engine.rs
@@ -1,9 +1,9 @@
-//! Connections to engines: many pushes on each, and how far each of them came.
+//! Connections to engines: many attempts on each, and how far each of them came.
 
 use super::buffer::{Buffer, Reached};
 use super::came_up;
 use crate::protocol::engine::{self, Malformed, Pages, Word};
-use crate::routing::{Failure, Outcome, PushId, Reply};
+use crate::routing::{AttemptId, Failure, Outcome, Reply};
 use calloop::RegistrationToken;
 use cleatgw_start::LinkLimits;
 use std::collections::{HashMap, HashSet};
@@ -14,10 +14,10 @@
 const MOST_INPUT: usize = 64 * 1024;
 /// A connection whose engine leaves so much unread takes nothing new.
 const MOST_UNSENT: usize = 256 * 1024;
-/// Ids of pushes that ended on a connection without a result are kept for as long as it lives, as more answers to them may
+/// Ids of attempts that ended on a connection without a result are kept for as long as it lives, as more answers to them may
 /// still come; with so many of them it takes nothing new.
 const MOST_GIVEN_UP: usize = 1000;
-/// An engine with pushes out that has given no sign for so long is asked for one.
+/// An engine with attempts out that has given no sign for so long is asked for one.
 const QUIET: f64 = 0.25;
 const SIGN: &str = "sign";
 /// What was given up is over when its engine has read so, which its next sign tells, or at the latest after this.
@@ -28,7 +28,7 @@
 const IDLE_CAUTION: f64 = 0.9;
 
 struct Exchange {
-    push: PushId,
+    attempt: AttemptId,
     /// Where its request ends in all that was put on the connection.
     end: u64,
     pages: Option<Pages>,
@@ -36,7 +36,7 @@
 
 struct QueuedAttempt {
     id: String,
-    push: PushId,
+    attempt: AttemptId,
     unsent: engine::Unsent,
     /// It has left by then, or never does.
     leave_by: f64,
@@ -45,7 +45,7 @@
 }
 
 struct Leaving {
-    push: PushId,
+    attempt: AttemptId,
     failure: Failure,
     until: f64,
 }
@@ -170,13 +170,13 @@
         matches!(self.state, State::Up)
     }
 
-    /// It can take a push under this id: answers to an earlier one under it cannot be mistaken for its own.
+    /// It can take an attempt under this id: answers to an earlier one under it cannot be mistaken for its own.
     pub fn takes(&self, id: &str, stated: &LinkLimits, now: f64) -> bool {
         let stale = self.carries() == 0 && now > self.idle_since + stated.idle_after * IDLE_CAUTION;
         let known = self.given_up.contains(id)
             || self.exchanges.contains_key(id)
             || self.waiting.iter().any(|queued| queued.id == id);
-        let full = self.carries() >= stated.pushes_each
+        let full = self.carries() >= stated.max_attempts_per_connection
             || self.given_up.len() >= MOST_GIVEN_UP
             || self.buffer.unsent() > MOST_UNSENT;
         !full && !stale && !known && !self.mute(stated, now)
@@ -192,7 +192,7 @@
         self.carries() > 0 || self.asked_at.is_some()
     }
 
-    /// Asks for a sign of its engine, if none has come for long and pushes wait there.
+    /// Asks for a sign of its engine, if none has come for long and attempts wait there.
     pub fn ask(&mut self, now: f64) -> io::Result<()> {
         if self.up() && self.asked_at.is_none() && self.carries() > 0 && now > self.heard_at + QUIET {
             self.ask_now(now)?;
@@ -226,16 +226,16 @@
         leaving.chain(unfinished).fold(due, f64::min)
     }
 
-    pub fn push(
+    pub fn dispatch(
         &mut self,
-        push: PushId,
+        attempt: AttemptId,
         ask: &engine::Ask,
         leave_by: f64,
         now: f64,
-        ends: &mut Vec<(PushId, Outcome)>,
+        ends: &mut Vec<(AttemptId, Outcome)>,
     ) -> io::Result<()> {
         let (id, unsent, until) = (ask.id.to_string(), engine::Unsent::new(ask), now + ask.wait);
-        self.waiting.push(QueuedAttempt { id, push, unsent, leave_by, until });
+        self.waiting.push(QueuedAttempt { id, attempt, unsent, leave_by, until });
         if self.up() {
             self.send_waiting(now, ends)?;
         }
@@ -243,29 +243,29 @@
     }
 
     /// What waits for the connection leaves, with the time that is left for it now.
-    pub fn send_waiting(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> io::Result<()> {
+    pub fn send_waiting(&mut self, now: f64, ends: &mut Vec<(AttemptId, Outcome)>) -> io::Result<()> {
         self.idle_since = now;
         self.too_late_to_leave(now, ends);
-        for QueuedAttempt { id, push, unsent, until, .. } in std::mem::take(&mut self.waiting) {
+        for QueuedAttempt { id, attempt, unsent, until, .. } in std::mem::take(&mut self.waiting) {
             let mut bytes = Vec::new();
             unsent.leaves(&mut bytes, until - now);
             self.put(&bytes);
-            self.exchanges.insert(id, Exchange { push, end: self.put, pages: None });
+            self.exchanges.insert(id, Exchange { attempt, end: self.put, pages: None });
         }
         self.flush()
     }
 
-    fn too_late_to_leave(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) {
+    fn too_late_to_leave(&mut self, now: f64, ends: &mut Vec<(AttemptId, Outcome)>) {
         self.waiting.retain(|queued| {
             let late = now >= queued.leave_by;
-            ends.extend(late.then_some((queued.push, Err(Failure::NeverSent))));
+            ends.extend(late.then_some((queued.attempt, Err(Failure::NeverSent))));
             !late
         });
     }
 
     /// Nothing that waits for it to come up leaves any more.
-    pub fn call_back(&mut self, ends: &mut Vec<(PushId, Outcome)>) {
-        ends.extend(self.waiting.drain(..).map(|queued| (queued.push, Err(Failure::NeverSent))));
+    pub fn call_back(&mut self, ends: &mut Vec<(AttemptId, Outcome)>) {
+        ends.extend(self.waiting.drain(..).map(|queued| (queued.attempt, Err(Failure::NeverSent))));
     }
 
     /// Its engine has yet to take bytes that were put on it.
@@ -292,29 +292,34 @@
         self.flush()
     }
 
-    /// Under which id a push that has left goes here.
-    fn id_of(&self, push: PushId) -> Option<String> {
-        self.exchanges.iter().find(|(_, exchange)| exchange.push == push).map(|(id, _)| id.clone())
+    /// Under which id an attempt that has left goes here.
+    fn id_of(&self, attempt: AttemptId) -> Option<String> {
+        self.exchanges.iter().find(|(_, exchange)| exchange.attempt == attempt).map(|(id, _)| id.clone())
     }
 
-    pub fn change_lane(&mut self, push: PushId, lane: u8) -> io::Result<()> {
-        let Some(id) = self.id_of(push) else { return Ok(()) };
+    pub fn change_lane(&mut self, attempt: AttemptId, lane: u8) -> io::Result<()> {
+        let Some(id) = self.id_of(attempt) else { return Ok(()) };
         self.say(|out| engine::lane(out, &id, lane))
     }
 
-    /// Gives a push up. Where another connection's words may overtake ours, the engine would run two at once: so
+    /// Gives an attempt up. Where another connection's words may overtake ours, the engine would run two at once: so
     /// it is over once the engine has answered what was said behind.
-    pub fn give_up(&mut self, push: PushId, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> io::Result<()> {
-        if let Some(at) = self.waiting.iter().position(|queued| queued.push == push) {
+    pub fn give_up(
+        &mut self,
+        attempt: AttemptId,
+        now: f64,
+        ends: &mut Vec<(AttemptId, Outcome)>,
+    ) -> io::Result<()> {
+        if let Some(at) = self.waiting.iter().position(|queued| queued.attempt == attempt) {
             self.waiting.remove(at);
-            ends.push((push, Err(Failure::NeverSent)));
+            ends.push((attempt, Err(Failure::NeverSent)));
             return Ok(());
         }
-        let Some((id, exchange)) = self.id_of(push).and_then(|id| self.exchanges.remove_entry(&id)) else {
+        let Some((id, exchange)) = self.id_of(attempt).and_then(|id| self.exchanges.remove_entry(&id)) else {
             return Ok(());
         };
         let failure = if exchange.pages.is_some() { Failure::AnsweredInPart } else { Failure::Sent };
-        self.leaving.insert(id.clone(), Leaving { push, failure, until: now + LETS_GO });
+        self.leaving.insert(id.clone(), Leaving { attempt, failure, until: now + LETS_GO });
         self.idle_since = now;
         let said = self.say(|out| {
             engine::give_up(out, &id);
@@ -325,11 +330,11 @@
     }
 
     /// Tells of what its engine has had time to let go of; an answer that is still not whole is none.
-    pub fn time_passed(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> Result<(), Broken> {
+    pub fn time_passed(&mut self, now: f64, ends: &mut Vec<(AttemptId, Outcome)>) -> Result<(), Broken> {
         self.too_late_to_leave(now, ends);
         self.leaving.retain(|_, leaving| {
             let over = now >= leaving.until;
-            ends.extend(over.then_some((leaving.push, Err(leaving.failure))));
+            ends.extend(over.then_some((leaving.attempt, Err(leaving.failure))));
             !over
         });
         match self.begun_at {
@@ -338,13 +343,13 @@
         }
     }
 
-    /// Reads what is ready; pushes that ended go into `ends`. What waits for a connection that comes up here leaves with
+    /// Reads what is ready; attempts that ended go into `ends`. What waits for a connection that comes up here leaves with
     /// `send_waiting`, once all else that has come in is known.
     pub fn work(
         &mut self,
         readable: bool,
         now: f64,
-        ends: &mut Vec<(PushId, Outcome)>,
+        ends: &mut Vec<(AttemptId, Outcome)>,
     ) -> Result<(), Broken> {
         self.readable |= readable;
         if let State::Connecting { until } = self.state {
@@ -381,7 +386,7 @@
         self.readable
     }
 
-    fn answers(&mut self, now: f64, ends: &mut Vec<(PushId, Outcome)>) -> Result<(), Broken> {
+    fn answers(&mut self, now: f64, ends: &mut Vec<(AttemptId, Outcome)>) -> Result<(), Broken> {
         loop {
             let Some(answer) = engine::answer(self.buffer.input())? else { return Ok(()) };
             let taken = answer.taken;
@@ -390,7 +395,7 @@
                 // A sign of life, which `work` has noted, or news that is of no use here.
                 let said = answer.word == Word::Fit;
                 let let_go = said.then(|| self.leaving.remove(answer.id)).flatten();
-                ends.extend(let_go.map(|leaving| (leaving.push, Err(leaving.failure))));
+                ends.extend(let_go.map(|leaving| (leaving.attempt, Err(leaving.failure))));
             } else if let Some(exchange) = self.exchanges.get_mut(answer.id) {
                 let outcome = match answer.word {
                     Word::Done if exchange.pages.is_none() => {
@@ -421,10 +426,10 @@
                     let exchange = self.exchanges.remove(answer.id).expect("just seen");
                     if !matches!(reply, Reply::Done { .. }) {
                         // A second copy of it, or its other pages, may still come: they must not pass for an answer to the
-                        // request's next push.
+                        // request's next attempt.
                         self.given_up.insert(answer.id.to_string());
                     }
-                    ends.push((exchange.push, Ok(reply)));
+                    ends.push((exchange.attempt, Ok(reply)));
                     self.idle_since = now;
                 }
             } else {
@@ -439,16 +444,16 @@
     }
 
     /// The connection is over; so is all that was open on it, as far as it had come.
-    pub fn over(self, ends: &mut Vec<(PushId, Outcome)>) {
-        ends.extend(self.leaving.into_values().map(|leaving| (leaving.push, Err(leaving.failure))));
+    pub fn over(self, ends: &mut Vec<(AttemptId, Outcome)>) {
+        ends.extend(self.leaving.into_values().map(|leaving| (leaving.attempt, Err(leaving.failure))));
         for exchange in self.exchanges.into_values() {
             let failure = match exchange.pages {
                 Some(_) => Failure::AnsweredInPart,
                 None if exchange.end > self.written => Failure::Refused,
                 None => Failure::Sent,
             };
-            ends.push((exchange.push, Err(failure)));
+            ends.push((exchange.attempt, Err(failure)));
         }
-        ends.extend(self.waiting.into_iter().map(|queued| (queued.push, Err(Failure::Refused))));
+        ends.extend(self.waiting.into_iter().map(|queued| (queued.attempt, Err(Failure::Refused))));
     }
 }
--- a/crates/router/src/transport/links.rs
+++ b/crates/router/src/transport/links.rs
@@ -1,10 +1,10 @@
-//! All connections to engines: opened as pushes need them, shared by them, closed when idle.
+//! All connections to engines: opened as attempts need them, shared by them, closed when idle.
 
 use self::filed::Filed;
 use super::engine::{Broken, Link};
 use super::{connect, guarded, out_of_descriptors, Handle, Source};
 use crate::protocol::engine::Ask;
-use crate::routing::{Counters, Failure, Outcome, PushId};
+use crate::routing::{AttemptId, Counters, Failure, Outcome};
 use cleatgw_start::LinkLimits;
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -196,11 +196,11 @@
     next: u64,
     most: usize,
     stated: LinkLimits,
-    /// Pushes that ended: news of the next turn.
-    ends: Vec<(PushId, Outcome)>,
+    /// Attempts that ended: news of the next turn.
+    ends: Vec<(AttemptId, Outcome)>,
     /// Ends on connections that we closed: news once their engines have had time to see it.
-    later: VecDeque<(f64, PushId, Outcome)>,
-    link_of: HashMap<PushId, u64>,
+    later: VecDeque<(f64, AttemptId, Outcome)>,
+    link_of: HashMap<AttemptId, u64>,
     /// Connections that came up in this turn, on which nothing has left yet.
     came_up: Vec<u64>,
     counters: Counters,
@@ -222,9 +222,9 @@
         }
     }
 
-    pub fn push(
+    pub fn dispatch(
         &mut self,
-        push: PushId,
+        attempt: AttemptId,
         engine: u64,
         address: SocketAddr,
         ask: &Ask,
@@ -232,7 +232,7 @@
         now: f64,
     ) {
         let mut found = self.find(engine, address, ask.id, leave_by, now);
-        // An idle one that its engine has just closed would lose the push: that is looked at first.
+        // An idle one that its engine has just closed would lose the attempt: that is looked at first.
         while let Some(id) = found.filter(|&id| self.is_idle(id)) {
             self.work(id, true, now);
             if self.links.get(id).is_some() {
@@ -242,12 +242,12 @@
         }
         let id = match found.map_or_else(|| self.open(engine, address, now), Ok) {
             Ok(id) => id,
-            Err(failure) => return self.ends.push((push, Err(failure))),
+            Err(failure) => return self.ends.push((attempt, Err(failure))),
         };
-        self.link_of.insert(push, id);
+        self.link_of.insert(attempt, id);
         let ends = &mut self.ends;
-        let pushed = self.links.change(id, |link| link.push(push, ask, leave_by, now, ends));
-        if let Err(error) = pushed.expect("just found") {
+        let dispatched = self.links.change(id, |link| link.dispatch(attempt, ask, leave_by, now, ends));
+        if let Err(error) = dispatched.expect("just found") {
             self.broken(id, Broken::Io(error), now);
         }
     }
@@ -256,13 +256,13 @@
         self.links.get(id).is_some_and(|link| link.up() && link.carries() == 0)
     }
 
-    /// A connection that takes the push: one that is up before one that is coming up. What must have left by some time is
+    /// A connection that takes the attempt: one that is up before one that is coming up. What must have left by some time is
     /// not put behind bytes that their engine has yet to take.
-    fn find(&self, engine: u64, address: SocketAddr, push: &str, leave_by: f64, now: f64) -> Option<u64> {
+    fn find(&self, engine: u64, address: SocketAddr, attempt: &str, leave_by: f64, now: f64) -> Option<u64> {
         let fits = |link: &Link| {
             link.address == address
                 && (leave_by == f64::INFINITY || !link.stuck())
-                && link.takes(push, &self.stated, now)
+                && link.takes(attempt, &self.stated, now)
         };
         self.links.of(engine).find(|(_, link)| fits(link)).map(|(id, _)| id)
     }
@@ -303,10 +303,10 @@
     fn close(&mut self, id: u64, now: f64) {
         let mut ends = Vec::new();
         self.closed(id, &mut ends);
-        self.later.extend(ends.into_iter().map(|(push, outcome)| (now + CLOSE_SEEN, push, outcome)));
+        self.later.extend(ends.into_iter().map(|(attempt, outcome)| (now + CLOSE_SEEN, attempt, outcome)));
     }
 
-    fn closed(&mut self, id: u64, ends: &mut Vec<(PushId, Outcome)>) {
+    fn closed(&mut self, id: u64, ends: &mut Vec<(AttemptId, Outcome)>) {
         let Some(link) = self.links.remove(id) else { return };
         self.handle.remove(link.token);
         self.counters.answers_dropped += link.answers_dropped;
@@ -383,12 +383,12 @@
         }
     }
 
-    /// A push could not be made: the connection that it was on ends, and it may have gone out.
-    pub fn failed(&mut self, push: PushId, now: f64) {
+    /// An attempt could not be made: the connection that it was on ends, and it may have gone out.
+    pub fn failed(&mut self, attempt: AttemptId, now: f64) {
         self.counters.panics += 1;
-        match self.link_of.get(&push) {
+        match self.link_of.get(&attempt) {
             Some(&id) => self.close(id, now),
-            None => self.ends.push((push, Err(Failure::NeverSent))),
+            None => self.ends.push((attempt, Err(Failure::NeverSent))),
         }
     }
 
@@ -412,7 +412,7 @@
             }
         }
         while self.later.front().is_some_and(|(at, ..)| now >= *at) {
-            self.ends.extend(self.later.pop_front().map(|(_, push, outcome)| (push, outcome)));
+            self.ends.extend(self.later.pop_front().map(|(_, attempt, outcome)| (attempt, outcome)));
         }
     }
 
@@ -452,11 +452,11 @@
         later.min(self.links.next_due())
     }
 
-    /// Hands over the pushes that ended.
-    pub fn ended(&mut self, ends: &mut Vec<(PushId, Outcome)>) {
-        for (push, outcome) in self.ends.drain(..) {
-            self.link_of.remove(&push);
-            ends.push((push, outcome));
+    /// Hands over the attempts that ended.
+    pub fn ended(&mut self, ends: &mut Vec<(AttemptId, Outcome)>) {
+        for (attempt, outcome) in self.ends.drain(..) {
+            self.link_of.remove(&attempt);
+            ends.push((attempt, outcome));
         }
     }
 
@@ -465,18 +465,18 @@
     }
 
     /// Its end is news of a later turn, if it has not come already.
-    pub fn give_up(&mut self, push: PushId, now: f64) {
-        let Some(&id) = self.link_of.get(&push) else { return };
+    pub fn give_up(&mut self, attempt: AttemptId, now: f64) {
+        let Some(&id) = self.link_of.get(&attempt) else { return };
         let ends = &mut self.ends;
-        let given_up = self.links.change(id, |link| link.give_up(push, now, ends));
+        let given_up = self.links.change(id, |link| link.give_up(attempt, now, ends));
         if let Some(Err(error)) = given_up {
             self.broken(id, Broken::Io(error), now);
         }
     }
 
-    pub fn change_lane(&mut self, push: PushId, lane: u8, now: f64) {
-        let Some(&id) = self.link_of.get(&push) else { return };
-        let changed = self.links.change(id, |link| link.change_lane(push, lane));
+    pub fn change_lane(&mut self, attempt: AttemptId, lane: u8, now: f64) {
+        let Some(&id) = self.link_of.get(&attempt) else { return };
+        let changed = self.links.change(id, |link| link.change_lane(attempt, lane));
         if let Some(Err(error)) = changed {
             self.broken(id, Broken::Io(error), now);
         }
--- a/crates/router/src/transport/links/tests.rs
+++ b/crates/router/src/transport/links/tests.rs
@@ -4,7 +4,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-const STATED: LinkLimits = LinkLimits { connect_time_out: 0.25, idle_after: 30.0, pushes_each: 100 };
+const STATED: LinkLimits =
+    LinkLimits { connect_time_out: 0.25, idle_after: 30.0, max_attempts_per_connection: 100 };
 
 /// Connections to one engine, whose side is played by the story, on the story's clock.
 struct Story {
@@ -15,8 +16,8 @@
     now: f64,
 }
 
-fn push(request: usize) -> PushId {
-    PushId { request, number: 0 }
+fn attempt(request: usize) -> AttemptId {
+    AttemptId { request, number: 0 }
 }
 
 impl Story {
@@ -28,17 +29,17 @@
         Story { _turns: turns, links, listener, address, now: 100.0 }
     }
 
-    fn push(&mut self, request: usize) {
-        self.push_by(push(request), f64::INFINITY);
+    fn dispatch(&mut self, request: usize) {
+        self.attempt_by(attempt(request), f64::INFINITY);
     }
 
-    /// A push that must have left by then.
-    fn push_by(&mut self, push: PushId, leave_by: f64) {
-        self.push_to(push, 1, leave_by);
+    /// An attempt that must have left by then.
+    fn attempt_by(&mut self, attempt: AttemptId, leave_by: f64) {
+        self.attempt_to(attempt, 1, leave_by);
     }
 
-    fn push_to(&mut self, push: PushId, engine: u64, leave_by: f64) {
-        let id = format!("{:016x}", push.request);
+    fn attempt_to(&mut self, attempt: AttemptId, engine: u64, leave_by: f64) {
+        let id = format!("{:016x}", attempt.request);
         let ask = Ask {
             id: &id,
             class: "look",
@@ -48,7 +49,7 @@
             lane: 1,
             statement: b"x",
         };
-        self.links.push(push, engine, self.address, &ask, leave_by, self.now);
+        self.links.dispatch(attempt, engine, self.address, &ask, leave_by, self.now);
     }
 
     /// The engine's side of the next connection, with what is said on it first.
@@ -101,14 +102,14 @@
             }
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
-        ended.into_iter().map(|(push, outcome)| (push.request, outcome)).collect()
+        ended.into_iter().map(|(attempt, outcome)| (attempt.request, outcome)).collect()
     }
 
     fn ends(&mut self) -> Vec<(usize, Outcome)> {
         self.work();
         let mut ended = Vec::new();
         self.links.ended(&mut ended);
-        ended.into_iter().map(|(push, outcome)| (push.request, outcome)).collect()
+        ended.into_iter().map(|(attempt, outcome)| (attempt.request, outcome)).collect()
     }
 }
 
@@ -123,15 +124,15 @@
 #[test]
 fn what_is_given_up_is_over_when_its_engine_has_read_so_or_has_had_time_to() {
     let mut story = Story::new();
-    story.push(1);
+    story.dispatch(1);
     let mut far = story.accepted("GET");
-    story.push(2);
-    story.links.give_up(push(1), story.now);
+    story.dispatch(2);
+    story.links.give_up(attempt(1), story.now);
     story.hears(&mut far, &format!("DROP {:016x}\r\nPING {:016x}\r\n", 1, 1));
     assert_eq!(story.ends(), [], "the engine may not have read it yet");
     let ends = story.says(&mut far, &answer(1, "FIT", "-", ""), 1);
     assert_eq!(ends, [(1, Err(Failure::Sent))]);
-    story.links.give_up(push(2), story.now);
+    story.links.give_up(attempt(2), story.now);
     // An answer that crosses it is none.
     far.write_all(answer(2, "DONE", "-", "a\tb\tc\n").as_bytes()).unwrap();
     story.now += 0.09;
@@ -144,9 +145,9 @@
 #[test]
 fn an_answer_that_stops_short_ends_its_connection_and_is_told_once_the_engine_sees_it() {
     let mut story = Story::new();
-    story.push(1);
+    story.dispatch(1);
     let mut far = story.accepted("GET");
-    story.push(2);
+    story.dispatch(2);
     far.write_all(&answer(1, "DONE", "-", "a\tb\tc\n").as_bytes()[..30]).unwrap();
     story.hears(&mut far, "GET");
     story.now += 0.45;
@@ -164,7 +165,7 @@
 #[test]
 fn second_copies_and_answers_under_unknown_ids_end_nothing() {
     let mut story = Story::new();
-    story.push(1);
+    story.dispatch(1);
     let mut far = story.accepted("GET");
     let (row, first) = ("a\tb\tc\n", answer(1, "DONE", "parts=3", "a\tb\tc\n"));
     let page = |number: usize| answer(1, "MORE", &format!("part_no={number}"), row);
@@ -172,7 +173,7 @@
     let ends = story.says(&mut far, &words.concat(), 1);
     let whole = crate::routing::Reply::Done { rows: row.repeat(3).into_bytes(), told: None };
     assert_eq!(ends, [(1, Ok(whole))]);
-    story.push(2);
+    story.dispatch(2);
     assert_eq!(story.says(&mut far, &answer(2, "DONE", "-", row), 1), [(2, done())]);
     assert_eq!((story.links.links.len(), story.links.counters.links_malformed), (1, 0));
 }
@@ -180,7 +181,7 @@
 #[test]
 fn a_connection_without_a_sign_ends_once_its_engine_speaks_on_another() {
     let mut story = Story::new();
-    story.push(1);
+    story.dispatch(1);
     let mut far = story.accepted("GET");
     story.now += 0.3;
     story.links.sweep(story.now);
@@ -204,13 +205,13 @@
 fn what_must_have_left_by_some_time_does_not_leave_later() {
     let mut story = Story::new();
     // It takes the connection that the story has not looked at yet: up for the system, and not for us.
-    story.push_by(push(1), story.now + 0.1);
-    story.push_by(push(2), story.now + 0.3);
+    story.attempt_by(attempt(1), story.now + 0.1);
+    story.attempt_by(attempt(2), story.now + 0.3);
     assert!(story.links.due() <= story.now + 0.1 + 1e-9, "it is told as soon as it can't leave any more");
     story.now += 0.1;
     let mut far = story.accepted(&format!("GET {:016x}", 2));
     assert_eq!(story.ends(), [(1, Err(Failure::NeverSent))]);
-    story.push(3);
+    story.dispatch(3);
     let mut heard = Vec::new();
     far.set_read_timeout(Some(std::time::Duration::from_millis(5))).unwrap();
     while !String::from_utf8_lossy(&heard).contains(&format!("GET {:016x}", 3)) {
@@ -221,60 +222,60 @@
     }
     assert!(!String::from_utf8_lossy(&heard).contains(&format!("GET {:016x}", 1)));
     // On one that is up it is sent in time or not at all.
-    story.push_by(push(4), story.now);
+    story.attempt_by(attempt(4), story.now);
     assert_eq!(story.ends(), [(4, Err(Failure::NeverSent))]);
 }
 
 /// Hard case: an engine turns a request away, gets it again, and a second copy of its first answer comes late. Taken for the
-/// second push's own, it would prove that nothing ran while that push runs.
+/// second attempt's own, it would prove that nothing ran while that attempt runs.
 #[test]
-fn a_second_copy_of_an_answer_that_comes_late_is_no_answer_to_the_next_push() {
+fn a_second_copy_of_an_answer_that_comes_late_is_no_answer_to_the_next_attempt() {
     for (word, reply) in [
         ("WAIT", crate::routing::Reply::Full),
         ("BROKE", crate::routing::Reply::Erred),
         ("PAST", crate::routing::Reply::TooLate),
     ] {
         let mut story = Story::new();
-        story.push(1);
+        story.dispatch(1);
         let mut far = story.accepted("GET");
         let first = answer(1, word, "-", "");
         assert_eq!(story.says(&mut far, &first, 1), [(1, Ok(reply))]);
-        story.push_by(PushId { request: 1, number: 1 }, f64::INFINITY);
+        story.attempt_by(AttemptId { request: 1, number: 1 }, f64::INFINITY);
         let mut other = story.accepted("GET");
         far.write_all(first.as_bytes()).unwrap();
-        story.push(2);
+        story.dispatch(2);
         assert_eq!(story.ends(), [], "{word}");
         assert_eq!(story.says(&mut other, &answer(1, "DONE", "-", "a\tb\tc\n"), 1), [(1, done())]);
     }
 }
 
-/// Hard case: an engine is told to drain while the connection that a push waits for comes up.
+/// Hard case: an engine is told to drain while the connection that an attempt waits for comes up.
 #[test]
 fn what_waits_for_a_connection_does_not_leave_once_it_is_called_back() {
     let mut story = Story::new();
-    story.push(1);
+    story.dispatch(1);
     story.links.call_back(2);
     story.links.call_back(1);
     let mut ended = Vec::new();
     story.links.ended(&mut ended);
-    assert_eq!(ended, [(push(1), Err(Failure::NeverSent))]);
+    assert_eq!(ended, [(attempt(1), Err(Failure::NeverSent))]);
     // The connection comes up all the same, and what is on it is not touched.
-    story.push(2);
+    story.dispatch(2);
     let mut far = story.accepted(&format!("GET {:016x}", 2));
     story.links.call_back(1);
     assert_eq!(story.says(&mut far, &answer(2, "DONE", "-", "a\tb\tc\n"), 1), [(2, done())]);
 }
 
-/// Hard case: a client leaves while its push waits for a connection.
+/// Hard case: a client leaves while its attempt waits for a connection.
 #[test]
 fn what_is_given_up_while_it_waits_for_a_connection_never_leaves() {
     let mut story = Story::new();
-    story.push(1);
-    story.push(2);
-    story.links.give_up(push(1), story.now);
+    story.dispatch(1);
+    story.dispatch(2);
+    story.links.give_up(attempt(1), story.now);
     let mut far = story.accepted("GET");
     assert_eq!(story.ends(), [(1, Err(Failure::NeverSent))]);
-    story.push(3);
+    story.dispatch(3);
     let mut heard = String::new();
     far.set_read_timeout(Some(std::time::Duration::from_millis(5))).unwrap();
     for _ in 0..2000 {
@@ -320,27 +321,27 @@
     story.links.ended(&mut Vec::new());
 }
 
-/// A push, a turn and what is done to one engine look at its connections alone, whether there are 30 of all or 3,000.
+/// An attempt, a turn and what is done to one engine look at its connections alone, whether there are 30 of all or 3,000.
 #[test]
 fn what_concerns_one_engine_looks_at_its_connections_alone() {
     for size in [30, 3000] {
         let (mut story, _far) = many(size);
         for request in 0..20 {
-            let push = |story: &mut Story| story.push_to(push(request), 7, f64::INFINITY);
-            assert!(looks(&mut story, push) <= 6, "of {size}");
+            let attempt = |story: &mut Story| story.attempt_to(attempt(request), 7, f64::INFINITY);
+            assert!(looks(&mut story, attempt) <= 6, "of {size}");
         }
         assert_eq!(looks(&mut story, turn), 0, "a turn with nothing due, of {size}");
         assert!(looks(&mut story, |story| story.links.call_back(7)) <= 6, "of {size}");
-        // Its third one carries the pushes; room for a connection to an engine without one is found at once.
+        // Its third one carries the attempts; room for a connection to an engine without one is found at once.
         assert!(looks(&mut story, |story| story.links.close_idle(7, story.now)) <= 5, "of {size}");
         assert_eq!(story.links.links.len() as u64, size - 2);
         for (engine, id) in [(size, size), (size + 1, size + 1), (size + 2, size + 2)] {
-            let push = |story: &mut Story| story.push_to(push(id as usize), engine, f64::INFINITY);
-            assert!(looks(&mut story, push) <= 4, "of {size}");
+            let attempt = |story: &mut Story| story.attempt_to(attempt(id as usize), engine, f64::INFINITY);
+            assert!(looks(&mut story, attempt) <= 4, "of {size}");
         }
         assert_eq!((story.links.links.len() as u64, story.links.links.idle()), (size, Some(1)));
         // One that falls due is looked at, and no other.
-        story.push_to(push(9999), size + 3, story.now + 0.1);
+        story.attempt_to(attempt(9999), size + 3, story.now + 0.1);
         story.now += 0.1;
         assert!(looks(&mut story, turn) <= 3, "of {size}");
         let mut ended = Vec::new();
@@ -357,9 +358,9 @@
     for size in [30, 300, 3000] {
         let (mut story, _far) = many(size);
         assert_eq!(looks(&mut story, |story| story.links.sweep(story.now)), 0, "{size} wait for nothing");
-        story.links.stated.pushes_each = 1;
+        story.links.stated.max_attempts_per_connection = 1;
         for request in 0..size {
-            story.push_to(push(request as usize), request / 3, f64::INFINITY);
+            story.attempt_to(attempt(request as usize), request / 3, f64::INFINITY);
         }
         let quiet = looks(&mut story, |story| story.links.sweep(story.now));
         story.now += 0.3;
@@ -437,15 +438,16 @@
             all().filter(|(_, link)| link.engine == engine).map(|(id, _)| id).collect();
         walked.sort();
         assert_eq!(here, walked);
-        for (push, leave_by) in [(request, f64::INFINITY), (request, now), (usize::MAX, f64::INFINITY)] {
-            let push = format!("{push:016x}");
+        for (attempt, leave_by) in [(request, f64::INFINITY), (request, now), (usize::MAX, f64::INFINITY)] {
+            let attempt = format!("{attempt:016x}");
             let fits = |link: &Link| {
                 let here = link.engine == engine && link.address == address;
-                here && (leave_by == f64::INFINITY || !link.stuck()) && link.takes(&push, &links.stated, now)
+                here && (leave_by == f64::INFINITY || !link.stuck())
+                    && link.takes(&attempt, &links.stated, now)
             };
             let walked = all().filter(|(_, link)| fits(link)).max_by_key(|(id, link)| (link.up(), *id));
             let walked = walked.map(|(id, _)| id);
-            assert_eq!(links.find(engine, address, &push, leave_by, now), walked);
+            assert_eq!(links.find(engine, address, &attempt, leave_by, now), walked);
             found += usize::from(walked.is_some());
         }
     }
@@ -476,7 +478,7 @@
     let (mut seen, mut counted) = ([0; 5], [0; 3]);
     for seed in 1..=12 {
         let turns: EventLoop<super::super::Ready> = EventLoop::try_new().unwrap();
-        let stated = LinkLimits { connect_time_out: 0.25, idle_after: 2.0, pushes_each: 3 };
+        let stated = LinkLimits { connect_time_out: 0.25, idle_after: 2.0, max_attempts_per_connection: 3 };
         let mut links = Links::new(&turns.handle(), stated, 25);
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -492,7 +494,7 @@
         for step in 0..1200 {
             now += [0.0, 0.002, 0.01, 0.05, 0.3][[0, 1, 1, 2, 2, 2, 3, 3, 4][wild.below(9)]];
             let (request, engine) = (wild.below(60), wild.below(5));
-            let recent = PushId { request: step - wild.below(30).min(step), number: 0 };
+            let recent = AttemptId { request: step - wild.below(30).min(step), number: 0 };
             match wild.below(12) {
                 0..=4 => {
                     let id = format!("{request:016x}");
@@ -507,8 +509,8 @@
                         lane: 1,
                         statement: b"x",
                     };
-                    let push = PushId { request: step, number: 0 };
-                    links.push(push, engine as u64, address, &ask, leave_by, now);
+                    let attempt = AttemptId { request: step, number: 0 };
+                    links.dispatch(attempt, engine as u64, address, &ask, leave_by, now);
                 }
                 5 => links.give_up(recent, now),
                 6 => links.change_lane(recent, 2, now),
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -13,7 +13,7 @@
 use crate::protocol::board::Event;
 use crate::protocol::engine::Ask;
 use crate::protocol::statement::Question;
-use crate::routing::{Answer, Counters, News, Peers, PushId, Routing, SessionId};
+use crate::routing::{Answer, AttemptId, Counters, News, Peers, Routing, SessionId};
 use board::BoardLink;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
@@ -177,19 +177,19 @@
         }
     }
 
-    fn push(&mut self, push: PushId, engine: u64, address: SocketAddr, ask: &Ask, leave_by: f64) {
+    fn dispatch(&mut self, attempt: AttemptId, engine: u64, address: SocketAddr, ask: &Ask, leave_by: f64) {
         let Net { links, now, .. } = self;
-        if guarded("a push", || links.push(push, engine, address, ask, leave_by, *now)).is_none() {
-            links.failed(push, *now);
+        if guarded("a push", || links.dispatch(attempt, engine, address, ask, leave_by, *now)).is_none() {
+            links.failed(attempt, *now);
         }
     }
 
-    fn change_lane(&mut self, push: PushId, lane: u8) {
-        self.links.change_lane(push, lane, self.now);
+    fn change_lane(&mut self, attempt: AttemptId, lane: u8) {
+        self.links.change_lane(attempt, lane, self.now);
     }
 
-    fn give_up(&mut self, push: PushId) {
-        self.links.give_up(push, self.now)
+    fn give_up(&mut self, attempt: AttemptId) {
+        self.links.give_up(attempt, self.now)
     }
 
     fn close_idle(&mut self, engine: u64) {
--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -14,7 +14,7 @@
     /// How often the board was called, the first call aside.
     calls: usize,
     connections: usize,
-    pushes: u64,
+    attempts: u64,
     sessions: u64,
     links: u64,
     events: u64,
@@ -78,7 +78,7 @@
             .map(count_of),
         calls: board.seen.all().len() + moved.seen.all().len() - 1,
         connections: engine.seen.all().iter().filter(|line| line.starts_with("connection")).count(),
-        pushes: grown("pushes"),
+        attempts: grown("pushes"),
         sessions: grown("sessions"),
         links: grown("links"),
         events: grown("board_events"),
@@ -87,7 +87,7 @@
     }
 }
 
-/// Guards against a reload that takes all engines anew (lines, pushes, connections and calls by engines).
+/// Guards against a reload that takes all engines anew (lines, attempts, connections and calls by engines).
 #[test]
 fn a_reload_touches_what_was_changed_whatever_the_number_of_engines_known() {
     let (few, many) = (reloads(30), reloads(690));
@@ -96,7 +96,7 @@
         lines: [0, 1, 1, 1],
         calls: 1,
         connections: 1,
-        pushes: 0,
+        attempts: 0,
         sessions: 0,
         links: 0,
         events: 0,
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -12,7 +12,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
-/// Routers with a budget of four further pushes in ten seconds, and none more for requests taken.
+/// Routers with a budget of four retries in ten seconds, and none more for requests taken.
 fn tight(routers: usize, seed: u64, keeps: bool) -> Plan {
     let rules = r#""settings":{"rules":{"look-back-us":10000000,"spare-attempts":4,"budget-share":0.0},"#;
     let changes = vec![(r#""settings":{"#.to_string(), rules.to_string())];
@@ -34,9 +34,9 @@
     cluster.router(router).log.wait("coming back: full", 1);
 }
 
-/// Hard case: the push budget is used up just before the kill, and an engine is still silent after it.
+/// Hard case: the attempt budget is used up just before the kill, and an engine is still silent after it.
 #[test]
-fn further_pushes_before_a_kill_count_after_it_where_a_store_is_kept_and_only_there() {
+fn further_attempts_before_a_kill_count_after_it_where_a_store_is_kept_and_only_there() {
     for keeps in [true, false] {
         let mut cluster = start(Plan { knows: false, ..tight(1, 1, keeps) });
         cluster.engines[0].silent(true);
@@ -48,7 +48,7 @@
         let tally = load.tally(&cluster);
         // Judged as if kept in either case.
         let verdict = cluster.verdict(&tally, true);
-        let over = verdict.pushes_over_budget;
+        let over = verdict.attempts_over_budget;
         match keeps {
             true => {
                 assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
@@ -56,14 +56,14 @@
             }
             false => assert!(over == 0 && !says(&cluster, 0, "coming back"), "judged by each life alone"),
         }
-        let without = cluster.further_pushes(&tally, 0, 10.0);
+        let without = cluster.retries(&tally, 0, 10.0);
         assert_eq!(without > 4, !keeps, "{without} in ten seconds");
     }
 }
 
-/// Hard case: a deduplicated request is pushed just before the kill; its client repeats it 1 s and 13 s after the start. Its estimate
+/// Hard case: a deduplicated request is dispatched just before the kill; its client repeats it 1 s and 13 s after the start. Its estimate
 /// is so large that no time-out falls into the silence before the kill, nor on an answer that a busy machine holds up: either
-/// would use up the budget of further pushes, which is another story's.
+/// would use up the budget of retries, which is another story's.
 #[test]
 fn a_deduplicated_request_that_may_have_run_is_repeated_within_its_window_and_terminated_after_it() {
     let mut cluster = start(Plan { knows: false, ..tight(1, 2, true) });
@@ -84,7 +84,7 @@
         assert!(asked.elapsed() < GENEROUS, "no push came to an engine");
         std::thread::sleep(Duration::from_millis(5));
     }
-    // What was pushed is kept by then.
+    // What was dispatched is kept by then.
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(ran(&cluster), 1);
     cluster.play(&vec![(0.0, Act::Kill(0)), (0.1, Act::Start(0))], 0.0);
@@ -225,7 +225,7 @@
         let verdict = cluster.verdict(&tally, true);
         assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
         assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
-        cluster.further_pushes(&tally, 0, 10.0)
+        cluster.retries(&tally, 0, 10.0)
     };
     let (with, without) = (play(true), play(false));
     assert!(with <= 4 && without > 4, "{with} further pushes with a store, {without} without");
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -28,7 +28,7 @@
 }
 
 /// An engine comes, and one request more is asked: the statements that the engine has had by its answer.
-fn pushed_once_an_engine_comes(board: &Board, router: &Router) -> Vec<String> {
+fn dispatched_once_an_engine_comes(board: &Board, router: &Router) -> Vec<String> {
     let engine = Engine::start("e");
     board.tell(false, &[engine.entry("ready")]);
     router.log.wait("is e at", 1);
@@ -55,7 +55,7 @@
     assert!(matches!(half.answer(), Answered::Error(1317, _)), "one that still reads is told");
     assert!(half.closed());
     witness.counters("withdrawn", 3);
-    assert_eq!(pushed_once_an_engine_comes(&board, &router), ["the last"]);
+    assert_eq!(dispatched_once_an_engine_comes(&board, &router), ["the last"]);
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let mut witness = Client::new(&router);
     let counters = witness.counters("sessions_open", 1);
     assert_eq!(counter(&counters, "taken"), counter(&counters, "withdrawn"));
-    assert_eq!(pushed_once_an_engine_comes(&board, &router), ["the last"]);
+    assert_eq!(dispatched_once_an_engine_comes(&board, &router), ["the last"]);
 }
 
 #[test]
@@ -92,11 +92,11 @@
     // Those behind it that are read before its end are begun no more than itself.
     let counters = witness.counters("sessions_open", 1);
     assert_eq!(counter(&counters, "taken"), counter(&counters, "withdrawn"));
-    assert_eq!(pushed_once_an_engine_comes(&board, &router), ["the last"]);
+    assert_eq!(dispatched_once_an_engine_comes(&board, &router), ["the last"]);
 }
 
 #[test]
-fn a_client_that_leaves_has_its_push_given_up_and_no_other_made() {
+fn a_client_that_leaves_has_its_attempt_given_up_and_no_other_made() {
     let engine = Engine::start("e");
     let (_board, router) = with_engine(&engine);
     let mut client = Client::new(&router);
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_killed_query_has_its_push_given_up_and_its_session_goes_on() {
+fn a_killed_query_has_its_attempt_given_up_and_its_session_goes_on() {
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
     let mut client = Client::new(&router);
@@ -166,7 +166,7 @@
     let engine = Engine::start("e");
     let (_board, router) = started(&[&engine]);
     let mut client = Client::new(&router);
-    // So heavy that its push is waited for long.
+    // So heavy that its attempt is waited for long.
     client.send(&request("look", 20000, "mute").replace("work=5.0", "work=4000"));
     engine.seen.wait("PING sign on 0", 1);
     router.log.wait("gives no sign", 1);
@@ -176,11 +176,11 @@
 }
 
 #[test]
-fn a_machine_that_vanishes_takes_its_pushes_with_it_and_holds_up_no_other() {
+fn a_machine_that_vanishes_takes_its_attempts_with_it_and_holds_up_no_other() {
     let vanished = Engine::vanished("v");
     let (board, router) = started(&[&vanished]);
     let mut client = Client::new(&router);
-    // So heavy that their pushes would be waited for long.
+    // So heavy that their attempts would be waited for long.
     let heavy = |class: &str| request(class, 20000, "x").replace("work=5.0", "work=4000");
     client.send(&heavy("look"));
     vanished.seen.wait("GET", 1);
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -4,7 +4,7 @@
 mod contradictions;
 mod peers;
 
-use cleatgw::{ColdStart, DeduplicationScope, Deployment, Idempotency, Kind, PushBudget, RequestClass};
+use cleatgw::{ColdStart, DeduplicationScope, Deployment, Idempotency, Kind, RequestClass, RetryBudget};
 use serde_json::Value;
 use std::collections::HashMap;
 
@@ -29,7 +29,7 @@
 pub struct LinkLimits {
     pub connect_time_out: f64,
     pub idle_after: f64,
-    pub pushes_each: usize,
+    pub max_attempts_per_connection: usize,
 }
 
 /// What is stated, by the wire's paths.
@@ -137,7 +137,7 @@
         Ok(LinkLimits {
             connect_time_out: self.time("limits.connect-timeout-us", 0.25)?,
             idle_after: self.time("limits.conn-idle-us", 15.0)?,
-            pushes_each: self.number("limits.multiplex", 1.0)?.max(1.0) as usize,
+            max_attempts_per_connection: self.number("limits.multiplex", 1.0)?.max(1.0) as usize,
         })
     }
 }
@@ -226,7 +226,7 @@
         .collect();
     let budget = match pairs.maybe("rules.look-back-us")? {
         None => None,
-        Some(window) => Some(PushBudget {
+        Some(window) => Some(RetryBudget {
             spare: pairs.number("rules.spare-attempts", 0.0)?,
             share: pairs.number("rules.budget-share", 0.0)?,
             window: window / 1e6,
@@ -242,9 +242,9 @@
         trims: pairs.text("family-info.overbooked") == Some("trim"),
         pages: pairs.text("family-info.overbooked") == Some("swap"),
         lanes: pairs.flag("family-info.takes-priority"),
-        call_off: pairs.flag("limits.cancel"),
+        cancel: pairs.flag("limits.cancel"),
         copies: pairs.flag("limits.second-copies"),
-        most_pushes: pairs.number("limits.max-attempts", 1.0)? as u32,
+        max_attempts: pairs.number("limits.max-attempts", 1.0)? as u32,
         advice: match pairs.flag("limits.retry-after") {
             true => Some(pairs.time("limits.max-retry-after-us", 0.0)?),
             false => None,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -73,9 +73,9 @@
     pub window: f64,
 }
 
-/// How many pushes beyond each request's first one gateway may make in a window.
+/// How many attempts beyond each request's first one gateway may make in a window.
 #[derive(Clone, Copy, Debug)]
-pub struct PushBudget {
+pub struct RetryBudget {
     pub spare: f64,
     pub share: f64,
     pub window: f64,
@@ -95,16 +95,16 @@
     /// Engines short of memory let every request in, and all of them slow down.
     pub pages: bool,
     pub lanes: bool,
-    pub call_off: bool,
+    pub cancel: bool,
     pub copies: bool,
-    pub most_pushes: u32,
+    pub max_attempts: u32,
     /// The longest wait that clients follow, where they are told one.
     pub advice: Option<f64>,
     /// Where the list must be asked for: how long an old one counts as told.
     pub ask_within: Option<f64>,
     pub cold: ColdStart,
-    pub budget: Option<PushBudget>,
-    /// How long a key rests after a push that may still run.
+    pub budget: Option<RetryBudget>,
+    /// How long a key rests after an attempt that may still run.
     pub key_rest: f64,
 }
 
@@ -141,11 +141,11 @@
     pub deadline: f64,
     /// The line that it stands in while it is held, see [`queue`]; 0 where there are no teams.
     pub team: usize,
-    /// When the same request was first pushed under another request, by us in a former life or by another: it may have run.
+    /// When the same request was first dispatched under another request, by us in a former life or by another: it may have run.
     pub earlier: Option<f64>,
 }
 
-/// How a push ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
     Delivered,
@@ -156,7 +156,7 @@
     /// No connection came about.
     Unreached,
     Broken,
-    CalledOff,
+    Cancelled,
     NeverSent,
 }
 
@@ -174,9 +174,9 @@
     pub memory_granted: Option<f64>,
 }
 
-/// The end of one push.
+/// The end of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct PushEnd {
+pub struct AttemptEnd {
     pub request: usize,
     pub engine: usize,
     pub ending: Ending,
@@ -188,8 +188,8 @@
     pub load: Load,
 }
 
-/// What gateways tell each other of an engine: pushes of late that went well and that did not, and the work in seconds
-/// that was pushed to it in its cold window, 0 where it is warm.
+/// What gateways tell each other of an engine: attempts of late that went well and that did not, and the work in seconds
+/// that was dispatched to it in its cold window, 0 where it is warm.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Met {
     pub good: f64,
@@ -197,7 +197,7 @@
     pub sent: f64,
 }
 
-/// News of a push that is out.
+/// News of an attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
     Progress(f64),
@@ -208,15 +208,15 @@
 
 /// Where decisions are written, as they are made.
 pub trait Writer {
-    /// Names the lane (0 to 3) and the memory for the request's pushes; zero MB leaves it to the engine.
+    /// Names the lane (0 to 3) and the memory for the request's attempts; zero MB leaves it to the engine.
     fn terms(&mut self, request: usize, lane: u8, memory_mb: f64);
-    /// Pushes a request; without a time-out it runs until the deadline. It must have left by `leave_by`, or not at all: what
+    /// Attempts a request; without a time-out it runs until the deadline. It must have left by `leave_by`, or not at all: what
     /// repeats one that may have run is dropped as a repeat for a while only.
-    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64);
-    fn call_off(&mut self, request: usize, push: u32);
+    fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64);
+    fn cancel(&mut self, request: usize, attempt: u32);
     fn turn_back(&mut self, request: usize, come_back_in: Option<f64>);
     fn terminate(&mut self, request: usize);
-    /// How long a request that is held now is thought to wait for its first push; none where that can't be told.
+    /// How long a request that is held now is thought to wait for its first attempt; none where that can't be told.
     fn waits(&mut self, _request: usize, _wait: Option<queue::Wait>) {}
     /// Asks for the list's changes from now on.
     fn watch(&mut self, on: bool);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,14 +1,14 @@
 //! Every decision of the gateway. The interface (facts in, `Writer` out) is in `lib.rs`.
 //!
-//! A host makes a [`Gateway`], hands it each round's news through `engines_listed`, `request_received`, `push_over`
+//! A host makes a [`Gateway`], hands it each round's news through `engines_listed`, `request_received`, `attempt_ended`
 //! and their like, and then calls `round` once, which writes the decisions into the writer.
 //! The ordinary path is the design's: a request is granted memory by ROC against θ ([`Threshold`], [`Learned`]),
 //! goes to that one of the first fitting engines ([`Ledger`]) in its table group's hash order with the fewest
-//! of our threads per core, or is held. `may_push` alone keeps rules 2 to 7, `end` alone keeps rule 1.
+//! of our threads per core, or is held. `may_attempt` alone keeps rules 2 to 7, `end` alone keeps rule 1.
 //! Mechanisms beside the design, six at most:
 //! 1. cold ramp: a cold engine gets our share of what it stands, or by lot what no share holds (`cold_room`);
 //! 2. engine doubt: a draw from the posterior of an engine's success ([`Doubt`]);
-//! 3. time-outs and further pushes: `time_out`, `overdue`, and a budget of them (`repeat_budget`);
+//! 3. time-outs and retries: `time_out`, `overdue`, and a budget of them (`retry_budget`);
 //! 4. holding and turning back: threads per core are limited ([`Room`]), the best credit for work goes first,
 //!    teams in their turns ([`Line`], which keeps the order alone);
 //! 5. priority lanes by credit for work (`lane`);
@@ -16,7 +16,7 @@
 
 use crate::figures::{mix, rank, weighted_median, Mean, Shares, Trend, Window};
 use crate::index::{Filed, Orders};
-use crate::state::{Due, KeyLine, Push, Request};
+use crate::state::{Attempt, Due, KeyLine, Request};
 use crate::*;
 use cleatgw_queue::{Line, Waiting};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -228,7 +228,7 @@
 #[derive(Default)]
 struct Doubt {
     good: Mean,
-    /// What peers say that they met, each of them for one push at most.
+    /// What peers say that they met, each of them for one attempt at most.
     told: Mean,
     own: Vec<Mean>,
     doubted: bool,
@@ -240,7 +240,7 @@
     /// Half of it is gone after four seconds.
     const KEEP: f64 = 0.9576;
     const TRUST: f64 = 0.75;
-    /// A peer's word against our own push: one that lies, or is ill itself, puts no engine in doubt alone.
+    /// A peer's word against our own attempt: one that lies, or is ill itself, puts no engine in doubt alone.
     const WORD: f64 = 0.5;
 
     /// What is bad for its class need not be so for the engine.
@@ -303,11 +303,11 @@
     doubt: Doubt,
     room: Room,
     threads: f64,
-    pushes: u32,
+    attempts: u32,
     pace: Mean,
     best_pace: Option<f64>,
     last_answer: f64,
-    /// Work pushed of late, by usual weight, for the cold ramp.
+    /// Work dispatched of late, by usual weight, for the cold ramp.
     sent: Window,
     peers_sent: f64,
     /// Table groups that requests of ours hold there.
@@ -333,7 +333,7 @@
     unfiled: Vec<usize>,
     requests: BTreeMap<usize, Request>,
     pub line: Line,
-    /// Requests that are held since this round began, and those whose push has just ended.
+    /// Requests that are held since this round began, and those whose attempt has just ended.
     fresh: Vec<usize>,
     /// With teams: a request whose turn came before found no room in this round.
     passed_by: bool,
@@ -428,7 +428,7 @@
                     roomy.put(at, open && self.has_room(class, engine, light == 1));
                 }
                 let threads = engine.threads + self.given.classes[class].threads;
-                let even = engine.pushes == 0 || self.fills(threads, engine.cores);
+                let even = engine.attempts == 0 || self.fills(threads, engine.cores);
                 filed.even.put(at, open && even && !engine.room.tells);
             }
         }
@@ -462,7 +462,7 @@
         self.asked.add(taken.table_group, work);
         let request = Request { taken, work, memory, density, expected_at, since: now, ..Request::default() };
         taken.key.into_iter().for_each(|key| self.keys.entry(key).or_default().requests.push_back(id));
-        // A request that comes too late for a drain is never held, so that nothing new is pushed.
+        // A request that comes too late for a drain is never held, so that nothing new is dispatched.
         let closed = now >= self.takes_until;
         self.due.extend(Some((rank(now), Due::Deadline(id))).filter(|_| closed));
         self.requests.insert(id, request);
@@ -480,14 +480,18 @@
         let held: Vec<usize> = self.requests.keys().copied().filter(|id| before.holds(*id)).collect();
         for (id, request) in &mut self.requests {
             request.taken.team = team_of(*id);
-            request.pushes.iter().filter(|push| push.out).for_each(|_| self.line.carries(request.taken.team));
+            request
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.out)
+                .for_each(|_| self.line.carries(request.taken.team));
         }
         held.into_iter().for_each(|id| self.hold(now, id));
     }
 
     fn hold(&mut self, now: f64, id: usize) {
-        let &Request { ref taken, density, work, since, ref pushes, .. } = &self.requests[&id];
-        let never_ran = pushes.iter().all(|push| push.never_ran);
+        let &Request { ref taken, density, work, since, ref attempts, .. } = &self.requests[&id];
+        let never_ran = attempts.iter().all(|attempt| attempt.never_ran);
         let Taken { team, class, .. } = *taken;
         self.line.hold(Waiting { request: id, team, class, density, work, since, never_ran }, now);
     }
@@ -508,14 +512,14 @@
         Some(Met { good, bad: weight - good, sent })
     }
 
-    /// We begin without knowing what we pushed before: the worst that rules 4 and 7 can mean, for as long
+    /// We begin without knowing what we dispatched before: the worst that rules 4 and 7 can mean, for as long
     /// as they look back.
     pub fn forgot(&mut self, now: f64) {
         self.forgot_at = now;
-        self.repeats.extend(std::iter::repeat_n(now, self.repeat_budget().spare.ceil() as usize));
+        self.repeats.extend(std::iter::repeat_n(now, self.retry_budget().spare.ceil() as usize));
     }
 
-    /// We do know: further pushes by their times, and work that went to cold engines.
+    /// We do know: retries by their times, and work that went to cold engines.
     pub fn remembers(&mut self, repeats: &[f64], sent: &[(usize, f64, f64)]) {
         let forgot_at = std::mem::take(&mut self.forgot_at);
         self.repeats.retain(|&at| at != forgot_at);
@@ -526,7 +530,7 @@
         }
     }
 
-    /// Our instance drains: no request that is taken from the time that is returned on is pushed.
+    /// Our instance drains: no request that is taken from the time that is returned on is dispatched.
     pub fn drain(&mut self, now: f64) -> f64 {
         self.takes_until = self.takes_until.min(now + NEW_WORK);
         self.takes_until
@@ -553,10 +557,10 @@
         self.due.insert((rank(self.last_start(request)), Due::TooLate(id)));
     }
 
-    pub fn push_noted(&mut self, now: f64, id: usize, note: Note) {
+    pub fn attempt_noted(&mut self, now: f64, id: usize, note: Note) {
         let Some(request) = self.requests.get(&id) else { return };
-        let Some(push) = request.pushes.iter().rfind(|push| push.out) else { return };
-        let Some(engine) = self.engines.get_mut(push.engine) else { return };
+        let Some(attempt) = request.attempts.iter().rfind(|attempt| attempt.out) else { return };
+        let Some(engine) = self.engines.get_mut(attempt.engine) else { return };
         engine.last_answer = now;
         match note {
             Note::WaitsForMemory => {
@@ -564,19 +568,19 @@
                 self.theta.waits.add(1.0, 1.0, 1.0);
             }
             // Where grants are honoured, a spill tells of a heavy draw, not of pressure.
-            Note::Spills if !push.quarter && self.given.trims => engine.ledger.shrink(now),
+            Note::Spills if !attempt.quarter && self.given.trims => engine.ledger.shrink(now),
             _ => {}
         }
     }
 
-    pub fn push_over(&mut self, now: f64, end: &PushEnd) {
+    pub fn attempt_ended(&mut self, now: f64, end: &AttemptEnd) {
         let Some(request) = self.requests.get_mut(&end.request) else { return };
-        let sent_there = |push: &Push| push.out && push.engine == end.engine;
-        let Some(index) = request.pushes.iter().position(sent_there) else { return };
-        let push = &mut request.pushes[index];
-        push.out = false;
-        push.never_ran = end.ending.never_ran();
-        let (sent, quarter) = (push.sent, push.quarter);
+        let sent_there = |attempt: &Attempt| attempt.out && attempt.engine == end.engine;
+        let Some(index) = request.attempts.iter().position(sent_there) else { return };
+        let attempt = &mut request.attempts[index];
+        attempt.out = false;
+        attempt.never_ran = end.ending.never_ran();
+        let (sent, quarter) = (attempt.sent, attempt.quarter);
         let (class, key) = (request.taken.class, request.taken.key);
         let threads = self.given.classes[class].threads;
         // Where work is neither told nor estimated, the time it took is safe for a cold engine.
@@ -598,8 +602,8 @@
         if let Some(engine) = self.engines.get_mut(end.engine) {
             // The requests that it tells of have as many threads each as ours; else pace is about threads a core.
             let others =
-                end.load.requests.map(|all| (all - f64::from(engine.pushes)) * self.threads_each.or(1.0));
-            let ran = matches!(end.ending, Ending::Delivered | Ending::TimedOut | Ending::CalledOff);
+                end.load.requests.map(|all| (all - f64::from(engine.attempts)) * self.threads_each.or(1.0));
+            let ran = matches!(end.ending, Ending::Delivered | Ending::TimedOut | Ending::Cancelled);
             let felt = stood.map(|pace| Room::USUAL * pace.min(8.0) * engine.cores - engine.threads);
             let felt = felt.filter(|_| ran && !quarter && !stalled && self.given.gateways > 1.0);
             engine.room.tells |= others.is_some();
@@ -652,7 +656,7 @@
                 learned.memory_by_estimate.add(request.taken.memory_mb, memory);
             }
         }
-        let may_run = matches!(end.ending, Ending::TimedOut | Ending::Broken | Ending::CalledOff);
+        let may_run = matches!(end.ending, Ending::TimedOut | Ending::Broken | Ending::Cancelled);
         if let Some(line) = key.filter(|_| may_run).and_then(|key| self.keys.get_mut(&key)) {
             line.rests_until = line.rests_until.max(now + self.given.key_rest);
         }
@@ -673,17 +677,17 @@
         self.forget_if_done(end.request);
     }
 
-    /// A push no longer counts on its engine.
+    /// An attempt no longer counts on its engine.
     fn settle(&mut self, id: usize, index: usize) {
         let request = &self.requests[&id];
-        let (push, class) = (&request.pushes[index], &self.given.classes[request.taken.class]);
-        if let Some(engine) = self.engines.get_mut(push.engine) {
+        let (attempt, class) = (&request.attempts[index], &self.given.classes[request.taken.class]);
+        if let Some(engine) = self.engines.get_mut(attempt.engine) {
             self.threads -= class.threads;
-            self.unfiled.push(push.engine);
-            (engine.threads, engine.pushes) = (engine.threads - class.threads, engine.pushes - 1);
+            self.unfiled.push(attempt.engine);
+            (engine.threads, engine.attempts) = (engine.threads - class.threads, engine.attempts - 1);
             let held = engine.holding.iter().position(|&group| group == request.taken.table_group);
             held.filter(|_| class.holds_tables).map(|at| engine.holding.swap_remove(at));
-            engine.ledger.granted = (engine.ledger.granted - push.grant).max(0.0);
+            engine.ledger.granted = (engine.ledger.granted - attempt.grant).max(0.0);
             engine.ledger.open -= 1;
         }
     }
@@ -697,13 +701,13 @@
             self.tick(now);
         }
         // Requests are tried before they are found too late: room may just have come free.
-        self.push_held(now, out);
+        self.dispatch_queued(now, out);
         while let Some((_, due)) = self.due.first().copied().filter(|&(at, _)| at <= rank(now)) {
             self.due.pop_first();
             match due {
                 Due::Deadline(id) => self.end(now, id, out),
                 Due::TooLate(id) => self.too_late(now, id, out),
-                Due::Overdue(id, push) => self.overdue(now, id, push, out),
+                Due::Overdue(id, attempt) => self.overdue(now, id, attempt, out),
                 Due::Expired(id) => self.end_if_stuck(now, id, out),
             }
         }
@@ -730,8 +734,8 @@
         self.asked.fade(Room::KEEP);
         for (id, engine) in self.engines.iter_mut().enumerate() {
             engine.ledger.tick(now);
-            let pushes = f64::from(engine.pushes);
-            self.threads_each.add(engine.threads / pushes.max(1.0), pushes, 0.99);
+            let attempts = f64::from(engine.attempts);
+            self.threads_each.add(engine.threads / attempts.max(1.0), attempts, 0.99);
             let Doubt { good, own, .. } = &mut engine.doubt;
             own.iter_mut().chain([good]).for_each(|mean| mean.fade(Doubt::KEEP));
             self.draws += 1;
@@ -754,7 +758,7 @@
         self.unfiled = (0..self.engines.len()).collect();
         // Tables that clients' keys fill are kept small.
         self.keys.retain(|_, line| !line.requests.is_empty() || now < line.rests_until);
-        let from = now - self.repeat_budget().window.max(1.0);
+        let from = now - self.retry_budget().window.max(1.0);
         let forget = |all: &mut VecDeque<f64>| drop(all.drain(..all.partition_point(|&at| at < from)));
         [&mut self.taken_at, &mut self.repeats].into_iter().for_each(forget);
         let over = self.turning_back.take_if(|last| now > *last + 5.0);
@@ -762,7 +766,7 @@
     }
 
     /// Tries what is held: teams in their turns, within a team the best credit for its work first.
-    fn push_held(&mut self, now: f64, out: &mut dyn Writer) {
+    fn dispatch_queued(&mut self, now: f64, out: &mut dyn Writer) {
         for id in std::mem::take(&mut self.again) {
             self.end_if_stuck(now, id, out);
         }
@@ -775,7 +779,7 @@
             let Some(id) = self.line.next(now) else { break };
             // Another team's light requests must not fill what a heavy one, whose turn it is, waits for.
             self.passed_by = failures > 0 && self.line.parted();
-            match self.in_turn(id, now) && !self.can_never_push(id, now) {
+            match self.in_turn(id, now) && !self.retries_exhausted(id, now) {
                 true if self.place(now, id, out) => self.line.went(id, now),
                 tried => failures += u32::from(tried),
             }
@@ -790,10 +794,10 @@
         }
     }
 
-    /// A held request that no push can follow any more has its answer.
+    /// A held request that no attempt can follow any more has its answer.
     fn end_if_stuck(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
         let held = self.requests.get(&id).is_some_and(|request| !request.over && !request.out());
-        if held && self.can_never_push(id, now) {
+        if held && self.retries_exhausted(id, now) {
             self.end(now, id, out);
         }
     }
@@ -821,7 +825,7 @@
         (if best { full } else { quarter }, quarter, !best)
     }
 
-    /// Finds the request's engine and pushes it there; false: it is held.
+    /// Finds the request's engine and attempts it there; false: it is held.
     fn place(&mut self, now: f64, id: usize, out: &mut dyn Writer) -> bool {
         let (grant, least, quarter) = self.grant(id);
         self.file();
@@ -861,7 +865,7 @@
         let best = self.filed[of].trusted.of(&mut |at| walk.covers(&self.orders, at) && allowed(at));
         let trust = Doubt::TRUST * best;
         // One light request at a time, and one a draw, tries an engine in doubt: failures must not draw in more.
-        let tries = |engine: &EngineState| light && engine.pushes == 0 && engine.doubt.drawn >= trust;
+        let tries = |engine: &EngineState| light && engine.attempts == 0 && engine.doubt.drawn >= trust;
         let (mut open, mut fitting) = (Vec::new(), Vec::new());
         walk.each(&self.orders, &mut |at| {
             let trusted = allowed(at) && (engine(at).doubt.mean_for(of) >= trust || tries(engine(at)));
@@ -870,7 +874,7 @@
             fitting.len() == few
         });
         // What stood in its way may stand there still. Where ours are none, our peers' decide, then chance.
-        let been = |at: usize| self.requests[&id].pushes.iter().any(|push| push.engine == at);
+        let been = |at: usize| self.requests[&id].attempts.iter().any(|attempt| attempt.engine == at);
         let key = |at: &&usize| {
             let EngineState { threads, cores, room, best_pace, .. } = engine(**at);
             let [ours, felt] = [threads / cores, room.peers.with(self.belief, 1.0)].map(rank);
@@ -890,7 +894,7 @@
             request.ledger_held_at = request.ledger_held_at.or(waits);
             return false;
         };
-        self.push(now, id, at, grant, quarter, out);
+        self.dispatch(now, id, at, grant, quarter, out);
         true
     }
 
@@ -911,12 +915,12 @@
         // Where we hold nothing, nothing is told, and a slow spell is felt for long: a light request finds out.
         let finds_out = light && self.given.gateways * threads <= engine.cores;
         // What all send a cold engine is bounded by its budget, and the crowd felt elsewhere is not there.
-        engine.pushes == 0 && (finds_out || engine.cold)
-            || (engine.pushes == 0 || ours <= share * limit)
+        engine.attempts == 0 && (finds_out || engine.cold)
+            || (engine.attempts == 0 || ours <= share * limit)
                 && ours + peers <= limit.max(1.25 * threads / engine.cores)
     }
 
-    fn push(&mut self, now: f64, id: usize, at: usize, grant: f64, quarter: bool, out: &mut dyn Writer) {
+    fn dispatch(&mut self, now: f64, id: usize, at: usize, grant: f64, quarter: bool, out: &mut dyn Writer) {
         let lane = self.lane(id);
         let (time_out, patience) = (self.time_out(now, id, at), self.patience(&self.requests[&id]));
         let weight = self.usual_work(self.requests[&id].taken.class);
@@ -924,17 +928,24 @@
         let request = self.requests.get_mut(&id).expect("a held job");
         let class = &self.given.classes[request.taken.class];
         request.ledger_wait += request.ledger_held_at.take().map_or(0.0, |since| now - since);
-        if !request.pushes.is_empty() {
+        if !request.attempts.is_empty() {
             self.repeats.push_back(now);
             self.ahead = self.ahead.map(|left| left.saturating_sub(1));
         }
-        request.pushes.push(Push { engine: at, sent: now, grant, quarter, out: true, ..Push::default() });
-        self.due.insert((rank(now + patience), Due::Overdue(id, request.pushes.len() - 1)));
+        request.attempts.push(Attempt {
+            engine: at,
+            sent: now,
+            grant,
+            quarter,
+            out: true,
+            ..Attempt::default()
+        });
+        self.due.insert((rank(now + patience), Due::Overdue(id, request.attempts.len() - 1)));
         let engine = self.engines.get_mut(at).expect("a listed engine");
         engine.doubt.drawn = 0.0;
         self.threads += class.threads;
         self.unfiled.push(at);
-        (engine.threads, engine.pushes) = (engine.threads + class.threads, engine.pushes + 1);
+        (engine.threads, engine.attempts) = (engine.threads + class.threads, engine.attempts + 1);
         engine.holding.extend(Some(request.taken.table_group).filter(|_| class.holds_tables));
         engine.ledger.granted += grant;
         engine.ledger.open += 1;
@@ -942,31 +953,32 @@
         if self.given.grants || self.given.lanes {
             out.terms(id, lane, if self.given.grants { grant } else { 0.0 });
         }
-        out.push(id, at, time_out, leave_by);
+        out.dispatch(id, at, time_out, leave_by);
     }
 
-    /// Rules 2 to 7, in two parts: every push passes both.
-    pub fn may_push(&self, id: usize, at: usize, now: f64) -> bool {
+    /// Rules 2 to 7, in two parts: every attempt passes both.
+    pub fn may_attempt(&self, id: usize, at: usize, now: f64) -> bool {
         self.may_go(id, now) && self.may_take(id, at, now)
     }
 
-    /// Whether the request may be pushed at all now.
+    /// Whether the request may be dispatched at all now.
     fn may_go(&self, id: usize, now: f64) -> bool {
         let Some(request) =
             self.requests.get(&id).filter(|request| !request.over && now < request.taken.deadline)
         else {
             return false;
         };
-        // Rule 2: no second effect, and one push out unless copies are allowed. Rule 5: key order, and the rest after
-        // a push that may still run.
-        if self.can_never_push(id, now) || (request.out() && !self.given.copies) || !self.in_turn(id, now) {
+        // Rule 2: no second effect, and one attempt out unless copies are allowed. Rule 5: key order, and the rest after
+        // an attempt that may still run.
+        if self.retries_exhausted(id, now) || (request.out() && !self.given.copies) || !self.in_turn(id, now)
+        {
             return false;
         }
-        // Rule 7: the budget of further pushes.
-        if request.pushes.is_empty() {
+        // Rule 7: the budget of retries.
+        if request.attempts.is_empty() {
             return true;
         }
-        let budget = self.repeat_budget();
+        let budget = self.retry_budget();
         let repeats = self.repeats.len() - self.repeats.partition_point(|&at| at < now - budget.window);
         let taken = self.taken_at.len() - self.taken_at.partition_point(|&at| at <= now - budget.window);
         self.ahead != Some(0) && repeats as f64 + 1.0 <= budget.spare + budget.share * taken as f64
@@ -977,8 +989,8 @@
         let (Some(request), Some(engine)) = (self.requests.get(&id), self.engines.get(at)) else {
             return false;
         };
-        let near = |push: &Push| {
-            let first = &self.engines[push.engine].at;
+        let near = |attempt: &Attempt| {
+            let first = &self.engines[attempt.engine].at;
             match self.given.classes[request.taken.class].idempotency {
                 Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
                     first.zone == engine.at.zone
@@ -993,7 +1005,7 @@
         // placement. Rule 4: a cold engine's budget.
         engine.at.stage == Stage::Ready
             && engine.cores > 0.0
-            && request.pushes.iter().filter(|push| !push.never_ran).all(near)
+            && request.attempts.iter().filter(|attempt| !attempt.never_ran).all(near)
             && self.placed(request.taken.class, engine)
             && self.cold_room(engine, now) >= self.usual_work(request.taken.class)
     }
@@ -1008,13 +1020,13 @@
         let request = &self.requests[&id];
         let line = request.taken.key.and_then(|key| self.keys.get(&key));
         line.is_none_or(|line| {
-            line.requests.front() == Some(&id) && (!request.pushes.is_empty() || now >= line.rests_until)
+            line.requests.front() == Some(&id) && (!request.attempts.is_empty() || now >= line.rests_until)
         })
     }
 
     /// Where no budget is stated, we keep one, so that a bad spell does not feed on its own repeats.
-    pub fn repeat_budget(&self) -> PushBudget {
-        self.given.budget.unwrap_or(PushBudget { spare: 10.0, share: 0.2, window: 10.0 })
+    pub fn retry_budget(&self) -> RetryBudget {
+        self.given.budget.unwrap_or(RetryBudget { spare: 10.0, share: 0.2, window: 10.0 })
     }
 
     /// What a request of a class counts for at a cold engine. Until some have told, as much as runs within its
@@ -1047,13 +1059,13 @@
         lot.max(share - sent).min(stands - sent - engine.peers_sent)
     }
 
-    /// No push can follow, whatever comes.
-    fn can_never_push(&self, id: usize, now: f64) -> bool {
+    /// No attempt can follow, whatever comes.
+    fn retries_exhausted(&self, id: usize, now: f64) -> bool {
         let request = &self.requests[&id];
-        now >= self.repeats_until(request) || request.pushes.len() as u32 >= self.given.most_pushes
+        now >= self.repeats_until(request) || request.attempts.len() as u32 >= self.given.max_attempts
     }
 
-    /// Until when a push may leave, by the earlier ones that may have run.
+    /// Until when an attempt may leave, by the earlier ones that may have run.
     fn repeats_until(&self, request: &Request) -> f64 {
         let (lasts, lasts_elsewhere) = match self.given.classes[request.taken.class].idempotency {
             Idempotency::Idempotent => return f64::INFINITY,
@@ -1064,11 +1076,12 @@
             // Of one under another request only the time is known, not where it ran.
             Idempotency::Deduplicated { window, .. } => (window - EDGE, f64::NEG_INFINITY),
         };
-        let ran = request.pushes.iter().filter(|push| !push.never_ran).map(|push| push.sent + lasts);
+        let ran =
+            request.attempts.iter().filter(|attempt| !attempt.never_ran).map(|attempt| attempt.sent + lasts);
         ran.chain(request.taken.earlier.map(|sent| sent + lasts_elsewhere)).fold(f64::INFINITY, f64::min)
     }
 
-    /// Sees to it that a held request is looked at when no push can follow any more.
+    /// Sees to it that a held request is looked at when no attempt can follow any more.
     fn expires(&mut self, id: usize) {
         let until = self.repeats_until(&self.requests[&id]);
         self.due.extend((until < f64::INFINITY).then_some((rank(until), Due::Expired(id))));
@@ -1087,7 +1100,8 @@
     /// Rule 1: the one place where a request gets its answer from us.
     fn end(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.over) else { return };
-        let (unseen, earlier) = (request.pushes.iter().all(|push| push.never_ran), request.taken.earlier);
+        let (unseen, earlier) =
+            (request.attempts.iter().all(|attempt| attempt.never_ran), request.taken.earlier);
         let harmless = match self.given.classes[request.taken.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Deduplicated { scope: DeduplicationScope::All, window } => {
@@ -1139,7 +1153,7 @@
         request.work / threads * self.learned[request.taken.class].pace()
     }
 
-    /// When a push is overdue, even if the request outgrew its estimate as far as such requests do.
+    /// When an attempt is overdue, even if the request outgrew its estimate as far as such requests do.
     fn patience(&self, request: &Request) -> f64 {
         let scatter = self.learned[request.taken.class].work_by_cost.scatter;
         let outgrown = request.taken.cost.map_or(2.0, |_| scatter.or(0.5).exp());
@@ -1150,11 +1164,11 @@
         request.expected_at - self.run_time(request)
     }
 
-    /// So long that, should it pass unanswered, a push elsewhere may still come in time.
+    /// So long that, should it pass unanswered, an attempt elsewhere may still come in time.
     /// Where the work goes on all the same, only an engine in doubt is not worth waiting for.
     fn time_out(&self, now: f64, id: usize, at: usize) -> Option<f64> {
         let request = &self.requests[&id];
-        if !self.given.call_off && self.engines[at].doubt.mean() > Doubt::TRUST {
+        if !self.given.cancel && self.engines[at].doubt.mean() > Doubt::TRUST {
             return None;
         }
         let slow = (self.median / self.learned[request.taken.class].pace()).max(1.0);
@@ -1167,7 +1181,7 @@
         } else {
             early
         };
-        (wait + run < left && request.pushes.len() + 1 < self.given.most_pushes as usize).then_some(wait)
+        (wait + run < left && request.attempts.len() + 1 < self.given.max_attempts as usize).then_some(wait)
     }
 
     /// A held request that can't come in time: turned back, unless what it earns late beats the work that waits.
@@ -1192,18 +1206,19 @@
         self.end(now, id, out);
     }
 
-    /// A push is out for too long, and its engine has answered nothing since: counted again while it lasts.
+    /// An attempt is out for too long, and its engine has answered nothing since: counted again while it lasts.
     fn overdue(&mut self, now: f64, id: usize, index: usize, out: &mut dyn Writer) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let (over, number, push) = (request.over, index as u32, &mut request.pushes[index]);
-        let engine = self.engines.get_mut(push.engine).filter(|one| push.out && one.last_answer < push.sent);
+        let (over, number, attempt) = (request.over, index as u32, &mut request.attempts[index]);
+        let engine =
+            self.engines.get_mut(attempt.engine).filter(|one| attempt.out && one.last_answer < attempt.sent);
         let Some(engine) = engine else { return };
         engine.doubt.add(request.taken.class, 0.0, 1.0, 1.0);
-        self.unfiled.push(push.engine);
+        self.unfiled.push(attempt.engine);
         self.due.insert((rank(now + 2.0), Due::Overdue(id, index)));
-        if self.given.call_off && !over && !push.called_off && engine.doubt.mean() < 0.5 {
-            push.called_off = true;
-            out.call_off(id, number);
+        if self.given.cancel && !over && !attempt.cancelled && engine.doubt.mean() < 0.5 {
+            attempt.cancelled = true;
+            out.cancel(id, number);
         }
     }
 }
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -5,15 +5,15 @@
 
 #[derive(Default)]
 struct Book {
-    pushes: Vec<(usize, usize)>,
+    attempts: Vec<(usize, usize)>,
 }
 
 impl Writer for Book {
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
-    fn push(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
-        self.pushes.push((request, engine));
+    fn dispatch(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
+        self.attempts.push((request, engine));
     }
-    fn call_off(&mut self, _: usize, _: u32) {}
+    fn cancel(&mut self, _: usize, _: u32) {}
     fn turn_back(&mut self, _: usize, _: Option<f64>) {}
     fn terminate(&mut self, _: usize) {}
     fn watch(&mut self, _: bool) {}
@@ -48,20 +48,20 @@
     let stalls = class.holds_tables || class.waits_for_holders;
     let light = gateway.light(id) && !gateway.passed_by;
     let engine = |at: &usize| &gateway.engines[*at];
-    open.retain(|at| gateway.may_push(id, *at, now) && !(stalls && engine(at).holding.contains(&group)));
+    open.retain(|at| gateway.may_attempt(id, *at, now) && !(stalls && engine(at).holding.contains(&group)));
     let mean = |at: &usize| engine(at).doubt.mean_for(of);
     let trust = Doubt::TRUST * open.iter().map(mean).fold(0.0, f64::max);
-    let tries = |engine: &EngineState| light && engine.pushes == 0 && engine.doubt.drawn >= trust;
+    let tries = |engine: &EngineState| light && engine.attempts == 0 && engine.doubt.drawn >= trust;
     open.retain(|at| mean(at) >= trust || tries(engine(at)));
     let even = gateway.learned[of].work_by_cost.told.weight == 0.0
         && gateway.fills(gateway.threads + class.threads, gateway.cores);
     let alone = |at: &usize| {
         let engine = engine(at);
         !engine.room.tells
-            && (engine.pushes == 0 || gateway.fills(engine.threads + class.threads, engine.cores))
+            && (engine.attempts == 0 || gateway.fills(engine.threads + class.threads, engine.cores))
     };
     open.retain(|at| gateway.has_room(of, engine(at), light) || even && alone(at));
-    let been = |at: &usize| request.pushes.iter().any(|push| push.engine == *at);
+    let been = |at: &usize| request.attempts.iter().any(|attempt| attempt.engine == *at);
     let key = |at: &&usize| {
         let peers = engine(at).room.peers.with(gateway.belief, 1.0);
         let [ours, felt] = [engine(at).threads / engine(at).cores, peers].map(rank);
@@ -115,11 +115,11 @@
         trims: tells,
         pages: !tells,
         lanes: true,
-        call_off: true,
+        cancel: true,
         copies: false,
-        most_pushes: 4,
+        max_attempts: 4,
         cold: ColdStart { from: 0.3, warm_after: 6.0, multiple: 2.0, window: 1.0 },
-        budget: Some(PushBudget { spare: 30.0, share: 0.3, window: 5.0 }),
+        budget: Some(RetryBudget { spare: 30.0, share: 0.3, window: 5.0 }),
         key_rest: 0.5,
         ..Deployment::default()
     }
@@ -223,11 +223,11 @@
 
     /// One of those that are out ends.
     fn ends(&mut self) {
-        if self.book.pushes.is_empty() {
+        if self.book.attempts.is_empty() {
             return;
         }
-        let which = self.draw(self.book.pushes.len());
-        let (request, engine) = self.book.pushes.swap_remove(which);
+        let which = self.draw(self.book.attempts.len());
+        let (request, engine) = self.book.attempts.swap_remove(which);
         // A third of the engines breaks what it gets.
         let bad = [Ending::Erred, Ending::Unreached, Ending::Full, Ending::Broken, Ending::TimedOut];
         let ending = match engine % 3 {
@@ -242,29 +242,31 @@
             memory_granted: (self.draw(10) == 0).then_some(1.0),
         };
         let request_done = ending == Ending::Delivered;
-        self.gateway
-            .push_over(self.now, &PushEnd { request, engine, ending, request_done, spent, told, load });
+        self.gateway.attempt_ended(
+            self.now,
+            &AttemptEnd { request, engine, ending, request_done, spent, told, load },
+        );
     }
 
-    /// Requests are tried as `push_held` tries them, each choice beside the plain walk's.
+    /// Requests are tried as `dispatch_queued` tries them, each choice beside the plain walk's.
     fn compare(&mut self) {
         let gateway = &mut self.gateway;
         let mut failures = 0;
         while failures < 12 {
             let Some(id) = gateway.line.next(self.now) else { break };
             gateway.passed_by = failures > 0 && gateway.line.parted();
-            if !gateway.in_turn(id, self.now) || gateway.can_never_push(id, self.now) {
+            if !gateway.in_turn(id, self.now) || gateway.retries_exhausted(id, self.now) {
                 continue;
             }
             let expected = plain_walk(gateway, self.now, id);
-            let pushed = self.book.pushes.len();
+            let dispatched = self.book.attempts.len();
             let placed = gateway.place(self.now, id, &mut self.book);
-            let found = self.book.pushes[pushed..].first().map(|(_, engine)| *engine);
+            let found = self.book.attempts[dispatched..].first().map(|(_, engine)| *engine);
             assert_eq!(found, expected.map(|(at, _)| at), "job {id} at {}, seed {}", self.now, self.seed);
             if let Some((_, grant)) = expected {
-                let push = gateway.requests[&id].pushes.last().expect("it was pushed");
-                assert_eq!(push.grant, grant, "job {id}");
-                self.roomiest += usize::from(push.quarter);
+                let attempt = gateway.requests[&id].attempts.last().expect("it was pushed");
+                assert_eq!(attempt.grant, grant, "job {id}");
+                self.roomiest += usize::from(attempt.quarter);
             }
             self.choices += 1;
             self.held += usize::from(!placed);
@@ -292,7 +294,7 @@
                 self.gateway.peers_say(at, Met { good: 1.0, bad, sent: 0.1 });
             }
             self.compare();
-            self.seen += self.book.pushes.len();
+            self.seen += self.book.attempts.len();
             self.gateway.round(self.now, &mut self.book);
             self.now += 0.01 * self.draw(10) as f64;
         }
@@ -345,14 +347,14 @@
         story.gateway.request_received(story.now, story.requests, taken);
         (story.requests, took) = (story.requests + 1, took + 1);
         story.gateway.round(story.now, &mut story.book);
-        while story.book.pushes.len() > 10 {
-            let (request, engine) = story.book.pushes.remove(0);
+        while story.book.attempts.len() > 10 {
+            let (request, engine) = story.book.attempts.remove(0);
             let ending = if bad && engine % 3 == 0 { Ending::Broken } else { Ending::Delivered };
             let told = (ending == Ending::Delivered).then_some((0.02, 50.0));
             let load = Load { requests: Some(1.0), ..Load::default() };
             let request_done = ending == Ending::Delivered;
-            let end = PushEnd { request, engine, ending, request_done, spent: 0.03, told, load };
-            story.gateway.push_over(story.now, &end);
+            let end = AttemptEnd { request, engine, ending, request_done, spent: 0.03, told, load };
+            story.gateway.attempt_ended(story.now, &end);
         }
         if changes > 0 && step % changes == 0 {
             let at = story.draw(engines);
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,14 +4,14 @@
 use std::collections::VecDeque;
 
 #[derive(Default)]
-pub struct Push {
+pub struct Attempt {
     pub engine: usize,
     pub sent: f64,
     pub grant: f64,
     pub quarter: bool,
     pub out: bool,
     pub never_ran: bool,
-    pub called_off: bool,
+    pub cancelled: bool,
 }
 
 #[derive(Default)]
@@ -24,13 +24,13 @@
     pub since: f64,
     pub ledger_held_at: Option<f64>,
     pub ledger_wait: f64,
-    pub pushes: Vec<Push>,
+    pub attempts: Vec<Attempt>,
     pub over: bool,
 }
 
 impl Request {
     pub fn out(&self) -> bool {
-        self.pushes.iter().any(|push| push.out)
+        self.attempts.iter().any(|attempt| attempt.out)
     }
 }
 
@@ -40,7 +40,7 @@
     pub rests_until: f64,
 }
 
-/// What falls due: a request's deadline or last sensible start; a push out for too long.
+/// What falls due: a request's deadline or last sensible start; an attempt out for too long.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Deadline(usize),
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -93,7 +93,7 @@
             world.round();
             let wrote = world.book.wrote[before..].to_vec();
             for (_, what) in wrote {
-                if let Wrote::Push { request, engine, .. } = what {
+                if let Wrote::Attempt { request, engine, .. } = what {
                     let work = costs[at][request];
                     out[at].push_back((now + PACE * work, request, work));
                     if engine == 0 {
@@ -223,7 +223,7 @@
                 world.round();
                 for (_, what) in &world.book.wrote[before..] {
                     match *what {
-                        Wrote::Push { request, engine, .. } => {
+                        Wrote::Attempt { request, engine, .. } => {
                             let new = engine >= Self::ENGINES;
                             self.sent_to_new += if new { WORK } else { 0.0 };
                             let spent = WORK * if new { Self::PACE_NEW } else { Self::PACE_OLD };
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -3,8 +3,8 @@
 use cleatgw::logic::Gateway;
 use cleatgw::queue::{Line, Terms, Wait};
 use cleatgw::{
-    ColdStart, DeduplicationScope, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, Note,
-    PushBudget, PushEnd, RequestClass, Stage, Taken, Writer,
+    AttemptEnd, ColdStart, DeduplicationScope, Deployment, Ending, Idempotency, Kind, Listing, Load, Met,
+    Note, RequestClass, RetryBudget, Stage, Taken, Writer,
 };
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -64,11 +64,11 @@
         self.grants.insert(request, memory_mb);
         self.line(format_args!("terms {request} {lane} {memory_mb:?}"));
     }
-    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
+    fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
         self.attempts.push((request, engine, time_out));
         self.line(format_args!("attempt {request} {engine} {time_out:?} {leave_by:?}"));
     }
-    fn call_off(&mut self, request: usize, attempt: u32) {
+    fn cancel(&mut self, request: usize, attempt: u32) {
         self.counts.cancelled_attempts += 1;
         self.cancelled.push((request, attempt));
         self.line(format_args!("cancel {request} {attempt}"));
@@ -215,12 +215,12 @@
         grants: true,
         trims: true,
         lanes: true,
-        call_off: true,
+        cancel: true,
         copies: false,
-        most_pushes: 3,
+        max_attempts: 3,
         advice: Some(5.0),
         cold: ColdStart { from: 0.2, warm_after: 12.0, multiple: 2.0, window: 2.0 },
-        budget: Some(PushBudget { spare: 20.0, share: 0.25, window: 10.0 }),
+        budget: Some(RetryBudget { spare: 20.0, share: 0.25, window: 10.0 }),
         key_rest: 0.4,
         ..Deployment::default()
     };
@@ -228,9 +228,9 @@
         Variant::FewGateways => Deployment { copies: true, ask_within: Some(5.0), ..common },
         Variant::ManyGateways => Deployment { gateways: 60.0, budget: None, advice: None, ..common },
         Variant::Restarted => {
-            Deployment { gateways: 12.0, trims: false, pages: true, lanes: false, call_off: false, ..common }
+            Deployment { gateways: 12.0, trims: false, pages: true, lanes: false, cancel: false, ..common }
         }
-        Variant::SingleAttempt => Deployment { gateways: 1.0, most_pushes: 1, ..common },
+        Variant::SingleAttempt => Deployment { gateways: 1.0, max_attempts: 1, ..common },
     }
 }
 
@@ -481,7 +481,7 @@
         let soon = self.now + 0.01;
         for attempt in &mut self.attempts {
             if attempt.request == request && number.is_none_or(|number| number == attempt.number) {
-                attempt.ending = Ending::CalledOff;
+                attempt.ending = Ending::Cancelled;
                 attempt.ends_at = attempt.ends_at.min(soon);
             }
         }
@@ -528,7 +528,7 @@
             memory_waits: (reports && delivered).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
             memory_granted: (known && delivered && engine % 3 == 0).then_some((running / 24.0).min(1.0)),
         };
-        let end = PushEnd {
+        let end = AttemptEnd {
             request,
             engine,
             ending,
@@ -537,7 +537,7 @@
             told: (known && delivered && engine % 5 != 0).then_some((work, memory)),
             load,
         };
-        self.gateway.push_over(self.now, &end);
+        self.gateway.attempt_ended(self.now, &end);
     }
 
     /// Some attempts tell of themselves.
@@ -549,7 +549,7 @@
         let request = self.attempts[index].request;
         let notes = [Note::Progress(0.5), Note::Spills, Note::WaitsForMemory, Note::WaitsForLoad];
         let note = notes[self.below(4)];
-        self.gateway.push_noted(self.now, request, note);
+        self.gateway.attempt_noted(self.now, request, note);
     }
 
     /// Four times a second peers tell of some engines; what this gateway would tell them is part of the record.
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -5,8 +5,8 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wrote {
-    Push { request: usize, engine: usize, grant: f64, lane: u8 },
-    CallOff(usize),
+    Attempt { request: usize, engine: usize, grant: f64, lane: u8 },
+    Cancel(usize),
     TurnBack(usize),
     Terminate(usize),
     Watch,
@@ -16,7 +16,7 @@
 pub struct Book {
     pub wrote: Vec<(f64, Wrote)>,
     pub log: Vec<String>,
-    /// Of each push.
+    /// Of each attempt.
     pub time_outs: Vec<Option<f64>>,
     pub leave_by: Vec<f64>,
     /// Of each request turned back.
@@ -35,14 +35,14 @@
     fn terms(&mut self, _request: usize, lane: u8, memory_mb: f64) {
         self.terms = (lane, memory_mb);
     }
-    fn push(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
+    fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
         self.time_outs.push(time_out);
         self.leave_by.push(leave_by);
         let (lane, grant) = self.terms;
-        self.note(Wrote::Push { request, engine, grant, lane });
+        self.note(Wrote::Attempt { request, engine, grant, lane });
     }
-    fn call_off(&mut self, request: usize, _push: u32) {
-        self.note(Wrote::CallOff(request));
+    fn cancel(&mut self, request: usize, _attempt: u32) {
+        self.note(Wrote::Cancel(request));
     }
     fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
         self.advice.push(come_back_in);
@@ -90,7 +90,7 @@
         largest_share: 0.5,
         grants: true,
         lanes: true,
-        most_pushes: 3,
+        max_attempts: 3,
         cold: ColdStart { from: 0.3, warm_after: 10.0, multiple: 2.0, window: 2.0 },
         ..Deployment::default()
     }
@@ -164,14 +164,14 @@
     fn end(&mut self, request: usize, ending: Ending, spent: f64, told: Option<(f64, f64)>, load: Load) {
         let engine = self.engines_of(request).pop().expect("it was pushed");
         let request_done = ending == Ending::Delivered;
-        let end = PushEnd { request, engine, ending, request_done, spent, told, load };
-        self.gateway.push_over(self.now, &end);
+        let end = AttemptEnd { request, engine, ending, request_done, spent, told, load };
+        self.gateway.attempt_ended(self.now, &end);
     }
 
-    /// Where a request was pushed, in turn.
+    /// Where a request was dispatched, in turn.
     pub fn engines_of(&self, id: usize) -> Vec<usize> {
         let of = |what: &Wrote| match *what {
-            Wrote::Push { request, engine, .. } if request == id => Some(engine),
+            Wrote::Attempt { request, engine, .. } if request == id => Some(engine),
             _ => None,
         };
         self.book.wrote.iter().filter_map(|(_, what)| of(what)).collect()
@@ -179,7 +179,7 @@
 
     pub fn grant_of(&self, id: usize) -> f64 {
         let of = |what: &Wrote| match *what {
-            Wrote::Push { request, grant, .. } if request == id => Some(grant),
+            Wrote::Attempt { request, grant, .. } if request == id => Some(grant),
             _ => None,
         };
         self.book.wrote.iter().rev().find_map(|(_, what)| of(what)).expect("it was pushed")
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_request_whose_push_never_ends_is_answered_at_its_deadline() {
+fn a_request_whose_attempt_never_ends_is_answered_at_its_deadline() {
     let mut world = World::new(plain(), 2);
     let request = world.request(0, |_| ());
     world.pass(20.0);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_non_idempotent_request_that_never_ran_is_pushed_again() {
+fn an_non_idempotent_request_that_never_ran_is_dispatched_again() {
     let mut deployment = plain();
     deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
@@ -78,7 +78,7 @@
 }
 
 /// Rule 2 at the very edge of a short window: a repeat is made only where it can still be there in time, its host is told
-/// by when it must have left, and where it did not, the request has its answer at once. All counts from the first push that
+/// by when it must have left, and where it did not, the request has its answer at once. All counts from the first attempt that
 /// may have run.
 #[test]
 fn a_repeat_at_the_edge_of_its_window_leaves_in_time_or_not_at_all() {
@@ -103,7 +103,7 @@
     let mut by = world.book.leave_by[4..].to_vec();
     by.sort_by(f64::total_cmp);
     assert!((by[0] - (begun + 0.98)).abs() < 1e-9 && (by[1] - (begun + 1.38)).abs() < 1e-9, "{by:?}");
-    // Its connection did not come up in time; and one whose push ends when a repeat could not be there any more.
+    // Its connection did not come up in time; and one whose attempt ends when a repeat could not be there any more.
     world.now = begun + 0.985;
     world.over(requests[1], Ending::NeverSent, 0.485);
     world.over(requests[2], Ending::Broken, 0.985);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_request_has_no_more_pushes_than_are_allowed() {
+fn a_request_has_no_more_attempts_than_are_allowed() {
     let mut world = World::new(plain(), 3);
     let request = world.request(0, |taken| taken.deadline += 50.0);
     for _ in 0..3 {
@@ -164,13 +164,13 @@
     sent.dedup();
     let warmth = cold.from + 0.7 * 0.2;
     let stands = cold.multiple * 8.0 * warmth * cold.window / 2.0;
-    let pushes = (0..world.next_request).map(|request| world.engines_of(request).len()).sum::<usize>();
-    assert!(pushes as f64 * 0.1 <= stands);
+    let attempts = (0..world.next_request).map(|request| world.engines_of(request).len()).sum::<usize>();
+    assert!(attempts as f64 * 0.1 <= stands);
     // Many heavy requests at once: most of them wait.
     let heavy: Vec<usize> = (0..20).map(|_| world.request(1, |_| ())).collect();
     world.pass(0.05);
-    let pushed = heavy.iter().filter(|&&request| !world.engines_of(request).is_empty()).count();
-    assert!(pushed as f64 * 4.0 <= stands);
+    let dispatched = heavy.iter().filter(|&&request| !world.engines_of(request).is_empty()).count();
+    assert!(dispatched as f64 * 4.0 <= stands);
 }
 
 #[test]
@@ -220,9 +220,9 @@
 }
 
 #[test]
-fn further_pushes_stay_within_the_budget() {
+fn further_attempts_stay_within_the_budget() {
     let mut deployment = plain();
-    deployment.budget = Some(PushBudget { spare: 2.0, share: 0.1, window: 10.0 });
+    deployment.budget = Some(RetryBudget { spare: 2.0, share: 0.1, window: 10.0 });
     let mut world = World::new(deployment, 6);
     let requests: Vec<usize> = (0..10).map(|_| world.request(0, |_| ())).collect();
     world.round();
@@ -252,7 +252,7 @@
         if world.engines_of(request).is_empty() {
             continue;
         }
-        world.gateway.push_noted(world.now, request, Note::WaitsForMemory);
+        world.gateway.attempt_noted(world.now, request, Note::WaitsForMemory);
         let quarter = world.grant_of(request) <= 420.0;
         quarters += usize::from(quarter);
         world.over(request, Ending::Delivered, if quarter { 2.0 } else { 1.0 });
@@ -291,7 +291,7 @@
     world.round();
     assert!(calm.iter().all(|&request| world.grant_of(request) > 2999.0));
     world.over(calm[1], Ending::Delivered, 1.0);
-    world.gateway.push_noted(world.now, calm[0], Note::WaitsForMemory);
+    world.gateway.attempt_noted(world.now, calm[0], Note::WaitsForMemory);
     let pressed = world.request(1, large);
     world.round();
     assert_ne!(world.engines_of(pressed).len(), 1, "3000 and 750 MB are past what is left of 3200 MB");
@@ -322,7 +322,7 @@
 // ---- failures met ----
 
 #[test]
-fn no_request_is_pushed_behind_a_holder_of_its_tables() {
+fn no_request_is_dispatched_behind_a_holder_of_its_tables() {
     let mut deployment = plain();
     deployment.classes.push(RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 1);
@@ -374,14 +374,14 @@
 }
 
 #[test]
-fn an_engine_that_falls_silent_is_doubted_and_its_pushes_called_off_where_that_is_allowed() {
+fn an_engine_that_falls_silent_is_doubted_and_its_attempts_called_off_where_that_is_allowed() {
     let mut deployment = plain();
-    deployment.call_off = true;
+    deployment.cancel = true;
     let mut world = World::new(deployment, 4);
     let requests: Vec<usize> = (0..6).map(|_| world.request(0, |_| ())).collect();
     world.pass(1.5);
-    let called_off = world.book.wrote.iter().any(|(_, what)| matches!(what, Wrote::CallOff(_)));
-    assert!(world.logged("doubted") && called_off);
+    let cancelled = world.book.wrote.iter().any(|(_, what)| matches!(what, Wrote::Cancel(_)));
+    assert!(world.logged("doubted") && cancelled);
     let silent = world.engines_of(requests[0])[0];
     let later = world.request(0, |_| ());
     world.round();
@@ -393,7 +393,7 @@
     // Whatever it stands behind: a holder of its tables, a lost answer, a dead engine. Quick and slow deployments.
     for pace in [0.2, 1.0] {
         let mut deployment = plain();
-        deployment.call_off = true;
+        deployment.cancel = true;
         deployment.classes.iter_mut().for_each(|class| class.expected_time = pace);
         for seed in 0..8 {
             let mut world = World::seeded(deployment.clone(), 3, seed);
@@ -416,7 +416,7 @@
 #[test]
 fn a_holder_of_tables_keeps_its_place_behind_other_holders() {
     let mut deployment = plain();
-    deployment.call_off = true;
+    deployment.cancel = true;
     let mut waits = |holds| {
         deployment.classes[1].holds_tables = holds;
         let mut world = World::new(deployment.clone(), 3);
@@ -432,7 +432,7 @@
 fn what_strikes_one_class_on_one_engine_keeps_only_that_class_away() {
     for ending in [Ending::TimedOut, Ending::Full] {
         let mut deployment = plain();
-        deployment.call_off = true;
+        deployment.cancel = true;
         deployment.classes[1].threads = 1.0;
         let mut world = World::new(deployment, 4);
         let mut there = [0, 0];
@@ -460,9 +460,9 @@
 }
 
 #[test]
-fn when_everything_is_slower_pushes_are_waited_for_longer() {
+fn when_everything_is_slower_attempts_are_waited_for_longer() {
     let mut deployment = plain();
-    deployment.call_off = true;
+    deployment.cancel = true;
     deployment.classes[0].expected_time = 0.2;
     let mut world = World::new(deployment, 4);
     let mut asked = |requests: usize, pace: f64| {
@@ -476,7 +476,7 @@
         world.round();
         world.book.time_outs.last().copied().flatten().expect("a time-out")
     };
-    // Called off at the usual time, all would be begun anew elsewhere, which is as slow.
+    // Cancelled at the usual time, all would be begun anew elsewhere, which is as slow.
     let (usual, slow) = (asked(60, 1.0), asked(25, 4.0));
     assert!(slow > 2.3 * usual, "{usual} s, then {slow} s");
 }
@@ -493,7 +493,7 @@
             .inspect(|_| ())
             .collect();
         world.round();
-        world.gateway.push_noted(world.now, requests[0], Note::Spills);
+        world.gateway.attempt_noted(world.now, requests[0], Note::Spills);
         let next = world.request(1, |taken| taken.memory_mb = Some(3000.0));
         world.round();
         assert_eq!(world.engines_of(next).is_empty(), trims);
@@ -625,7 +625,7 @@
 }
 
 #[test]
-fn the_gate_alone_keeps_a_request_from_a_second_effect_a_second_copy_and_one_push_too_many() {
+fn the_gate_alone_keeps_a_request_from_a_second_effect_a_second_copy_and_one_attempt_too_many() {
     let mut deployment = plain();
     let window = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
     deployment.classes = vec![
@@ -633,12 +633,12 @@
         class(1.0, 1.0, window),
         class(1.0, 1.0, Idempotency::Idempotent),
     ];
-    deployment.most_pushes = 2;
+    deployment.max_attempts = 2;
     let mut world = World::new(deployment, 2);
     let requests = [0, 1, 2].map(|class| world.request(class, |_| ()));
     world.round();
     let gate =
-        |world: &World, request| (0..2).any(|engine| world.gateway.may_push(request, engine, world.now));
+        |world: &World, request| (0..2).any(|engine| world.gateway.may_attempt(request, engine, world.now));
     assert_eq!(requests.map(|request| gate(&world, request)), [false; 3], "one is out");
     world.now += 0.9;
     requests.iter().for_each(|&request| world.over(request, Ending::Broken, 0.9));
@@ -656,7 +656,7 @@
     deployment.classes[0].in_key_order = true;
     let mut world = World::new(deployment, 2);
     let requests = [0, 1].map(|_| world.request(0, |taken| taken.key = Some(4)));
-    assert_eq!(requests.map(|request| world.gateway.may_push(request, 0, world.now)), [true, false]);
+    assert_eq!(requests.map(|request| world.gateway.may_attempt(request, 0, world.now)), [true, false]);
 }
 
 #[test]
@@ -666,20 +666,20 @@
     deployment.classes.push(RequestClass { expected_time: 8.0, ..holder });
     let mut world = World::new(deployment, 6);
     let requests: Vec<usize> = (0..5).map(|_| world.request(2, |taken| taken.deadline += 20.0)).collect();
-    let pushed =
+    let dispatched =
         |world: &World| requests.iter().filter(|&&request| !world.engines_of(request).is_empty()).count();
     world.round();
-    assert_eq!(pushed(&world), 3);
+    assert_eq!(dispatched(&world), 3);
     world.pass(12.0);
-    assert_eq!(pushed(&world), 5);
+    assert_eq!(dispatched(&world), 5);
 }
 
 #[test]
-fn a_first_push_must_fit_beside_what_peers_hold() {
+fn a_first_attempt_must_fit_beside_what_peers_hold() {
     let mut deployment = plain();
     deployment.gateways = 20.0;
     let mut world = World::new(deployment, 1);
-    for (requests, pushes) in [(1.0, 1), (7.0, 0)] {
+    for (requests, attempts) in [(1.0, 1), (7.0, 0)] {
         for _ in 0..20 {
             let light = world.request(0, |_| ());
             world.pass(0.1);
@@ -689,8 +689,8 @@
         }
         let heavy = world.request(1, |_| ());
         world.pass(0.05);
-        assert_eq!(world.engines_of(heavy).len(), pushes, "{requests} in hand");
-        if pushes > 0 {
+        assert_eq!(world.engines_of(heavy).len(), attempts, "{requests} in hand");
+        if attempts > 0 {
             world.report(heavy, 1.0, requests);
         }
     }
@@ -816,7 +816,7 @@
     let silent = world.request(1, |taken| taken.deadline += 50.0);
     world.round();
     let at = world.engines_of(silent)[0];
-    // One push in all tells of it, long ago: nothing heavy goes there while it lasts.
+    // One attempt in all tells of it, long ago: nothing heavy goes there while it lasts.
     world.pass(25.0);
     let heavy: Vec<usize> = (0..3).map(|group| world.request(1, |taken| taken.table_group = group)).collect();
     world.round();
@@ -826,7 +826,7 @@
 #[test]
 fn engines_that_lose_a_third_of_their_answers_all_stay_in_use() {
     let mut deployment = plain();
-    deployment.budget = Some(PushBudget { spare: 2.0, share: 0.2, window: 10.0 });
+    deployment.budget = Some(RetryBudget { spare: 2.0, share: 0.2, window: 10.0 });
     let mut world = World::new(deployment, 4);
     let mut used = vec![0; 4];
     for step in 0..240 {
@@ -908,7 +908,7 @@
     world.round();
     assert_eq!((world.engines_of(late).len(), world.answers(late).len()), (0, 1));
     assert_eq!(world.answers(late)[0].1, Wrote::TurnBack(late));
-    // What was taken before may be pushed again.
+    // What was taken before may be dispatched again.
     world.over(out, Ending::Unreached, 0.1);
     world.pass(0.05);
     assert_eq!((world.engines_of(out).len(), world.answers(out).len()), (2, 0));
@@ -985,7 +985,7 @@
     let later: Vec<usize> =
         (0..60).map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)))).collect();
     world.round();
-    // Its push breaks: it may have run, and waits for the last in the line.
+    // Its attempt breaks: it may have run, and waits for the last in the line.
     world.over(ran, Ending::Broken, 0.1);
     world.round();
     world.round();
@@ -1113,7 +1113,7 @@
 /// gives back no more than our own share.
 #[test]
 fn what_peers_sent_a_cold_engine_leaves_less_room_for_us_and_never_more_than_our_share() {
-    let pushes_with = |sent: f64| {
+    let attempts_with = |sent: f64| {
         let mut world = World::new(Deployment { gateways: 2.0, ..plain() }, 0);
         world.gateway.engines_listed(100.0, &[Listing { since: Some(99.9), ..listing(0) }], true);
         for _ in 0..60 {
@@ -1123,12 +1123,12 @@
         world.pass(0.05);
         (0..world.next_request).map(|request| world.engines_of(request).len()).sum::<usize>()
     };
-    let ours = pushes_with(0.0);
-    assert!(ours > 5 && pushes_with(-5.0) == ours, "{ours}");
-    assert_eq!(pushes_with(1.0), ours, "they stayed within their own share");
-    let some = pushes_with(6.2);
+    let ours = attempts_with(0.0);
+    assert!(ours > 5 && attempts_with(-5.0) == ours, "{ours}");
+    assert_eq!(attempts_with(1.0), ours, "they stayed within their own share");
+    let some = attempts_with(6.2);
     assert!(some > 0 && some < ours, "{some} of {ours}");
-    assert_eq!(pushes_with(50.0), 0);
+    assert_eq!(attempts_with(50.0), 0);
 }
 
 fn keyed(scope: DeduplicationScope) -> Deployment {
@@ -1139,10 +1139,10 @@
     }
 }
 
-/// Rule 2 over a restart: what was pushed before under another request may be pushed again only where that is provably safe,
+/// Rule 2 over a restart: what was dispatched before under another request may be dispatched again only where that is provably safe,
 /// and what can't be is answered at once, never as harmless.
 #[test]
-fn a_request_that_was_pushed_before_runs_again_only_within_its_window_and_is_else_terminated_at_once() {
+fn a_request_that_was_dispatched_before_runs_again_only_within_its_window_and_is_else_terminated_at_once() {
     let play = |scope: DeduplicationScope, class: usize, ago: f64| {
         let mut world = World::new(keyed(scope), 3);
         let earlier = Some(world.now - ago);
@@ -1163,10 +1163,10 @@
     assert_eq!(play(DeduplicationScope::All, 1, 1.0), (0, true), "it must not run twice");
 }
 
-/// Rule 7 over a restart: until it is known what was pushed, the spare part of the budget counts as used up.
+/// Rule 7 over a restart: until it is known what was dispatched, the spare part of the budget counts as used up.
 #[test]
-fn further_pushes_of_a_former_life_count_and_where_unknown_the_budget_is_used_up() {
-    let budget = Some(PushBudget { spare: 4.0, share: 0.0, window: 10.0 });
+fn further_attempts_of_a_former_life_count_and_where_unknown_the_budget_is_used_up() {
+    let budget = Some(RetryBudget { spare: 4.0, share: 0.0, window: 10.0 });
     let play = |told: Option<&[f64]>| {
         let mut world = World::new(Deployment { budget, ..plain() }, 4);
         world.gateway.forgot(world.now);
@@ -1207,11 +1207,11 @@
     assert_eq!(play(Some(&[(0, 99.9, 50.0), (7, 99.9, 1.0)])), (0, 1));
 }
 
-/// While what is kept of them lags behind, only so many further pushes are made as were kept ahead.
+/// While what is kept of them lags behind, only so many retries are made as were kept ahead.
 #[test]
-fn no_more_further_pushes_are_made_than_were_kept_ahead() {
+fn no_more_further_attempts_are_made_than_were_kept_ahead() {
     let mut world = World::new(
-        Deployment { budget: Some(PushBudget { spare: 9.0, share: 0.0, window: 10.0 }), ..plain() },
+        Deployment { budget: Some(RetryBudget { spare: 9.0, share: 0.0, window: 10.0 }), ..plain() },
         4,
     );
     world.gateway.ahead = Some(2);
@@ -1259,7 +1259,7 @@
                 .book
                 .wrote
                 .iter()
-                .find(|(_, what)| matches!(what, Wrote::Push { request: of, .. } if *of == request));
+                .find(|(_, what)| matches!(what, Wrote::Attempt { request: of, .. } if *of == request));
             if out && since.is_some_and(|(at, _)| world.now >= at + 1.2) {
                 world.over(request, Ending::Delivered, 1.2);
                 heavy.retain(|other| *other != request);
@@ -1295,19 +1295,19 @@
 #[test]
 fn many_gateways_that_feel_a_crowd_which_nothing_proves_still_use_their_even_part() {
     let mut world = many_that_feel_a_crowd();
-    let (mut pushed, mut of) = (0, 0);
+    let (mut dispatched, mut of) = (0, 0);
     for round in 0..100 {
         let heavy = usize::from(round % 10 == 9);
         let (said, takes) = if heavy == 1 { (1.0, 1.2) } else { (0.002, 0.022) };
         let request = world.request(heavy, |taken| (taken.cost, taken.table_group) = (Some(said), round));
         world.pass(0.05);
-        (pushed, of) = (pushed + world.engines_of(request).len(), of + 1);
+        (dispatched, of) = (dispatched + world.engines_of(request).len(), of + 1);
         world.now += takes;
         if !world.engines_of(request).is_empty() {
             world.over(request, Ending::Delivered, takes);
         }
     }
-    assert_eq!((pushed, of), (100, 100));
+    assert_eq!((dispatched, of), (100, 100));
 }
 
 /// If all gateways take their even part, each core has a thread: four light requests here, or one heavy one.
@@ -1321,8 +1321,8 @@
             })
             .collect();
         world.pass(0.1);
-        let pushed = requests.iter().filter(|request| !world.engines_of(**request).is_empty()).count();
-        assert_eq!(pushed, even, "category {class}");
+        let dispatched = requests.iter().filter(|request| !world.engines_of(**request).is_empty()).count();
+        assert_eq!(dispatched, even, "category {class}");
     }
 }
 
