--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -101,14 +101,14 @@
         write_line(self.reply, format_args!("WITHDRAW {} {id} {attempt}", self.instance));
     }
 
-    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
+    fn reject(&mut self, request: usize, retry_after: Option<f64>) {
         let Some(id) = self.id(request) else { return };
-        let wait = come_back_in.map_or(0, micros);
+        let wait = retry_after.map_or(0, micros);
         write_line(self.reply, format_args!("NOT_NOW {} {id} {wait}", self.instance));
         self.ids.over(request);
     }
 
-    fn terminate(&mut self, request: usize) {
+    fn fail(&mut self, request: usize) {
         let Some(id) = self.id(request) else { return };
         write_line(self.reply, format_args!("DROP_REQUEST {} {id}", self.instance));
         self.ids.over(request);
@@ -349,7 +349,7 @@
 
 fn read_ending(fields: &mut Fields) -> Result<Ending, Complaint> {
     Ok(match fields.need("state-code", "an outcome")? {
-        "done" => Ending::Delivered,
+        "done" => Ending::Completed,
         "err" => Ending::Erred,
         "busy" => Ending::Full,
         "etimedout" => Ending::TimedOut,
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -50,8 +50,8 @@
         self.0.push((request, engine));
     }
     fn cancel(&mut self, _: usize, _: u32) {}
-    fn turn_back(&mut self, _: usize, _: Option<f64>) {}
-    fn terminate(&mut self, _: usize) {}
+    fn reject(&mut self, _: usize, _: Option<f64>) {}
+    fn fail(&mut self, _: usize) {}
     fn watch(&mut self, _: bool) {}
     fn fetch(&mut self) {}
     fn probe(&mut self, _: usize) {}
@@ -144,9 +144,9 @@
             let ending = match play.third {
                 Third::Fails if engine.is_multiple_of(3) => Ending::Broken,
                 Third::Full if engine.is_multiple_of(3) => Ending::Full,
-                _ => Ending::Delivered,
+                _ => Ending::Completed,
             };
-            let request_done = ending == Ending::Delivered;
+            let request_done = ending == Ending::Completed;
             let told = request_done.then_some((WORK, 50.0));
             let load = Load { requests: Some(stands), ..Load::default() };
             gateway.attempt_ended(
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -281,10 +281,10 @@
     fn cancel(&mut self, request: usize, attempt: u32) {
         self.cancelled.push((request, attempt));
     }
-    fn turn_back(&mut self, request: usize, _: Option<f64>) {
+    fn reject(&mut self, request: usize, _: Option<f64>) {
         self.ended.push((request, true));
     }
-    fn terminate(&mut self, request: usize) {
+    fn fail(&mut self, request: usize) {
         self.ended.push((request, false));
     }
     fn watch(&mut self, _: bool) {}
@@ -317,9 +317,9 @@
 pub struct Requests {
     pub taken: u64,
     pub in_time: u64,
-    pub delivered: u64,
-    pub turned_back: u64,
-    pub terminated: u64,
+    pub completed: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub router_died: u64,
 }
 
@@ -761,7 +761,7 @@
             let (since, number) = (request.since, request.id);
             request.over = true;
             let phase = self.phase(since);
-            *if back { &mut phase.turned_back } else { &mut phase.terminated } += 1;
+            *if back { &mut phase.rejected } else { &mut phase.failed } += 1;
             self.answered(number);
             self.give_up(at, id, None, Ending::Cancelled);
         }
@@ -851,15 +851,15 @@
             return;
         }
         let (engine, spent, since) = (attempt.0, now - attempt.2, request.since);
-        let delivered = ending == Ending::Delivered;
-        if delivered && !std::mem::replace(&mut request.over, true) {
+        let completed = ending == Ending::Completed;
+        if completed && !std::mem::replace(&mut request.over, true) {
             self.answered(work.id);
             let phase = self.phase(since);
-            phase.delivered += 1;
+            phase.completed += 1;
             phase.in_time += u64::from(now - since <= EXPECTED);
         }
-        let told = delivered.then_some((work.work, 10.0));
-        let load = Load { requests: delivered.then_some(held), ..Load::default() };
+        let told = completed.then_some((work.work, 10.0));
+        let load = Load { requests: completed.then_some(held), ..Load::default() };
         let request_done = self.routers[at].requests[&work.request].over;
         self.attempt_ended(
             at,
@@ -903,7 +903,7 @@
         if let Some(place) = engine.running.iter().position(same) {
             engine.running.swap_remove(place);
         }
-        self.answers(at, work, Ending::Delivered);
+        self.answers(at, work, Ending::Completed);
         self.runs(at);
     }
 
@@ -1082,9 +1082,9 @@
             "primary_taken_over": self.taken_over_in.len(),
             "two_holders": self.two_holders,
             "jobs": all(|requests| requests.taken),
-            "delivered": all(|requests| requests.delivered),
-            "turned_back": all(|requests| requests.turned_back),
-            "terminated": all(|requests| requests.terminated),
+            "delivered": all(|requests| requests.completed),
+            "turned_back": all(|requests| requests.rejected),
+            "terminated": all(|requests| requests.failed),
             "router_died": all(|requests| requests.router_died),
             "further_pushes": self.further,
             "events": self.events,
--- a/crates/lab/src/capacity/links.rs
+++ b/crates/lab/src/capacity/links.rs
@@ -353,7 +353,7 @@
             anew[at] = sum(&hollow.shared.came) - came;
         }
         let came = sum(&hollow.shared.came);
-        router.terminate();
+        router.fail();
         router.ended();
         router = self::router(ask, &board, 8, 100);
         load(&router, 24, rate, FLEET_PLAY)?;
--- a/crates/lab/src/capacity/lists.rs
+++ b/crates/lab/src/capacity/lists.rs
@@ -116,7 +116,7 @@
     bytes: AtomicU64,
     beat_bytes: AtomicU64,
     calls: AtomicU64,
-    turned_away: AtomicU64,
+    rejected_unseen: AtomicU64,
 }
 
 struct Caller {
@@ -249,9 +249,9 @@
         self.told.bytes.load(Relaxed)
     }
 
-    /// Asks (`watch N`) that came; connections turned away while it was lost.
+    /// Asks (`watch N`) that came; connections rejected while it was lost.
     pub fn calls(&self) -> (u64, u64) {
-        (self.told.calls.load(Relaxed), self.told.turned_away.load(Relaxed))
+        (self.told.calls.load(Relaxed), self.told.rejected_unseen.load(Relaxed))
     }
 
     fn cpu(&self) -> f64 {
@@ -312,7 +312,7 @@
         });
         let coming = std::iter::from_fn(|| listener.accept().ok());
         for (stream, _) in coming.take(if ready[1] { 4096 } else { 0 }) {
-            told.turned_away.fetch_add(u64::from(lost), Relaxed);
+            told.rejected_unseen.fetch_add(u64::from(lost), Relaxed);
             if !lost && stream.set_nonblocking(true).is_ok() && stream.set_nodelay(true).is_ok() {
                 open.push(Caller { stream, asked: Vec::new(), told: None, out: VecDeque::new(), gone: 0 });
             }
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -350,7 +350,7 @@
                 }
                 Act::Leave(at) => {
                     self.slots[*at].ended.push(now);
-                    self.router(*at).terminate();
+                    self.router(*at).fail();
                     self.slots[*at].leaving = true;
                 }
                 Act::Way(router, target, fault) => {
--- a/crates/lab/src/drain.rs
+++ b/crates/lab/src/drain.rs
@@ -117,7 +117,7 @@
     std::thread::sleep(Duration::from_millis(chance.random_range(50..250)));
     let stop = Instant::now();
     *began.lock().unwrap() = Some(stop);
-    router.terminate();
+    router.fail();
     if state == "lost-and-kept" {
         std::thread::sleep(Duration::from_millis(chance.random_range(0..300)));
         peering.mode(Mode::Well);
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -100,7 +100,7 @@
 pub fn outcome(answer: &Answered) -> Outcome {
     match answer {
         Answered::Ok | Answered::Rows(_) => Outcome::Rows,
-        Answered::Error(1040 | 1203 | 1226, _) => Outcome::TurnedBack,
+        Answered::Error(1040 | 1203 | 1226, _) => Outcome::Rejected,
         Answered::Error(..) => Outcome::Failed,
     }
 }
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -87,9 +87,9 @@
         let (ended, after) = (Client::at(address).map(|mut client| client.counters_now()), spent(process));
         load.end(&cluster);
         // None where its counters could not be had under full load.
-        let delivered = |line: std::io::Result<String>| Some(counter(&line.ok()?, "delivered"));
+        let completed = |line: std::io::Result<String>| Some(counter(&line.ok()?, "delivered"));
         let requests =
-            delivered(ended).zip(delivered(began)).map(|(ended, began)| ended.saturating_sub(began));
+            completed(ended).zip(completed(began)).map(|(ended, began)| ended.saturating_sub(began));
         let requests = requests.filter(|requests| *requests > 1000);
         (requests, requests.map(|requests| (after - before) as f64 / 1e3 / requests as f64))
     };
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -466,7 +466,7 @@
         configuration(self.address, board.address, known, self.sockets)
     }
 
-    pub fn terminate(&self) {
+    pub fn fail(&self) {
         self.signal(Signal::TERM);
     }
 
--- a/crates/lab/src/streams.rs
+++ b/crates/lab/src/streams.rs
@@ -1,5 +1,5 @@
 //! Relays on loopback for connections: from each router to each engine and to its board. Each direction can be delayed or
-//! kept back; connections can be reset, and new ones turned away. Whatever is kept back comes whole and in order
+//! kept back; connections can be reset, and new ones rejected. Whatever is kept back comes whole and in order
 //! later, as a stream's bytes do.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -263,8 +263,8 @@
         stream.does(Fault::Reset);
         assert_eq!(said(b"four").0, None);
         stream.does(Fault::Refuse(true));
-        let mut turned_away = TcpStream::connect(stream.address).unwrap();
-        assert_eq!(turned_away.read(&mut [0; 8]).unwrap_or(0), 0);
+        let mut rejected_unseen = TcpStream::connect(stream.address).unwrap();
+        assert_eq!(rejected_unseen.read(&mut [0; 8]).unwrap_or(0), 0);
         over.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/lab/src/teams.rs
+++ b/crates/lab/src/teams.rs
@@ -82,8 +82,8 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Ended {
-    Delivered,
-    TurnedBack,
+    Completed,
+    Rejected,
     Unanswered,
 }
 
@@ -121,8 +121,8 @@
         );
         let sent = Instant::now();
         let ended = match client.try_send(&text).then(|| client.try_answer()).flatten() {
-            Some(Answered::Rows(_)) => Ended::Delivered,
-            Some(_) => Ended::TurnedBack,
+            Some(Answered::Rows(_)) => Ended::Completed,
+            Some(_) => Ended::Rejected,
             None => Ended::Unanswered,
         };
         all.push((call, sent, ended));
@@ -236,8 +236,8 @@
         let p99 = quantile(&waits, 0.99);
         let mut one = json!({
             "jobs": went.len(),
-            "delivered": count(Ended::Delivered),
-            "turned_back": count(Ended::TurnedBack),
+            "delivered": count(Ended::Completed),
+            "turned_back": count(Ended::Rejected),
             "unanswered": count(Ended::Unanswered),
             "wait_p50_ms": quantile(&waits, 0.5),
             "wait_p99_ms": p99,
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Rows,
-    TurnedBack,
+    Rejected,
     /// Any other error.
     Failed,
 }
@@ -74,7 +74,7 @@
     pub two_answers: usize,
     /// Non-idempotent requests that came to engines twice, and deduplicated ones again after their window.
     pub ran_twice: usize,
-    pub turned_back_after_run: usize,
+    pub rejected_after_run: usize,
     pub two_out: usize,
     pub attempts_over_budget: usize,
     /// Attempts that came to an engine after it was told to drain, or had gone.
@@ -87,7 +87,7 @@
     pub fn breaks(&self) -> usize {
         self.two_answers
             + self.ran_twice
-            + self.turned_back_after_run
+            + self.rejected_after_run
             + self.two_out
             + self.attempts_over_budget
             + self.to_draining
@@ -105,7 +105,7 @@
             "rule_breaks": self.breaks(),
             "two_answers": self.two_answers,
             "ran_twice": self.ran_twice,
-            "turned_back_after_run": self.turned_back_after_run,
+            "turned_back_after_run": self.rejected_after_run,
             "two_out": self.two_out,
             "pushes_over_budget": self.attempts_over_budget,
             "to_draining": self.to_draining,
@@ -159,9 +159,9 @@
         verdict.ran_twice += 1;
         verdict.find(format!("{class} {call} came to engines {} times", runs.len()));
     }
-    let turned_back = matches!(request.answered, Some((_, Outcome::TurnedBack)));
-    if turned_back && *class == facts.stated.non_idempotent && !runs.is_empty() {
-        verdict.turned_back_after_run += 1;
+    let rejected = matches!(request.answered, Some((_, Outcome::Rejected)));
+    if rejected && *class == facts.stated.non_idempotent && !runs.is_empty() {
+        verdict.rejected_after_run += 1;
         verdict.find(format!("{class} {call} was turned back after a push"));
     }
     if request.answered.is_some_and(|(at, _)| at > request.sent + request.patience + SLACK) {
@@ -332,8 +332,8 @@
             0,
             "the way was rough"
         );
-        let turned = [request("a", "once", 10.0, Some((11.0, Outcome::TurnedBack)))];
-        assert_eq!(count(&turned, &twice[..1]).turned_back_after_run, 1);
+        let turned = [request("a", "once", 10.0, Some((11.0, Outcome::Rejected)))];
+        assert_eq!(count(&turned, &twice[..1]).rejected_after_run, 1);
         let late = [request("c", "look", 10.0, Some((13.5, Outcome::Failed)))];
         assert_eq!(count(&late, &[]).late, 1);
         assert_eq!(count(&[Asked { twice: true, ..kept[2].clone() }], &[]).two_answers, 1);
--- a/crates/lab/src/virtual_comeback.rs
+++ b/crates/lab/src/virtual_comeback.rs
@@ -113,10 +113,10 @@
     fn cancel(&mut self, request: usize, attempt: u32) {
         self.cancelled.push((request, attempt));
     }
-    fn turn_back(&mut self, request: usize, _: Option<f64>) {
+    fn reject(&mut self, request: usize, _: Option<f64>) {
         self.ended.push(request);
     }
-    fn terminate(&mut self, request: usize) {
+    fn fail(&mut self, request: usize) {
         self.ended.push(request);
     }
     fn watch(&mut self, _: bool) {}
@@ -396,7 +396,7 @@
                 }
                 let told = Some((request.work, 10.0));
                 let (spent, load) = (now - run.sent, Load::default());
-                let (ending, request_done) = (Ending::Delivered, true);
+                let (ending, request_done) = (Ending::Completed, true);
                 let end =
                     AttemptEnd { request: run.request, engine: at, ending, request_done, spent, told, load };
                 gateway.attempt_ended(now, &end);
--- a/crates/router/src/protocol/golden_tests.rs
+++ b/crates/router/src/protocol/golden_tests.rs
@@ -44,9 +44,9 @@
     text += &written(|out| mysql::ok(out, &mut sequence));
     text += &written(|out| mysql::eof(out, &mut sequence));
     text += &written(|out| mysql::text(out, &mut sequence, "taken: 3  open: 0"));
-    text += &written(|out| mysql::turned_back(out, &mut sequence, None));
-    text += &written(|out| mysql::turned_back(out, &mut sequence, Some(0.2501)));
-    text += &written(|out| mysql::terminated(out, &mut sequence));
+    text += &written(|out| mysql::rejected(out, &mut sequence, None));
+    text += &written(|out| mysql::rejected(out, &mut sequence, Some(0.2501)));
+    text += &written(|out| mysql::failed(out, &mut sequence));
     text += &written(|out| mysql::killed(out, &mut sequence));
     let codes = [
         mysql::DENIED,
--- a/crates/router/src/protocol/mysql.rs
+++ b/crates/router/src/protocol/mysql.rs
@@ -225,13 +225,13 @@
 }
 
 /// The refusal after which trying again is harmless, in so many seconds.
-pub fn turned_back(out: &mut Vec<u8>, sequence: &mut u8, come_back_in: Option<f64>) {
-    let advice = come_back_in.map(|wait| format!(" pushback={}", (wait * 1e3).ceil() as u64));
+pub fn rejected(out: &mut Vec<u8>, sequence: &mut u8, retry_after: Option<f64>) {
+    let advice = retry_after.map(|wait| format!(" pushback={}", (wait * 1e3).ceil() as u64));
     let words = format!("turned back, trying again is harmless{}", advice.unwrap_or_default());
     error(out, sequence, TOO_MANY, &words);
 }
 
-pub fn terminated(out: &mut Vec<u8>, sequence: &mut u8) {
+pub fn failed(out: &mut Vec<u8>, sequence: &mut u8) {
     error(out, sequence, FAILED, "terminated: the job was not completed");
 }
 
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -25,14 +25,14 @@
 }
 
 counters! {
-    /// taken = delivered + turned_back + terminated + withdrawn + open.
+    /// taken = completed + turned_back + failed + withdrawn + open.
     taken: "taken",
-    delivered: "delivered",
-    turned_back: "turned_back",
-    terminated: "terminated",
+    completed: "delivered",
+    rejected: "turned_back",
+    failed: "terminated",
     withdrawn: "withdrawn",
     open: "open",
-    /// Requests delivered within their expected time.
+    /// Requests completed within their expected time.
     in_time: "in_time",
     /// Queries that no request could be made of.
     unusable: "unusable",
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -64,11 +64,11 @@
 /// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    Delivered(Vec<u8>),
-    TurnedBack {
-        come_back_in: Option<f64>,
+    Completed(Vec<u8>),
+    Rejected {
+        retry_after: Option<f64>,
     },
-    Terminated,
+    Failed,
     /// None is owed: the client gave the request up.
     Withdrawn,
 }
@@ -174,7 +174,7 @@
 
 fn ending(outcome: &Outcome) -> Ending {
     match outcome {
-        Ok(Reply::Done { .. }) => Ending::Delivered,
+        Ok(Reply::Done { .. }) => Ending::Completed,
         Ok(Reply::Full) => Ending::Full,
         Ok(Reply::Erred) => Ending::Erred,
         Ok(Reply::TooLate) | Err(Failure::NeverSent) => Ending::NeverSent,
@@ -202,7 +202,7 @@
         }
         let counters = &mut self.counters;
         *match ending {
-            Ending::Delivered => &mut counters.attempts_completed,
+            Ending::Completed => &mut counters.attempts_completed,
             Ending::Erred => &mut counters.attempts_erred,
             Ending::Full => &mut counters.attempts_full,
             Ending::TimedOut => &mut counters.attempts_timed_out,
@@ -254,12 +254,12 @@
         };
         let counters = &mut self.counters;
         *match answer {
-            Answer::Delivered(_) => &mut counters.delivered,
-            Answer::TurnedBack { .. } => &mut counters.turned_back,
-            Answer::Terminated => &mut counters.terminated,
+            Answer::Completed(_) => &mut counters.completed,
+            Answer::Rejected { .. } => &mut counters.rejected,
+            Answer::Failed => &mut counters.failed,
             Answer::Withdrawn => &mut counters.withdrawn,
         } += 1;
-        if matches!(answer, Answer::Delivered(_)) && self.now <= request.expected_at {
+        if matches!(answer, Answer::Completed(_)) && self.now <= request.expected_at {
             counters.in_time += 1;
         }
         self.request_of.remove(&session);
@@ -359,12 +359,12 @@
         }
     }
 
-    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
-        self.end(request, Answer::TurnedBack { come_back_in });
+    fn reject(&mut self, request: usize, retry_after: Option<f64>) {
+        self.end(request, Answer::Rejected { retry_after });
     }
 
-    fn terminate(&mut self, request: usize) {
-        self.end(request, Answer::Terminated);
+    fn fail(&mut self, request: usize) {
+        self.end(request, Answer::Failed);
     }
 
     /// The board sends its changes unasked.
@@ -762,7 +762,7 @@
         let mut told = None;
         if let Some(Reply::Done { rows, told: needed }) = reply {
             told = needed;
-            self.desk.answer(attempt.request, Answer::Delivered(rows), peers);
+            self.desk.answer(attempt.request, Answer::Completed(rows), peers);
         }
         let request_done = self
             .desk
@@ -786,7 +786,7 @@
         }
     }
 
-    /// The decisions failed: what is open is terminated, and they start from the list alone.
+    /// The decisions failed: what is open is failed, and they start from the list alone.
     fn begin_anew(&mut self, peers: &mut dyn Peers) {
         log::error!(
             "the decisions failed: {} open jobs are terminated, the gateway begins anew",
@@ -798,12 +798,12 @@
                 self.desk.give_up(attempt, Ending::Cancelled, peers);
                 self.desk.attempt_ended(attempt, Ending::Broken);
             }
-            self.desk.answer(id, Answer::Terminated, peers);
+            self.desk.answer(id, Answer::Failed, peers);
         }
         for session in std::mem::take(&mut self.untaken) {
             self.desk.counters.taken += 1;
-            self.desk.counters.terminated += 1;
-            peers.answer(session, Answer::Terminated);
+            self.desk.counters.failed += 1;
+            peers.answer(session, Answer::Failed);
         }
         self.desk.counters.module_panics += 1;
         self.desk.requests.clear();
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -130,7 +130,7 @@
 
     fn adds_up(&mut self) {
         let counters = self.routing.counters();
-        let ends = counters.delivered + counters.turned_back + counters.terminated + counters.withdrawn;
+        let ends = counters.completed + counters.rejected + counters.failed + counters.withdrawn;
         assert_eq!(counters.taken, ends + counters.open, "{counters}");
     }
 }
@@ -140,11 +140,11 @@
 }
 
 #[test]
-fn a_request_is_dispatched_and_its_result_delivered_once() {
+fn a_request_is_dispatched_and_its_result_completed_once() {
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     host.end(done());
-    assert_eq!(host.peers.answers, [(4, Answer::Delivered(b"1\t2\t3\n".to_vec()))]);
+    assert_eq!(host.peers.answers, [(4, Answer::Completed(b"1\t2\t3\n".to_vec()))]);
     host.end(done());
     host.now += 5.0;
     host.turn(News::default());
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn an_answer_that_crosses_its_giving_up_is_delivered_while_its_request_is_open() {
+fn an_answer_that_crosses_its_giving_up_is_completed_while_its_request_is_open() {
     let mut host = Host::new();
     host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
     while host.peers.given_up.is_empty() {
@@ -219,7 +219,7 @@
     }
     host.peers.leaving.clear();
     host.end(done());
-    assert!(matches!(host.peers.answers[..], [(4, Answer::Delivered(_))]));
+    assert!(matches!(host.peers.answers[..], [(4, Answer::Completed(_))]));
     host.adds_up();
 }
 
@@ -246,7 +246,7 @@
     host.now = 100.5;
     host.turn(News::default());
     assert_eq!((host.peers.answers.len(), host.peers.given_up.len()), (1, 1));
-    assert!(matches!(host.peers.answers[0].1, Answer::TurnedBack { .. }));
+    assert!(matches!(host.peers.answers[0].1, Answer::Rejected { .. }));
     host.adds_up();
 }
 
@@ -257,7 +257,7 @@
     host.turn(News { asked: vec![(4, parsed("look"))], since: Some(108.5), ..News::default() });
     host.now = 110.5;
     host.turn(News::default());
-    assert!(matches!(host.peers.answers[..], [(4, Answer::TurnedBack { .. })]));
+    assert!(matches!(host.peers.answers[..], [(4, Answer::Rejected { .. })]));
 }
 
 #[test]
@@ -297,7 +297,7 @@
     host.ask(5, ParsedStatement { text: b"SELECT 2".to_vec(), ..first.clone() });
     assert!(host.unusable[0].1.contains("call: expected an id that is not in use"), "{:?}", host.unusable);
     host.end(done());
-    assert!(matches!(host.peers.answers[..], [(4, Answer::Delivered(_))]));
+    assert!(matches!(host.peers.answers[..], [(4, Answer::Completed(_))]));
     // As a client asks again whose request crossed a close.
     host.ask(6, first.clone());
     host.turn(News { withdrawn: vec![6], ..News::default() });
@@ -357,18 +357,18 @@
 }
 
 #[test]
-fn when_the_decisions_fail_open_requests_are_terminated_and_later_ones_served() {
+fn when_the_decisions_fail_open_requests_are_failed_and_later_ones_served() {
     let mut host = Host::new();
     host.ask(4, parsed("look"));
     let asked = vec![(5, parsed("broken")), (6, parsed("look"))];
     host.turn(News { asked, lists: vec![list(2, true, vec![entry("c", 3)])], ..News::default() });
     assert_eq!(host.peers.answers.len(), 3);
-    assert!(host.peers.answers.iter().all(|(_, answer)| *answer == Answer::Terminated));
+    assert!(host.peers.answers.iter().all(|(_, answer)| *answer == Answer::Failed));
     assert_eq!(host.peers.given_up.len(), 1);
     host.ask(7, parsed("look"));
     assert_eq!(host.peers.attempts.last().unwrap().1, 3, "the list that came with it holds");
     host.end(done());
-    assert!(matches!(host.peers.answers[3], (7, Answer::Delivered(_))));
+    assert!(matches!(host.peers.answers[3], (7, Answer::Completed(_))));
     assert_eq!(host.routing.counters().module_panics, 1);
     host.adds_up();
 }
--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -403,12 +403,12 @@
     pub fn answer(&mut self, answer: Answer, now: f64) {
         self.since = now;
         self.idle(|out, sequence| match answer {
-            Answer::Delivered(pages) => {
+            Answer::Completed(pages) => {
                 let names: Vec<String> = (1..=COLUMNS).map(|at| format!("column_{at}")).collect();
                 mysql::result(out, sequence, &names, rows(&pages).map(columns));
             }
-            Answer::TurnedBack { come_back_in } => mysql::turned_back(out, sequence, come_back_in),
-            Answer::Terminated => mysql::terminated(out, sequence),
+            Answer::Rejected { retry_after } => mysql::rejected(out, sequence, retry_after),
+            Answer::Failed => mysql::failed(out, sequence),
             Answer::Withdrawn => mysql::killed(out, sequence),
         });
     }
--- a/crates/router/src/transport/cluster.rs
+++ b/crates/router/src/transport/cluster.rs
@@ -158,7 +158,7 @@
                     self.readable = false;
                     return;
                 }
-                // One of ours could not be delivered: the detector finds that out by itself.
+                // One of ours could not be completed: the detector finds that out by itself.
                 Err(_) => continue,
             };
             let near = self.file.networks.iter().any(|network| network.contains(&from.ip()));
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -510,7 +510,7 @@
     /// How the router does, for the decisions on what is announced.
     fn readings(&mut self, now: f64) -> Readings {
         let counters = self.routing.counters();
-        let answered = counters.delivered + counters.turned_back + counters.terminated;
+        let answered = counters.completed + counters.rejected + counters.failed;
         let (in_time, panics) = (counters.in_time, counters.module_panics);
         if panics > self.failed.0 {
             self.failed = (panics, now);
--- a/crates/router/src/transport/sessions/tests.rs
+++ b/crates/router/src/transport/sessions/tests.rs
@@ -136,7 +136,7 @@
     assert!(asked.len() == 2 && asked.contains(&asking) && !asked.contains(&resting), "{asked:?}");
     // The same where nobody has connected: what has just come is read before its session would end.
     for id in asked {
-        story.sessions.answer(id, Answer::Terminated, story.now);
+        story.sessions.answer(id, Answer::Failed, story.now);
     }
     story.turn();
     asks.write_all(&query(&request("look", 5000, "x"))).unwrap();
@@ -156,11 +156,11 @@
     story.turn();
     assert_eq!(story.news.asked.len(), 1);
     assert!(!story.sessions.farewell(story.now));
-    story.sessions.answer(id, Answer::Terminated, story.now);
+    story.sessions.answer(id, Answer::Failed, story.now);
     assert!(!story.sessions.farewell(story.now));
     story.turn();
     assert_eq!(story.news.asked.len(), 2);
-    story.sessions.answer(id, Answer::Terminated, story.now);
+    story.sessions.answer(id, Answer::Failed, story.now);
     // Its client has the same time for the last answer, though the first farewell is long over.
     story.now += 5.0;
     assert!(!story.sessions.farewell(story.now));
@@ -208,7 +208,7 @@
     }
     // More than the system holds for the two.
     let row = [vec![b'x'; 5900], b"\tone\ttwo\n".to_vec()].concat();
-    story.sessions.answer(id, Answer::Delivered(row.repeat(4000)), story.now);
+    story.sessions.answer(id, Answer::Completed(row.repeat(4000)), story.now);
     let mut bytes = vec![0; 1 << 16];
     let (mut taken, begun) = (0, story.now);
     while story.sessions.sessions.contains_key(&id) {
--- a/crates/router/tests/capacity.rs
+++ b/crates/router/tests/capacity.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_run_that_is_terminated_leaves_no_process() {
+fn a_run_that_is_failed_leaves_no_process() {
     interrupted_by(Signal::TERM, "clients");
 }
 
@@ -115,7 +115,7 @@
 
 /// Those that start routers as the stories do.
 #[test]
-fn runs_of_lists_and_links_that_are_killed_or_terminated_leave_no_process() {
+fn runs_of_lists_and_links_that_are_killed_or_failed_leave_no_process() {
     for what in ["lists", "links"] {
         interrupted_by(Signal::KILL, what);
         interrupted_by(Signal::TERM, what);
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -65,7 +65,7 @@
 /// is so large that no time-out falls into the silence before the kill, nor on an answer that a busy machine holds up: either
 /// would use up the budget of retries, which is another story's.
 #[test]
-fn a_deduplicated_request_that_may_have_run_is_repeated_within_its_window_and_terminated_after_it() {
+fn a_deduplicated_request_that_may_have_run_is_repeated_within_its_window_and_failed_after_it() {
     let mut cluster = start(Plan { knows: false, ..tight(1, 2, true) });
     full(&cluster, 0);
     cluster.engines.iter().for_each(|engine| engine.silent(true));
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -172,7 +172,7 @@
     let requests: Vec<u8> = (0..=behind).flat_map(|_| query(&request("look", 500, "hold"))).collect();
     asks.stream.write_all(&requests).unwrap();
     engine.seen.wait("GET", 1);
-    router.terminate();
+    router.fail();
     for at in 0..=behind {
         let answer = asks.try_answer();
         assert!(matches!(answer, Some(Answered::Error(1040, _))), "{at}: {answer:?}");
@@ -198,9 +198,9 @@
     let mut asks = Client::new(&router);
     let text = router.configuration(&board, "{\"rev\":1,\"notices\":[]}");
     router.stop_for(Duration::ZERO, || {
-        router.terminate();
+        router.fail();
         router.reload(&text);
-        router.terminate();
+        router.fail();
         asks.send(&request("look", 500, "x"));
     });
     assert_eq!(asks.answer(), row());
@@ -219,7 +219,7 @@
     let mut asks = Client::new(&router);
     asks.send(&request("once", 500, "x"));
     Client::new(&router).counters("open", 1);
-    router.terminate();
+    router.fail();
     assert!(matches!(asks.answer(), Answered::Error(1040, _)));
     assert!(pings.closed());
     drop((pings, asks));
@@ -238,7 +238,7 @@
     }
     engine.seen.wait("GET", 3);
     let begun = Instant::now();
-    router.terminate();
+    router.fail();
     assert!(matches!(clients[0].answer(), Answered::Error(1040, _)));
     assert!(matches!(clients[1].answer(), Answered::Error(1040, _)));
     assert!(matches!(clients[2].answer(), Answered::Error(1105, _)), "it may have run");
@@ -288,7 +288,7 @@
     let mut long = Client::new(&router);
     long.send(&request("look", 500, "hold"));
     engine.seen.wait("GET", 1);
-    router.terminate();
+    router.fail();
     router.log.wait("stopping", 1);
     board.address = vacant();
     let program = std::path::Path::new(PROGRAM);
--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -54,7 +54,7 @@
     let mut clients = Vec::new();
     router.stop_for(Duration::ZERO, || {
         clients.extend((0..10).map(|_| newcomer(&router)));
-        router.terminate();
+        router.fail();
         clients.extend((0..10).map(|_| newcomer(&router)));
     });
     all_answered(clients, "with the signal");
@@ -69,7 +69,7 @@
     let engine = Engine::start("e");
     let (_board, mut router) = with_engine(&engine, 256);
     let mut rest: Vec<Client> = (0..10).map(|_| Client::new(&router)).collect();
-    router.terminate();
+    router.fail();
     router.log.wait("stopping", 1);
     let mut clients = Vec::new();
     router.stop_for(Duration::from_millis(900), || {
--- a/crates/router/tests/run_form.rs
+++ b/crates/router/tests/run_form.rs
@@ -146,7 +146,7 @@
     looks(20);
     clients[0].send(&request("look", 1500, "hold"));
     engine.seen.wait("hold", 1);
-    router.terminate();
+    router.fail();
     looks(100);
     assert!(matches!(clients[0].answer(), Answered::Error(..)));
     assert_eq!(router.ended().0, Some(0));
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -92,7 +92,7 @@
     let mut long = Client::new(&world.router);
     long.send(&request("load", 20000, "hold"));
     world.engine.seen.wait("GET", 2);
-    world.router.terminate();
+    world.router.fail();
     world.router.log.wait("drain begins", 1);
     let began = Instant::now();
     // How soon is for the laboratory to measure.
@@ -138,7 +138,7 @@
         let mut long = Client::new(&world.router);
         long.send(&request("load", 20000, "hold"));
         world.engine.seen.wait("GET", 1);
-        world.router.terminate();
+        world.router.fail();
         world.router.log.wait("drain begins", 1);
         let began = Instant::now();
         if name == "flapping" {
@@ -178,7 +178,7 @@
     peering.reset();
     world.router.log.wait("bgp lost", 1);
     assert!(has_route(&peering), "kept, as agreed");
-    world.router.terminate();
+    world.router.fail();
     world.router.log.wait("stopping", 1);
     peering.mode(Mode::Well);
     peering.wait("cleared", |peering| !has_route(peering));
@@ -190,7 +190,7 @@
         &text.replace(&text[text.find("127.0.0.1:").unwrap()..][..15], &peering.address.to_string()[..]),
     );
     peering.wait("announced for good", |peering| announced(peering) == 2);
-    world.router.terminate();
+    world.router.fail();
     assert_eq!(world.router.ended().0, Some(0));
     peering.wait("a goodbye", |peering| last_words(peering).is_some_and(|told| told.hard_reset));
     assert!(!has_route(&peering));
@@ -294,7 +294,7 @@
     world.reload(&service_file(&[&second], ""));
     second.wait("back", has_route);
     // Hard case: a new file in a drain brings nothing out, at the old peer or at the new one.
-    world.router.terminate();
+    world.router.fail();
     world.router.log.wait("drain begins", 1);
     let (before, other) = (announced(&second), Peering::start(open(false)));
     world.reload(&service_file(&[&second, &other], "\"shutdown_lead_s\":0.8,"));
@@ -329,7 +329,7 @@
     let peering = Peering::start(open(false));
     let mut world = World::new(&service_file(&[&peering], "\"shutdown_lead_s\":0.5,"));
     peering.wait("announced for good", |peering| announced(peering) == 2);
-    world.router.terminate();
+    world.router.fail();
     let leaving =
         |peering: &Peering| peering.table().iter().any(|(_, path)| path.communities == [GRACEFUL_SHUTDOWN]);
     peering.wait("shown", leaving);
@@ -386,7 +386,7 @@
     };
     peering.wait("announced for good", |peering| announced(peering) == 4);
     assert_eq!(hop(&peering), Some("2001:db8::1".parse().unwrap()));
-    world.router.terminate();
+    world.router.fail();
     peering.wait("withdrawn", |peering| peering.table().is_empty());
     assert_eq!(world.router.ended().0, Some(0));
 }
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -58,7 +58,7 @@
 
 /// Hard case: one team sends far more than its share.
 #[test]
-fn a_greedy_team_is_turned_back_past_its_line_and_another_one_goes_ahead_of_it() {
+fn a_greedy_team_is_rejected_past_its_line_and_another_one_goes_ahead_of_it() {
     let world = started(TWO, 2.0);
     let mut greedy: Vec<Client> = (0..60).map(|_| Client::new(&world.router)).collect();
     greedy.iter_mut().for_each(|client| client.send(&ask("greedy", 150.0)));
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -127,7 +127,7 @@
     let away = Engine { address: vacant(), ..Engine::start("away") };
     let (board, router) = started(&[&away]);
     let mut client = Client::new(&router);
-    // A non-idempotent request goes on as nothing ran, and is turned back when no engine can be had.
+    // A non-idempotent request goes on as nothing ran, and is rejected when no engine can be had.
     assert!(
         matches!(client.ask(&request("once", 1000, "x")), Answered::Error(1040, words) if words.contains("pushback="))
     );
@@ -346,7 +346,7 @@
     long.send(&request("load", 20000, "hold"));
     engine.seen.wait("GET", 1);
     let mut open = Client::new(&router);
-    router.terminate();
+    router.fail();
     router.log.wait("stopping", 1);
     assert_eq!(Client::new(&router).ask(&request("look", 5000, "pages 2")), rows(2));
     assert_eq!(open.ask(&request("look", 5000, "x")), rows(1));
@@ -455,7 +455,7 @@
     assert_eq!(Client::new(&router).ask(&request("look", 5000, "x")), rows(1));
     assert_eq!(first.seen.all().iter().filter(|line| line.starts_with("GET")).count(), 1);
     // While stopping too; the request that was open all along has its answer.
-    router.terminate();
+    router.fail();
     router.log.wait("stopping", 1);
     router.reload(&text);
     assert!(matches!(client.answer(), Answered::Error(1040, _)));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -148,9 +148,9 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
-    Delivered,
+    Completed,
     Erred,
-    /// Turned away unseen.
+    /// Rejected unseen.
     Full,
     TimedOut,
     /// No connection came about.
@@ -214,8 +214,8 @@
     /// repeats one that may have run is dropped as a repeat for a while only.
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64);
     fn cancel(&mut self, request: usize, attempt: u32);
-    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>);
-    fn terminate(&mut self, request: usize);
+    fn reject(&mut self, request: usize, retry_after: Option<f64>);
+    fn fail(&mut self, request: usize);
     /// How long a request that is held now is thought to wait for its first attempt; none where that can't be told.
     fn waits(&mut self, _request: usize, _wait: Option<queue::Wait>) {}
     /// Asks for the list's changes from now on.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -361,9 +361,9 @@
     armed: Option<f64>,
     watch_at: Option<f64>,
     stop: f64,
-    /// What is taken later is turned back at once: this instance drains.
+    /// What is taken later is rejected at once: this instance drains.
     takes_until: f64,
-    /// When the last request was turned back, while that mode lasts.
+    /// When the last request was rejected, while that mode lasts.
     turning_back: Option<f64>,
     log: Vec<String>,
 }
@@ -451,7 +451,7 @@
         let memory = learned.memory_by_estimate.guess(taken.memory_mb, learned.memory.or(0.0));
         let most = if self.given.pages { FREE_HEADROOM } else { HEADROOM };
         let memory = memory * learned.memory_by_estimate.headroom(most);
-        // Also from those that never run: the heavy ones are turned back first.
+        // Also from those that never run: the heavy ones are rejected first.
         learned.work.add(work, f64::from(u8::from(taken.cost.is_some())), 0.99);
         // What has less time left than others of its class came late, or its client has tried before.
         learned.longest_lead = learned.longest_lead.max(taken.deadline - now);
@@ -596,14 +596,14 @@
         let untold = learned.work_by_cost.told.weight == 0.0
             && request.taken.cost.is_some()
             && self.given.gateways <= cores;
-        let evidence = end.ending == Ending::Delivered && !quarter && !stalled;
+        let evidence = end.ending == Ending::Completed && !quarter && !stalled;
         let against = (untold && evidence).then(|| learned.against_least(pace, work)).flatten();
         let stood = if untold { against } else { Some(pace) };
         if let Some(engine) = self.engines.get_mut(end.engine) {
             // The requests that it tells of have as many threads each as ours; else pace is about threads a core.
             let others =
                 end.load.requests.map(|all| (all - f64::from(engine.attempts)) * self.threads_each.or(1.0));
-            let ran = matches!(end.ending, Ending::Delivered | Ending::TimedOut | Ending::Cancelled);
+            let ran = matches!(end.ending, Ending::Completed | Ending::TimedOut | Ending::Cancelled);
             let felt = stood.map(|pace| Room::USUAL * pace.min(8.0) * engine.cores - engine.threads);
             let felt = felt.filter(|_| ran && !quarter && !stalled && self.given.gateways > 1.0);
             engine.room.tells |= others.is_some();
@@ -619,8 +619,8 @@
             }
             let (good, bad, own) = match end.ending {
                 // Slow against what the class takes elsewhere: a slow machine, a pause, a crowd.
-                Ending::Delivered if pace > 4.0 * learned.pace() && end.spent > 0.5 => (1.0, 0.5, 0.5),
-                Ending::Delivered => (1.0, 0.0, 0.0),
+                Ending::Completed if pace > 4.0 * learned.pace() && end.spent > 0.5 => (1.0, 0.5, 0.5),
+                Ending::Completed => (1.0, 0.0, 0.0),
                 Ending::Unreached => (0.0, 3.0, 3.0),
                 Ending::Erred | Ending::Broken => (0.0, 1.0, 1.0),
                 Ending::TimedOut if engine.last_answer < sent => (0.0, 1.0, 1.0),
@@ -642,7 +642,7 @@
                 engine.ledger.press(now);
             }
         }
-        if end.ending == Ending::Delivered {
+        if end.ending == Ending::Completed {
             let paces = if quarter { &mut learned.quarter_pace } else { &mut learned.pace };
             paces.add(pace, work, 0.99);
             self.theta.runs.add(pace, work / threads, 1.0);
@@ -1088,7 +1088,7 @@
     }
 
     /// When to come back, no later than clients follow: with teams, once the line would take the request.
-    /// Spread by chance, so that those that are turned back together do not return as one.
+    /// Spread by chance, so that those that are rejected together do not return as one.
     fn advice(&mut self, now: f64, id: usize) -> Option<f64> {
         let (most, request) = (self.given.advice?, &self.requests[&id]);
         let wait = self.line.wait_for(request.taken.team, request.work, now).filter(|_| self.line.parted());
@@ -1111,9 +1111,9 @@
         };
         if harmless {
             let advice = self.advice(now, id);
-            out.turn_back(id, advice);
+            out.reject(id, advice);
         } else {
-            out.terminate(id);
+            out.fail(id);
         }
         self.request_withdrawn(id);
     }
@@ -1184,7 +1184,7 @@
         (wait + run < left && request.attempts.len() + 1 < self.given.max_attempts as usize).then_some(wait)
     }
 
-    /// A held request that can't come in time: turned back, unless what it earns late beats the work that waits.
+    /// A held request that can't come in time: rejected, unless what it earns late beats the work that waits.
     fn too_late(&mut self, now: f64, id: usize, out: &mut dyn Writer) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.over && !request.out()) else {
             return;
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -14,8 +14,8 @@
         self.attempts.push((request, engine));
     }
     fn cancel(&mut self, _: usize, _: u32) {}
-    fn turn_back(&mut self, _: usize, _: Option<f64>) {}
-    fn terminate(&mut self, _: usize) {}
+    fn reject(&mut self, _: usize, _: Option<f64>) {}
+    fn fail(&mut self, _: usize) {}
     fn watch(&mut self, _: bool) {}
     fn fetch(&mut self) {}
     fn probe(&mut self, _: usize) {}
@@ -232,16 +232,16 @@
         let bad = [Ending::Erred, Ending::Unreached, Ending::Full, Ending::Broken, Ending::TimedOut];
         let ending = match engine % 3 {
             0 => bad[self.draw(5)],
-            _ => Ending::Delivered,
+            _ => Ending::Completed,
         };
         let spent = 0.05 * (1 + self.draw(30)) as f64;
-        let told = (self.tells && ending == Ending::Delivered).then_some((spent * 0.7, 300.0));
+        let told = (self.tells && ending == Ending::Completed).then_some((spent * 0.7, 300.0));
         let load = Load {
             requests: self.tells.then_some(self.draw(30) as f64),
             memory_waits: (self.draw(30) == 0).then_some(1.0),
             memory_granted: (self.draw(10) == 0).then_some(1.0),
         };
-        let request_done = ending == Ending::Delivered;
+        let request_done = ending == Ending::Completed;
         self.gateway.attempt_ended(
             self.now,
             &AttemptEnd { request, engine, ending, request_done, spent, told, load },
@@ -349,10 +349,10 @@
         story.gateway.round(story.now, &mut story.book);
         while story.book.attempts.len() > 10 {
             let (request, engine) = story.book.attempts.remove(0);
-            let ending = if bad && engine % 3 == 0 { Ending::Broken } else { Ending::Delivered };
-            let told = (ending == Ending::Delivered).then_some((0.02, 50.0));
+            let ending = if bad && engine % 3 == 0 { Ending::Broken } else { Ending::Completed };
+            let told = (ending == Ending::Completed).then_some((0.02, 50.0));
             let load = Load { requests: Some(1.0), ..Load::default() };
-            let request_done = ending == Ending::Delivered;
+            let request_done = ending == Ending::Completed;
             let end = AttemptEnd { request, engine, ending, request_done, spent: 0.03, told, load };
             story.gateway.attempt_ended(story.now, &end);
         }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -211,7 +211,7 @@
                 world.now += Self::STEP;
                 while out.front().is_some_and(|(end, ..)| *end <= world.now) {
                     let (_, request, spent) = out.pop_front().expect("there is one");
-                    world.over(request, Ending::Delivered, spent);
+                    world.over(request, Ending::Completed, spent);
                 }
                 let mut left = rate * Self::STEP;
                 while left > 0.0 && draw(&mut self.seed) < left {
@@ -229,7 +229,7 @@
                             let spent = WORK * if new { Self::PACE_NEW } else { Self::PACE_OLD };
                             out.push_back((world.now + spent, request, spent));
                         }
-                        Wrote::TurnBack(_) => self.rejected += 1,
+                        Wrote::Reject(_) => self.rejected += 1,
                         _ => {}
                     }
                 }
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -73,12 +73,12 @@
         self.cancelled.push((request, attempt));
         self.line(format_args!("cancel {request} {attempt}"));
     }
-    fn turn_back(&mut self, request: usize, retry_after: Option<f64>) {
+    fn reject(&mut self, request: usize, retry_after: Option<f64>) {
         self.counts.rejected += 1;
         self.ended.push(request);
         self.line(format_args!("reject {request} {retry_after:?}"));
     }
-    fn terminate(&mut self, request: usize) {
+    fn fail(&mut self, request: usize) {
         self.counts.failed += 1;
         self.ended.push(request);
         self.line(format_args!("fail {request}"));
@@ -462,11 +462,11 @@
         let (ending, took) = match model.fault {
             Fault::None if coin < 0.004 => (Ending::Broken, took / 2.0),
             Fault::None | Fault::Slow => {
-                (Ending::Delivered, if model.fault == Fault::Slow { 10.0 * took } else { took })
+                (Ending::Completed, if model.fault == Fault::Slow { 10.0 * took } else { took })
             }
             Fault::Silent => (Ending::TimedOut, f64::INFINITY),
             Fault::Failing if coin < 0.5 => (Ending::Erred, 0.01),
-            Fault::Failing => (Ending::Delivered, took),
+            Fault::Failing => (Ending::Completed, took),
             Fault::Full => (Ending::Full, 0.005),
             Fault::Unreachable => (Ending::Unreached, 0.2),
         };
@@ -517,16 +517,16 @@
         model.running = (model.running - self.deployment.classes[class].threads).max(0.0);
         let running = model.running;
         let known = self.variant != Variant::ManyGateways;
-        let delivered = ending == Ending::Delivered;
-        if delivered {
+        let completed = ending == Ending::Completed;
+        if completed {
             self.requests.remove(&request);
             self.cancel(request, None);
         }
         let reports = known && engine.is_multiple_of(2);
         let load = Load {
-            requests: (reports && delivered).then_some(running / 1.5 + 1.0),
-            memory_waits: (reports && delivered).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
-            memory_granted: (known && delivered && engine % 3 == 0).then_some((running / 24.0).min(1.0)),
+            requests: (reports && completed).then_some(running / 1.5 + 1.0),
+            memory_waits: (reports && completed).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
+            memory_granted: (known && completed && engine % 3 == 0).then_some((running / 24.0).min(1.0)),
         };
         let end = AttemptEnd {
             request,
@@ -534,7 +534,7 @@
             ending,
             request_done: !self.requests.contains_key(&request),
             spent: self.now - sent,
-            told: (known && delivered && engine % 5 != 0).then_some((work, memory)),
+            told: (known && completed && engine % 5 != 0).then_some((work, memory)),
             load,
         };
         self.gateway.attempt_ended(self.now, &end);
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -7,8 +7,8 @@
 pub enum Wrote {
     Attempt { request: usize, engine: usize, grant: f64, lane: u8 },
     Cancel(usize),
-    TurnBack(usize),
-    Terminate(usize),
+    Reject(usize),
+    Fail(usize),
     Watch,
 }
 
@@ -19,7 +19,7 @@
     /// Of each attempt.
     pub time_outs: Vec<Option<f64>>,
     pub leave_by: Vec<f64>,
-    /// Of each request turned back.
+    /// Of each request rejected.
     pub advice: Vec<Option<f64>>,
     now: f64,
     terms: (u8, f64),
@@ -44,12 +44,12 @@
     fn cancel(&mut self, request: usize, _attempt: u32) {
         self.note(Wrote::Cancel(request));
     }
-    fn turn_back(&mut self, request: usize, come_back_in: Option<f64>) {
-        self.advice.push(come_back_in);
-        self.note(Wrote::TurnBack(request));
+    fn reject(&mut self, request: usize, retry_after: Option<f64>) {
+        self.advice.push(retry_after);
+        self.note(Wrote::Reject(request));
     }
-    fn terminate(&mut self, request: usize) {
-        self.note(Wrote::Terminate(request));
+    fn fail(&mut self, request: usize) {
+        self.note(Wrote::Fail(request));
     }
     fn watch(&mut self, _on: bool) {
         self.note(Wrote::Watch);
@@ -145,25 +145,25 @@
         self.end(request, ending, spent, None, Load::default());
     }
 
-    /// Delivered by an engine that tells how many requests it holds.
+    /// Completed by an engine that tells how many requests it holds.
     pub fn report(&mut self, request: usize, spent: f64, requests: f64) {
         self.end(
             request,
-            Ending::Delivered,
+            Ending::Completed,
             spent,
             None,
             Load { requests: Some(requests), ..Load::default() },
         );
     }
 
-    /// Delivered, and told what it needed.
+    /// Completed, and told what it needed.
     pub fn tell(&mut self, request: usize, spent: f64, work: f64, memory: f64) {
-        self.end(request, Ending::Delivered, spent, Some((work, memory)), Load::default());
+        self.end(request, Ending::Completed, spent, Some((work, memory)), Load::default());
     }
 
     fn end(&mut self, request: usize, ending: Ending, spent: f64, told: Option<(f64, f64)>, load: Load) {
         let engine = self.engines_of(request).pop().expect("it was pushed");
-        let request_done = ending == Ending::Delivered;
+        let request_done = ending == Ending::Completed;
         let end = AttemptEnd { request, engine, ending, request_done, spent, told, load };
         self.gateway.attempt_ended(self.now, &end);
     }
@@ -187,7 +187,7 @@
 
     /// The answers a request got from us, with their times.
     pub fn answers(&self, request: usize) -> Vec<(f64, Wrote)> {
-        let ends = [Wrote::TurnBack(request), Wrote::Terminate(request)];
+        let ends = [Wrote::Reject(request), Wrote::Fail(request)];
         self.book.wrote.iter().filter(|(_, what)| ends.contains(what)).cloned().collect()
     }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_non_idempotent_request_that_may_have_run_is_terminated_at_once() {
+fn an_non_idempotent_request_that_may_have_run_is_failed_at_once() {
     let mut deployment = plain();
     deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
@@ -39,7 +39,7 @@
     world.over(request, Ending::Broken, 0.1);
     world.pass(0.05);
     assert_eq!(world.engines_of(request).len(), 1);
-    assert_eq!(world.answers(request).last().map(|(_, what)| what), Some(&Wrote::Terminate(request)));
+    assert_eq!(world.answers(request).last().map(|(_, what)| what), Some(&Wrote::Fail(request)));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     world.over(late, Ending::Broken, 1.2);
     world.pass(0.05);
     assert_eq!(world.engines_of(late).len(), 1);
-    assert_eq!(world.answers(late)[0].1, Wrote::Terminate(late));
+    assert_eq!(world.answers(late)[0].1, Wrote::Fail(late));
 }
 
 /// Rule 2 at the very edge of a short window: a repeat is made only where it can still be there in time, its host is told
@@ -134,7 +134,7 @@
         let request = world.request(0, |taken| taken.table_group = group);
         world.pass(0.1);
         assert_eq!(world.engines_of(request), [1]);
-        world.over(request, Ending::Delivered, 0.1);
+        world.over(request, Ending::Completed, 0.1);
     }
     // Missing from a whole list is gone.
     world.gateway.engines_listed(world.now, &[draining], true);
@@ -154,7 +154,7 @@
         let request = world.request(0, |_| ());
         world.pass(0.02);
         if !world.engines_of(request).is_empty() {
-            world.over(request, Ending::Delivered, 0.1);
+            world.over(request, Ending::Completed, 0.1);
         }
         if step == 0 {
             assert!(!world.engines_of(request).is_empty());
@@ -242,7 +242,7 @@
     let calm = world.request(1, |_| ());
     world.round();
     assert!(world.grant_of(calm) > 999.0);
-    world.over(calm, Ending::Delivered, 1.0);
+    world.over(calm, Ending::Completed, 1.0);
     // Two periods of work with waits for memory: θ jumps, and half the memory asked for is no longer given.
     let mut quarters = 0;
     for step in 0..60 {
@@ -255,7 +255,7 @@
         world.gateway.attempt_noted(world.now, request, Note::WaitsForMemory);
         let quarter = world.grant_of(request) <= 420.0;
         quarters += usize::from(quarter);
-        world.over(request, Ending::Delivered, if quarter { 2.0 } else { 1.0 });
+        world.over(request, Ending::Completed, if quarter { 2.0 } else { 1.0 });
     }
     assert!(world.logged("θ"));
     assert!(quarters > 5);
@@ -264,7 +264,7 @@
         let request = world.request(1, |_| ());
         world.pass(0.1);
         let quarter = world.grant_of(request) <= 500.0;
-        world.over(request, Ending::Delivered, if quarter { 2.0 } else { 1.0 });
+        world.over(request, Ending::Completed, if quarter { 2.0 } else { 1.0 });
     }
     assert!(world.grant_of(world.next_request - 1) > 900.0);
 }
@@ -290,12 +290,12 @@
     let calm = [world.request(1, large), world.request(1, large)];
     world.round();
     assert!(calm.iter().all(|&request| world.grant_of(request) > 2999.0));
-    world.over(calm[1], Ending::Delivered, 1.0);
+    world.over(calm[1], Ending::Completed, 1.0);
     world.gateway.attempt_noted(world.now, calm[0], Note::WaitsForMemory);
     let pressed = world.request(1, large);
     world.round();
     assert_ne!(world.engines_of(pressed).len(), 1, "3000 and 750 MB are past what is left of 3200 MB");
-    world.over(calm[0], Ending::Delivered, 1.0);
+    world.over(calm[0], Ending::Completed, 1.0);
     world.round();
     assert!(world.grant_of(pressed) > 2999.0, "an empty ledger admits a first job");
 }
@@ -309,7 +309,7 @@
             let request = world.request(0, |taken| taken.table_group = 3);
             world.round();
             homes.extend(world.engines_of(request));
-            world.over(request, Ending::Delivered, 0.1);
+            world.over(request, Ending::Completed, 0.1);
         }
         homes.sort_unstable();
         homes.dedup();
@@ -335,7 +335,7 @@
         [holder, second, reader, elsewhere].map(|request| world.engines_of(request).len()),
         [1, 0, 0, 1]
     );
-    world.over(holder, Ending::Delivered, 1.0);
+    world.over(holder, Ending::Completed, 1.0);
     world.round();
     assert_eq!([second, reader].map(|request| world.engines_of(request).len()), [1, 1]);
 }
@@ -366,7 +366,7 @@
             failed += 1;
             world.over(request, Ending::Broken, 0.001);
         } else {
-            world.over(request, Ending::Delivered, 0.1);
+            world.over(request, Ending::Completed, 0.1);
         }
     }
     assert!(world.logged("doubted"));
@@ -452,7 +452,7 @@
                         world.round();
                     }
                 }
-                world.over(request, Ending::Delivered, 0.1 + class as f64);
+                world.over(request, Ending::Completed, 0.1 + class as f64);
             }
         }
         assert!(there[0] < 30 && there[1] > 50, "{ending:?}: {there:?} of 150 and 300");
@@ -470,7 +470,7 @@
             let request = world.request(0, |_| ());
             world.round();
             world.now += 0.05;
-            world.over(request, Ending::Delivered, 0.1 * pace);
+            world.over(request, Ending::Completed, 0.1 * pace);
         }
         world.request(0, |taken| taken.cost = Some(0.4));
         world.round();
@@ -501,19 +501,19 @@
 }
 
 #[test]
-fn what_would_come_too_late_is_turned_back_before_its_time_is_up() {
+fn what_would_come_too_late_is_rejected_before_its_time_is_up() {
     let mut world = World::new(plain(), 1);
     let requests: Vec<usize> = (0..12).map(|_| world.request(1, |_| ())).collect();
     world.pass(6.0);
-    let turned_back = requests.iter().filter(|&&request| world.engines_of(request).is_empty());
-    for &request in turned_back {
+    let rejected = requests.iter().filter(|&&request| world.engines_of(request).is_empty());
+    for &request in rejected {
         assert!(world.answers(request)[0].0 < 104.0);
     }
     assert!(world.logged("turning back"));
 }
 
 #[test]
-fn a_request_held_again_past_its_time_is_turned_back_not_sat_on() {
+fn a_request_held_again_past_its_time_is_rejected_not_sat_on() {
     let mut world = World::new(plain(), 1);
     let request = world.request(0, |_| ());
     world.round();
@@ -560,11 +560,11 @@
 }
 
 #[test]
-fn a_backlog_after_a_freeze_is_tried_before_it_is_turned_back() {
+fn a_backlog_after_a_freeze_is_tried_before_it_is_rejected() {
     let mut world = World::new(plain(), 4);
     let early = world.request(0, |_| ());
     world.round();
-    world.over(early, Ending::Delivered, 0.1);
+    world.over(early, Ending::Completed, 0.1);
     // Frozen for two and a half seconds: the requests that came meanwhile are late when they are seen.
     world.now += 2.5;
     let late: Vec<usize> = (0..4).map(|_| world.request(0, |taken| taken.deadline -= 2.5)).collect();
@@ -613,7 +613,7 @@
     for _ in 0..20 {
         let request = world.request(1, bare);
         world.pass(0.1);
-        world.over(request, Ending::Delivered, 2.0);
+        world.over(request, Ending::Completed, 2.0);
     }
     // Eight seconds of work each: our share of what a cold engine stands is under six in its window.
     let gone = |engine| Listing { stage: Stage::Gone, ..listing(engine) };
@@ -726,7 +726,7 @@
     for _ in 0..40 {
         let request = world.request(0, |_| ());
         world.pass(0.1);
-        world.over(request, Ending::Delivered, 0.08);
+        world.over(request, Ending::Completed, 0.08);
     }
     let burst: Vec<usize> = (0..8).map(|_| world.request(0, |_| ())).collect();
     world.round();
@@ -773,13 +773,13 @@
         let mut world = World::new(plain(), 1);
         let early = world.request(0, |_| ());
         world.round();
-        world.over(early, Ending::Delivered, 0.1);
+        world.over(early, Ending::Completed, 0.1);
         let requests: Vec<usize> = (0..10).map(|_| world.request(0, |_| ())).collect();
         world.round();
         world.pass(6.0 - gap);
         // Time goes on, but we have no turn.
         world.now += gap;
-        requests.iter().for_each(|&request| world.over(request, Ending::Delivered, 6.0));
+        requests.iter().for_each(|&request| world.over(request, Ending::Completed, 6.0));
         world.round();
         world.pass(0.3);
         assert_eq!(world.logged("doubted"), doubted, "a gap of {gap}");
@@ -834,7 +834,7 @@
         world.pass(0.05);
         let Some(&at) = world.engines_of(request).last() else { continue };
         used[at] += usize::from(step > 120);
-        let ending = if step % 3 == 0 { Ending::Broken } else { Ending::Delivered };
+        let ending = if step % 3 == 0 { Ending::Broken } else { Ending::Completed };
         world.over(request, ending, 0.1);
         if ending == Ending::Broken {
             world.gateway.request_withdrawn(request);
@@ -907,7 +907,7 @@
     let late = world.request(0, |_| ());
     world.round();
     assert_eq!((world.engines_of(late).len(), world.answers(late).len()), (0, 1));
-    assert_eq!(world.answers(late)[0].1, Wrote::TurnBack(late));
+    assert_eq!(world.answers(late)[0].1, Wrote::Reject(late));
     // What was taken before may be dispatched again.
     world.over(out, Ending::Unreached, 0.1);
     world.pass(0.05);
@@ -976,7 +976,7 @@
 }
 
 #[test]
-fn a_line_that_is_too_long_has_its_last_turned_back_at_once_but_none_that_may_have_run() {
+fn a_line_that_is_too_long_has_its_last_rejected_at_once_but_none_that_may_have_run() {
     let mut world = World::new(plain(), 1);
     teams(&mut world, [1.0, 1.0], 2);
     let ran = world.request(0, |request| (request.team, request.cost) = (1, Some(9.0)));
@@ -989,7 +989,7 @@
     world.over(ran, Ending::Broken, 0.1);
     world.round();
     world.round();
-    let back = |request: &usize| matches!(world.answers(*request)[..], [(_, Wrote::TurnBack(_))]);
+    let back = |request: &usize| matches!(world.answers(*request)[..], [(_, Wrote::Reject(_))]);
     let out = later.iter().filter(|request| !world.engines_of(**request).is_empty()).count();
     let told = later.iter().filter(|request| back(request)).count();
     // One more than two, as the one that may have run is not displaced.
@@ -1031,13 +1031,13 @@
     teams_moved(&mut world, [1.0, 1.0], 1000, 2);
     assert_eq!((world.gateway.line.len(), world.gateway.line.of(2).2), (50 - before, before));
     let first = *requests.iter().find(|request| !world.engines_of(**request).is_empty()).unwrap();
-    world.over(first, Ending::Delivered, 0.2);
+    world.over(first, Ending::Completed, 0.2);
     world.pass(0.05);
     assert_eq!(out(&world), before + 1);
 }
 
 #[test]
-fn a_team_that_is_turned_back_is_told_when_its_line_would_take_it() {
+fn a_team_that_is_rejected_is_told_when_its_line_would_take_it() {
     let advice = |parted: bool| {
         let mut world = World::new(Deployment { advice: Some(60.0), ..plain() }, 1);
         if parted {
@@ -1054,7 +1054,7 @@
             for request in std::mem::take(&mut out) {
                 match world.engines_of(request).is_empty() {
                     true => out.push(request),
-                    false => world.over(request, Ending::Delivered, 0.1),
+                    false => world.over(request, Ending::Completed, 0.1),
                 }
             }
         }
@@ -1078,7 +1078,7 @@
             .flat_map(|_| {
                 let request = world.request(0, |taken| taken.table_group = group);
                 world.pass(0.1);
-                world.over(request, Ending::Delivered, 0.1);
+                world.over(request, Ending::Completed, 0.1);
                 world.engines_of(request)
             })
             .collect();
@@ -1100,7 +1100,7 @@
     for group in 0..30 {
         let request = world.request(0, |taken| taken.table_group = group);
         world.round();
-        world.over(request, Ending::Delivered, 0.1);
+        world.over(request, Ending::Completed, 0.1);
     }
     world.gateway.peers_say(0, Met::default());
     world.pass(0.5);
@@ -1142,7 +1142,7 @@
 /// Rule 2 over a restart: what was dispatched before under another request may be dispatched again only where that is provably safe,
 /// and what can't be is answered at once, never as harmless.
 #[test]
-fn a_request_that_was_dispatched_before_runs_again_only_within_its_window_and_is_else_terminated_at_once() {
+fn a_request_that_was_dispatched_before_runs_again_only_within_its_window_and_is_else_failed_at_once() {
     let play = |scope: DeduplicationScope, class: usize, ago: f64| {
         let mut world = World::new(keyed(scope), 3);
         let earlier = Some(world.now - ago);
@@ -1150,7 +1150,7 @@
         world.pass(0.1);
         (
             world.engines_of(request).len(),
-            world.book.wrote.iter().any(|(_, wrote)| *wrote == Wrote::Terminate(request)),
+            world.book.wrote.iter().any(|(_, wrote)| *wrote == Wrote::Fail(request)),
         )
     };
     assert_eq!(
@@ -1250,7 +1250,7 @@
         world.round();
         world.now += 0.3;
         if !world.engines_of(light).is_empty() {
-            world.over(light, Ending::Delivered, 0.3);
+            world.over(light, Ending::Completed, 0.3);
         }
         world.pass(0.1);
         for request in heavy.clone() {
@@ -1261,13 +1261,13 @@
                 .iter()
                 .find(|(_, what)| matches!(what, Wrote::Attempt { request: of, .. } if *of == request));
             if out && since.is_some_and(|(at, _)| world.now >= at + 1.2) {
-                world.over(request, Ending::Delivered, 1.2);
+                world.over(request, Ending::Completed, 1.2);
                 heavy.retain(|other| *other != request);
             }
         }
     }
-    let turned_back = world.book.wrote.iter().filter(|(_, what)| matches!(what, Wrote::TurnBack(_))).count();
-    assert_eq!(turned_back, 0, "of 200 light jobs and 10 heavy ones");
+    let rejected = world.book.wrote.iter().filter(|(_, what)| matches!(what, Wrote::Reject(_))).count();
+    assert_eq!(rejected, 0, "of 200 light jobs and 10 heavy ones");
 }
 
 /// Thirty-two gateways before eight engines of sixteen cores. No answer tells work, and what requests are said to need is a
@@ -1283,7 +1283,7 @@
         world.round();
         if !world.engines_of(request).is_empty() {
             world.now += 0.022;
-            world.over(request, Ending::Delivered, 0.022);
+            world.over(request, Ending::Completed, 0.022);
         }
         world.now += 0.01;
     }
@@ -1304,7 +1304,7 @@
         (dispatched, of) = (dispatched + world.engines_of(request).len(), of + 1);
         world.now += takes;
         if !world.engines_of(request).is_empty() {
-            world.over(request, Ending::Delivered, takes);
+            world.over(request, Ending::Completed, takes);
         }
     }
     assert_eq!((dispatched, of), (100, 100));
