--- a/crates/lab/src/capacity/clients.rs
+++ b/crates/lab/src/capacity/clients.rs
@@ -6,7 +6,7 @@
 use super::hollow::{self, Guarded};
 use super::{report, target, Ask, Need, Range, Row};
 use crate::standins::{
-    configuration, counter, login, query, request, vacant, Answered, Board, Client, Engine,
+    configuration, counter, login, query, request, vacant, Answered, Client, Discovery, Engine,
 };
 use rustix::event::epoll;
 use serde_json::{json, Value};
@@ -264,21 +264,21 @@
 struct Stage {
     router: Guarded,
     address: SocketAddr,
-    _board: Board,
+    _discovery: Discovery,
 }
 
 impl Stage {
     fn set(ask: &Ask, engines: &[Engine], descriptors: u64) -> Result<Stage, String> {
-        let (board, address) = (Board::start(), vacant());
-        board.tell(true, &engines.iter().map(|engine| engine.entry("ready")).collect::<Vec<_>>());
-        let router = hollow::router(&ask.program, address, &board, descriptors)?;
+        let (discovery, address) = (Discovery::start(), vacant());
+        discovery.tell(true, &engines.iter().map(|engine| engine.entry("ready")).collect::<Vec<_>>());
+        let router = hollow::router(&ask.program, address, &discovery, descriptors)?;
         let begun = Instant::now();
         let mut client = Client::at(address).map_err(|error| format!("the first client: {error}"))?;
         while begun.elapsed() < OPENS {
             router.lives()?;
             client.send(&request("look", 2000, "x"));
             if let Some(Answered::Rows(_)) = client.try_answer() {
-                return Ok(Stage { router, address, _board: board });
+                return Ok(Stage { router, address, _discovery: discovery });
             }
         }
         Err("no engine answered the first statement".to_string())
--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -5,7 +5,7 @@
 use crate::cluster::cluster_file;
 use crate::peering::service_file;
 use crate::relays::vacant_udp;
-use crate::standins::{request, Answered, Board, Client, Engine, Router};
+use crate::standins::{request, Answered, Client, Discovery, Engine, Router};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -66,12 +66,12 @@
 }
 
 impl Fleet {
-    fn start(program: &Path, routers: usize, board: &Board) -> Result<Fleet, String> {
+    fn start(program: &Path, routers: usize, discovery: &Discovery) -> Result<Fleet, String> {
         let (program, folder) = (program.to_string_lossy(), Folder::new(&format!("hand-{routers}"))?);
         let first = teams(10);
         let start = |at| {
             let file = folder.write(&format!("teams-{at}.json"), &first);
-            Router::with(&program, board, 128, &["--teams", &file])
+            Router::with(&program, discovery, 128, &["--teams", &file])
         };
         Ok(Fleet { routers: (0..routers).map(start).collect(), folder, teams: 10, died: 0 })
     }
@@ -157,7 +157,7 @@
 
 /// Milliseconds of a core for a change where the configuration tells of so many engines.
 fn with_known(ask: &Ask, engines: usize) -> f64 {
-    let board = Board::start();
+    let discovery = Discovery::start();
     let entry = |at: usize| {
         let (host, port) = (at / 250, at % 250 + 1);
         format!(
@@ -166,13 +166,13 @@
         )
     };
     let entries: Vec<String> = (0..engines).map(entry).collect();
-    board.tell(true, &entries);
+    discovery.tell(true, &entries);
     let known = format!(
         r#"{{"notices":[{{"rev":1,"pool":{{"rev":1,"all":true,"targets":[{}]}}}}]}}"#,
         entries.join(",")
     );
-    let router = Router::with(&ask.program.to_string_lossy(), &board, 128, &["--log-format", "text"]);
-    let text = router.configuration(&board, &known);
+    let router = Router::with(&ask.program.to_string_lossy(), &discovery, 128, &["--log-format", "text"]);
+    let text = router.configuration(&discovery, &known);
     std::thread::sleep(Duration::from_millis(200));
     let (before, at) = (cpu(&router), Instant::now());
     std::thread::sleep(PAUSE * BURST);
@@ -190,8 +190,8 @@
 fn fields(ask: &Ask) -> Result<Vec<Value>, String> {
     let folder = Folder::new("fields")?;
     let (engine, other) = (Engine::start("first"), Engine::start("second"));
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
     let names = ["n1".to_string(), "n2".to_string()];
     let listens = [vacant_udp(), vacant_udp()];
     let cluster = cluster_file("lab", &names, &listens);
@@ -206,8 +206,8 @@
         .flat_map(|(name, text)| [format!("--{name}"), folder.write(&format!("{name}.json"), text)])
         .collect();
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let router = Router::with(&ask.program.to_string_lossy(), &board, 128, &arguments);
-    let text = router.configuration(&board, r#"{"rev":1,"notices":[]}"#);
+    let router = Router::with(&ask.program.to_string_lossy(), &discovery, 128, &arguments);
+    let text = router.configuration(&discovery, r#"{"rev":1,"notices":[]}"#);
     let mut rows = Vec::new();
     // Says what the log says within the time that a reload takes many times over.
     let mut plays = |field: &str, expected: &str, change: &dyn Fn(), deed: &dyn Fn() -> Option<bool>| {
@@ -281,14 +281,14 @@
     // The newer event tells of the second engine alone: a request goes there.
     let (first, second) = (engine.entry("gone"), other.entry("ready"));
     let event = format!(r#"{{"rev":2,"pool":{{"rev":2,"all":true,"targets":[{second}]}}}}"#);
-    let known = router.configuration(&board, &format!(r#"{{"rev":2,"notices":[{event}]}}"#));
+    let known = router.configuration(&discovery, &format!(r#"{{"rev":2,"notices":[{event}]}}"#));
     let deed = || {
         let answer = Client::new(&router).ask(&request("look", 3000, "x"));
         let there = other.seen.all().iter().any(|line| line.starts_with("GET"));
         Some(matches!(answer, Answered::Rows(_)) && there)
     };
     plays("configuration: known.notices, newer events", "is second", &|| router.reload(&known), &deed);
-    let moved = board.moved();
+    let moved = discovery.moved();
     moved.tell(true, &[first, second]);
     let text = router.configuration(&moved, r#"{"rev":2,"notices":[]}"#);
     let words = format!("notice board is {}", moved.address);
@@ -299,8 +299,8 @@
 
 /// Four routers that the hand reaches and two that it does not; then one that is started again with its own old file.
 fn away(ask: &Ask) -> Result<Value, String> {
-    let board = Board::start();
-    let mut fleet = Fleet::start(&ask.program, 6, &board)?;
+    let discovery = Discovery::start();
+    let mut fleet = Fleet::start(&ask.program, 6, &discovery)?;
     let far = fleet.routers.split_off(4);
     fleet.change();
     fleet.in_force();
@@ -313,7 +313,7 @@
     drop(far);
     let program = ask.program.to_string_lossy();
     let file = fleet.folder.0.join("teams-5.json").to_string_lossy().into_owned();
-    let again = Router::with(&program, &board, 128, &["--teams", &file]);
+    let again = Router::with(&program, &discovery, 128, &["--teams", &file]);
     std::thread::sleep(Duration::from_secs(2));
     let told = has(&again);
     // One that is frozen meanwhile has its signal once it goes on.
@@ -341,8 +341,8 @@
     let (mut change, mut burst, mut cost) = (Vec::new(), Vec::new(), Vec::new());
     let (mut bursts, mut died) = (Vec::new(), 0);
     for &size in &sizes {
-        let board = Board::start();
-        let mut fleet = Fleet::start(&ask.program, (size as usize).clamp(1, MOST_ROUTERS), &board)?;
+        let discovery = Discovery::start();
+        let mut fleet = Fleet::start(&ask.program, (size as usize).clamp(1, MOST_ROUTERS), &discovery)?;
         let plays: Vec<Played> = (0..ask.plays).map(|_| play(&mut fleet)).collect();
         change.push((size, plays.iter().map(|one| one.change_s).collect()));
         burst.push((size, plays.iter().map(|one| one.burst_s).collect()));
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -332,7 +332,7 @@
     numbered: u64,
     routers: Vec<Router>,
     engines: Vec<Engine>,
-    board: Vec<Listing>,
+    discovery: Vec<Listing>,
     /// When anyone last spoke of an engine.
     spoken_of: Vec<f64>,
     names: HashMap<u64, usize>,
@@ -362,7 +362,7 @@
     EngineLife { name: listing.name_hash, life: (since ^ (since >> 32)) as u32 }
 }
 
-/// A change of the list as the board writes it, in bytes.
+/// A change of the list as the discovery service writes it, in bytes.
 fn change_bytes(listing: &Listing) -> u64 {
     let entry = format!(
         r#"{{"uid":"engine-{:04}","endpoint":"10.0.0.0:50000","az":"zone-{}","model":"m","pod_group":0,"state":"{:?}","boot_ms":{}}}"#,
@@ -386,7 +386,7 @@
             zone: zone(engine, play.engines),
             ..Listing::default()
         };
-        let board: Vec<Listing> = (0..play.engines).map(listing).collect();
+        let discovery: Vec<Listing> = (0..play.engines).map(listing).collect();
         let mut world = World {
             play,
             now: 0.0,
@@ -396,8 +396,8 @@
             numbered: 0,
             routers: (0..play.routers).map(|_| Router::default()).collect(),
             engines: (0..play.engines).map(|_| Engine { up: true, ..Engine::default() }).collect(),
-            names: board.iter().map(|listing| (listing.name_hash, listing.engine)).collect(),
-            board,
+            names: discovery.iter().map(|listing| (listing.name_hash, listing.engine)).collect(),
+            discovery,
             spoken_of: vec![f64::NEG_INFINITY; play.engines],
             ids: 0,
             checker: Checker::default(),
@@ -784,8 +784,8 @@
         let (now, life, mean) = (self.now, self.routers[at].life, self.mean);
         let planted = self.play.planted;
         let other = match planted {
-            Some(Planted::ToTheGone) => self.board.iter().find(|one| one.stage == Stage::Gone),
-            Some(Planted::ColdFlood) => self.board.iter().find(|one| {
+            Some(Planted::ToTheGone) => self.discovery.iter().find(|one| one.stage == Stage::Gone),
+            Some(Planted::ColdFlood) => self.discovery.iter().find(|one| {
                 one.stage == Stage::Ready && one.since.is_some_and(|since| now < since + COLD.warm_after)
             }),
             _ => None,
@@ -929,7 +929,7 @@
     }
 
     fn publish(&mut self, engine: usize) {
-        let news: Rc<[Listing]> = Rc::new([self.board[engine]]);
+        let news: Rc<[Listing]> = Rc::new([self.discovery[engine]]);
         for router in 0..self.routers.len() {
             let way = self.way(0, self.router_zone(router));
             let life = self.routers[router].life;
@@ -957,11 +957,11 @@
             members: Some(members),
             life,
             next,
-            listings: self.board.clone(),
+            listings: self.discovery.clone(),
             turn_at: now,
             ..Router::default()
         };
-        let whole = self.board.clone();
+        let whole = self.discovery.clone();
         self.listed(at, &whole, true);
         self.at(now, Event::MembersTurn(at));
         let first = now + WORDS * self.rng.random::<f64>();
@@ -1016,7 +1016,7 @@
                 if std::mem::replace(&mut engine.up, false) {
                     let lost: Vec<Work> = engine.running.drain(..).chain(engine.queue.drain(..)).collect();
                     lost.into_iter().for_each(|work| self.answers(at, work, Ending::Broken));
-                    let planned = self.board[at].stage != Stage::Ready;
+                    let planned = self.discovery[at].stage != Stage::Ready;
                     self.took_effect(if planned { "engine restarted" } else { "engine failed" });
                 }
             }
@@ -1024,7 +1024,7 @@
                 let life = self.engines[at].life + 1;
                 self.engines[at] = Engine { up: true, life, since: Some(now), ..Engine::default() };
                 self.checker.started(at, now);
-                (self.board[at].stage, self.board[at].since) = (Stage::Ready, Some(now));
+                (self.discovery[at].stage, self.discovery[at].since) = (Stage::Ready, Some(now));
                 self.publish(at);
             }
             Act::Hang(at, seconds) => {
@@ -1041,7 +1041,7 @@
                 }
             }
             Act::List(at, stage) => {
-                self.board[at].stage = stage;
+                self.discovery[at].stage = stage;
                 self.publish(at);
             }
             Act::Start(_) | Act::EngineUp(_) => {}
@@ -1053,7 +1053,7 @@
         let [from, to] = self.measured.map(Option::unwrap_or_default);
         let (routers, seconds) = (self.play.routers as f64, self.calm_at() - QUIET);
         let each = routers * seconds;
-        // The board's line of each second has the last number.
+        // The discovery service's line of each second has the last number.
         let lists = (to.list_bytes - from.list_bytes) as f64 / each + 6.0;
         let payload = (to.datagram_bytes - from.datagram_bytes) as f64 / each + lists;
         let datagrams = (to.datagrams - from.datagrams) as f64 / each;
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -1,7 +1,7 @@
 //! What scale tests share to start real processes, none of which outlives the laboratory, whatever ends that; and an
 //! engine that answers the protocol and does no work.
 
-use crate::standins::{configuration, Board, Engine, Seen};
+use crate::standins::{configuration, Discovery, Engine, Seen};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -133,10 +133,15 @@
     }
 }
 
-/// The real router at this address, on this board, with so many descriptors; it listens.
-pub fn router(program: &Path, at: SocketAddr, board: &Board, descriptors: u64) -> Result<Guarded, String> {
+/// The real router at this address, on this discovery service, with so many descriptors; it listens.
+pub fn router(
+    program: &Path,
+    at: SocketAddr,
+    discovery: &Discovery,
+    descriptors: u64,
+) -> Result<Guarded, String> {
     let known = r#"{"rev":0,"notices":[]}"#;
-    let text = configuration(at, board.address, known, descriptors as u32);
+    let text = configuration(at, discovery.address, known, descriptors as u32);
     let router = Guarded::start(program, &["serve"], descriptors, &text)?;
     router.wait("listens on")?;
     Ok(router)
--- a/crates/lab/src/capacity/links.rs
+++ b/crates/lab/src/capacity/links.rs
@@ -2,7 +2,7 @@
 //! come anew after a restart. The real program, before hollow engines on one thread of this process.
 
 use super::{report, target, Ask, Need, Row};
-use crate::standins::{counter, request, Answered, Board, Client, Router};
+use crate::standins::{counter, request, Answered, Client, Discovery, Router};
 use rustix::event::epoll;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -178,14 +178,14 @@
         Ok(Hollow { shared, addresses, thread })
     }
 
-    /// The board that tells of them.
-    fn board(&self) -> Board {
-        let board = Board::start();
+    /// The discovery service that tells of them.
+    fn discovery(&self) -> Discovery {
+        let discovery = Discovery::start();
         let entry = |(at, address): (usize, &SocketAddr)| {
             format!(r#"{{"uid":"e{at}","endpoint":"{address}","az":"east","model":"std","state":"ready"}}"#)
         };
-        board.tell(true, &self.addresses.iter().enumerate().map(entry).collect::<Vec<_>>());
-        board
+        discovery.tell(true, &self.addresses.iter().enumerate().map(entry).collect::<Vec<_>>());
+        discovery
     }
 
     /// What went wrong on the engines' side, which must not pass for the router's doing.
@@ -207,9 +207,9 @@
 }
 
 /// A router before these engines that keeps idle connections, with so many attempts on each at most.
-fn router(ask: &Ask, board: &Board, cores: usize, each: usize) -> Router {
+fn router(ask: &Ask, discovery: &Discovery, cores: usize, each: usize) -> Router {
     let program = ask.program.to_string_lossy();
-    Router::changed(&program, board, 16_000, &["--log-format", "text"], |text| {
+    Router::changed(&program, discovery, 16_000, &["--log-format", "text"], |text| {
         text.replace(r#""conn-idle-us":30000000"#, IDLE_US)
             .replace(r#""multiplex":100"#, &format!(r#""multiplex":{each}"#))
             .replace(r#""cores-by-kind":[8]"#, &format!(r#""cores-by-kind":[{cores}]"#))
@@ -299,8 +299,8 @@
 /// microseconds.
 fn attempts(ask: &Ask, links: u64) -> Result<(f64, Vec<f64>, Vec<f64>), String> {
     let hollow = Hollow::start(FEW)?;
-    let board = hollow.board();
-    let router = router(ask, &board, 8000, 1);
+    let discovery = hollow.discovery();
+    let router = router(ask, &discovery, 8000, 1);
     load(&router, 1, RATE, 0.5)?;
     open(&router, &hollow, links)?;
     // The clients that had them opened are gone by then.
@@ -335,8 +335,8 @@
 fn opened(ask: &Ask, engines: usize, restarts: bool) -> Result<Opened, String> {
     let rate = target::STATEMENTS / target::ROUTERS as f64;
     let hollow = Hollow::start(engines)?;
-    let board = hollow.board();
-    let mut router = router(ask, &board, 8, 100);
+    let discovery = hollow.discovery();
+    let mut router = router(ask, &discovery, 8, 100);
     let before = spent(router.process());
     let (_, rows) = load(&router, 24, rate, FLEET_PLAY)?;
     let core = (spent(router.process()) - before) / FLEET_PLAY;
@@ -355,7 +355,7 @@
         let came = sum(&hollow.shared.came);
         router.fail();
         router.ended();
-        router = self::router(ask, &board, 8, 100);
+        router = self::router(ask, &discovery, 8, 100);
         load(&router, 24, rate, FLEET_PLAY)?;
         anew[2] = sum(&hollow.shared.came) - came;
     }
--- a/crates/lab/src/capacity/lists.rs
+++ b/crates/lab/src/capacity/lists.rs
@@ -1,9 +1,9 @@
-//! The list of engines, from the notice board to in force: what it costs a real router by engines, and what boards bear
-//! by the routers that watch them. Hollow boards and hollow watchers speak the board's lines, many to a thread; a hollow
+//! The list of engines, from the discovery service to in force: what it costs a real router by engines, and what discovery services bear
+//! by the routers that watch them. Hollow discovery services and hollow watchers speak the discovery service's lines, many to a thread; a hollow
 //! watcher finds its lines' ends, numbers and whether they are whole lists, and does not take entries apart.
 
 use super::{report, target, Ask, Need, Range, Row};
-use crate::standins::{counter, Board, Client, Router};
+use crate::standins::{counter, Client, Discovery, Router};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Events that a hollow board still has; who asks from further back is told the whole list.
+/// Events that a hollow discovery service still has; who asks from further back is told the whole list.
 const HELD: usize = 64;
 const BEAT: Duration = Duration::from_secs(1);
 /// Longer than anything here takes.
@@ -161,8 +161,8 @@
     }
 }
 
-/// A board for as many callers as come, on one thread. It has told nothing until it is told to.
-pub struct HollowBoard {
+/// A discovery service for as many callers as come, on one thread. It has told nothing until it is told to.
+pub struct HollowDiscovery {
     pub address: SocketAddr,
     /// Each change is told as the whole list: what tests that bound growth have to catch.
     pub wasteful: bool,
@@ -172,8 +172,8 @@
     task: String,
 }
 
-impl HollowBoard {
-    pub fn start(engines: usize) -> HollowBoard {
+impl HollowDiscovery {
+    pub fn start(engines: usize) -> HollowDiscovery {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -194,7 +194,7 @@
             serve(&listener, woken, &serves);
         });
         let task = task.recv().unwrap_or_default();
-        HollowBoard { address, wasteful: false, told, wake, thread: Some(thread), task }
+        HollowDiscovery { address, wasteful: false, told, wake, thread: Some(thread), task }
     }
 
     fn wake(&self) {
@@ -259,7 +259,7 @@
     }
 }
 
-impl Drop for HollowBoard {
+impl Drop for HollowDiscovery {
     fn drop(&mut self) {
         self.told.over.store(true, Relaxed);
         self.wake();
@@ -331,7 +331,7 @@
 
 struct Watcher {
     number: usize,
-    board: usize,
+    discovery: usize,
     wire: Option<TcpStream>,
     retry_at: Instant,
     tries: i32,
@@ -341,18 +341,19 @@
 
 impl Watcher {
     /// As the router does it: pauses that grow from 0.1 s to 0.4 s, each between half and all of that.
-    fn lost(&mut self, boards: usize) {
+    fn lost(&mut self, discoveries: usize) {
         let pause = (0.1 * 1.6_f64.powi(self.tries.min(100))).min(0.4);
         let drawn = 0.5 + 0.5 * (self.number * 7919 % 1000) as f64 / 1000.0;
         self.retry_at = Instant::now() + Duration::from_secs_f64(pause * drawn);
         // The others take it in equal parts; a router of today has one address, and stays.
-        self.board = (self.board + 1 + self.number / boards % (boards - 1).max(1)) % boards;
+        self.discovery =
+            (self.discovery + 1 + self.number / discoveries % (discoveries - 1).max(1)) % discoveries;
         self.tries += 1;
         (self.wire, self.line) = (None, Vec::new());
     }
 
-    fn connect(&mut self, boards: &[SocketAddr]) -> std::io::Result<()> {
-        let mut stream = TcpStream::connect(boards[self.board])?;
+    fn connect(&mut self, discoveries: &[SocketAddr]) -> std::io::Result<()> {
+        let mut stream = TcpStream::connect(discoveries[self.discovery])?;
         stream.set_nodelay(true)?;
         stream.write_all(format!("watch {}\n", self.heard.last).as_bytes())?;
         stream.set_nonblocking(true)?;
@@ -400,15 +401,15 @@
 }
 
 impl Watchers {
-    /// So many at once, shared out among the boards.
-    fn start(count: usize, boards: &[SocketAddr]) -> Watchers {
+    /// So many at once, shared out among the discovery services.
+    fn start(count: usize, discoveries: &[SocketAddr]) -> Watchers {
         let over = Arc::new(AtomicBool::new(false));
         let mut watchers = Watchers { heard: Vec::new(), threads: Vec::new(), over: over.clone() };
         let now = Instant::now();
         for thread in 0..THREADS {
             let watcher = |number| Watcher {
                 number,
-                board: number % boards.len(),
+                discovery: number % discoveries.len(),
                 wire: None,
                 retry_at: now,
                 tries: 0,
@@ -416,11 +417,11 @@
                 heard: Heard { last: 0, at: now, line_at: now },
             };
             let mine: Vec<Watcher> =
-                (0..count).filter(|at| at / boards.len() % THREADS == thread).map(watcher).collect();
+                (0..count).filter(|at| at / discoveries.len() % THREADS == thread).map(watcher).collect();
             let heard = Arc::new(Mutex::new(mine.iter().map(|watcher| watcher.heard).collect()));
             watchers.heard.push(heard.clone());
-            let (boards, over) = (boards.to_vec(), over.clone());
-            watchers.threads.push(std::thread::spawn(move || watch(mine, &boards, &heard, &over)));
+            let (discoveries, over) = (discoveries.to_vec(), over.clone());
+            watchers.threads.push(std::thread::spawn(move || watch(mine, &discoveries, &heard, &over)));
         }
         watchers
     }
@@ -463,12 +464,12 @@
     }
 }
 
-fn watch(mut mine: Vec<Watcher>, boards: &[SocketAddr], heard: &Mutex<Vec<Heard>>, over: &AtomicBool) {
+fn watch(mut mine: Vec<Watcher>, discoveries: &[SocketAddr], heard: &Mutex<Vec<Heard>>, over: &AtomicBool) {
     let mut bytes = vec![0; 64 * 1024];
     while !over.load(Relaxed) {
         for watcher in mine.iter_mut().filter(|one| one.wire.is_none() && one.retry_at <= Instant::now()) {
-            if watcher.connect(boards).is_err() {
-                watcher.lost(boards.len());
+            if watcher.connect(discoveries).is_err() {
+                watcher.lost(discoveries.len());
             }
         }
         let open: Vec<usize> = (0..mine.len()).filter(|at| mine[*at].wire.is_some()).collect();
@@ -477,7 +478,7 @@
             ready(fds.map(|wire| PollFd::new(wire, PollFlags::IN)).collect(), Duration::from_millis(10));
         for at in open.into_iter().zip(ready).filter_map(|(at, ready)| ready.then_some(at)) {
             if mine[at].read(&mut bytes).is_err() {
-                mine[at].lost(boards.len());
+                mine[at].lost(discoveries.len());
             }
             heard.lock().expect("what they heard")[at] = mine[at].heard;
         }
@@ -519,14 +520,14 @@
     }
 }
 
-/// A real router before such a board; nothing is known to it at first.
-pub fn watching(program: &Path, board: &HollowBoard) -> Router {
+/// A real router before such a discovery service; nothing is known to it at first.
+pub fn watching(program: &Path, discovery: &HollowDiscovery) -> Router {
     let info = [("RUST_LOG".to_string(), "info".to_string())];
-    let none = Board::start();
+    let none = Discovery::start();
     let router = Router::spawned(
         crate::standins::vacant(),
         program,
-        (board.address, &none),
+        (discovery.address, &none),
         512,
         &[],
         &info,
@@ -545,16 +546,17 @@
 }
 
 fn routed(program: &Path, engines: usize) -> Result<Routed, String> {
-    let board = HollowBoard::start(engines);
-    let router = watching(program, &board);
+    let discovery = HollowDiscovery::start(engines);
+    let router = watching(program, &discovery);
     let process = router.process().to_string();
     std::thread::sleep(Duration::from_millis(50));
     let (cpu, began) = (spent(&process), Instant::now());
-    let mut event = board.tell_whole();
+    let mut event = discovery.tell_whole();
     let mut client = Client::at(router.address).map_err(|error| format!("the router: {error}"))?;
     let first_in_force = in_force(&mut client, event, began)?;
     std::thread::sleep(Duration::from_millis(20));
-    let first = Cost { cpu: spent(&process) - cpu, bytes: board.bytes() as f64, in_force: first_in_force };
+    let first =
+        Cost { cpu: spent(&process) - cpu, bytes: discovery.bytes() as f64, in_force: first_in_force };
     let (cpu, began) = (spent(&process), Instant::now());
     std::thread::sleep(Duration::from_millis(1200));
     let idle = (spent(&process) - cpu) / began.elapsed().as_secs_f64();
@@ -565,11 +567,11 @@
     let mut costs = Vec::new();
     let mut spaced = [0.0; 2];
     for whole in [true, false] {
-        let tell = || if whole { board.tell_whole() } else { board.tell_change() };
+        let tell = || if whole { discovery.tell_whole() } else { discovery.tell_change() };
         // Far enough apart for a turn of its own, and few enough new engines a second for the log.
         let every = if whole { 2e-3 + 3e-5 * engines as f64 } else { 2e-3 };
         let count = (0.9 / every) as u64 / 3 * 3;
-        let (cpu, bytes, began) = (spent(&process), board.bytes(), Instant::now());
+        let (cpu, bytes, began) = (spent(&process), discovery.bytes(), Instant::now());
         for number in 1..=count {
             event = tell();
             let next = began + Duration::from_secs_f64(every * number as f64);
@@ -579,7 +581,7 @@
         let cpu = spent(&process) - cpu - idle * began.elapsed().as_secs_f64();
         spaced[usize::from(!whole)] = every;
         in_force(&mut client, event, Instant::now())?;
-        let bytes = board.bytes() - bytes;
+        let bytes = discovery.bytes() - bytes;
         let mut times = Vec::new();
         for _ in 0..21 {
             let from = Instant::now();
@@ -593,57 +595,64 @@
     Ok(Routed { first, first_lines, whole, change, idle, spaced })
 }
 
-/// One play of watchers before boards: of the board that had most, and seconds until the last watcher had it.
+/// One play of watchers before discovery services: of the discovery service that had most, and seconds until the last watcher had it.
 struct Watched {
     started: Cost,
     whole: Cost,
     change: Cost,
 }
 
-/// Processor time and bytes of the board that had most of both since then.
-fn most(boards: &[HollowBoard], before: &[(f64, u64)], seconds: f64) -> Cost {
-    let since =
-        boards.iter().zip(before).map(|(board, (cpu, bytes))| (board.cpu() - cpu, board.bytes() - bytes));
+/// Processor time and bytes of the discovery service that had most of both since then.
+fn most(discoveries: &[HollowDiscovery], before: &[(f64, u64)], seconds: f64) -> Cost {
+    let since = discoveries
+        .iter()
+        .zip(before)
+        .map(|(discovery, (cpu, bytes))| (discovery.cpu() - cpu, discovery.bytes() - bytes));
     let since: Vec<(f64, u64)> = since.collect();
     let cpu = since.iter().map(|(cpu, _)| *cpu).fold(0.0, f64::max);
     let bytes = since.iter().map(|(_, bytes)| *bytes).max().unwrap_or(0) as f64;
     Cost { cpu, bytes, in_force: seconds }
 }
 
-fn marks(boards: &[HollowBoard]) -> Vec<(f64, u64)> {
+fn marks(discoveries: &[HollowDiscovery]) -> Vec<(f64, u64)> {
     std::thread::sleep(Duration::from_millis(20));
-    boards.iter().map(|board| (board.cpu(), board.bytes())).collect()
+    discoveries.iter().map(|discovery| (discovery.cpu(), discovery.bytes())).collect()
 }
 
-fn all_start(boards: usize, watchers: usize) -> Result<(Vec<HollowBoard>, Watchers, Cost), String> {
-    let boards: Vec<HollowBoard> = (0..boards).map(|_| HollowBoard::start(target::ENGINES)).collect();
-    for board in &boards {
-        board.tell_whole();
+fn all_start(discoveries: usize, watchers: usize) -> Result<(Vec<HollowDiscovery>, Watchers, Cost), String> {
+    let discoveries: Vec<HollowDiscovery> =
+        (0..discoveries).map(|_| HollowDiscovery::start(target::ENGINES)).collect();
+    for discovery in &discoveries {
+        discovery.tell_whole();
     }
-    let (before, from) = (marks(&boards), Instant::now());
-    let addresses: Vec<SocketAddr> = boards.iter().map(|board| board.address).collect();
+    let (before, from) = (marks(&discoveries), Instant::now());
+    let addresses: Vec<SocketAddr> = discoveries.iter().map(|discovery| discovery.address).collect();
     let watchers = Watchers::start(watchers, &addresses);
     let seconds = watchers.have(1, from)?;
     std::thread::sleep(Duration::from_millis(20));
-    let cost = most(&boards, &before, seconds);
-    Ok((boards, watchers, cost))
-}
-
-/// Tells something on these boards, and waits until all watchers have it.
-fn told(boards: &[HollowBoard], watchers: &Watchers, tell: fn(&HollowBoard) -> u64) -> Result<Cost, String> {
-    let (before, from) = (marks(boards), Instant::now());
-    let event = boards.iter().map(tell).max().unwrap_or(0);
+    let cost = most(&discoveries, &before, seconds);
+    Ok((discoveries, watchers, cost))
+}
+
+/// Tells something on these discovery services, and waits until all watchers have it.
+fn told(
+    discoveries: &[HollowDiscovery],
+    watchers: &Watchers,
+    tell: fn(&HollowDiscovery) -> u64,
+) -> Result<Cost, String> {
+    let (before, from) = (marks(discoveries), Instant::now());
+    let event = discoveries.iter().map(tell).max().unwrap_or(0);
     let seconds = watchers.have(event, from)?;
     std::thread::sleep(Duration::from_millis(20));
-    Ok(most(boards, &before, seconds))
+    Ok(most(discoveries, &before, seconds))
 }
 
 const CHANGES: usize = 12;
 
-fn changes(boards: &[HollowBoard], watchers: &Watchers) -> Result<Cost, String> {
+fn changes(discoveries: &[HollowDiscovery], watchers: &Watchers) -> Result<Cost, String> {
     let mut sum = Cost::default();
     for _ in 0..CHANGES {
-        let cost = told(boards, watchers, HollowBoard::tell_change)?;
+        let cost = told(discoveries, watchers, HollowDiscovery::tell_change)?;
         sum.cpu += cost.cpu / CHANGES as f64;
         sum.bytes += cost.bytes / CHANGES as f64;
         sum.in_force = sum.in_force.max(cost.in_force);
@@ -651,35 +660,37 @@
     Ok(sum)
 }
 
-fn watched(boards: usize, watchers: usize) -> Result<Watched, String> {
-    let (boards, watchers, started) = all_start(boards, watchers)?;
-    let whole = told(&boards, &watchers, HollowBoard::tell_whole)?;
-    let change = changes(&boards, &watchers)?;
+fn watched(discoveries: usize, watchers: usize) -> Result<Watched, String> {
+    let (discoveries, watchers, started) = all_start(discoveries, watchers)?;
+    let whole = told(&discoveries, &watchers, HollowDiscovery::tell_whole)?;
+    let change = changes(&discoveries, &watchers)?;
     Ok(Watched { started, whole, change })
 }
 
-/// One of four boards is lost while a change is told by the others: what that moves onto them, and until when.
+/// One of four discovery services is lost while a change is told by the others: what that moves onto them, and until when.
 fn one_lost(watchers: usize, forgetful: bool) -> Result<Value, String> {
-    let (mut boards, watchers, _) = all_start(BOARDS, watchers)?;
-    changes(&boards, &watchers)?;
-    let calls = |boards: &[HollowBoard]| boards.iter().map(|board| board.calls().0).sum::<u64>();
-    let lost = boards.pop().ok_or("no board")?;
-    let (before, called, from) = (marks(&boards), calls(&boards), Instant::now());
+    let (mut discoveries, watchers, _) = all_start(BOARDS, watchers)?;
+    changes(&discoveries, &watchers)?;
+    let calls = |discoveries: &[HollowDiscovery]| {
+        discoveries.iter().map(|discovery| discovery.calls().0).sum::<u64>()
+    };
+    let lost = discoveries.pop().ok_or("no board")?;
+    let (before, called, from) = (marks(&discoveries), calls(&discoveries), Instant::now());
     lost.lose(true);
-    let event = boards.iter().map(HollowBoard::tell_change).max().unwrap_or(0);
+    let event = discoveries.iter().map(HollowDiscovery::tell_change).max().unwrap_or(0);
     if forgetful {
         // Their own have the change by then, and those that move have not come yet.
         std::thread::sleep(Duration::from_millis(20));
-        boards.iter().for_each(HollowBoard::forget);
+        discoveries.iter().for_each(HollowDiscovery::forget);
     }
     let seconds = watchers.have(event, from)?;
     std::thread::sleep(Duration::from_millis(20));
-    let cost = most(&boards, &before, seconds);
-    let moved = calls(&boards) - called;
+    let cost = most(&discoveries, &before, seconds);
+    let moved = calls(&discoveries) - called;
     if moved == 0 {
         return Err("the loss of a board moved nobody".to_string());
     }
-    let after = changes(&boards, &watchers)?;
+    let after = changes(&discoveries, &watchers)?;
     Ok(json!({
         "watchers_moved": moved, "seconds_until_the_last_has_the_change": cost.in_force,
         "most_of_a_board": {"cpu_s": cost.cpu, "bytes": cost.bytes},
@@ -687,29 +698,29 @@
     }))
 }
 
-/// What a real router does while its only board turns it away, and how soon it has a change told once the board is back.
+/// What a real router does while its only discovery service turns it away, and how soon it has a change told once the discovery service is back.
 fn alone(program: &Path, engines: usize) -> Result<Value, String> {
-    let board = HollowBoard::start(engines);
-    let router = watching(program, &board);
-    board.tell_whole();
+    let discovery = HollowDiscovery::start(engines);
+    let router = watching(program, &discovery);
+    discovery.tell_whole();
     let mut client = Client::at(router.address).map_err(|error| format!("the router: {error}"))?;
     let (cpu, from) = (spent(&router.process().to_string()), Instant::now());
-    board.lose(true);
+    discovery.lose(true);
     std::thread::sleep(Duration::from_secs(4));
-    let event = board.tell_change();
+    let event = discovery.tell_change();
     let seconds = from.elapsed().as_secs_f64();
     let cpu = (spent(&router.process().to_string()) - cpu) / seconds;
-    let (back, tries, bytes) = (Instant::now(), board.calls().1, board.bytes());
+    let (back, tries, bytes) = (Instant::now(), discovery.calls().1, discovery.bytes());
     if tries == 0 {
         return Err("the loss of the board had no effect".to_string());
     }
-    board.lose(false);
+    discovery.lose(false);
     let has_it = in_force(&mut client, event, back)?;
     let words = router.log.all();
     let words: Vec<&String> = words.iter().filter(|line| line.contains("notice board")).collect();
     Ok(json!({
         "seconds_lost": seconds, "tries": tries, "tries_a_second": tries as f64 / seconds, "cpu_share": cpu,
-        "bytes_once_back": board.bytes() - bytes, "seconds_once_back": has_it, "log": words,
+        "bytes_once_back": discovery.bytes() - bytes, "seconds_once_back": has_it, "log": words,
     }))
 }
 
@@ -756,7 +767,7 @@
     // Both ends of each watcher, and its whole list in the sockets between them.
     Need { descriptors: 2200, memory_mb: 1024, processes: 1 }.borne()?;
     let most_engines = sizes.iter().copied().fold(target::ENGINES as f64, f64::max);
-    // A line of the board is read whole within a sixteenth of the configured memory.
+    // A line of the discovery service is read whole within a sixteenth of the configured memory.
     if most_engines > 60_000.0 {
         return Err(format!(
             "a list of {most_engines} engines: 60000 are the most that these addresses tell apart"
@@ -798,8 +809,8 @@
         &watchers,
         "watchers on four boards",
     ));
-    let [three, one] = [3, 1].map(|boards| {
-        watched(boards, target::ROUTERS).map(|play| {
+    let [three, one] = [3, 1].map(|discoveries| {
+        watched(discoveries, target::ROUTERS).map(|play| {
             let words = |cost: &Cost| {
                 json!({"cpu_s_a_board": cost.cpu, "bytes_a_board": cost.bytes, "seconds_until_the_last": cost.in_force})
             };
--- a/crates/lab/src/capacity/primary.rs
+++ b/crates/lab/src/capacity/primary.rs
@@ -1,5 +1,5 @@
 //! A change of primary, for a product that has none of its own: (a) the engine that serves table groups is lost, announced
-//! (drained by the board) or silent (it hangs), and others take its requests; (b) a duty's holder is lost and another holds it.
+//! (drained by the discovery service) or silent (it hangs), and others take its requests; (b) a duty's holder is lost and another holds it.
 //! Counted from the last good answer of the one that is lost.
 
 use super::{report, target, Ask, Need, Row};
@@ -143,7 +143,7 @@
     Ok(done)
 }
 
-/// One engine is drained by the board, then another hangs.
+/// One engine is drained by the discovery service, then another hangs.
 fn engines(ask: &Ask, count: usize, play: u64) -> Result<Engines, String> {
     let plan =
         Plan { routers: ROUTERS, engines: count, seed: ask.seed.wrapping_mul(100) + play, ..Plan::default() };
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -1,12 +1,12 @@
 //! A cluster of real routers on loopback: processes of the program that know each other through relays of ours, with
-//! engines and a board for each behind relays as well, and clients; processes are killed, frozen, woken and started again
+//! engines and a discovery service for each behind relays as well, and clients; processes are killed, frozen, woken and started again
 //! under their names.
 
 use crate::judge::{Record, Said, Truth};
 use crate::load::Tally;
 use crate::relays::Relays;
 use crate::shared::Shared;
-use crate::standins::{Answered, Board, Client, Router, Seen};
+use crate::standins::{Answered, Client, Discovery, Router, Seen};
 use crate::streams::Stream;
 use crate::verdict::{judge, two_holders, Claim, Facts, Stated, Verdict};
 use crate::weather::{Act, Schedule, Target};
@@ -74,7 +74,7 @@
     ended: Vec<f64>,
 }
 
-/// An engine's entry on the boards.
+/// An engine's entry on the discovery services.
 #[derive(Clone, Debug)]
 struct Listed {
     uid: String,
@@ -90,9 +90,9 @@
     listed: Vec<Listed>,
     /// From when on an engine was to get nothing new.
     drained: Vec<Option<f64>>,
-    /// By router: one board that tells it of engines at its own relays' addresses.
-    boards: Vec<Board>,
-    /// By router: its ways to the engines, then to its board.
+    /// By router: one discovery service that tells it of engines at its own relays' addresses.
+    discoveries: Vec<Discovery>,
+    /// By router: its ways to the engines, then to its discovery service.
     ways: Vec<Vec<Stream>>,
     slots: Vec<Slot>,
     /// What the routers' logs say of one another, with the lab's own times.
@@ -128,12 +128,12 @@
         let engines: Vec<Shared> = (0..plan.engines)
             .map(|at| Shared::numbered(&format!("e{at}"), plan.cores, at, relays.began))
             .collect();
-        let boards: Vec<Board> = (0..routers).map(|_| Board::start()).collect();
+        let discoveries: Vec<Discovery> = (0..routers).map(|_| Discovery::start()).collect();
         let way = |to| Stream::start(to, relays.began, over.clone());
-        let ways: Vec<Vec<Stream>> = boards
+        let ways: Vec<Vec<Stream>> = discoveries
             .iter()
-            .map(|board| {
-                engines.iter().map(|engine| engine.address).chain([board.address]).map(way).collect()
+            .map(|discovery| {
+                engines.iter().map(|engine| engine.address).chain([discovery.address]).map(way).collect()
             })
             .collect();
         let names: Vec<String> = (0..routers).map(|at| format!("r{at}")).collect();
@@ -170,7 +170,7 @@
             plan,
             relays,
             engines,
-            boards,
+            discoveries,
             ways,
             slots,
             said: Arc::default(),
@@ -206,9 +206,9 @@
         self.slots[router].router.as_ref().expect("a running router")
     }
 
-    /// The board that a router is told by.
-    pub fn board(&self, router: usize) -> &Board {
-        &self.boards[router]
+    /// The discovery service that a router is told by.
+    pub fn discovery(&self, router: usize) -> &Discovery {
+        &self.discoveries[router]
     }
 
     /// Where a cluster file of this router's is.
@@ -225,7 +225,7 @@
     pub fn way(&self, router: usize, target: Target) -> &Stream {
         match target {
             Target::Engine(engine) => &self.ways[router][engine],
-            Target::Board => self.ways[router].last().expect("the board's"),
+            Target::Discovery => self.ways[router].last().expect("the board's"),
         }
     }
 
@@ -238,16 +238,16 @@
                 r#"{{"uid":"{uid}","endpoint":"{address}","az":"east","model":"std","state":"{state}","boot_ms":{boot_ms}}}"#
             )
         };
-        self.boards[router].tell(whole, &engines.iter().map(entry).collect::<Vec<_>>());
+        self.discoveries[router].tell(whole, &engines.iter().map(entry).collect::<Vec<_>>());
     }
 
     /// An engine comes to this state (`ready`, `draining`, `gone`), and these routers are told.
     pub fn engine_is(&mut self, engine: usize, state: &'static str, told: &[usize]) {
         self.listed[engine].state = state;
         if state != "ready" {
-            // What a board has to tell counts as told 7 s later at the latest.
+            // What a discovery service has to tell counts as told 7 s later at the latest.
             let rough =
-                |router: &usize| self.way(*router, Target::Board).was_rough(self.now(), self.now(), 1.0);
+                |router: &usize| self.way(*router, Target::Discovery).was_rough(self.now(), self.now(), 1.0);
             let late = if told.len() < self.slots.len() || told.iter().any(rough) { 7.0 } else { 0.0 };
             self.drained[engine] = Some(self.now() + late);
         }
@@ -295,7 +295,7 @@
         let words = others.map(|of| Said { at: now, by: at, of, state: "unseen".to_string() });
         self.said.lock().expect("the record").extend(words);
         let (gateways, changes) = (format!("\"balancers\":{}", self.slots.len()), self.plan.changes.clone());
-        let board = (self.way(at, Target::Board).address, &self.boards[at]);
+        let discovery = (self.way(at, Target::Discovery).address, &self.discoveries[at]);
         let change = |text: String| {
             let text = text
                 .replace(r#""name":"n1""#, &format!(r#""name":"r{at}""#))
@@ -306,7 +306,7 @@
         let router = Router::spawned(
             self.slots[at].address,
             &self.program,
-            board,
+            discovery,
             512,
             &arguments,
             &environment,
--- a/crates/lab/src/comeback.rs
+++ b/crates/lab/src/comeback.rs
@@ -192,7 +192,7 @@
         let targets = (0..routers).flat_map(move |router| (0..count).map(move |at| (router, target(at))));
         targets.flat_map(|(router, target)| cluster.way(router, target).came()).collect()
     };
-    let (links, boards) = (came(Target::Engine, ENGINES), came(|_| Target::Board, 1));
+    let (links, discoveries) = (came(Target::Engine, ENGINES), came(|_| Target::Discovery, 1));
     let cold = over_cold(&cluster.engines[2].work_given(), replaced_at);
     json!({
         "routers": routers,
@@ -204,7 +204,7 @@
         "never_full": never,
         "connections_peak_over_steady": most as f64 / steady as f64,
         "new_connections_peak_per_s": peak(&links, started_at, end),
-        "board_calls_peak_per_s": peak(&boards, started_at, end),
+        "board_calls_peak_per_s": peak(&discoveries, started_at, end),
         "cold_over_budget": cold,
         "pushes_over_budget": verdict.attempts_over_budget,
         "further_pushes_most": victims.iter().map(|at| cluster.retries(&tally, *at, 10.0)).max(),
--- a/crates/lab/src/drain.rs
+++ b/crates/lab/src/drain.rs
@@ -2,7 +2,7 @@
 
 use crate::far::Saw;
 use crate::peering::{open, service, service_file, Mode, Peering};
-use crate::standins::{request, Answered, Board, Client, Engine, Router};
+use crate::standins::{request, Answered, Client, Discovery, Engine, Router};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -87,10 +87,10 @@
     }
     std::fs::write(&file, text).expect("a temporary file");
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
     let mut router =
-        Router::with(&program.to_string_lossy(), &board, 256, &["--service", &file.to_string_lossy()]);
+        Router::with(&program.to_string_lossy(), &discovery, 256, &["--service", &file.to_string_lossy()]);
     if matches!(state, "established" | "deaf" | "lost" | "lost-and-kept") {
         peering.wait("announced", has_route);
         // Until the return is over, so that nothing else is under way.
--- a/crates/lab/src/flap.rs
+++ b/crates/lab/src/flap.rs
@@ -2,7 +2,7 @@
 
 use crate::far::Saw;
 use crate::peering::{open, service_file, Peering};
-use crate::standins::{counter, request, Answered, Board, Client, Engine, Router};
+use crate::standins::{counter, request, Answered, Client, Discovery, Engine, Router};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -31,7 +31,7 @@
     router: Router,
     peering: Peering,
     _engine: Engine,
-    _board: Board,
+    _discovery: Discovery,
     file: std::path::PathBuf,
 }
 
@@ -40,12 +40,12 @@
     let file = std::env::temp_dir().join(format!("cleatgw-lab-flap-{}-{name}.json", std::process::id()));
     std::fs::write(&file, service_file(&[&peering], "")).expect("a temporary file");
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
     let router =
-        Router::with(&program.to_string_lossy(), &board, 256, &["--service", &file.to_string_lossy()]);
+        Router::with(&program.to_string_lossy(), &discovery, 256, &["--service", &file.to_string_lossy()]);
     peering.wait("announced", |peering| !peering.table().is_empty());
-    Side { router, peering, _engine: engine, _board: board, file }
+    Side { router, peering, _engine: engine, _discovery: discovery, file }
 }
 
 /// Answers by kind, and how long they took.
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -69,8 +69,13 @@
     (0..routers).for_each(|router| cluster.stands(router, "whole"));
     let gateways = format!("\"balancers\":{routers}");
     let change = |text: String| text.replace(r#""balancers":1"#, &gateways);
-    let alone =
-        Router::changed(&program.to_string_lossy(), cluster.board(0), 512, &["--log-format", "text"], change);
+    let alone = Router::changed(
+        &program.to_string_lossy(),
+        cluster.discovery(0),
+        512,
+        &["--log-format", "text"],
+        change,
+    );
     // What is spent on the others alone: requests or none, as many datagrams come and go.
     let idle = {
         let both = || [cluster.router(0).process(), alone.process()].map(spent);
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins on loopback for what the router talks to: engines, the notice board, clients.
+//! Small stand-ins on loopback for what the router talks to: engines, the discovery service, clients.
 
 use rustix::process::{kill_process, Pid, Signal};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -164,7 +164,7 @@
         engine
     }
 
-    /// The board's entry for it.
+    /// The discovery service's entry for it.
     pub fn entry(&self, state: &str) -> String {
         let (uid, address) = (&self.uid, self.address);
         format!(r#"{{"uid":"{uid}","endpoint":"{address}","az":"east","model":"std","state":"{state}"}}"#)
@@ -224,33 +224,33 @@
     }
 }
 
-/// The notice board: tells what it is given, and the last number often.
-pub struct Board {
+/// The discovery service: tells what it is given, and the last number often.
+pub struct Discovery {
     pub address: SocketAddr,
     pub seen: Seen,
     events: Arc<Mutex<Vec<String>>>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Board {
-    pub fn start() -> Board {
-        Board::telling(Arc::default())
+impl Discovery {
+    pub fn start() -> Discovery {
+        Discovery::telling(Arc::default())
     }
 
-    /// The same board at another address.
-    pub fn moved(&self) -> Board {
-        Board::telling(self.events.clone())
+    /// The same discovery service at another address.
+    pub fn moved(&self) -> Discovery {
+        Discovery::telling(self.events.clone())
     }
 
-    fn telling(events: Arc<Mutex<Vec<String>>>) -> Board {
+    fn telling(events: Arc<Mutex<Vec<String>>>) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let board = Board {
+        let discovery = Discovery {
             address: listener.local_addr().unwrap(),
             seen: Seen::default(),
             events,
             open: Arc::default(),
         };
-        let (seen, events, open) = (board.seen.clone(), board.events.clone(), board.open.clone());
+        let (seen, events, open) = (discovery.seen.clone(), discovery.events.clone(), discovery.open.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
@@ -275,7 +275,7 @@
                 });
             }
         });
-        board
+        discovery
     }
 
     /// Adds an event with these entries.
@@ -325,7 +325,7 @@
     child: Child,
 }
 
-pub fn configuration(listen: SocketAddr, board: SocketAddr, known: &str, sockets: u32) -> String {
+pub fn configuration(listen: SocketAddr, discovery: SocketAddr, known: &str, sockets: u32) -> String {
     let class = |name: &str, kind: &str| {
         format!(
             r#"{{"name":"{name}","idempotency":"{kind}","group":"all","window-us":12000000,"objective-us":1000000,
@@ -334,7 +334,7 @@
     };
     let classes = [class("look", "safe"), class("load", "keyed"), class("once", "unsafe")].join(",");
     format!(
-        r#"{{"name":"n1","listen":"{listen}","seed":"8c1f30d27a5be964","board":"{board}","known":{known},
+        r#"{{"name":"n1","listen":"{listen}","seed":"8c1f30d27a5be964","board":"{discovery}","known":{known},
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
         "settings":{{"balancers":1,"tenants":[{{"name":"town"}}],"categories":[{classes}],"shapes":["std"],"zones":["east"],
         "family-info":{{"cores-by-kind":[8],"ram-of-kind-mb":[8192.0],"parallelism":[1,1,1],"largest-share":0.5,
@@ -369,41 +369,42 @@
 
 impl Router {
     /// The program between stand-ins, with so many descriptors and more arguments behind `serve`.
-    pub fn with(program: &str, board: &Board, sockets: u32, more: &[&str]) -> Router {
-        Router::changed(program, board, sockets, more, |text| text)
+    pub fn with(program: &str, discovery: &Discovery, sockets: u32, more: &[&str]) -> Router {
+        Router::changed(program, discovery, sockets, more, |text| text)
     }
 
     /// The same with the configuration's text changed.
     pub fn changed(
         program: &str,
-        board: &Board,
+        discovery: &Discovery,
         sockets: u32,
         more: &[&str],
         change: impl Fn(String) -> String,
     ) -> Router {
-        Router::at(vacant(), Path::new(program), board, sockets, more, change)
+        Router::at(vacant(), Path::new(program), discovery, sockets, more, change)
     }
 
     /// The same at an address that it may have had before.
     pub fn at(
         address: SocketAddr,
         program: &Path,
-        board: &Board,
+        discovery: &Discovery,
         sockets: u32,
         more: &[&str],
         change: impl Fn(String) -> String,
     ) -> Router {
-        let router = Router::spawned(address, program, (board.address, board), sockets, more, &[], change);
+        let router =
+            Router::spawned(address, program, (discovery.address, discovery), sockets, more, &[], change);
         router.log.wait("listens on", 1);
         router
     }
 
-    /// The same without waiting until it listens, with its board at another address (a relay's) and variables of its
+    /// The same without waiting until it listens, with its discovery service at another address (a relay's) and variables of its
     /// environment.
     pub fn spawned(
         address: SocketAddr,
         program: &Path,
-        (board_at, board): (SocketAddr, &Board),
+        (discovery_at, discovery): (SocketAddr, &Discovery),
         sockets: u32,
         more: &[&str],
         environment: &[(String, String)],
@@ -412,7 +413,7 @@
         let program = program.display();
         let number = ROUTERS.fetch_add(1, Ordering::Relaxed);
         let file = std::env::temp_dir().join(format!("cleatgw-{}-{number}.json", std::process::id()));
-        let text = change(configuration(address, board_at, &board.known(), sockets));
+        let text = change(configuration(address, discovery_at, &discovery.known(), sockets));
         std::fs::write(&file, text).unwrap();
         let arguments = if more.is_empty() { String::new() } else { format!("serve {}", more.join(" ")) };
         let limited = format!("echo $$ >&0; ulimit -n {sockets}; exec {program} {arguments} < /dev/null");
@@ -461,9 +462,9 @@
         self.signal(Signal::HUP);
     }
 
-    /// The configuration with this board.
-    pub fn configuration(&self, board: &Board, known: &str) -> String {
-        configuration(self.address, board.address, known, self.sockets)
+    /// The configuration with this discovery service.
+    pub fn configuration(&self, discovery: &Discovery, known: &str) -> String {
+        configuration(self.address, discovery.address, known, self.sockets)
     }
 
     pub fn fail(&self) {
--- a/crates/lab/src/streams.rs
+++ b/crates/lab/src/streams.rs
@@ -1,4 +1,4 @@
-//! Relays on loopback for connections: from each router to each engine and to its board. Each direction can be delayed or
+//! Relays on loopback for connections: from each router to each engine and to its discovery service. Each direction can be delayed or
 //! kept back; connections can be reset, and new ones rejected. Whatever is kept back comes whole and in order
 //! later, as a stream's bytes do.
 
--- a/crates/lab/src/teams.rs
+++ b/crates/lab/src/teams.rs
@@ -1,7 +1,7 @@
 //! Teams that share engines through one real router: what each waits, against what it would wait with its share alone.
 
 use crate::shared::Shared;
-use crate::standins::{counter, Answered, Board, Client, Router};
+use crate::standins::{counter, Answered, Client, Discovery, Router};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use rand::rngs::SmallRng;
@@ -157,8 +157,8 @@
     seconds: f64,
 ) -> Played {
     let engines: Vec<Shared> = (0..ENGINES).map(|at| Shared::start(&format!("s-{at}"), cores)).collect();
-    let board = Board::start();
-    board.tell(true, &engines.iter().map(Shared::entry).collect::<Vec<_>>());
+    let discovery = Discovery::start();
+    discovery.tell(true, &engines.iter().map(Shared::entry).collect::<Vec<_>>());
     let names: Vec<String> = teams.iter().map(|team| format!(r#"{{"name":"{}"}}"#, team.name)).collect();
     let change = |text: String| {
         text.replace(r#"[{"name":"town"}]"#, &format!("[{}]", names.join(",")))
@@ -171,7 +171,7 @@
         more = vec!["--teams".to_string(), path.to_string_lossy().into_owned()];
     }
     let more: Vec<&str> = more.iter().map(String::as_str).collect();
-    let router = Router::changed(&program.to_string_lossy(), &board, 1024, &more, change);
+    let router = Router::changed(&program.to_string_lossy(), &discovery, 1024, &more, change);
     let began = Instant::now();
     let sent: Mutex<Vec<Vec<(String, Instant, Ended)>>> = Mutex::new(vec![Vec::new(); teams.len()]);
     std::thread::scope(|scope| {
--- a/crates/lab/src/weather.rs
+++ b/crates/lab/src/weather.rs
@@ -190,7 +190,7 @@
     LossTo(usize, f64),
     /// What goes from this router to others is kept back for so many seconds.
     Stall(usize, f64),
-    /// The ways from this router, or from all, to an engine or their boards; processes only.
+    /// The ways from this router, or from all, to an engine or their discovery services; processes only.
     Way(Option<usize>, Target, Fault),
     /// An engine works and says nothing, or says again what it has kept back; processes only.
     Silent(usize, bool),
@@ -200,7 +200,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     Engine(usize),
-    Board,
+    Discovery,
 }
 
 /// A schedule: acts at times, in order.
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,6 +1,6 @@
 //! Reading what a router is told at its start.
 
-use crate::protocol::board::{self, Event};
+use crate::protocol::discovery::{self, Event};
 use crate::transport::Place;
 use cleatgw::Deployment;
 use cleatgw_start::{Complaint, Names, Pairs};
@@ -52,7 +52,7 @@
     }
     let limits = &value["limits"];
     let listen = address(&value["listen"], "listen")?;
-    let board = match &value["board"] {
+    let discovery = match &value["board"] {
         Value::Null => None,
         given => Some(address(given, "board")?),
     };
@@ -74,8 +74,8 @@
         other => return wrong("known.notices", "a list of events", other),
     };
     let read = |(at, notice)| {
-        board::event(notice)
-            .map_err(|board::Malformed(words)| Complaint(format!("field known.notices.{at}.{words}")))
+        discovery::event(notice)
+            .map_err(|discovery::Malformed(words)| Complaint(format!("field known.notices.{at}.{words}")))
     };
     let events: Vec<Event> = notices.iter().enumerate().map(read).collect::<Result<_, _>>()?;
     let told = events.iter().map(|event| event.number).max().unwrap_or(0);
@@ -89,7 +89,7 @@
         seed,
         place: Place {
             listen,
-            board,
+            discovery,
             last_event: known["rev"].as_u64().unwrap_or(told).max(told),
             descriptors: count(&limits["sockets"], "limits.sockets", 65536.0)?,
             memory: count(&limits["memory_mb"], "limits.memory_mb", 256.0)? << 20,
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -136,7 +136,7 @@
     if !changed.is_empty() {
         log::warn!("configuration: {} can't change while running, what was stands", changed.join(", "));
     }
-    Ok(Reread { board: told.place.board, known: told.known })
+    Ok(Reread { discovery: told.place.discovery, known: told.known })
 }
 
 fn teams(path: &Path) -> Result<TeamsFile, String> {
--- a/crates/router/src/protocol/board.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -1,4 +1,4 @@
-//! The notice board's lines: numbered events, and each second the last number alone.
+//! The discovery service's lines: numbered events, and each second the last number alone.
 
 use cleatgw::Stage;
 use serde_json::Value;
--- a/crates/router/src/protocol/golden_tests.rs
+++ b/crates/router/src/protocol/golden_tests.rs
@@ -1,7 +1,7 @@
 //! Golden bytes: what the router writes to clients, engines and the discovery service, and what it makes of what these
 //! write, as the version before the code was reshaped did.
 
-use super::{board, engine, mysql, statement};
+use super::{discovery, engine, mysql, statement};
 use expect_test::expect_file;
 
 fn escaped(bytes: &[u8]) -> String {
@@ -33,7 +33,7 @@
     text += &written(|out| engine::lane(out, "a1", 3));
     text += &written(|out| engine::give_up(out, "a1"));
     text += &written(|out| engine::ping(out, "t"));
-    text += &written(|out| board::watch(out, 41));
+    text += &written(|out| discovery::watch(out, 41));
     expect_file!["golden/requests.txt"].assert_eq(&text);
 }
 
@@ -111,9 +111,9 @@
     ];
     let mut text = String::new();
     for line in lines {
-        let said = match board::line(line.as_bytes()) {
+        let said = match discovery::line(line.as_bytes()) {
             Ok(_) => "read".to_string(),
-            Err(board::Malformed(words)) => words,
+            Err(discovery::Malformed(words)) => words,
         };
         text += &format!("{line} -> {said}\n");
     }
--- a/crates/router/src/protocol/mod.rs
+++ b/crates/router/src/protocol/mod.rs
@@ -1,6 +1,6 @@
 //! Pure codecs over bytes, without input or output.
 
-pub mod board;
+pub mod discovery;
 pub mod engine;
 pub mod mysql;
 pub mod statement;
--- a/crates/router/src/protocol/tests.rs
+++ b/crates/router/src/protocol/tests.rs
@@ -28,7 +28,7 @@
             }
         }
         let body = mysql::packet(&bytes, 1 << 16).ok().flatten().map_or(&bytes[..], |packet| packet.body);
-        let _ = (mysql::login(body), mysql::command(body), statement::read(&bytes), board::line(&bytes));
+        let _ = (mysql::login(body), mysql::command(body), statement::read(&bytes), discovery::line(&bytes));
         let mut rest = &bytes[..];
         while let Ok(Some(answer)) = engine::answer(rest) {
             if let Ok(mut pages) = engine::Pages::new(answer.pages.unwrap_or(1), answer.body) {
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -57,9 +57,9 @@
     links_failed: "links_failed",
     links_malformed: "links_malformed",
     descriptors_short: "descriptors_short",
-    board_events: "board_events",
-    board_connects: "board_connects",
-    board_malformed: "board_malformed",
+    discovery_events: "board_events",
+    discovery_connects: "board_connects",
+    discovery_malformed: "board_malformed",
     /// Configurations read again, and those of them that could not be used.
     reloads: "reloads",
     reloads_refused: "reloads_refused",
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -4,7 +4,7 @@
 mod counters;
 mod marks;
 
-use crate::protocol::board::{Entry, Event};
+use crate::protocol::discovery::{Entry, Event};
 use crate::protocol::engine::Ask;
 use crate::protocol::statement::{self as statements, ParsedStatement};
 use cleatgw::logic::Gateway;
@@ -367,7 +367,7 @@
         self.end(request, Answer::Failed);
     }
 
-    /// The board sends its changes unasked.
+    /// The discovery service sends its changes unasked.
     fn watch(&mut self, _on: bool) {}
     fn fetch(&mut self) {}
 
@@ -631,7 +631,7 @@
         self.gateway.round(pen.desk.now, &mut pen);
     }
 
-    /// Notes what the board tells of engines.
+    /// Notes what the discovery service tells of engines.
     fn note(&mut self, event: Event) -> Option<(Vec<Listing>, bool)> {
         let (whole, entries) = event.list?;
         let mut new = Vec::new();
--- a/crates/router/src/transport/board.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -1,8 +1,8 @@
-//! The link to the notice board: connected again whenever it is lost or silent, from the last event held.
+//! The link to the discovery service: connected again whenever it is lost or silent, from the last event held.
 
 use super::buffer::{Buffer, Reached};
 use super::came_up;
-use crate::protocol::board::{self, Event, Line};
+use crate::protocol::discovery::{self, Event, Line};
 use crate::routing::Counters;
 use calloop::RegistrationToken;
 use std::hash::{BuildHasher, RandomState};
@@ -11,11 +11,11 @@
 use std::rc::Rc;
 
 /// Each second has a line: after so many without one the link is taken for lost. With a connection that does not come
-/// up and another one, that is well within the 4 s after which a silent board's events count as told.
+/// up and another one, that is well within the 4 s after which a silent discovery service's events count as told.
 const SILENT: f64 = 1.8;
 const CONNECT: f64 = 0.5;
 /// The pauses between tries: they grow while it stays away, and are drawn, so that many routers which lost it together do
-/// not all come back in one moment. The longest keeps well within the 2 s after which a lost board's events count as told.
+/// not all come back in one moment. The longest keeps well within the 2 s after which a lost discovery service's events count as told.
 const RETRY: f64 = 0.1;
 const LONGEST_RETRY: f64 = 0.4;
 const GROWS: f64 = 1.6;
@@ -26,7 +26,7 @@
     Up { heard_at: f64 },
 }
 
-pub struct BoardLink {
+pub struct DiscoveryClient {
     address: Option<SocketAddr>,
     state: State,
     wire: Option<(RegistrationToken, Rc<TcpStream>)>,
@@ -35,7 +35,7 @@
     readable: bool,
     /// The last event held.
     last: u64,
-    /// An event was missed, and the board asked again: what it has now is all there is.
+    /// An event was missed, and the discovery service asked again: what it has now is all there is.
     gap: bool,
     away: bool,
     /// Tries since it was last heard, and what their pauses are drawn from.
@@ -46,9 +46,9 @@
     pub counters: Counters,
 }
 
-impl BoardLink {
-    pub fn new(address: Option<SocketAddr>, last: u64, longest: usize, now: f64) -> BoardLink {
-        BoardLink {
+impl DiscoveryClient {
+    pub fn new(address: Option<SocketAddr>, last: u64, longest: usize, now: f64) -> DiscoveryClient {
+        DiscoveryClient {
             address,
             state: State::Down { retry_at: now },
             wire: None,
@@ -72,7 +72,7 @@
         most * (0.5 + 0.5 * self.chance.hash_one(self.tries) as f64 / u64::MAX as f64)
     }
 
-    /// Seconds since it was last heard; none where there is no board.
+    /// Seconds since it was last heard; none where there is no discovery service.
     pub fn silent_for(&self, now: f64) -> Option<f64> {
         self.address.map(|_| now - self.heard_at)
     }
@@ -155,9 +155,9 @@
                 let level = if self.away { log::Level::Debug } else { log::Level::Info };
                 log::log!(level, "notice board connected, from event {}", self.last);
                 self.state = State::Up { heard_at: now };
-                self.counters.board_connects += 1;
+                self.counters.discovery_connects += 1;
                 let mut ask = Vec::new();
-                board::watch(&mut ask, self.last);
+                discovery::watch(&mut ask, self.last);
                 self.buffer.put(&ask);
             }
             State::Up { heard_at } if !self.readable && now >= heard_at + SILENT => {
@@ -176,10 +176,10 @@
             if std::mem::replace(&mut self.away, false) {
                 log::info!("notice board heard again, from event {}", self.last);
             }
-            let line = board::line(&self.buffer.input()[..end]);
+            let line = discovery::line(&self.buffer.input()[..end]);
             self.buffer.taken(end + 1);
-            let line = line.map_err(|board::Malformed(why)| {
-                self.counters.board_malformed += 1;
+            let line = line.map_err(|discovery::Malformed(why)| {
+                self.counters.discovery_malformed += 1;
                 format!("malformed: {why}")
             })?;
             self.heard(line, events)?;
@@ -205,7 +205,7 @@
         }
         if let Some(event) = event.filter(|_| number > self.last) {
             (self.last, self.gap) = (number, false);
-            self.counters.board_events += 1;
+            self.counters.discovery_events += 1;
             events.push(event);
         }
         Ok(())
--- a/crates/router/src/transport/board/tests.rs
+++ b/crates/router/src/transport/discovery_client/tests.rs
@@ -2,15 +2,15 @@
 use std::io::Write;
 
 #[test]
-fn a_board_that_stops_is_asked_again_well_before_its_events_count_as_told() {
+fn a_discovery_that_stops_is_asked_again_well_before_its_events_count_as_told() {
     let turns: calloop::EventLoop<super::super::Ready> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let mut link = BoardLink::new(Some(address), 3, 1000, 100.0);
-    let wire = || super::super::connect(&turns.handle(), address, super::super::Source::Board).unwrap();
+    let mut link = DiscoveryClient::new(Some(address), 3, 1000, 100.0);
+    let wire = || super::super::connect(&turns.handle(), address, super::super::Source::Discovery).unwrap();
     link.connecting(Some(wire()), 100.0);
-    let (mut board, _) = listener.accept().unwrap();
-    board.write_all(b"3\n").unwrap();
+    let (mut discovery, _) = listener.accept().unwrap();
+    discovery.write_all(b"3\n").unwrap();
     while !matches!(link.state, State::Up { .. }) || link.away {
         link.work(true, 100.0, &mut Vec::new()).unwrap();
     }
@@ -28,7 +28,7 @@
 
 #[test]
 fn events_are_applied_once_in_order_and_a_gap_is_asked_for_once() {
-    let mut link = BoardLink::new(None, 3, 1000, 0.0);
+    let mut link = DiscoveryClient::new(None, 3, 1000, 0.0);
     let mut events = Vec::new();
     let event = |number| Line::Event(Event { number, list: None });
     assert!(link.heard(event(2), &mut events).is_ok() && link.heard(Line::Last(3), &mut events).is_ok());
@@ -41,27 +41,27 @@
     assert_eq!(numbers, [4, 6]);
 }
 
-/// One that is connected, on the story's clock, and the board's side of it.
-fn connected() -> (calloop::EventLoop<'static, super::super::Ready>, BoardLink, std::net::TcpStream) {
+/// One that is connected, on the story's clock, and the discovery service's side of it.
+fn connected() -> (calloop::EventLoop<'static, super::super::Ready>, DiscoveryClient, std::net::TcpStream) {
     let turns: calloop::EventLoop<super::super::Ready> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let mut link = BoardLink::new(Some(address), 3, 1000, 100.0);
-    let wire = super::super::connect(&turns.handle(), address, super::super::Source::Board).unwrap();
+    let mut link = DiscoveryClient::new(Some(address), 3, 1000, 100.0);
+    let wire = super::super::connect(&turns.handle(), address, super::super::Source::Discovery).unwrap();
     link.connecting(Some(wire), 100.0);
-    let (board, _) = listener.accept().unwrap();
+    let (discovery, _) = listener.accept().unwrap();
     for _ in 0..2000 {
         link.work(false, 100.0, &mut Vec::new()).unwrap();
         if matches!(link.state, State::Up { .. }) {
-            return (turns, link, board);
+            return (turns, link, discovery);
         }
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
     panic!("it does not come up");
 }
 
-/// What the board has said is read once all of it has come.
-fn hears(link: &mut BoardLink, bytes: usize, now: f64) -> Result<(), String> {
+/// What the discovery service has said is read once all of it has come.
+fn hears(link: &mut DiscoveryClient, bytes: usize, now: f64) -> Result<(), String> {
     let (_, stream) = link.wire.clone().unwrap();
     while stream.peek(&mut vec![0; bytes]).map_or(0, |there| there) < bytes {
         std::thread::yield_now();
@@ -71,12 +71,12 @@
 
 #[test]
 fn a_watch_that_is_silent_from_its_first_byte_or_stops_within_a_line_is_lost_in_time() {
-    let (_turns, mut link, _board) = connected();
+    let (_turns, mut link, _discovery) = connected();
     assert!(link.due() < 102.0);
     assert_eq!(link.work(false, link.due(), &mut Vec::new()), Err("silent".to_string()));
     for part in ["{\"rev\":4,\"pool\":", "4"] {
-        let (_turns, mut link, mut board) = connected();
-        board.write_all(part.as_bytes()).unwrap();
+        let (_turns, mut link, mut discovery) = connected();
+        discovery.write_all(part.as_bytes()).unwrap();
         assert_eq!(hears(&mut link, part.len(), 100.5), Ok(()));
         // Half a line is no sign of life.
         assert!(link.due() < 102.0);
@@ -86,27 +86,27 @@
 
 #[test]
 fn a_watch_that_feeds_bytes_without_a_line_is_lost_in_time_and_holds_no_more_than_a_line_may() {
-    let (_turns, mut link, mut board) = connected();
+    let (_turns, mut link, mut discovery) = connected();
     let due = link.due();
     let mut now = 100.0;
     while now < due {
-        board.write_all(b" ").unwrap();
+        discovery.write_all(b" ").unwrap();
         assert_eq!(hears(&mut link, 1, now), Ok(()));
         now += 0.1;
     }
     assert_eq!(link.work(false, now, &mut Vec::new()), Err("silent".to_string()));
-    let (_turns, mut link, mut board) = connected();
-    board.write_all(&[b' '; 1500]).unwrap();
+    let (_turns, mut link, mut discovery) = connected();
+    discovery.write_all(&[b' '; 1500]).unwrap();
     assert_eq!(hears(&mut link, 1000, 100.1), Err("a line of more than 1000 bytes".to_string()));
 }
 
-/// An old connection's line and the change of address are read in one turn, the change first: the line is the new board's
+/// An old connection's line and the change of address are read in one turn, the change first: the line is the new discovery service's
 /// to tell, and nothing is lost or taken twice.
 #[test]
-fn a_line_of_the_old_board_in_the_turn_of_the_change_is_asked_of_the_new_one() {
-    let (_turns, mut link, mut board) = connected();
+fn a_line_of_the_old_discovery_in_the_turn_of_the_change_is_asked_of_the_new_one() {
+    let (_turns, mut link, mut discovery) = connected();
     let event = "{\"rev\":4}\n";
-    board.write_all(event.as_bytes()).unwrap();
+    discovery.write_all(event.as_bytes()).unwrap();
     let mut events = Vec::new();
     let elsewhere = "127.0.0.1:9".parse().ok();
     assert!(link.told_anew(elsewhere, Vec::new(), 100.2, &mut events).is_some());
@@ -119,14 +119,14 @@
     assert_eq!((link.due(), link.wants_connection(100.21)), (100.21, third));
 }
 
-/// Hard case: a board that comes back after 8 s is asked by 300 routers that lost it in one moment.
+/// Hard case: a discovery service that comes back after 8 s is asked by 300 routers that lost it in one moment.
 #[test]
-fn many_that_lost_the_board_together_come_back_spread_out_and_soon() {
+fn many_that_lost_the_discovery_together_come_back_spread_out_and_soon() {
     let begun = 100.0;
     let mut tries = 0;
     let mut back: Vec<f64> = Vec::new();
     for _ in 0..300 {
-        let mut link = BoardLink::new("127.0.0.1:9".parse().ok(), 3, 1000, begun);
+        let mut link = DiscoveryClient::new("127.0.0.1:9".parse().ok(), 3, 1000, begun);
         link.lost("closed", begun);
         while link.due() < begun + 8.0 {
             tries += 1;
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -1,20 +1,19 @@
 //! The loop and the connections: one turn reads what is ready, hands it over in one go, and writes what came of it.
 
-mod board;
 mod buffer;
 mod client;
 mod cluster;
+mod discovery_client;
 mod engine;
 mod keeper;
 mod links;
 mod sessions;
 mod speaker;
 
-use crate::protocol::board::Event;
+use crate::protocol::discovery::Event;
 use crate::protocol::engine::Ask;
 use crate::protocol::statement::Question;
 use crate::routing::{Answer, AttemptId, Counters, News, Peers, Routing, SessionId};
-use board::BoardLink;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
@@ -23,6 +22,7 @@
 use cleatgw_start::LinkLimits;
 use cluster::Cluster;
 pub use cluster::Joining;
+use discovery_client::DiscoveryClient;
 use keeper::Keeper;
 use links::Links;
 use rustix::io::Errno;
@@ -61,7 +61,7 @@
     Listener,
     Session(SessionId),
     Link(u64),
-    Board,
+    Discovery,
     /// A connection to a routing peer, and where such peers connect to.
     Speaker(u64),
     SpeakerListener,
@@ -130,7 +130,7 @@
 /// What a router is told at its start, beside what its decisions are told.
 pub struct Place {
     pub listen: SocketAddr,
-    pub board: Option<SocketAddr>,
+    pub discovery: Option<SocketAddr>,
     pub last_event: u64,
     pub descriptors: usize,
     pub memory: usize,
@@ -141,7 +141,7 @@
 
 /// What a new configuration changes while the router runs.
 pub struct Reread {
-    pub board: Option<SocketAddr>,
+    pub discovery: Option<SocketAddr>,
     pub known: Vec<Event>,
 }
 
@@ -205,7 +205,7 @@
     handle: Handle,
     routing: Routing,
     net: Net,
-    board: BoardLink,
+    discovery: DiscoveryClient,
     news: News,
     /// What is to be looked at in the next turn, though nothing becomes ready.
     again: Vec<Source>,
@@ -303,7 +303,7 @@
     };
     let longest_line = (place.memory / 16).max(LIST_LINE);
     let mut server = Server {
-        board: BoardLink::new(place.board, place.last_event, longest_line, now),
+        discovery: DiscoveryClient::new(place.discovery, place.last_event, longest_line, now),
         net: Net { sessions, links, now },
         handle,
         routing,
@@ -389,7 +389,7 @@
                     self.net.sessions.work(id, readiness, self.serving, now, &mut self.news)
                 }
                 Source::Link(id) => self.net.links.work(id, readiness.readable, self.clock.read()),
-                Source::Board => self.board(readiness.readable, now),
+                Source::Discovery => self.discovery(readiness.readable, now),
                 Source::Speaker(id) => {
                     let steady = self.steady.read();
                     self.speaker.iter_mut().for_each(|one| one.ready(id, readiness, steady));
@@ -449,7 +449,7 @@
         }
         self.again.extend(self.net.sessions.unfinished());
         self.again.extend(self.net.links.unfinished());
-        self.again.extend(self.board.unfinished().then_some(Source::Board));
+        self.again.extend(self.discovery.unfinished().then_some(Source::Discovery));
         self.again.extend(self.net.sessions.accepts_more().then_some(Source::Listener));
         self.again.extend(self.speaker.iter_mut().flat_map(Speaker::unfinished));
         self.again.extend(self.cluster.iter().any(Cluster::unfinished).then_some(Source::Cluster));
@@ -466,7 +466,7 @@
         let speaker = speaker.min(self.cluster.as_ref().map_or(f64::INFINITY, Cluster::due));
         let speaker = speaker.min(self.keeper.as_ref().map_or(f64::INFINITY, Keeper::due));
         let speaker = Steady::on_unix(speaker, self.steady.read(), now);
-        let due = [wake, self.sweep_at, self.board.due(), self.net.links.due(), stop, speaker];
+        let due = [wake, self.sweep_at, self.discovery.due(), self.net.links.due(), stop, speaker];
         let at_once = !self.again.is_empty() || self.net.links.has_ended();
         self.wake = if at_once { now } else { due.into_iter().fold(now + BEAT, f64::min) };
     }
@@ -475,7 +475,7 @@
         let mut counters = self.routing.counters().clone();
         counters.add(&self.net.sessions.counters());
         counters.add(&self.net.links.counters());
-        counters.add(&self.board.counters);
+        counters.add(&self.discovery.counters);
         self.speaker.iter().for_each(|speaker| counters.add(&speaker.counters()));
         self.cluster.iter().for_each(|cluster| counters.add(&cluster.counters()));
         self.keeper.iter().for_each(|keeper| counters.add(keeper.counters()));
@@ -518,7 +518,7 @@
         Readings {
             listening: self.serving && self.net.sessions.takes(),
             since_failure: (self.failed.0 > 0).then_some(now - self.failed.1),
-            discovery_silence: self.board.silent_for(now),
+            discovery_silence: self.discovery.silent_for(now),
             usable_engines: self.routing.sound_engines(),
             in_time_share: self.recent.update(now, in_time, answered),
         }
@@ -588,8 +588,8 @@
         self.counters.reloads += 1;
         self.new_operators_files();
         match (self.reread)() {
-            Ok(Reread { board, known }) => {
-                let token = self.board.told_anew(board, known, now, &mut self.news.lists);
+            Ok(Reread { discovery, known }) => {
+                let token = self.discovery.told_anew(discovery, known, now, &mut self.news.lists);
                 token.into_iter().for_each(|token| self.handle.remove(token));
             }
             Err(why) => {
@@ -617,11 +617,11 @@
         closed && told
     }
 
-    fn board(&mut self, readable: bool, now: f64) {
-        let (board, lists) = (&mut self.board, &mut self.news.lists);
-        let worked = guarded("the notice board's link", || board.work(readable, now, lists));
+    fn discovery(&mut self, readable: bool, now: f64) {
+        let (discovery, lists) = (&mut self.discovery, &mut self.news.lists);
+        let worked = guarded("the notice board's link", || discovery.work(readable, now, lists));
         if let Err(why) = worked.unwrap_or(Err("failed".to_string())) {
-            if let Some(token) = self.board.lost(&why, now) {
+            if let Some(token) = self.discovery.lost(&why, now) {
                 self.handle.remove(token);
             }
         }
@@ -629,15 +629,15 @@
 
     /// What falls due without anything becoming ready.
     fn due(&mut self, now: f64) {
-        if now >= self.board.due() {
-            if let Some(address) = self.board.wants_connection(now) {
-                let wire = connect(&self.handle, address, Source::Board);
+        if now >= self.discovery.due() {
+            if let Some(address) = self.discovery.wants_connection(now) {
+                let wire = connect(&self.handle, address, Source::Discovery);
                 if let Err(error) = &wire {
                     log::debug!("notice board {address}: {error}");
                 }
-                self.board.connecting(wire.ok(), now);
+                self.discovery.connecting(wire.ok(), now);
             } else {
-                self.board(false, now);
+                self.discovery(false, now);
             }
         }
         self.net.links.time_passed(now);
--- a/crates/router/src/transport/tests.rs
+++ b/crates/router/src/transport/tests.rs
@@ -24,7 +24,7 @@
 fn what_comes_while_we_stand_still_behind_the_systems_word_is_known_to_the_turn() {
     let mut event_loop: EventLoop<Ready> = EventLoop::try_new().unwrap();
     let (near, mut far) = std::os::unix::net::UnixStream::pair().unwrap();
-    watch(&event_loop.handle(), near, Source::Board).unwrap();
+    watch(&event_loop.handle(), near, Source::Discovery).unwrap();
     let (mut clock, mut ready) = (Clock::default(), Ready::default());
     let readable = |ready: &Ready| ready.sources.iter().any(|(_, readiness)| readiness.readable);
     let now = clock.read();
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -45,18 +45,18 @@
 #[test]
 fn a_list_of_1024_engines_is_taken_and_served_among_1024_routers_from_the_watch_and_from_the_file() {
     let engine = Engine::start("e");
-    let board = Board::start();
+    let discovery = Discovery::start();
     // The least memory that a configuration states, and the longest line.
     let little = |text| sized(text, MANY, 1);
-    let router = Router::changed(PROGRAM, &board, 256, &[], little);
+    let router = Router::changed(PROGRAM, &discovery, 256, &[], little);
     let list = entries(&engine, MANY, 1000);
     let length: usize = list.iter().map(String::len).sum();
     assert!(length > LINE * 9 / 10 && length < LINE, "{length} bytes");
-    board.tell(true, &list);
+    discovery.tell(true, &list);
     let mut client = Client::new(&router);
     client.counters("board_events", 1);
     serves(&router, &engine, 40);
-    let told = Router::changed(PROGRAM, &board, 256, &[], little);
+    let told = Router::changed(PROGRAM, &discovery, 256, &[], little);
     engine.seen.forget();
     serves(&told, &engine, 40);
 }
@@ -75,12 +75,12 @@
 fn threads_descriptors_and_memory_do_not_grow_with_what_is_stated() {
     let engine = Engine::start("e");
     let of = |engines: usize, routers: usize, stated: u32| {
-        let board = Board::start();
-        board.tell(true, &entries(&engine, engines, 200));
+        let discovery = Discovery::start();
+        discovery.tell(true, &entries(&engine, engines, 200));
         let states = |text: String| {
             sized(text, routers, 100 * routers).replace("\"sockets\":256", &format!("\"sockets\":{stated}"))
         };
-        let router = Router::changed(PROGRAM, &board, 256, &[], states);
+        let router = Router::changed(PROGRAM, &discovery, 256, &[], states);
         let mut client = Client::new(&router);
         client.counters("open", 0);
         holds(&router)
@@ -94,21 +94,21 @@
 #[test]
 fn a_list_past_its_bound_is_refused_by_the_bounds_name_and_the_one_before_it_is_served() {
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    let router = Router::changed(PROGRAM, &board, 256, &[], |text| sized(text, 1, 1));
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let router = Router::changed(PROGRAM, &discovery, 256, &[], |text| sized(text, 1, 1));
     let mut client = Client::new(&router);
     assert_eq!(client.ask(&request("look", 5000, "x")), row());
-    board.tell(true, &entries(&engine, MANY + 100, 1000));
+    discovery.tell(true, &entries(&engine, MANY + 100, 1000));
     let told = router.log.wait("notice board lost", 1).pop().unwrap();
     assert!(told.contains(&format!("a line of more than {LINE} bytes")), "{told}");
     // Asked again and again, it has nothing else to say.
-    board.seen.wait("watch 1", 3);
+    discovery.seen.wait("watch 1", 3);
     assert_eq!(client.ask(&request("look", 5000, "x")), row());
     let counters = client.counters("open", 0);
     assert_eq!((counter(&counters, "board_events"), counter(&counters, "panics")), (0, 0));
     // Another one is taken.
-    let sound = Board::start();
+    let sound = Discovery::start();
     sound.tell(true, &[engine.entry("ready")]);
     sound.tell(false, &[Engine { uid: "second".to_string(), ..engine.clone() }.entry("ready")]);
     router.reload(&router.configuration(&sound, r#"{"rev":1,"notices":[]}"#));
@@ -119,11 +119,11 @@
 #[test]
 fn settings_past_a_bound_are_refused_by_its_name_and_those_before_are_served() {
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    let router = Router::with(PROGRAM, &board, 256, &[]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let router = Router::with(PROGRAM, &discovery, 256, &[]);
     let mut client = Client::new(&router);
-    let good = router.configuration(&board, r#"{"rev":1,"notices":[]}"#);
+    let good = router.configuration(&discovery, r#"{"rev":1,"notices":[]}"#);
     let tenants = vec![r#"{"name":"t"}"#; 10_001].join(",");
     let bad = good.replace(r#""tenants":[{"name":"town"}]"#, &format!(r#""tenants":[{tenants}]"#));
     assert_ne!(bad, good);
@@ -137,8 +137,8 @@
 #[test]
 fn settings_that_contradict_each_other_are_named_by_their_fields_and_the_router_serves() {
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
     let contradictory = |text: String| {
         text.replace("\"parallelism\":[1,1,1]", "\"parallelism\":[1,1]")
             .replace("\"shapes\":[\"std\"]", "\"shapes\":[\"std\",\"big\"]")
@@ -146,10 +146,10 @@
             .replace("\"objective-us\":1000000", "\"objective-us\":30000000")
             .replace("\"balancers\":1,", "\"balancers\":3,\"self-index\":3,")
     };
-    let router = Router::changed(PROGRAM, &board, 256, &[], contradictory);
+    let router = Router::changed(PROGRAM, &discovery, 256, &[], contradictory);
     assert_eq!(Client::new(&router).ask(&request("look", 5000, "x")), row());
     let file = std::env::temp_dir().join(format!("cleatgw-{}-contradictory.json", std::process::id()));
-    std::fs::write(&file, contradictory(router.configuration(&board, "{}"))).unwrap();
+    std::fs::write(&file, contradictory(router.configuration(&discovery, "{}"))).unwrap();
     let check = Command::new(PROGRAM).arg("check").arg(&file).output().unwrap();
     std::fs::remove_file(file).unwrap();
     assert!(check.status.success());
@@ -198,9 +198,9 @@
 #[test]
 fn a_restarted_router_with_few_descriptors_under_idle_clients_is_ready_in_time_while_discovery_is_down() {
     let engine = Engine::start("e");
-    let mut board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    board.address = vacant();
+    let mut discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    discovery.address = vacant();
     let descriptors = 24;
     let (address, over, came) = (vacant(), AtomicBool::new(false), AtomicU64::new(0));
     let states = |text: String| text.replace(&format!("\"sockets\":{descriptors}"), "\"sockets\":65536");
@@ -210,7 +210,7 @@
         for life in 0..5 {
             let before = came.load(Relaxed);
             let begun = Instant::now();
-            let at = (board.address, &board);
+            let at = (discovery.address, &discovery);
             let router = Router::spawned(address, Path::new(PROGRAM), at, descriptors, &[], &[], states);
             router.log.wait("listens on", 1);
             let limits = std::fs::read_to_string(format!("/proc/{}/limits", router.process())).unwrap();
--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -11,7 +11,7 @@
 struct Counted {
     /// By each kind of line: how many the log had.
     lines: [usize; 4],
-    /// How often the board was called, the first call aside.
+    /// How often the discovery service was called, the first call aside.
     calls: usize,
     connections: usize,
     attempts: u64,
@@ -22,7 +22,7 @@
     refused: u64,
 }
 
-/// A board's entries for so many engines; one alone is there.
+/// A discovery service's entries for so many engines; one alone is there.
 fn entries(engine: &Engine, count: usize) -> Vec<String> {
     let far = |at: usize| {
         let (host, port) = (at / 250 + 1, at % 250 + 1);
@@ -33,12 +33,12 @@
     (1..count).map(far).chain([engine.entry("ready")]).collect()
 }
 
-/// Three SIGHUPs without a change, then one for a changed limit and one for another board, with so many engines known.
+/// Three SIGHUPs without a change, then one for a changed limit and one for another discovery service, with so many engines known.
 fn reloads(count: usize) -> Counted {
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &entries(&engine, count));
-    let router = Router::with(PROGRAM, &board, 256, &[]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &entries(&engine, count));
+    let router = Router::with(PROGRAM, &discovery, 256, &[]);
     let mut client = Client::new(&router);
     assert!(matches!(client.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let before = client.counters("delivered", 1);
@@ -47,7 +47,7 @@
     router.log.forget();
     let all = entries(&engine, count).join(",");
     let known = format!(r#"{{"notices":[{{"rev":1,"pool":{{"rev":1,"all":true,"targets":[{all}]}}}}]}}"#);
-    let text = router.configuration(&board, &known);
+    let text = router.configuration(&discovery, &known);
     router.reload(&text);
     let reloaded = client.counters("reloads", 1);
     assert_eq!(counter(&reloaded, "reloads_refused"), 0);
@@ -63,7 +63,7 @@
         Vec::<&String>::new(),
         "nothing was changed"
     );
-    let moved = board.moved();
+    let moved = discovery.moved();
     router.reload(&router.configuration(&moved, &known).replace("\"memory_mb\":192", "\"memory_mb\":99"));
     moved.seen.wait("watch 1", 1);
     router.log.wait("notice board connected", 1);
@@ -76,7 +76,7 @@
     Counted {
         lines: ["engine ", "notice board is", "can't change while running", "connected, from event 1"]
             .map(count_of),
-        calls: board.seen.all().len() + moved.seen.all().len() - 1,
+        calls: discovery.seen.all().len() + moved.seen.all().len() - 1,
         connections: engine.seen.all().iter().filter(|line| line.starts_with("connection")).count(),
         attempts: grown("pushes"),
         sessions: grown("sessions"),
@@ -110,22 +110,22 @@
 #[test]
 fn changes_that_come_while_a_router_stands_still_are_put_in_force_by_one_reload() {
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    let router = Router::with(PROGRAM, &board, 256, &[]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let router = Router::with(PROGRAM, &discovery, 256, &[]);
     let mut client = Client::new(&router);
-    let boards: Vec<Board> = (0..20).map(|_| board.moved()).collect();
+    let discoveries: Vec<Discovery> = (0..20).map(|_| discovery.moved()).collect();
     router.stop_for(std::time::Duration::from_millis(50), || {
-        let text = |board| router.configuration(board, r#"{"rev":1,"notices":[]}"#);
-        boards.iter().for_each(|board| router.reload(&text(board)));
+        let text = |discovery| router.configuration(discovery, r#"{"rev":1,"notices":[]}"#);
+        discoveries.iter().for_each(|discovery| router.reload(&text(discovery)));
     });
-    let last = boards.last().unwrap();
+    let last = discoveries.last().unwrap();
     last.seen.wait("watch 1", 1);
     let counters = client.counters("reloads", 1);
     assert_eq!(counter(&counters, "reloads_refused"), 0);
     assert_eq!(router.log.wait("notice board is", 1).len(), 1);
     assert!(
-        boards[..19].iter().all(|board| board.seen.all().is_empty()),
+        discoveries[..19].iter().all(|discovery| discovery.seen.all().is_empty()),
         "one that was passed over was called"
     );
 }
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -163,7 +163,7 @@
     std::fs::write(&file, cluster_file("lab", &names, &addresses)).unwrap();
     let name = |text: String| text.replace(r#""name":"n1""#, r#""name":"r2""#);
     let arguments = ["--cluster", file.to_str().unwrap()];
-    let twin = Router::changed(PROGRAM, cluster.board(0), 256, &arguments, name);
+    let twin = Router::changed(PROGRAM, cluster.discovery(0), 256, &arguments, name);
     twin.log.wait("cluster: never formed", 1);
     let counters = Client::at(cluster.address(0)).unwrap().counters_now();
     assert!(counter(&counters, "cluster_strangers") > 0, "{counters}");
@@ -418,8 +418,8 @@
     assert_eq!(times, 0, "{finds:#?}");
 }
 
-/// Faults between routers and their engines and boards: answers that stall, connections that are reset or come up late,
-/// a board that is cut off while an engine is drained. No rule is broken and no request goes unanswered.
+/// Faults between routers and their engines and discovery services: answers that stall, connections that are reset or come up late,
+/// a discovery service that is cut off while an engine is drained. No rule is broken and no request goes unanswered.
 #[test]
 fn faults_on_the_ways_to_engines_and_boards_break_no_rule() {
     let mut cluster = whole(3, 22);
@@ -434,7 +434,7 @@
             (4.0, way(Target::Engine(2), Fault::Delay(0.2))),
             (5.5, way(Target::Engine(2), Fault::Sound)),
             (6.0, Act::Way(Some(0), Target::Engine(0), Fault::There(2.0))),
-            (6.0, way(Target::Board, Fault::Both(4.0))),
+            (6.0, way(Target::Discovery, Fault::Both(4.0))),
         ],
         1.0,
     );
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -8,19 +8,19 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
-/// A router whose board tells of no engine yet: what is asked waits.
-fn without_engines() -> (Board, Router) {
-    let board = Board::start();
-    board.tell(true, &[]);
-    let router = Router::with(PROGRAM, &board, 256, &[]);
-    (board, router)
+/// A router whose discovery service tells of no engine yet: what is asked waits.
+fn without_engines() -> (Discovery, Router) {
+    let discovery = Discovery::start();
+    discovery.tell(true, &[]);
+    let router = Router::with(PROGRAM, &discovery, 256, &[]);
+    (discovery, router)
 }
 
-fn with_engine(engine: &Engine) -> (Board, Router) {
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    let router = Router::with(PROGRAM, &board, 256, &[]);
-    (board, router)
+fn with_engine(engine: &Engine) -> (Discovery, Router) {
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let router = Router::with(PROGRAM, &discovery, 256, &[]);
+    (discovery, router)
 }
 
 fn row() -> Answered {
@@ -28,9 +28,9 @@
 }
 
 /// An engine comes, and one request more is asked: the statements that the engine has had by its answer.
-fn dispatched_once_an_engine_comes(board: &Board, router: &Router) -> Vec<String> {
+fn dispatched_once_an_engine_comes(discovery: &Discovery, router: &Router) -> Vec<String> {
     let engine = Engine::start("e");
-    board.tell(false, &[engine.entry("ready")]);
+    discovery.tell(false, &[engine.entry("ready")]);
     router.log.wait("is e at", 1);
     assert_eq!(Client::new(router).ask(&request("look", 5000, "the last")), row());
     let seen = engine.seen.all();
@@ -39,7 +39,7 @@
 
 #[test]
 fn nothing_is_begun_for_a_client_that_closed_reset_or_half_closed_while_its_request_waited() {
-    let (board, router) = without_engines();
+    let (discovery, router) = without_engines();
     let mut closes = Client::new(&router);
     closes.send(&request("look", 20000, "closed"));
     let mut resets = Client::new(&router);
@@ -55,12 +55,12 @@
     assert!(matches!(half.answer(), Answered::Error(1317, _)), "one that still reads is told");
     assert!(half.closed());
     witness.counters("withdrawn", 3);
-    assert_eq!(dispatched_once_an_engine_comes(&board, &router), ["the last"]);
+    assert_eq!(dispatched_once_an_engine_comes(&discovery, &router), ["the last"]);
 }
 
 #[test]
 fn what_a_client_sent_at_once_before_it_went_is_not_begun() {
-    let (board, router) = without_engines();
+    let (discovery, router) = without_engines();
     let many: Vec<u8> = (0..20).flat_map(|_| query(&request("look", 20000, "sent and gone"))).collect();
     let mut half = Client::early(&router, &[login(), many.clone()].concat());
     half.stream.shutdown(Shutdown::Write).unwrap();
@@ -71,16 +71,16 @@
     let mut witness = Client::new(&router);
     let counters = witness.counters("sessions_open", 1);
     assert_eq!(counter(&counters, "taken"), counter(&counters, "withdrawn"));
-    assert_eq!(dispatched_once_an_engine_comes(&board, &router), ["the last"]);
+    assert_eq!(dispatched_once_an_engine_comes(&discovery, &router), ["the last"]);
 }
 
 #[test]
 fn an_end_behind_bytes_that_find_no_room_is_seen() {
-    let board = Board::start();
-    board.tell(true, &[]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[]);
     // So little memory that a session's buffer is the smallest there is: 16 KiB.
     let small = |text: String| text.replace("\"memory_mb\":192", "\"memory_mb\":4");
-    let router = Router::changed(PROGRAM, &board, 256, &[], small);
+    let router = Router::changed(PROGRAM, &discovery, 256, &[], small);
     let mut client = Client::new(&router);
     client.send(&request("look", 20000, "hidden"));
     let mut witness = Client::new(&router);
@@ -92,13 +92,13 @@
     // Those behind it that are read before its end are begun no more than itself.
     let counters = witness.counters("sessions_open", 1);
     assert_eq!(counter(&counters, "taken"), counter(&counters, "withdrawn"));
-    assert_eq!(dispatched_once_an_engine_comes(&board, &router), ["the last"]);
+    assert_eq!(dispatched_once_an_engine_comes(&discovery, &router), ["the last"]);
 }
 
 #[test]
 fn a_client_that_leaves_has_its_attempt_given_up_and_no_other_made() {
     let engine = Engine::start("e");
-    let (_board, router) = with_engine(&engine);
+    let (_discovery, router) = with_engine(&engine);
     let mut client = Client::new(&router);
     client.send(&request("look", 20000, "hold"));
     engine.seen.wait("GET", 1);
@@ -114,7 +114,7 @@
 fn a_kill_meets_the_query_that_is_read_in_the_same_turn_whichever_came_first() {
     let engine = Engine::start("e");
     for kill_first in [false, true] {
-        let (_board, router) = with_engine(&engine);
+        let (_discovery, router) = with_engine(&engine);
         let mut target = Client::new(&router);
         let mut killer = Client::new(&router);
         let kill = format!("KILL QUERY {}", target.session);
@@ -138,7 +138,7 @@
 #[test]
 fn a_kill_meets_a_query_that_waits_behind_other_packets() {
     let engine = Engine::start("e");
-    let (_board, router) = with_engine(&engine);
+    let (_discovery, router) = with_engine(&engine);
     let mut target = Client::new(&router);
     let mut killer = Client::new(&router);
     let pings = 20;
@@ -154,18 +154,18 @@
 }
 
 /// One whose requests last half a second at most, so that its planned stop is soon over.
-fn quick(engine: &Engine) -> (Board, Router) {
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
+fn quick(engine: &Engine) -> (Discovery, Router) {
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
     let shorter = |text: String| text.replace("\"hard-limit-us\":20000000", "\"hard-limit-us\":500000");
-    let router = Router::changed(PROGRAM, &board, 256, &[], shorter);
-    (board, router)
+    let router = Router::changed(PROGRAM, &discovery, 256, &[], shorter);
+    (discovery, router)
 }
 
 #[test]
 fn a_planned_stop_answers_what_waits_behind_the_last_request_and_ends_every_session_in_order() {
     let engine = Engine::start("e");
-    let (_board, mut router) = quick(&engine);
+    let (_discovery, mut router) = quick(&engine);
     let mut rests = Client::new(&router);
     let mut asks = Client::new(&router);
     let behind = 20;
@@ -194,9 +194,9 @@
 #[test]
 fn a_stop_and_a_new_configuration_in_one_turn_lose_nothing() {
     let engine = Engine::start("e");
-    let (board, mut router) = quick(&engine);
+    let (discovery, mut router) = quick(&engine);
     let mut asks = Client::new(&router);
-    let text = router.configuration(&board, "{\"rev\":1,\"notices\":[]}");
+    let text = router.configuration(&discovery, "{\"rev\":1,\"notices\":[]}");
     router.stop_for(Duration::ZERO, || {
         router.fail();
         router.reload(&text);
@@ -211,9 +211,9 @@
 
 #[test]
 fn a_stop_before_the_first_list_answers_what_waits() {
-    let board = Board::start();
+    let discovery = Discovery::start();
     let shorter = |text: String| text.replace("\"hard-limit-us\":20000000", "\"hard-limit-us\":500000");
-    let mut router = Router::changed(PROGRAM, &board, 256, &[], shorter);
+    let mut router = Router::changed(PROGRAM, &discovery, 256, &[], shorter);
     let mut pings = Client::new(&router);
     pings.stream.write_all(&packet(0, &[0x0e])).unwrap();
     let mut asks = Client::new(&router);
@@ -231,7 +231,7 @@
 #[test]
 fn an_engine_that_hangs_through_the_whole_stop_costs_no_answer() {
     let engine = Engine::start("e");
-    let (_board, mut router) = quick(&engine);
+    let (_discovery, mut router) = quick(&engine);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::new(&router)).collect();
     for (client, class) in clients.iter_mut().zip(["look", "load", "once"]) {
         client.send(&request(class, 500, "hold"));
@@ -247,22 +247,22 @@
     assert!(begun.elapsed() < GENEROUS / 2);
 }
 
-/// Idle clients fill what descriptors there are while discovery is down: the board and a first connection to each engine
+/// Idle clients fill what descriptors there are while discovery is down: the discovery service and a first connection to each engine
 /// find theirs all the same, and a client that asks is let in.
 #[test]
-fn idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_out_neither_board_nor_engine() {
+fn idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_out_neither_discovery_nor_engine() {
     let engines: Vec<Engine> = ["a", "b", "c", "d", "e", "f"].map(Engine::start).into();
-    let board = Board::start();
+    let discovery = Discovery::start();
     let away = vacant();
     let descriptors = 40;
     // It starts while discovery is down, and knows of no engine.
-    let elsewhere = |text: String| text.replace(&board.address.to_string(), &away.to_string());
-    let router = Router::changed(PROGRAM, &board, descriptors, &[], elsewhere);
+    let elsewhere = |text: String| text.replace(&discovery.address.to_string(), &away.to_string());
+    let router = Router::changed(PROGRAM, &discovery, descriptors, &[], elsewhere);
     let _idle: Vec<Client> = (0..2 * descriptors).map(|_| Client::new(&router)).collect();
     let half: Vec<Client> = (0..descriptors).map(|_| Client::early(&router, &login()[..9])).collect();
     let entries: Vec<String> = engines.iter().map(|engine| engine.entry("ready")).collect();
-    board.tell(true, &entries);
-    router.reload(&router.configuration(&board, "{\"rev\":0,\"notices\":[]}"));
+    discovery.tell(true, &entries);
+    router.reload(&router.configuration(&discovery, "{\"rev\":0,\"notices\":[]}"));
     router.log.wait("is f at", 1);
     let mut asks = Client::new(&router);
     // Some group begins with each of them.
@@ -284,15 +284,15 @@
 #[test]
 fn a_restarted_router_is_ready_as_soon_as_the_one_before_it_lets_go_of_the_port() {
     let engine = Engine::start("e");
-    let (mut board, mut router) = quick(&engine);
+    let (mut discovery, mut router) = quick(&engine);
     let mut long = Client::new(&router);
     long.send(&request("look", 500, "hold"));
     engine.seen.wait("GET", 1);
     router.fail();
     router.log.wait("stopping", 1);
-    board.address = vacant();
+    discovery.address = vacant();
     let program = std::path::Path::new(PROGRAM);
-    let at = (board.address, &board);
+    let at = (discovery.address, &discovery);
     let next = Router::spawned(router.address, program, at, 256, &[], &[], |text| text);
     next.log.wait("starts, version", 1);
     assert_eq!(router.over(), None, "the one before it still holds the port");
--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -14,11 +14,11 @@
     Answered::Rows(vec!["0,one,two".to_string()])
 }
 
-fn with_engine(engine: &Engine, descriptors: u32) -> (Board, Router) {
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    let router = Router::with(PROGRAM, &board, descriptors, &[]);
-    (board, router)
+fn with_engine(engine: &Engine, descriptors: u32) -> (Discovery, Router) {
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let router = Router::with(PROGRAM, &discovery, descriptors, &[]);
+    (discovery, router)
 }
 
 /// Connects, and writes login and request at once; nothing is read yet.
@@ -50,7 +50,7 @@
 #[test]
 fn requests_on_new_connections_are_answered_when_a_stop_is_read_in_the_turn_that_accepts_them() {
     let engine = Engine::start("e");
-    let (_board, mut router) = with_engine(&engine, 256);
+    let (_discovery, mut router) = with_engine(&engine, 256);
     let mut clients = Vec::new();
     router.stop_for(Duration::ZERO, || {
         clients.extend((0..10).map(|_| newcomer(&router)));
@@ -67,7 +67,7 @@
 #[test]
 fn requests_are_answered_that_are_read_in_the_turn_that_would_end_their_sessions() {
     let engine = Engine::start("e");
-    let (_board, mut router) = with_engine(&engine, 256);
+    let (_discovery, mut router) = with_engine(&engine, 256);
     let mut rest: Vec<Client> = (0..10).map(|_| Client::new(&router)).collect();
     router.fail();
     router.log.wait("stopping", 1);
@@ -89,7 +89,7 @@
 fn requests_on_new_connections_are_answered_where_room_has_to_be_made_for_each() {
     let engine = Engine::start("e");
     let descriptors = 24;
-    let (_board, router) = with_engine(&engine, descriptors);
+    let (_discovery, router) = with_engine(&engine, descriptors);
     let mut rest: Vec<Client> = (0..descriptors / 2).map(|_| Client::new(&router)).collect();
     let mut clients = Vec::new();
     router.stop_for(Duration::ZERO, || {
@@ -195,7 +195,7 @@
         for (name, trouble) in TROUBLES {
             scope.spawn(move || {
                 let engine = Engine::start("e");
-                let (_board, router) = with_engine(&engine, 256);
+                let (_discovery, router) = with_engine(&engine, 256);
                 all_have_their_answers_beside(name, trouble, &router, &engine);
             });
         }
@@ -231,7 +231,7 @@
 #[test]
 fn floods_from_other_clients_cost_no_request_its_final_answer() {
     let engine = Engine::start("e");
-    let (_board, router) = with_engine(&engine, 256);
+    let (_discovery, router) = with_engine(&engine, 256);
     let (over, floods) = (AtomicBool::new(false), floods());
     let came = [const { AtomicU64::new(0) }; 5];
     std::thread::scope(|scope| {
--- a/crates/router/tests/golden_status.rs
+++ b/crates/router/tests/golden_status.rs
@@ -66,11 +66,12 @@
     let arguments: Vec<&str> =
         files.iter().flat_map(|(option, path)| [*option, path.to_str().expect("plain text")]).collect();
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
     let names = r#"[{"name":"greedy"},{"name":"modest"}]"#;
-    let router =
-        Router::changed(PROGRAM, &board, 512, &arguments, |text| text.replace(r#"[{"name":"town"}]"#, names));
+    let router = Router::changed(PROGRAM, &discovery, 512, &arguments, |text| {
+        text.replace(r#"[{"name":"town"}]"#, names)
+    });
     Client::new(&router).ask(&request("look", 5000, "x"));
     // Until the store and the cluster have come to rest.
     let begun = Instant::now();
@@ -85,7 +86,7 @@
     }
     let text = normalized(&text.replace(folder.to_str().expect("plain text"), "FOLDER"));
     expect_file!["golden/status.txt"].assert_eq(&text);
-    let none = Router::with(PROGRAM, &board, 256, &[]);
+    let none = Router::with(PROGRAM, &discovery, 256, &[]);
     for topic in ["TEAMS", "CLUSTER", "DUTIES", "STORE", "ANNOUNCEMENTS"] {
         let answer = shown(&none, topic);
         assert!(answer.contains("there is nothing of the kind here"), "{topic}: {answer}");
--- a/crates/router/tests/run_form.rs
+++ b/crates/router/tests/run_form.rs
@@ -120,9 +120,9 @@
 #[test]
 fn as_run_starts_it_the_router_opens_nothing_that_the_platform_refuses() {
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    let mut router = Router::with(env!("CARGO_BIN_EXE_cleatgw"), &board, 256, &[]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let mut router = Router::with(env!("CARGO_BIN_EXE_cleatgw"), &discovery, 256, &[]);
     let process = router.process();
     let looks = |times: u32| {
         for _ in 0..times {
@@ -140,8 +140,8 @@
             assert!(matches!(client.answer(), Answered::Rows(_)));
         }
     }
-    board.drop_all();
-    router.reload(&router.configuration(&board, r#"{"rev":0,"notices":[]}"#));
+    discovery.drop_all();
+    router.reload(&router.configuration(&discovery, r#"{"rev":0,"notices":[]}"#));
     router.signal(Signal::USR1);
     looks(20);
     clients[0].send(&request("look", 1500, "hold"));
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -15,7 +15,7 @@
 
 struct World {
     engine: Engine,
-    board: Board,
+    discovery: Discovery,
     router: Router,
     file: PathBuf,
 }
@@ -30,11 +30,11 @@
         let file = std::env::temp_dir().join(format!("cleatgw-service-{}-{number}.json", std::process::id()));
         std::fs::write(&file, text).unwrap();
         let engine = Engine::start("e");
-        let board = Board::start();
-        board.tell(true, &[engine.entry("ready")]);
+        let discovery = Discovery::start();
+        discovery.tell(true, &[engine.entry("ready")]);
         let arguments = [&["--service", file.to_str().unwrap()][..], more].concat();
-        let router = Router::with(PROGRAM, &board, 256, &arguments);
-        World { engine, board, router, file }
+        let router = Router::with(PROGRAM, &discovery, 256, &arguments);
+        World { engine, discovery, router, file }
     }
 
     /// Has this in place of the service file, and is told so.
@@ -203,7 +203,7 @@
     let signs = r#""signs":{"engines":{"effect":"withdraw","bound":1,"rise":1,"fall":2,"least_bad_s":0}},"#;
     let world = World::new(&service_file(&[&peering], signs));
     peering.wait("announced for good", |peering| announced(peering) == 2);
-    world.board.tell(false, &[world.engine.entry("draining")]);
+    world.discovery.tell(false, &[world.engine.entry("draining")]);
     let resort = |peering: &Peering| {
         peering.table().iter().any(|(_, path)| path.large_communities == [mark(0xc0000201, false)])
     };
@@ -215,7 +215,7 @@
     peering.show(service(), mark(9, true));
     peering.wait("withdrawn", |peering| !has_route(peering));
     assert!(rows(&world).contains("withdrawn,sick: too few engines"), "{}", rows(&world));
-    world.board.tell(false, &[world.engine.entry("ready")]);
+    world.discovery.tell(false, &[world.engine.entry("ready")]);
     peering.wait("back", |peering| peering.table().iter().any(|(_, path)| path.med.is_none()));
     world.serves();
 }
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -17,16 +17,16 @@
 }
 
 /// A discovery service that lists these engines, and a router on it.
-fn started(engines: &[&Engine]) -> (Board, Router) {
+fn started(engines: &[&Engine]) -> (Discovery, Router) {
     changed(engines, |text| text)
 }
 
-fn changed(engines: &[&Engine], change: impl Fn(String) -> String) -> (Board, Router) {
-    let board = Board::start();
+fn changed(engines: &[&Engine], change: impl Fn(String) -> String) -> (Discovery, Router) {
+    let discovery = Discovery::start();
     let entries: Vec<String> = engines.iter().map(|engine| engine.entry("ready")).collect();
-    board.tell(true, &entries);
-    let router = Router::changed(PROGRAM, &board, 256, &[], change);
-    (board, router)
+    discovery.tell(true, &entries);
+    let router = Router::changed(PROGRAM, &discovery, 256, &[], change);
+    (discovery, router)
 }
 
 /// Connections may take long to come up.
@@ -100,13 +100,13 @@
 fn no_first_attempt_begins_for_a_client_that_left_before_the_turn_that_brings_an_engine() {
     for how in ALL {
         let engine = Engine::start("e");
-        let board = Board::start();
-        board.tell(true, &[]);
-        let router = Router::with(PROGRAM, &board, 256, &[]);
+        let discovery = Discovery::start();
+        discovery.tell(true, &[]);
+        let router = Router::with(PROGRAM, &discovery, 256, &[]);
         let mut witness = Client::new(&router);
         let pair = Pair::asking(&router, &request("look", 20000, "left"));
         witness.counters("open", 1);
-        board.seen.wait("watch", 1);
+        discovery.seen.wait("watch", 1);
         let event = format!(
             "{{\"rev\":2,\"pool\":{{\"rev\":1,\"all\":false,\"targets\":[{}]}}}}\n",
             engine.entry("ready")
@@ -114,7 +114,7 @@
         let mut kept = Vec::new();
         router.stop_for(SOON, || {
             kept = pair.leaves(how, &router);
-            board.say(&event);
+            discovery.say(&event);
         });
         router.log.wait("is e at", 1);
         if how == Leaves::Stays {
@@ -133,7 +133,7 @@
     for how in ALL {
         for end in ["WAIT", "BROKE", "reset"] {
             let engines = [Engine::start("a"), Engine::start("b")];
-            let (_board, router) = started(&[&engines[0], &engines[1]]);
+            let (_discovery, router) = started(&[&engines[0], &engines[1]]);
             let mut witness = Client::new(&router);
             let text = heavy("look", 20000, "hold");
             let call = text.split_once("call=").unwrap().1[..16].to_string();
@@ -173,7 +173,7 @@
 #[test]
 fn no_attempt_leaves_on_a_late_connection_for_a_client_that_left_while_it_was_awaited() {
     let (engine, door) = Engine::late("e");
-    let (_board, router) = changed(&[&engine], patient);
+    let (_discovery, router) = changed(&[&engine], patient);
     let mut witness = Client::new(&router);
     let mut pairs: Vec<Pair> =
         ALL.map(|how| Pair::asking(&router, &heavy("look", 20000, &format!("{how:?}")))).into();
@@ -190,7 +190,7 @@
 #[test]
 fn no_attempt_leaves_on_a_late_connection_that_comes_up_in_the_turn_that_reads_its_clients_end() {
     let (engine, door) = Engine::late("e");
-    let (_board, router) = changed(&[&engine], patient);
+    let (_discovery, router) = changed(&[&engine], patient);
     let mut witness = Client::new(&router);
     let mut pairs: Vec<Pair> =
         ALL.map(|how| Pair::asking(&router, &heavy("look", 20000, &format!("{how:?}")))).into();
@@ -242,7 +242,7 @@
     let promised = Promised::by(&engine);
     // It is worth its while for long.
     let longer = |text: String| text.replace("\"objective-us\":1000000", "\"objective-us\":20000000");
-    let (board, router) = changed(&[], longer);
+    let (discovery, router) = changed(&[], longer);
     let mut client = Client::new(&router);
     let sent = Instant::now();
     let ttl = 5 * TTL;
@@ -250,7 +250,7 @@
     Client::new(&router).counters("open", 1);
     std::thread::sleep(LONG);
     let waited = sent.elapsed();
-    board.tell(false, &[engine.entry("ready")]);
+    discovery.tell(false, &[engine.entry("ready")]);
     assert_eq!(client.answer(), row());
     promised.is_within(1, ttl, waited);
 }
@@ -259,7 +259,7 @@
 fn a_server_is_promised_what_is_left_after_a_long_wait_for_its_connection() {
     let (engine, door) = Engine::late("e");
     let promised = Promised::by(&engine);
-    let (_board, router) = changed(&[&engine], patient);
+    let (_discovery, router) = changed(&[&engine], patient);
     let mut client = Client::new(&router);
     let sent = Instant::now();
     client.send(&heavy("look", TTL, "x"));
@@ -275,7 +275,7 @@
 fn a_server_of_a_later_attempt_is_promised_what_the_earlier_ones_left() {
     let engine = Engine::start("e");
     let promised = Promised::by(&engine);
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     let text = heavy("look", TTL, "hold");
     let call = text.split_once("call=").unwrap().1[..16].to_string();
@@ -294,7 +294,7 @@
 fn a_slow_clients_server_is_promised_what_is_left_since_the_last_byte() {
     let engine = Engine::start("e");
     let promised = Promised::by(&engine);
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     let bytes = query(&heavy("look", TTL, "x"));
     let (last, pieces) = bytes.split_last().unwrap();
@@ -319,7 +319,7 @@
 fn a_request_sent_behind_another_has_its_time_from_its_own_last_byte() {
     let engine = Engine::start("e");
     let promised = Promised::by(&engine);
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     let first = heavy("once", TTL, "hold");
     let call = first.split_once("call=").unwrap().1[..16].to_string();
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -12,7 +12,7 @@
 
 struct World {
     engine: Shared,
-    _board: Board,
+    _discovery: Discovery,
     router: Router,
     file: PathBuf,
 }
@@ -22,15 +22,15 @@
     let file = std::env::temp_dir().join(format!("cleatgw-teams-{}-{number}.json", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let engine = Shared::start("e", cores);
-    let board = Board::start();
-    board.tell(true, &[engine.entry()]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry()]);
     let names = r#"[{"name":"greedy"},{"name":"modest"}]"#;
     let change = |text: String| {
         text.replace(r#"[{"name":"town"}]"#, names).replace("\"cores-by-kind\":[8]", "\"cores-by-kind\":[2]")
     };
     let arguments = ["--teams", file.to_str().unwrap()];
-    let router = Router::changed(PROGRAM, &board, 512, &arguments, change);
-    World { engine, _board: board, router, file }
+    let router = Router::changed(PROGRAM, &discovery, 512, &arguments, change);
+    World { engine, _discovery: discovery, router, file }
 }
 
 impl Drop for World {
@@ -104,9 +104,9 @@
 #[test]
 fn without_a_teams_file_there_are_no_teams_to_show() {
     let engine = Engine::start("e");
-    let board = Board::start();
-    board.tell(true, &[engine.entry("ready")]);
-    let router = Router::with(PROGRAM, &board, 256, &[]);
+    let discovery = Discovery::start();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let router = Router::with(PROGRAM, &discovery, 256, &[]);
     let answer = Client::new(&router).ask("SHOW TEAMS");
     assert!(
         matches!(&answer, Answered::Error(1064, words) if words.contains("nothing of the kind")),
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -9,18 +9,18 @@
 const DESCRIPTORS: u32 = 256;
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
-/// A board that lists these engines, and a router on it.
-fn started(engines: &[&Engine]) -> (Board, Router) {
+/// A discovery service that lists these engines, and a router on it.
+fn started(engines: &[&Engine]) -> (Discovery, Router) {
     limited(engines, DESCRIPTORS)
 }
 
 /// The same, with so many descriptors.
-fn limited(engines: &[&Engine], descriptors: u32) -> (Board, Router) {
-    let board = Board::start();
+fn limited(engines: &[&Engine], descriptors: u32) -> (Discovery, Router) {
+    let discovery = Discovery::start();
     let entries: Vec<String> = engines.iter().map(|engine| engine.entry("ready")).collect();
-    board.tell(true, &entries);
-    let router = Router::with(PROGRAM, &board, descriptors, &[]);
-    (board, router)
+    discovery.tell(true, &entries);
+    let router = Router::with(PROGRAM, &discovery, descriptors, &[]);
+    (discovery, router)
 }
 
 fn rows(count: usize) -> Answered {
@@ -30,7 +30,7 @@
 #[test]
 fn login_and_first_query_before_the_greeting_and_a_result_of_many_pages() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let first = request("look", 5000, "pages 8 FROM sales_17.t");
     let mut client = Client::early(&router, &[login(), query(&first)].concat());
     assert_eq!((client.answer(), client.answer()), (Answered::Ok, rows(8)));
@@ -45,7 +45,7 @@
 #[test]
 fn packets_in_single_bytes_and_several_in_one_write() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::early(&router, &[]);
     for byte in [login(), query(&request("look", 5000, "x"))].concat() {
         client.stream.write_all(&[byte]).unwrap();
@@ -61,7 +61,7 @@
 #[test]
 fn what_drivers_ask_at_their_start_and_what_no_request_can_be_made_of() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     assert_eq!(client.ask("SET NAMES utf8mb4"), Answered::Ok);
     for (text, why) in [
@@ -88,7 +88,7 @@
 #[test]
 fn malformed_bytes_end_only_their_connection() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut good = Client::new(&router);
     for bytes in
         [&b"GET / HTTP/1.1\r\n\r\n"[..], &[1, 0, 0, 1, 0], &[0xff, 0xff, 0xff, 1], &packet(5, b"\x03x")]
@@ -107,7 +107,7 @@
 #[test]
 fn a_killed_query_has_its_attempt_given_up_and_its_session_goes_on() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     let text = request("look", 20000, "hold");
     client.send(&text);
@@ -125,14 +125,14 @@
 #[test]
 fn a_refused_engine_proves_that_nothing_ran_and_a_reset_does_not() {
     let away = Engine { address: vacant(), ..Engine::start("away") };
-    let (board, router) = started(&[&away]);
+    let (discovery, router) = started(&[&away]);
     let mut client = Client::new(&router);
     // A non-idempotent request goes on as nothing ran, and is rejected when no engine can be had.
     assert!(
         matches!(client.ask(&request("once", 1000, "x")), Answered::Error(1040, words) if words.contains("pushback="))
     );
     let resets = Engine::start("resets");
-    board.tell(true, &[resets.entry("ready")]);
+    discovery.tell(true, &[resets.entry("ready")]);
     router.log.wait("is resets", 1);
     assert!(matches!(client.ask(&request("once", 5000, "reset")), Answered::Error(1105, _)));
     assert_eq!(resets.seen.wait("GET", 1).len(), 1);
@@ -146,7 +146,7 @@
         [("resets", "reset"), ("full", "full"), ("loses", "pages 4"), ("garbage", "garbage")]
     {
         let (bad, good) = (Engine::start(uid), Engine::start("good"));
-        let (_board, router) = started(&[&bad, &good]);
+        let (_discovery, router) = started(&[&bad, &good]);
         let mut client = Client::new(&router);
         let expected = if uid == "loses" { rows(4) } else { rows(1) };
         // Whatever order a group's engines have, some group begins with the bad one.
@@ -164,7 +164,7 @@
 #[test]
 fn an_engine_whose_connection_is_mute_is_connected_to_anew() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     // So heavy that its attempt is waited for long.
     client.send(&request("look", 20000, "mute").replace("work=5.0", "work=4000"));
@@ -178,7 +178,7 @@
 #[test]
 fn a_machine_that_vanishes_takes_its_attempts_with_it_and_holds_up_no_other() {
     let vanished = Engine::vanished("v");
-    let (board, router) = started(&[&vanished]);
+    let (discovery, router) = started(&[&vanished]);
     let mut client = Client::new(&router);
     // So heavy that their attempts would be waited for long.
     let heavy = |class: &str| request(class, 20000, "x").replace("work=5.0", "work=4000");
@@ -188,7 +188,7 @@
     other.send(&heavy("once"));
     vanished.seen.wait("queue=once", 1);
     let good = Engine::start("good");
-    board.tell(false, &[good.entry("ready")]);
+    discovery.tell(false, &[good.entry("ready")]);
     // What is pure goes elsewhere, what is non-idempotent may have run.
     assert_eq!(client.answer(), rows(1));
     assert!(matches!(other.answer(), Answered::Error(1105, _)));
@@ -198,20 +198,20 @@
 }
 
 #[test]
-fn the_board_may_drop_talk_nonsense_and_replace_engines_at_their_address() {
+fn the_discovery_may_drop_talk_nonsense_and_replace_engines_at_their_address() {
     let first = Engine::start("first");
-    let (board, router) = started(&[&first]);
+    let (discovery, router) = started(&[&first]);
     let mut client = Client::new(&router);
     assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
-    board.drop_all();
+    discovery.drop_all();
     // It comes again with the last event that it holds.
-    assert_eq!(board.seen.wait("watch 1", 2).len(), 2);
-    board.say("{\"rev\":\n");
+    assert_eq!(discovery.seen.wait("watch 1", 2).len(), 2);
+    discovery.say("{\"rev\":\n");
     router.log.wait("notice board lost: malformed", 1);
-    board.seen.wait("watch 1", 3);
+    discovery.seen.wait("watch 1", 3);
     // The old list stood; now another engine has the old one's address.
     let second = Engine { uid: "second".to_string(), ..first.clone() };
-    board.tell(false, &[first.entry("gone"), second.entry("ready")]);
+    discovery.tell(false, &[first.entry("gone"), second.entry("ready")]);
     router.log.wait("is second", 1);
     assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     assert_eq!(first.seen.wait("connection", 2).len(), 2, "it shares no connection with the old one");
@@ -220,7 +220,7 @@
 #[test]
 fn clients_that_are_idle_or_read_nothing_hold_up_nobody() {
     let engine = Engine::start("e");
-    let (_board, router) = limited(&[&engine], 64);
+    let (_discovery, router) = limited(&[&engine], 64);
     // More than the descriptors allow: the idle ones make room.
     let mut idle: Vec<Client> = (0..100).map(|_| Client::new(&router)).collect();
     let mut deaf = Client::new(&router);
@@ -235,7 +235,7 @@
 #[test]
 fn who_dawdles_is_closed_soon_and_who_asked_once_may_stay() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut stays = Client::new(&router);
     assert_eq!(stays.ask(&request("look", 5000, "x")), rows(1));
     let begun = Instant::now();
@@ -258,7 +258,7 @@
 #[test]
 fn strangers_that_say_nothing_make_room_before_clients_that_have_asked() {
     let engine = Engine::start("e");
-    let (_board, router) = limited(&[&engine], 64);
+    let (_discovery, router) = limited(&[&engine], 64);
     let mut stay: Vec<Client> = (0..8).map(|_| Client::new(&router)).collect();
     let half = &login()[..9];
     for _ in 0..2 {
@@ -275,7 +275,7 @@
 #[test]
 fn what_is_asked_while_the_router_stands_still_is_answered_in_its_clients_time() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     router.stop_for(Duration::from_millis(1500), || client.send(&request("look", 2000, "hold")));
     let asked = Instant::now() - Duration::from_millis(1500);
@@ -286,7 +286,7 @@
 #[test]
 fn answers_that_are_read_late_are_whole_all_the_same() {
     let engine = Engine::start("wide");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut slow = Client::new(&router);
     // Several times what the system buffers between the two; the queries wait in turn.
     let text: Vec<Vec<u8>> = (0..300).map(|_| query(&request("look", 30000, "pages 8"))).collect();
@@ -303,7 +303,7 @@
 fn running_out_of_descriptors_costs_idle_sessions_only() {
     let engine = Engine::start("e");
     // Fewer than the router's shares for clients and engines and what it needs itself.
-    let (_board, router) = limited(&[&engine], 20);
+    let (_discovery, router) = limited(&[&engine], 20);
     let mut open = Client::new(&router);
     open.send(&request("look", 20000, "hold"));
     engine.seen.wait("GET", 1);
@@ -319,7 +319,7 @@
 #[test]
 fn a_log_that_nobody_reads_holds_up_nothing() {
     let engine = Engine::start("e");
-    let (_board, router) = started(&[&engine]);
+    let (_discovery, router) = started(&[&engine]);
     let mut client = Client::new(&router);
     let started_at = Instant::now();
     let unread = router.reading.lock().unwrap();
@@ -341,7 +341,7 @@
 #[test]
 fn a_planned_stop_serves_what_still_comes_and_answers_every_request() {
     let engine = Engine::start("e");
-    let (_board, mut router) = started(&[&engine]);
+    let (_discovery, mut router) = started(&[&engine]);
     let mut long = Client::new(&router);
     long.send(&request("load", 20000, "hold"));
     engine.seen.wait("GET", 1);
@@ -398,25 +398,25 @@
 
 #[test]
 fn ping_is_answered_once_engines_are_known() {
-    let board = Board::start();
-    let router = Router::with(PROGRAM, &board, DESCRIPTORS, &[]);
+    let discovery = Discovery::start();
+    let router = Router::with(PROGRAM, &discovery, DESCRIPTORS, &[]);
     let mut client = Client::new(&router);
     client.stream.write_all(&packet(0, &[0x0e])).unwrap();
     let mut byte = [0];
     client.stream.set_nonblocking(true).unwrap();
     assert!(client.stream.read(&mut byte).is_err());
     client.stream.set_nonblocking(false).unwrap();
-    board.tell(true, &[Engine::start("e").entry("ready")]);
+    discovery.tell(true, &[Engine::start("e").entry("ready")]);
     assert_eq!(client.answer(), Answered::Ok);
 }
 
 #[test]
-fn a_board_that_is_away_costs_no_turns() {
+fn a_discovery_that_is_away_costs_no_turns() {
     let engine = Engine::start("e");
-    let mut board = Board::start();
-    board.address = vacant();
-    board.tell(true, &[engine.entry("ready")]);
-    let router = Router::with(PROGRAM, &board, DESCRIPTORS, &[]);
+    let mut discovery = Discovery::start();
+    discovery.address = vacant();
+    discovery.tell(true, &[engine.entry("ready")]);
+    let router = Router::with(PROGRAM, &discovery, DESCRIPTORS, &[]);
     let mut client = Client::new(&router);
     // Half a second passes while this waits for its deadline.
     assert!(matches!(client.ask(&request("look", 500, "hold")), Answered::Error(1040, _)));
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_board_and_one_that_is_no_use_changes_nothing() {
+fn a_new_configuration_moves_the_discovery_and_one_that_is_no_use_changes_nothing() {
     let (first, second, third) = (Engine::start("first"), Engine::start("second"), Engine::start("third"));
     let (old, mut router) = started(&[&first]);
     let mut client = Client::new(&router);
@@ -442,7 +442,7 @@
         format!(r#"{{"rev":9,"notices":[{{"rev":{number},"pool":{{"all":false,"targets":[{entry}]}}}}]}}"#)
     };
     let new = old.moved();
-    // An event that is newer is taken from the file, one behind a gap is left to the board.
+    // An event that is newer is taken from the file, one behind a gap is left to the discovery service.
     let text = router.configuration(&new, &known(2, second.entry("ready")));
     old.tell(false, &[second.entry("ready")]);
     router.reload(&text.replace("\"memory_mb\":192", "\"memory_mb\":99"));
