--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -56,7 +56,7 @@
     gateway: Gateway,
     names: Names,
     ids: Ids,
-    teams: Option<TeamNames>,
+    tenants: Option<TeamNames>,
     /// What instances tell each other of engines, where the deployment allows that, and which life each engine is in.
     rounds: Option<Rounds>,
     lives: Vec<EngineLife>,
@@ -172,7 +172,7 @@
     filling: Option<(u64, u64)>,
     faults: String,
     /// Who shares the engines, where the operator says so.
-    pub teams: Option<TeamsFile>,
+    pub tenants: Option<TeamsFile>,
     /// Instances tell each other of engines, where the deployment allows that.
     pub tells: bool,
 }
@@ -241,17 +241,17 @@
                 let (deployment, names) =
                     read.map_err(|Complaint(words)| Complaint(format!("BEGIN: {words}")))?;
                 let mut gateway = Gateway::new(deployment, seed, self.now);
-                let teams = self.teams.as_ref().map(|file| {
-                    let (line, teams) = file.line(self.now, &names.classes);
-                    gateway.teams(self.now, line, &|_| 0);
-                    teams
+                let tenants = self.tenants.as_ref().map(|file| {
+                    let (line, tenants) = file.line(self.now, &names.classes);
+                    gateway.tenants(self.now, line, &|_| 0);
+                    tenants
                 });
                 let talks = pairs.instances();
                 let talks = talks.map_err(|Complaint(words)| Complaint(format!("BEGIN: {words}")))?;
                 let rounds =
                     talks.filter(|_| self.tells).map(|(me, all)| Rounds::new(me, all, seed, self.now));
                 let (ids, lives, hear_at) = Default::default();
-                let instance = Instance { gateway, names, ids, teams, rounds, lives, hear_at };
+                let instance = Instance { gateway, names, ids, tenants, rounds, lives, hear_at };
                 self.instances.insert(name.to_string(), instance);
             }
             "KILLED" => {
@@ -490,7 +490,7 @@
         let wire_id = fields.whole("req")?;
         let cost = fields.maybe::<u64>("plan-cost-us", "a whole number")?;
         let tenant = fields.text();
-        let team = self.teams.as_ref().map_or(0, |teams| teams.of(tenant));
+        let tenant = self.tenants.as_ref().map_or(0, |tenants| tenants.of(tenant));
         let key = fields.text();
         let key = match key {
             None => None,
@@ -518,7 +518,7 @@
             cost: cost.filter(|&cost| bits & 1 == 1 && cost > 0).map(seconds),
             memory_mb: memory.filter(|&memory| memory > 0.0),
             deadline,
-            team,
+            tenant,
             earlier: None,
         };
         self.gateway.request_received(now, request, taken);
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -9,7 +9,7 @@
 
 fn serve(input: &mut dyn BufRead, output: &mut dyn Write, told: Told) -> Result<(), String> {
     let mut host = host::Host::default();
-    (host.teams, host.tells) = (told.teams, told.tells);
+    (host.tenants, host.tells) = (told.tenants, told.tells);
     let mut text = Vec::new();
     let mut number = 0;
     loop {
@@ -32,11 +32,11 @@
     Ok(())
 }
 
-/// What the command line says: the operator's teams (`--teams FILE`), and that instances tell each other of engines where
+/// What the command line says: the operator's tenants (`--teams file`), and that instances tell each other of engines where
 /// the deployment allows that (`--tell-of-engines`).
 #[derive(Default)]
 struct Told {
-    teams: Option<TeamsFile>,
+    tenants: Option<TeamsFile>,
     tells: bool,
 }
 
@@ -44,12 +44,12 @@
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match &arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => Ok(Told::default()),
-        ["--tell-of-engines"] => Ok(Told { teams: None, tells: true }),
+        ["--tell-of-engines"] => Ok(Told { tenants: None, tells: true }),
         ["--teams", path] => {
             let text = std::fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))?;
-            let teams =
+            let tenants =
                 cleatgw_operator::read_teams(&text).map_err(|wrong| format!("{path}: {}", wrong.0))?;
-            Ok(Told { teams: Some(teams), tells: false })
+            Ok(Told { tenants: Some(tenants), tells: false })
         }
         other => Err(format!("expected --teams FILE, --tell-of-engines or nothing, got {}", other.join(" "))),
     }
--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -43,9 +43,9 @@
 }
 
 /// A teams file that is told from others by how many it has.
-fn teams(count: u32) -> String {
-    let teams: Vec<String> = (0..count).map(|at| format!(r#"{{"name":"t{at}","weight":1}}"#)).collect();
-    format!(r#"{{"teams":[{}]}}"#, teams.join(","))
+fn tenants(count: u32) -> String {
+    let tenants: Vec<String> = (0..count).map(|at| format!(r#"{{"name":"t{at}","weight":1}}"#)).collect();
+    format!(r#"{{"teams":[{}]}}"#, tenants.join(","))
 }
 
 /// Seconds of a core that the router's process has had.
@@ -59,8 +59,8 @@
 struct Fleet {
     routers: Vec<Router>,
     folder: Folder,
-    /// Of the last change: so many teams.
-    teams: u32,
+    /// Of the last change: so many tenants.
+    tenants: u32,
     /// Why one of them is not there any more.
     died: usize,
 }
@@ -68,18 +68,18 @@
 impl Fleet {
     fn start(program: &Path, routers: usize, discovery: &Discovery) -> Result<Fleet, String> {
         let (program, folder) = (program.to_string_lossy(), Folder::new(&format!("hand-{routers}"))?);
-        let first = teams(10);
+        let first = tenants(10);
         let start = |at| {
             let file = folder.write(&format!("teams-{at}.json"), &first);
             Router::with(&program, discovery, 128, &["--teams", &file])
         };
-        Ok(Fleet { routers: (0..routers).map(start).collect(), folder, teams: 10, died: 0 })
+        Ok(Fleet { routers: (0..routers).map(start).collect(), folder, tenants: 10, died: 0 })
     }
 
     /// Writes a change to all machines, one after another, and tells each router.
     fn change(&mut self) {
-        self.teams = 10 + (self.teams - 9) % 80;
-        let text = teams(self.teams);
+        self.tenants = 10 + (self.tenants - 9) % 80;
+        let text = tenants(self.tenants);
         for (at, router) in self.routers.iter().enumerate() {
             self.folder.write(&format!("teams-{at}.json"), &text);
             router.signal(Signal::HUP);
@@ -88,7 +88,7 @@
 
     /// The last change is in force at all; those that died are counted.
     fn in_force(&mut self) {
-        let words = format!("teams={}", self.teams);
+        let words = format!("teams={}", self.tenants);
         for router in &mut self.routers {
             match router.over() {
                 Some(_) => self.died += 1,
@@ -196,7 +196,7 @@
     let listens = [vacant_udp(), vacant_udp()];
     let cluster = cluster_file("lab", &names, &listens);
     let files = [
-        ("teams", teams(10)),
+        ("teams", tenants(10)),
         ("cluster", cluster.clone()),
         ("service", service_file(&[], "")),
         ("store", format!(r#"{{"path":"{}/kept-1.redb"}}"#, folder.0.display())),
@@ -241,7 +241,7 @@
     };
     let none = || None;
     let fixed = |field: &str| format!("configuration: {field} can't change while running");
-    plays("teams file", "teams file taken", &in_file("teams", teams(11)), &none);
+    plays("teams file", "teams file taken", &in_file("teams", tenants(11)), &none);
     let text_of_three = cluster_file(
         "lab",
         &["n1".into(), "n2".into(), "n3".into()],
@@ -305,7 +305,7 @@
     fleet.change();
     fleet.in_force();
     std::thread::sleep(Duration::from_secs(5));
-    let words = format!("teams={}", fleet.teams);
+    let words = format!("teams={}", fleet.tenants);
     let has = |router: &Router| router.log.all().iter().any(|line| line.contains(&words));
     let (near, away) =
         (fleet.routers.iter().filter(|one| has(one)).count(), far.iter().filter(|one| has(one)).count());
@@ -321,7 +321,7 @@
     fleet.routers[0].signal(Signal::STOP);
     fleet.change();
     std::thread::sleep(Duration::from_millis(300));
-    let words = format!("teams={}", fleet.teams);
+    let words = format!("teams={}", fleet.tenants);
     let frozen = fleet.routers[0].log.all().iter().any(|line| line.contains(&words));
     fleet.routers[0].signal(Signal::CONT);
     fleet.in_force();
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod shim;
 pub mod standins;
 pub mod streams;
-pub mod teams;
+pub mod tenants;
 pub mod verdict;
 pub mod virtual_comeback;
 pub mod virtual_members;
--- a/crates/lab/src/line.rs
+++ b/crates/lab/src/line.rs
@@ -1,4 +1,4 @@
-//! What the line costs as requests and teams grow.
+//! What the line costs as requests and tenants grow.
 
 use cleatgw_queue::{Line, Terms, Waiting};
 use rand::rngs::SmallRng;
@@ -6,19 +6,19 @@
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// Nanoseconds for one request's whole way (held, estimated, offered, dispatched, over) with so many in line of so many teams.
-fn cost(requests: usize, teams: usize, seed: u64) -> f64 {
+/// Nanoseconds for one request's whole way (held, estimated, offered, dispatched, over) with so many in line of so many tenants.
+fn cost(requests: usize, tenants: usize, seed: u64) -> f64 {
     let mut chance = SmallRng::seed_from_u64(seed);
     let leaf =
         |at: usize| Terms { weight: 1.0 + (at % 7) as f64, budget: Some((0.5, 2.0)), ..Terms::default() };
-    let mut line = Line::new([Terms::default()].into_iter().chain((0..teams).map(leaf)).collect(), 0.0);
+    let mut line = Line::new([Terms::default()].into_iter().chain((0..tenants).map(leaf)).collect(), 0.0);
     let mut requests_of: Vec<(usize, f64)> = Vec::new();
     let mut come = |line: &mut Line, requests_of: &mut Vec<(usize, f64)>, now: f64| {
-        let (request, team, work) =
-            (requests_of.len(), 1 + chance.random_range(0..teams), chance.random_range(0.01..1.0));
-        requests_of.push((team, work));
+        let (request, tenant, work) =
+            (requests_of.len(), 1 + chance.random_range(0..tenants), chance.random_range(0.01..1.0));
+        requests_of.push((tenant, work));
         let density = 1.0 / work;
-        line.hold(Waiting { request, team, class: 0, density, work, since: now, never_ran: true }, now);
+        line.hold(Waiting { request, tenant, class: 0, density, work, since: now, never_ran: true }, now);
         request
     };
     for _ in 0..requests {
@@ -32,9 +32,9 @@
         let wait = line.wait_of(request, now);
         line.waits.told(request, wait, now);
         if let Some(request) = line.next(now) {
-            let (team, work) = requests_of[request];
+            let (tenant, work) = requests_of[request];
             line.went(request, now);
-            line.over(team, work, work * 1.1, now);
+            line.over(tenant, work, work * 1.1, now);
         }
         // One more that does not fit, as the module tries some in vain.
         line.next(now);
@@ -43,11 +43,11 @@
     began.elapsed().as_secs_f64() * 1e9 / f64::from(rounds)
 }
 
-pub fn measure(requests: usize, teams: usize, seed: u64) -> Value {
-    let steps = [(100, 10), (1000, 100), (10_000, 1000), (requests, teams)];
+pub fn measure(requests: usize, tenants: usize, seed: u64) -> Value {
+    let steps = [(100, 10), (1000, 100), (10_000, 1000), (requests, tenants)];
     let costs: Vec<Value> = steps
         .into_iter()
-        .map(|(requests, teams)| json!({ "jobs": requests, "teams": teams, "ns_a_job": cost(requests, teams, seed).round() }))
+        .map(|(requests, tenants)| json!({ "jobs": requests, "teams": tenants, "ns_a_job": cost(requests, tenants, seed).round() }))
         .collect();
     json!({ "costs": costs })
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! `cleatgw-lab`: measurements that the kit's benches can't show. The last line of each is one JSON object.
 
 use bpaf::{construct, long, OptionParser, Parser};
-use cleatgw_lab::{capacity, comeback, drain, flap, fleet, line, members, teams, virtual_comeback};
+use cleatgw_lab::{capacity, comeback, drain, flap, fleet, line, members, tenants, virtual_comeback};
 use std::path::PathBuf;
 
 enum Command {
@@ -30,7 +30,7 @@
     },
     Line {
         requests: usize,
-        teams: usize,
+        tenants: usize,
         seed: u64,
     },
     Members {
@@ -112,7 +112,7 @@
     };
     let fleet =
         fleet.to_options().descr("Many announcers under shared failures, in virtual time").command("fleet");
-    let teams = {
+    let tenants = {
         let scenario =
             long("scenario").help("greedy, silent, greedy+silent, return, heavy-light or overload");
         let scenario = scenario.argument::<String>("NAME").fallback("greedy".to_string());
@@ -123,12 +123,12 @@
         let ageing = ageing.argument::<f64>("S").optional();
         construct!(Command::Teams { scenario, seed, seconds, ageing, plot, program })
     };
-    let teams = teams.to_options().descr("Teams that share engines through one router").command("teams");
+    let tenants = tenants.to_options().descr("Teams that share engines through one router").command("teams");
     let line = {
         let requests = long("jobs").help("Jobs in line").argument::<usize>("N").fallback(100_000);
-        let teams = long("teams").help("Teams").argument::<usize>("N").fallback(10_000);
+        let tenants = long("teams").help("Teams").argument::<usize>("N").fallback(10_000);
         let seed = seed();
-        construct!(Command::Line { requests, teams, seed })
+        construct!(Command::Line { requests, tenants, seed })
     };
     let line = line.to_options().descr("What the line costs as jobs and teams grow").command("line");
     let members = {
@@ -196,7 +196,7 @@
     };
     let capacity =
         capacity.to_options().descr("What the program needs as the fleet grows").command("capacity");
-    construct!([capacity, drain, flap, fleet, members, words, cost, comeback, teams, line])
+    construct!([capacity, drain, flap, fleet, members, words, cost, comeback, tenants, line])
         .to_options()
         .descr("The laboratory: loopback and virtual time only")
 }
@@ -236,8 +236,8 @@
         Command::Flap { minutes, per_minute, seed, program } => {
             flap::measure(&program, minutes.clamp(0.05, 60.0), per_minute.clamp(0.0, 600.0), seed)
         }
-        Command::Line { requests, teams, seed } => {
-            line::measure(requests.clamp(1, 1_000_000), teams.clamp(1, 100_000), seed)
+        Command::Line { requests, tenants, seed } => {
+            line::measure(requests.clamp(1, 1_000_000), tenants.clamp(1, 100_000), seed)
         }
         Command::Members { in_virtual_time: true, routers, seed, seconds, plot, .. } => {
             members::measure_virtual(routers.clamp(2, 1000), seed, seconds.clamp(0.0, 600.0), plot.as_deref())
@@ -258,7 +258,7 @@
             members::words(&program, routers.clamp(2, 20), seed, rate.clamp(0.1, 200.0))
         }
         Command::Teams { scenario, seed, seconds, ageing, plot, program } => {
-            teams::measure(&program, &scenario, seed, seconds.clamp(2.0, 600.0), ageing, plot.as_deref())
+            tenants::measure(&program, &scenario, seed, seconds.clamp(2.0, 600.0), ageing, plot.as_deref())
         }
         Command::Fleet { routers, seed, plot } => {
             fleet::measure(routers.clamp(2, 2000), seed, plot.as_deref())
--- a/crates/lab/src/teams.rs
+++ b/crates/lab/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Teams that share engines through one real router: what each waits, against what it would wait with its share alone.
+//! Tenants that share engines through one real router: what each waits, against what it would wait with its share alone.
 
 use crate::shared::Shared;
 use crate::standins::{counter, Answered, Client, Discovery, Router};
@@ -13,7 +13,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// What one team sends.
+/// What one tenant sends.
 #[derive(Clone, Debug)]
 struct Sends {
     name: &'static str,
@@ -25,7 +25,7 @@
 }
 
 struct Scenario {
-    teams: Vec<Sends>,
+    tenants: Vec<Sends>,
     /// One of the engines answers nothing in this part of the run.
     silent: Option<(f64, f64)>,
 }
@@ -33,7 +33,7 @@
 const ENGINES: usize = 2;
 const CORES: f64 = 8.0;
 const ALWAYS: (f64, f64) = (0.0, 1.0);
-/// Connections a team.
+/// Connections a tenant.
 const CLIENTS: usize = 80;
 /// How long a client waits, in milliseconds.
 const PATIENCE: u64 = 4000;
@@ -41,32 +41,32 @@
 
 /// Capacity is 16 cores: 16,000 ms of work a second.
 fn scenario(name: &str) -> Option<Scenario> {
-    let team = |name, weight, rate, work_ms, during| Sends { name, weight, rate, work_ms, during };
-    let modest = team("modest", 1.0, 40.0, 100.0, ALWAYS);
+    let tenant = |name, weight, rate, work_ms, during| Sends { name, weight, rate, work_ms, during };
+    let modest = tenant("modest", 1.0, 40.0, 100.0, ALWAYS);
     // Ten times half of the engines.
-    let greedy = team("greedy", 1.0, 800.0, 100.0, ALWAYS);
+    let greedy = tenant("greedy", 1.0, 800.0, 100.0, ALWAYS);
     let silent = Some((0.4, 0.6));
     Some(match name {
-        "greedy" => Scenario { teams: vec![modest, greedy], silent: None },
+        "greedy" => Scenario { tenants: vec![modest, greedy], silent: None },
         "silent" => {
-            let other = team("other", 1.0, 40.0, 100.0, ALWAYS);
-            Scenario { teams: vec![modest, other], silent }
+            let other = tenant("other", 1.0, 40.0, 100.0, ALWAYS);
+            Scenario { tenants: vec![modest, other], silent }
         }
-        "greedy+silent" => Scenario { teams: vec![modest, greedy], silent },
+        "greedy+silent" => Scenario { tenants: vec![modest, greedy], silent },
         "return" => {
-            let steady = team("steady", 1.0, 150.0, 100.0, ALWAYS);
-            let back = team("back", 1.0, 300.0, 100.0, (0.5, 0.8));
-            Scenario { teams: vec![steady, back], silent: None }
+            let steady = tenant("steady", 1.0, 150.0, 100.0, ALWAYS);
+            let back = tenant("back", 1.0, 300.0, 100.0, (0.5, 0.8));
+            Scenario { tenants: vec![steady, back], silent: None }
         }
         "heavy-light" => {
-            let light = team("light", 1.0, 300.0, 20.0, ALWAYS);
-            let heavy = team("heavy", 1.0, 30.0, 800.0, ALWAYS);
-            Scenario { teams: vec![light, heavy], silent: None }
+            let light = tenant("light", 1.0, 300.0, 20.0, ALWAYS);
+            let heavy = tenant("heavy", 1.0, 30.0, 800.0, ALWAYS);
+            Scenario { tenants: vec![light, heavy], silent: None }
         }
         "overload" => {
-            let one = team("one", 3.0, 400.0, 100.0, ALWAYS);
-            let two = team("two", 1.0, 400.0, 100.0, ALWAYS);
-            Scenario { teams: vec![one, two], silent: None }
+            let one = tenant("one", 3.0, 400.0, 100.0, ALWAYS);
+            let two = tenant("two", 1.0, 400.0, 100.0, ALWAYS);
+            Scenario { tenants: vec![one, two], silent: None }
         }
         _ => return None,
     })
@@ -88,7 +88,7 @@
 }
 
 struct Played {
-    by_team: Vec<Vec<Went>>,
+    by_tenant: Vec<Vec<Went>>,
     counters: String,
 }
 
@@ -96,7 +96,7 @@
 
 fn client(
     router: std::net::SocketAddr,
-    team: &Sends,
+    tenant: &Sends,
     seed: u64,
     began: Instant,
     seconds: f64,
@@ -104,19 +104,19 @@
     let mut chance = SmallRng::seed_from_u64(seed);
     let mut all = Vec::new();
     let Ok(mut client) = Client::at(router) else { return all };
-    let each = CLIENTS as f64 / team.rate;
-    let mut next = team.during.0 * seconds + chance.random_range(0.0..each);
-    while next < team.during.1 * seconds {
+    let each = CLIENTS as f64 / tenant.rate;
+    let mut next = tenant.during.0 * seconds + chance.random_range(0.0..each);
+    while next < tenant.during.1 * seconds {
         let wait = next - began.elapsed().as_secs_f64();
         if wait > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(wait));
         }
         let call = format!("{:016x}", CALL.fetch_add(1, Ordering::Relaxed));
         // Alike requests that share an engine would all end at once.
-        let work = team.work_ms * chance.random_range(0.3..1.7);
+        let work = tenant.work_ms * chance.random_range(0.3..1.7);
         let text = format!(
             "/* op=look,call={call},ttl={PATIENCE},org={},work={work:.1},mb=10 */ work {work:.1} FROM sales_{}.t",
-            team.name,
+            tenant.name,
             chance.random_range(1..20)
         );
         let sent = Instant::now();
@@ -136,20 +136,20 @@
     all
 }
 
-/// The file that makes teams of them; a round robin is a weight of one each.
-fn teams_file(teams: &[Sends], plain: bool, ageing: Option<f64>) -> String {
+/// The file that makes tenants of them; a round robin is a weight of one each.
+fn teams_file(tenants: &[Sends], plain: bool, ageing: Option<f64>) -> String {
     let ageing = ageing.map_or(String::new(), |seconds| format!(r#","ageing_s":{seconds}"#));
-    let team = |team: &Sends| {
-        let weight = if plain { 1.0 } else { team.weight };
-        format!(r#"{{"name":"{}","weight":{weight},"most_queued":200{ageing}}}"#, team.name)
+    let tenant = |tenant: &Sends| {
+        let weight = if plain { 1.0 } else { tenant.weight };
+        format!(r#"{{"name":"{}","weight":{weight},"most_queued":200{ageing}}}"#, tenant.name)
     };
-    let teams: Vec<String> = teams.iter().map(team).collect();
-    format!(r#"{{"teams":[{}]}}"#, teams.join(","))
+    let tenants: Vec<String> = tenants.iter().map(tenant).collect();
+    format!(r#"{{"teams":[{}]}}"#, tenants.join(","))
 }
 
 fn play(
     program: &Path,
-    teams: &[Sends],
+    tenants: &[Sends],
     silent: Option<(f64, f64)>,
     file: Option<&str>,
     cores: f64,
@@ -159,7 +159,8 @@
     let engines: Vec<Shared> = (0..ENGINES).map(|at| Shared::start(&format!("s-{at}"), cores)).collect();
     let discovery = Discovery::start();
     discovery.tell(true, &engines.iter().map(Shared::entry).collect::<Vec<_>>());
-    let names: Vec<String> = teams.iter().map(|team| format!(r#"{{"name":"{}"}}"#, team.name)).collect();
+    let names: Vec<String> =
+        tenants.iter().map(|tenant| format!(r#"{{"name":"{}"}}"#, tenant.name)).collect();
     let change = |text: String| {
         text.replace(r#"[{"name":"town"}]"#, &format!("[{}]", names.join(",")))
             .replace("\"cores-by-kind\":[8]", &format!("\"cores-by-kind\":[{cores}]"))
@@ -173,14 +174,14 @@
     let more: Vec<&str> = more.iter().map(String::as_str).collect();
     let router = Router::changed(&program.to_string_lossy(), &discovery, 1024, &more, change);
     let began = Instant::now();
-    let sent: Mutex<Vec<Vec<(String, Instant, Ended)>>> = Mutex::new(vec![Vec::new(); teams.len()]);
+    let sent: Mutex<Vec<Vec<(String, Instant, Ended)>>> = Mutex::new(vec![Vec::new(); tenants.len()]);
     std::thread::scope(|scope| {
-        for (at, team) in teams.iter().enumerate() {
+        for (at, tenant) in tenants.iter().enumerate() {
             for number in 0..CLIENTS {
                 let (sent, address) = (&sent, router.address);
                 let seed = seed.wrapping_mul(1_000_003).wrapping_add((at * CLIENTS + number) as u64);
                 scope.spawn(move || {
-                    let all = client(address, team, seed, began, seconds);
+                    let all = client(address, tenant, seed, began, seconds);
                     sent.lock().unwrap()[at].extend(all);
                 });
             }
@@ -198,7 +199,7 @@
         let first = got.get(&call).map_or(at, |other| at.min(*other));
         got.insert(call, first);
     }
-    let by_team = sent.into_inner().unwrap().into_iter().map(|requests| {
+    let by_tenant = sent.into_inner().unwrap().into_iter().map(|requests| {
         let went = |(call, sent, ended): (String, Instant, Ended)| Went {
             at: (sent - began).as_secs_f64(),
             wait: got.get(&call).map(|at| at.saturating_duration_since(sent).as_secs_f64()),
@@ -206,7 +207,7 @@
         };
         requests.into_iter().map(went).collect()
     });
-    let played = Played { by_team: by_team.collect(), counters };
+    let played = Played { by_tenant: by_tenant.collect(), counters };
     let _ = std::fs::remove_file(&path);
     played
 }
@@ -227,10 +228,10 @@
     went.iter().filter(|one| one.at >= BEGINS).filter_map(|one| one.wait).collect()
 }
 
-fn report(teams: &[Sends], played: &Played, fair: Option<&[f64]>) -> Value {
-    let mut by_team = Map::new();
-    for (at, team) in teams.iter().enumerate() {
-        let went = &played.by_team[at];
+fn report(tenants: &[Sends], played: &Played, fair: Option<&[f64]>) -> Value {
+    let mut by_tenant = Map::new();
+    for (at, tenant) in tenants.iter().enumerate() {
+        let went = &played.by_tenant[at];
         let count = |ended| went.iter().filter(|one| one.ended == ended).count();
         let waits = waits(went);
         let p99 = quantile(&waits, 0.99);
@@ -247,12 +248,12 @@
             // A turn of the loop and the way there are no wait.
             one["wait_over_fair"] = (p99 / fair[at].max(5.0)).into();
         }
-        by_team.insert(team.name.to_string(), one);
+        by_tenant.insert(tenant.name.to_string(), one);
     }
     let counted = |name| counter(&played.counters, name);
     let (compared, unknown) = (counted("waits_compared"), counted("waits_unknown"));
     json!({
-        "teams": by_team,
+        "teams": by_tenant,
         "estimates": compared,
         "within_20_percent_or_20_ms": counted("waits_near") as f64 / (compared as f64).max(1.0),
         "within_20_percent": counted("waits_within_a_fifth") as f64 / (compared as f64).max(1.0),
@@ -260,20 +261,20 @@
     })
 }
 
-/// Median waits by team and second, with and without teams.
+/// Median waits by tenant and second, with and without tenants.
 fn draw(
     path: &Path,
-    teams: &[Sends],
+    tenants: &[Sends],
     with: &Played,
     without: &Played,
     seconds: f64,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, (1000, 600)).into_drawing_area();
     area.fill(&WHITE)?;
-    for (part, (at, team)) in area.split_evenly((teams.len(), 1)).iter().zip(teams.iter().enumerate()) {
+    for (part, (at, tenant)) in area.split_evenly((tenants.len(), 1)).iter().zip(tenants.iter().enumerate()) {
         let lines = [(without, RED), (with, BLUE)].map(|(played, colour)| {
             let mut by_second: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-            for one in &played.by_team[at] {
+            for one in &played.by_tenant[at] {
                 by_second.entry(one.at as usize).or_default().extend(one.wait);
             }
             let points: Vec<(f64, f64)> =
@@ -281,7 +282,7 @@
             (points, colour)
         });
         let most = lines.iter().flat_map(|line| &line.0).map(|point| point.1).fold(10.0, f64::max);
-        let words = format!("{}: median wait, ms (blue: with teams, red: without)", team.name);
+        let words = format!("{}: median wait, ms (blue: with teams, red: without)", tenant.name);
         let mut chart = ChartBuilder::on(part);
         chart.caption(words, ("sans-serif", 16)).margin(8).x_label_area_size(24).y_label_area_size(48);
         let mut chart = chart.build_cartesian_2d(0.0..seconds, 0.0..most * 1.05)?;
@@ -294,7 +295,7 @@
     Ok(())
 }
 
-/// Plays a scenario with teams, with a plain round robin and without; and each team alone with its share of the cores.
+/// Plays a scenario with tenants, with a plain round robin and without; and each tenant alone with its share of the cores.
 pub fn measure(
     program: &Path,
     name: &str,
@@ -303,30 +304,30 @@
     ageing: Option<f64>,
     plot: Option<&Path>,
 ) -> Value {
-    let Some(Scenario { teams, silent }) = scenario(name) else {
+    let Some(Scenario { tenants, silent }) = scenario(name) else {
         return json!({ "error": format!("no scenario {name:?}: expected one of {}", SCENARIOS.join(" ")) });
     };
-    let total: f64 = teams.iter().map(|team| team.weight).sum();
-    let fair: Vec<f64> = teams
+    let total: f64 = tenants.iter().map(|tenant| tenant.weight).sum();
+    let fair: Vec<f64> = tenants
         .iter()
-        .map(|team| {
-            let cores = CORES * team.weight / total;
-            let alone = play(program, std::slice::from_ref(team), silent, None, cores, seed, seconds);
-            quantile(&waits(&alone.by_team[0]), 0.99)
+        .map(|tenant| {
+            let cores = CORES * tenant.weight / total;
+            let alone = play(program, std::slice::from_ref(tenant), silent, None, cores, seed, seconds);
+            quantile(&waits(&alone.by_tenant[0]), 0.99)
         })
         .collect();
-    let run = |file: Option<&str>| play(program, &teams, silent, file, CORES, seed, seconds);
-    let with = run(Some(&teams_file(&teams, false, ageing)));
-    let robin = run(Some(&teams_file(&teams, true, ageing)));
+    let run = |file: Option<&str>| play(program, &tenants, silent, file, CORES, seed, seconds);
+    let with = run(Some(&teams_file(&tenants, false, ageing)));
+    let robin = run(Some(&teams_file(&tenants, true, ageing)));
     let without = run(None);
-    if let Some(Err(error)) = plot.map(|path| draw(path, &teams, &with, &without, seconds)) {
+    if let Some(Err(error)) = plot.map(|path| draw(path, &tenants, &with, &without, seconds)) {
         eprintln!("no plot: {error}");
     }
-    let mut whole = report(&teams, &with, Some(&fair));
+    let mut whole = report(&tenants, &with, Some(&fair));
     whole["scenario"] = name.into();
     whole["seconds"] = seconds.into();
     whole["ageing_s"] = ageing.into();
-    whole["round_robin"] = report(&teams, &robin, Some(&fair));
-    whole["off"] = report(&teams, &without, Some(&fair));
+    whole["round_robin"] = report(&tenants, &robin, Some(&fair));
+    whole["off"] = report(&tenants, &without, Some(&fair));
     whole
 }
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,12 +1,12 @@
-//! The line of held requests: whose turn it is. Teams share what engines do by weight, in up to three levels; the share is
+//! The line of held requests: whose turn it is. Tenants share what engines do by weight, in up to three levels; the share is
 //! of work, not of requests. No I/O, and nothing is decided here of engines, attempts or refusals: the decision module asks
 //! for the next request to try, and for the one to displace where a line is longer than it may be.
 //!
-//! The order between teams is hierarchical start-time fair queueing (Goyal, Vin and Cheng, "Start-Time Fair Queueing",
-//! 1996; Bennett and Zhang, "Hierarchical Packet Fair Queueing Algorithms", 1996): of the teams that wait, the one goes
-//! next whose work so far, for its weight, is least. A team that was idle joins where the others are: it has saved
-//! nothing. A team within its budget goes before one that is over, so unused share is lent and taken back by time.
-//! Within a team the rank of a request decides, which the module hands in, aged or not ([`Terms::ageing`]).
+//! The order between tenants is hierarchical start-time fair queueing (Goyal, Vin and Cheng, "Start-Time Fair Queueing",
+//! 1996; Bennett and Zhang, "Hierarchical Packet Fair Queueing Algorithms", 1996): of the tenants that wait, the one goes
+//! next whose work so far, for its weight, is least. A tenant that was idle joins where the others are: it has saved
+//! nothing. A tenant within its budget goes before one that is over, so unused share is lent and taken back by time.
+//! Within a tenant the rank of a request decides, which the module hands in, aged or not ([`Terms::ageing`]).
 //!
 //! Times are seconds on the host's clock, work is seconds of one core.
 
@@ -18,10 +18,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The parent of all teams.
+/// The parent of all tenants.
 pub const ROOT: usize = 0;
 
-/// One team, or a group of them. A parent stands before its children.
+/// One tenant, or a group of them. A parent stands before its children.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// Its index in the list; the first one is [`ROOT`] and its own parent.
@@ -62,7 +62,7 @@
 pub struct Waiting {
     pub request: usize,
     /// A leaf of the tree.
-    pub team: usize,
+    pub tenant: usize,
     pub class: usize,
     /// Credit for its work, more than 0: the denser first.
     pub density: f64,
@@ -124,7 +124,7 @@
     }
 }
 
-/// A request that is being tried: its team, and those above it, are charged already.
+/// A request that is being tried: its tenant, and those above it, are charged already.
 #[derive(Clone, Debug)]
 struct Offer {
     waiting: Waiting,
@@ -136,11 +136,11 @@
 pub struct Line {
     nodes: Vec<Node>,
     waiting: BTreeMap<usize, Waiting>,
-    /// Teams by the work that they have in line for their weight, and those whose line is longer than it may be.
+    /// Tenants by the work that they have in line for their weight, and those whose line is longer than it may be.
     longest: BTreeSet<(u64, usize)>,
     too_long: BTreeSet<usize>,
     offers: Vec<Offer>,
-    /// When a team's budget is no longer used up, by time.
+    /// When a tenant's budget is no longer used up, by time.
     refills: BTreeSet<(u64, usize)>,
     /// In all.
     most_queued: usize,
@@ -154,15 +154,15 @@
 }
 
 impl Line {
-    /// One team for all: the densest first.
+    /// One tenant for all: the densest first.
     pub fn single() -> Line {
         Line::new(vec![Terms::default()], 0.0)
     }
 
     /// # Panics
     /// Where a parent does not stand before its child, or a weight is not above 0: the host checks its file.
-    pub fn new(teams: Vec<Terms>, now: f64) -> Line {
-        for (at, terms) in teams.iter().enumerate() {
+    pub fn new(tenants: Vec<Terms>, now: f64) -> Line {
+        for (at, terms) in tenants.iter().enumerate() {
             assert!(
                 terms.parent < at || at == ROOT && terms.parent == ROOT,
                 "team {at}: its parent comes later"
@@ -173,10 +173,10 @@
                 terms.weight
             );
         }
-        let most_queued = teams.first().map_or(usize::MAX, |root| root.most_queued);
+        let most_queued = tenants.first().map_or(usize::MAX, |root| root.most_queued);
         Line {
-            waits: Waits::new(teams.len()),
-            nodes: teams.into_iter().map(|terms| Node::new(terms, now)).collect(),
+            waits: Waits::new(tenants.len()),
+            nodes: tenants.into_iter().map(|terms| Node::new(terms, now)).collect(),
             waiting: BTreeMap::new(),
             longest: BTreeSet::new(),
             too_long: BTreeSet::new(),
@@ -186,7 +186,7 @@
         }
     }
 
-    /// There are teams: not all requests stand in one line.
+    /// There are tenants: not all requests stand in one line.
     pub fn parted(&self) -> bool {
         self.nodes.len() > 1
     }
@@ -203,14 +203,14 @@
         self.len() == 0
     }
 
-    /// Requests and seconds of work that a team has in line, and requests that it has out.
-    pub fn of(&self, team: usize) -> (usize, f64, usize) {
-        self.nodes.get(team).map_or((0, 0.0, 0), |node| (node.queued, node.queued_work, node.out))
+    /// Requests and seconds of work that a tenant has in line, and requests that it has out.
+    pub fn of(&self, tenant: usize) -> (usize, f64, usize) {
+        self.nodes.get(tenant).map_or((0, 0.0, 0), |node| (node.queued, node.queued_work, node.out))
     }
 
-    /// Its place within its team: earlier is less.
+    /// Its place within its tenant: earlier is less.
     fn key(&self, waiting: &Waiting) -> (u64, usize) {
-        let terms = &self.nodes[waiting.team].terms;
+        let terms = &self.nodes[waiting.tenant].terms;
         let ahead = terms.order.get(waiting.class).copied().unwrap_or(0.0);
         let density = if ahead > 0.0 { waiting.density * ahead.exp2() } else { waiting.density };
         let key = match terms.ageing {
@@ -226,17 +226,22 @@
         if self.waiting.contains_key(&waiting.request) {
             return;
         }
-        let waiting = Waiting { team: waiting.team.min(self.nodes.len() - 1), ..waiting };
-        self.waits.joins(waiting.team, self.nodes[waiting.team].queued == 0, self.waiting.is_empty(), now);
+        let waiting = Waiting { tenant: waiting.tenant.min(self.nodes.len() - 1), ..waiting };
+        self.waits.joins(
+            waiting.tenant,
+            self.nodes[waiting.tenant].queued == 0,
+            self.waiting.is_empty(),
+            now,
+        );
         self.waiting.insert(waiting.request, waiting);
         self.enter(&waiting);
         self.refilled(now);
-        self.activate(waiting.team);
+        self.activate(waiting.tenant);
     }
 
     fn enter(&mut self, waiting: &Waiting) {
         let key = self.key(waiting);
-        let node = &mut self.nodes[waiting.team];
+        let node = &mut self.nodes[waiting.tenant];
         node.line.insert(key);
         if waiting.never_ran {
             node.movable.insert(key);
@@ -244,19 +249,19 @@
         self.count(waiting, 1.0);
     }
 
-    /// Takes it off its team's line.
+    /// Takes it off its tenant's line.
     fn exit(&mut self, waiting: &Waiting) {
         let key = self.key(waiting);
-        let node = &mut self.nodes[waiting.team];
+        let node = &mut self.nodes[waiting.tenant];
         node.line.remove(&key);
         node.movable.remove(&key);
         self.count(waiting, -1.0);
     }
 
     fn count(&mut self, waiting: &Waiting, sign: f64) {
-        let team = waiting.team;
-        let before = self.length(team);
-        let mut at = team;
+        let tenant = waiting.tenant;
+        let before = self.length(tenant);
+        let mut at = tenant;
         loop {
             let node = &mut self.nodes[at];
             node.queued = if sign > 0.0 { node.queued + 1 } else { node.queued - 1 };
@@ -268,22 +273,22 @@
             at = node.terms.parent;
         }
         self.longest.remove(&before);
-        let after = self.length(team);
-        let node = &self.nodes[team];
+        let after = self.length(tenant);
+        let node = &self.nodes[tenant];
         if node.queued > 0 {
             self.longest.insert(after);
         }
         // One request alone is never too much work: it could not come at all.
         let much = node.queued_work > node.terms.most_queued_work && node.queued > 1;
         match much || node.queued > node.terms.most_queued {
-            true => self.too_long.insert(team),
-            false => self.too_long.remove(&team),
+            true => self.too_long.insert(tenant),
+            false => self.too_long.remove(&tenant),
         };
     }
 
-    fn length(&self, team: usize) -> (u64, usize) {
-        let node = &self.nodes[team];
-        (rank(node.queued_work / node.terms.weight), team)
+    fn length(&self, tenant: usize) -> (u64, usize) {
+        let node = &self.nodes[tenant];
+        (rank(node.queued_work / node.terms.weight), tenant)
     }
 
     /// It waits no more: it was answered, or its client has gone.
@@ -295,7 +300,7 @@
         self.waits.left(request);
         if let Some(waiting) = self.waiting.remove(&request) {
             self.exit(&waiting);
-            self.settle(waiting.team);
+            self.settle(waiting.tenant);
         }
     }
 
@@ -372,11 +377,11 @@
         while let Some(&(_, child)) = self.nodes[at].active.first() {
             at = child;
         }
-        let team = at;
-        if self.nodes[team].out >= self.nodes[team].terms.most_out {
+        let tenant = at;
+        if self.nodes[tenant].out >= self.nodes[tenant].terms.most_out {
             return None;
         }
-        let &(_, request) = self.nodes[team].line.first()?;
+        let &(_, request) = self.nodes[tenant].line.first()?;
         let waiting = self.waiting.remove(&request)?;
         self.exit(&waiting);
         let mut path = Vec::new();
@@ -385,8 +390,8 @@
             self.charge(at, waiting.work, now);
             at = self.nodes[at].terms.parent;
         }
-        self.nodes[team].out += 1;
-        self.settle(team);
+        self.nodes[tenant].out += 1;
+        self.settle(tenant);
         self.offers.push(Offer { waiting, path });
         Some(request)
     }
@@ -413,25 +418,25 @@
         }
     }
 
-    /// Those on offer that were not dispatched go back into line, and their teams have their charges back.
+    /// Those on offer that were not dispatched go back into line, and their tenants have their charges back.
     pub fn put_back(&mut self, now: f64) {
         while let Some(Offer { waiting, path }) = self.offers.pop() {
             for (at, _) in path {
                 self.charge(at, -waiting.work, now);
             }
-            self.nodes[waiting.team].out -= 1;
+            self.nodes[waiting.tenant].out -= 1;
             self.waiting.insert(waiting.request, waiting);
             self.enter(&waiting);
-            self.settle(waiting.team);
+            self.settle(waiting.tenant);
         }
     }
 
-    /// An attempt of the team's is over: it needed so much work where so much was charged. Who asks for little and needs
+    /// An attempt of the tenant's is over: it needed so much work where so much was charged. Who asks for little and needs
     /// much pays later; who asked for much gets it back.
-    pub fn over(&mut self, team: usize, charged: f64, needed: f64, now: f64) {
-        let team = team.min(self.nodes.len() - 1);
+    pub fn over(&mut self, tenant: usize, charged: f64, needed: f64, now: f64) {
+        let tenant = tenant.min(self.nodes.len() - 1);
         let more = needed - charged;
-        let mut at = team;
+        let mut at = tenant;
         while at != ROOT {
             let parent = self.nodes[at].terms.parent;
             let floor = self.nodes[parent].virtual_time;
@@ -442,25 +447,25 @@
             node.start = node.start.max(before.min(floor));
             at = parent;
         }
-        self.nodes[team].out = self.nodes[team].out.saturating_sub(1);
-        self.activate(team);
-        self.settle(team);
+        self.nodes[tenant].out = self.nodes[tenant].out.saturating_sub(1);
+        self.activate(tenant);
+        self.settle(tenant);
     }
 
     /// A request to displace, if a line is longer than it may be: the last in line, of those that can't have run, of the
-    /// team whose own bound is passed; or, where the bound of all is, of the team with the most work in line for its
+    /// tenant whose own bound is passed; or, where the bound of all is, of the tenant with the most work in line for its
     /// weight. It stays in line until it is taken off by [`Line::leave`].
     pub fn surplus(&self) -> Option<usize> {
-        let last = |team: usize| self.nodes[team].movable.last().map(|&(_, request)| request);
-        let longest = || self.longest.iter().rev().find_map(|&(_, team)| last(team));
+        let last = |tenant: usize| self.nodes[tenant].movable.last().map(|&(_, request)| request);
+        let longest = || self.longest.iter().rev().find_map(|&(_, tenant)| last(tenant));
         let of_all = self.waiting.len() > self.most_queued;
-        of_all.then(longest).flatten().or_else(|| self.too_long.iter().find_map(|team| last(*team)))
+        of_all.then(longest).flatten().or_else(|| self.too_long.iter().find_map(|tenant| last(*tenant)))
     }
 
-    /// The share of all that goes through which this team has while those wait that wait now.
-    fn share(&self, team: usize) -> f64 {
+    /// The share of all that goes through which this tenant has while those wait that wait now.
+    fn share(&self, tenant: usize) -> f64 {
         let mut share = 1.0;
-        let mut at = team;
+        let mut at = tenant;
         while at != ROOT {
             let parent = self.nodes[at].terms.parent;
             let siblings = &self.nodes[parent].active;
@@ -476,23 +481,30 @@
         share
     }
 
-    /// An attempt of this team's is out already: lines that are set up while requests are under way begin with those.
-    pub fn carries(&mut self, team: usize) {
-        let team = team.min(self.nodes.len() - 1);
-        self.nodes[team].out += 1;
-        self.settle(team);
-    }
-
-    /// How long a request of this team and so much work would wait if it came now, behind all of its line.
-    pub fn wait_for(&self, team: usize, work: f64, now: f64) -> Option<Wait> {
-        let node = self.nodes.get(team)?;
-        let waiting =
-            Waiting { request: usize::MAX, team, class: 0, density: 1.0, work, since: now, never_ran: true };
-        self.waits.estimate(&waiting, node.queued_work, node.queued_work, self.share(team), now)
+    /// An attempt of this tenant's is out already: lines that are set up while requests are under way begin with those.
+    pub fn carries(&mut self, tenant: usize) {
+        let tenant = tenant.min(self.nodes.len() - 1);
+        self.nodes[tenant].out += 1;
+        self.settle(tenant);
+    }
+
+    /// How long a request of this tenant and so much work would wait if it came now, behind all of its line.
+    pub fn wait_for(&self, tenant: usize, work: f64, now: f64) -> Option<Wait> {
+        let node = self.nodes.get(tenant)?;
+        let waiting = Waiting {
+            request: usize::MAX,
+            tenant,
+            class: 0,
+            density: 1.0,
+            work,
+            since: now,
+            never_ran: true,
+        };
+        self.waits.estimate(&waiting, node.queued_work, node.queued_work, self.share(tenant), now)
     }
 
     /// How many lines there are, groups among them.
-    pub fn teams(&self) -> usize {
+    pub fn tenants(&self) -> usize {
         self.nodes.len()
     }
 
@@ -500,13 +512,13 @@
     pub fn wait_of(&self, request: usize, now: f64) -> Option<Wait> {
         let waiting = self.waiting.get(&request)?;
         let key = self.key(waiting);
-        let line = &self.nodes[waiting.team].line;
+        let line = &self.nodes[waiting.tenant].line;
         // Work ahead in its own line; far back in a long one, all of that line is taken to be ahead.
         let ahead = line.range(..key).take(256).filter_map(|(_, request)| self.waiting.get(request));
         let (count, work) = ahead.fold((0usize, 0.0), |(count, work), one| (count + 1, work + one.work));
-        let all = self.nodes[waiting.team].queued_work;
+        let all = self.nodes[waiting.tenant].queued_work;
         let work = if count == 256 { all.max(work) } else { work };
-        self.waits.estimate(waiting, work, all, self.share(waiting.team), now)
+        self.waits.estimate(waiting, work, all, self.share(waiting.tenant), now)
     }
 }
 
--- a/crates/queue/src/tests.rs
+++ b/crates/queue/src/tests.rs
@@ -11,24 +11,24 @@
     free_at: f64,
     next: usize,
     requests: BTreeMap<usize, (usize, f64, f64)>,
-    /// By team: the work that went through.
+    /// By tenant: the work that went through.
     had: Vec<f64>,
     waits: Vec<Vec<f64>>,
 }
 
-fn team(weight: f64) -> Terms {
+fn tenant(weight: f64) -> Terms {
     Terms { weight, ..Terms::default() }
 }
 
-fn teams(weights: &[f64]) -> Vec<Terms> {
-    [Terms::default()].into_iter().chain(weights.iter().map(|weight| team(*weight))).collect()
+fn tenants(weights: &[f64]) -> Vec<Terms> {
+    [Terms::default()].into_iter().chain(weights.iter().map(|weight| tenant(*weight))).collect()
 }
 
 impl World {
-    fn new(teams: Vec<Terms>) -> World {
-        let count = teams.len();
+    fn new(tenants: Vec<Terms>) -> World {
+        let count = tenants.len();
         World {
-            line: Line::new(teams, 0.0),
+            line: Line::new(tenants, 0.0),
             now: 0.0,
             speed: 1.0,
             free_at: 0.0,
@@ -39,12 +39,19 @@
         }
     }
 
-    fn arrives(&mut self, team: usize, work: f64) -> usize {
+    fn arrives(&mut self, tenant: usize, work: f64) -> usize {
         let request = self.next;
         self.next += 1;
-        let waiting =
-            Waiting { request, team, class: 0, density: 1.0 / work, work, since: self.now, never_ran: true };
-        self.requests.insert(request, (team, work, self.now));
+        let waiting = Waiting {
+            request,
+            tenant,
+            class: 0,
+            density: 1.0 / work,
+            work,
+            since: self.now,
+            never_ran: true,
+        };
+        self.requests.insert(request, (tenant, work, self.now));
         self.line.hold(waiting, self.now);
         request
     }
@@ -58,32 +65,32 @@
             }
             self.now = self.now.max(self.free_at);
             let Some(request) = self.line.next(self.now) else {
-                // Only a budget can make it go on by itself; teams over theirs are served all the same.
+                // Only a budget can make it go on by itself; tenants over theirs are served all the same.
                 self.now = until;
                 return;
             };
             self.line.went(request, self.now);
-            let (team, work, since) = self.requests.remove(&request).unwrap();
-            self.waits[team].push(self.now - since);
-            self.had[team] += work;
+            let (tenant, work, since) = self.requests.remove(&request).unwrap();
+            self.waits[tenant].push(self.now - since);
+            self.had[tenant] += work;
             self.free_at = self.now + work / self.speed;
-            self.line.over(team, work, work, self.free_at);
+            self.line.over(tenant, work, work, self.free_at);
         }
     }
 
-    fn fill(&mut self, team: usize, requests: usize, work: f64) {
+    fn fill(&mut self, tenant: usize, requests: usize, work: f64) {
         (0..requests).for_each(|_| {
-            self.arrives(team, work);
+            self.arrives(tenant, work);
         });
     }
 }
 
 #[test]
-fn one_team_alone_goes_densest_first_and_a_request_that_does_not_go_stays_in_its_place() {
+fn one_tenant_alone_goes_densest_first_and_a_request_that_does_not_go_stays_in_its_place() {
     let mut line = Line::single();
     for (request, density) in [(1, 2.0), (2, 9.0), (3, 5.0)] {
         line.hold(
-            Waiting { request, team: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true },
+            Waiting { request, tenant: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
@@ -97,8 +104,8 @@
 }
 
 #[test]
-fn teams_that_always_wait_have_work_by_their_weights_whatever_their_requests_weigh() {
-    let mut world = World::new(teams(&[3.0, 1.0, 1.0]));
+fn tenants_that_always_wait_have_work_by_their_weights_whatever_their_requests_weigh() {
+    let mut world = World::new(tenants(&[3.0, 1.0, 1.0]));
     // The second has requests of fifty times the first one's work.
     world.fill(1, 4000, 0.02);
     world.fill(2, 100, 1.0);
@@ -109,9 +116,9 @@
 }
 
 #[test]
-fn groups_share_first_and_their_teams_share_what_the_group_has() {
-    let mut tree = teams(&[1.0, 1.0]);
-    tree.extend([Terms { parent: 1, ..team(1.0) }, Terms { parent: 1, ..team(3.0) }]);
+fn groups_share_first_and_their_tenants_share_what_the_group_has() {
+    let mut tree = tenants(&[1.0, 1.0]);
+    tree.extend([Terms { parent: 1, ..tenant(1.0) }, Terms { parent: 1, ..tenant(3.0) }]);
     let mut world = World::new(tree);
     world.fill(2, 2000, 0.05);
     world.fill(3, 2000, 0.05);
@@ -120,10 +127,10 @@
     assert!((world.had[2] - 20.0).abs() < 0.5 && (world.had[3] - 5.0).abs() < 0.5, "{:?}", world.had);
 }
 
-/// Hard case: one team sends ten times its share.
+/// Hard case: one tenant sends ten times its share.
 #[test]
-fn a_greedy_team_waits_behind_itself_and_costs_others_next_to_nothing() {
-    let mut world = World::new(teams(&[1.0, 1.0]));
+fn a_greedy_tenant_waits_behind_itself_and_costs_others_next_to_nothing() {
+    let mut world = World::new(tenants(&[1.0, 1.0]));
     // 0.4 of the server by the modest one, 5 times the server by the greedy one.
     for step in 0..2000 {
         world.run(f64::from(step) * 0.05);
@@ -137,10 +144,10 @@
     assert!(modest < 0.25 && greedy > 10.0, "{modest} {greedy}");
 }
 
-/// Hard case: a team that was idle for long comes back with a burst.
+/// Hard case: a tenant that was idle for long comes back with a burst.
 #[test]
 fn who_was_idle_has_saved_nothing() {
-    let mut world = World::new(teams(&[1.0, 1.0]));
+    let mut world = World::new(tenants(&[1.0, 1.0]));
     for step in 0..1000 {
         world.run(f64::from(step) * 0.1);
         world.fill(1, 2, 0.1);
@@ -154,7 +161,7 @@
 
 #[test]
 fn what_is_over_budget_goes_after_the_others_and_before_nobody() {
-    let mut tree = teams(&[1.0, 1.0]);
+    let mut tree = tenants(&[1.0, 1.0]);
     tree[1].budget = Some((0.2, 1.0));
     let mut world = World::new(tree);
     world.fill(1, 2000, 0.05);
@@ -170,7 +177,7 @@
 /// Hard case: a budget smaller than one request.
 #[test]
 fn a_budget_smaller_than_one_request_lets_one_through_and_then_waits() {
-    let mut tree = teams(&[1.0, 1.0]);
+    let mut tree = tenants(&[1.0, 1.0]);
     tree[1].budget = Some((0.1, 0.5));
     let mut world = World::new(tree);
     world.fill(1, 100, 2.0);
@@ -183,7 +190,7 @@
 /// Hard case: budgets that add to more than there is. Nobody is over, so the weights decide and none starves.
 #[test]
 fn budgets_that_add_to_more_than_there_is_leave_the_shares_as_they_are() {
-    let mut tree = teams(&[3.0, 1.0]);
+    let mut tree = tenants(&[3.0, 1.0]);
     (tree[1].budget, tree[2].budget) = (Some((2.0, 5.0)), Some((2.0, 5.0)));
     let mut world = World::new(tree);
     world.fill(1, 4000, 0.02);
@@ -192,11 +199,11 @@
     assert!((world.had[1] - 30.0).abs() < 0.5 && (world.had[2] - 10.0).abs() < 0.5, "{:?}", world.had);
 }
 
-/// Hard case: a new file halves a budget while its team is at the limit.
+/// Hard case: a new file halves a budget while its tenant is at the limit.
 #[test]
 fn a_budget_that_is_halved_by_a_new_file_holds_from_then_on() {
     let tree = |rate| {
-        let mut tree = teams(&[1.0, 1.0]);
+        let mut tree = tenants(&[1.0, 1.0]);
         tree[1].budget = Some((rate, 0.1));
         tree
     };
@@ -207,10 +214,10 @@
     let before = world.had[1];
     // What waits goes over to the new lines, as the module has it.
     let mut new = Line::new(tree(0.2), world.now);
-    for (request, (team, work, since)) in &world.requests {
-        let (request, team, work, since) = (*request, *team, *work, *since);
+    for (request, (tenant, work, since)) in &world.requests {
+        let (request, tenant, work, since) = (*request, *tenant, *work, *since);
         let density = 1.0 / work;
-        new.hold(Waiting { request, team, class: 0, density, work, since, never_ran: true }, world.now);
+        new.hold(Waiting { request, tenant, class: 0, density, work, since, never_ran: true }, world.now);
     }
     world.line = new;
     world.run(80.0);
@@ -219,8 +226,8 @@
 }
 
 #[test]
-fn a_team_that_is_over_its_budget_for_long_is_remembered_once() {
-    let mut tree = teams(&[1.0, 1.0]);
+fn a_tenant_that_is_over_its_budget_for_long_is_remembered_once() {
+    let mut tree = tenants(&[1.0, 1.0]);
     tree[1].budget = Some((0.1, 0.5));
     let mut world = World::new(tree);
     world.fill(1, 5000, 0.05);
@@ -231,18 +238,18 @@
 /// Hard case: estimates of work that are wrong by ten times.
 #[test]
 fn who_asks_for_little_and_needs_much_pays_later() {
-    let mut line = Line::new(teams(&[1.0, 1.0]), 0.0);
+    let mut line = Line::new(tenants(&[1.0, 1.0]), 0.0);
     let mut had = [0.0f64; 3];
     let mut next = 0;
     for round in 0..2000 {
         let now = f64::from(round);
-        for team in [1, 2] {
-            while line.of(team).0 < 3 {
-                let work = if team == 1 { 0.1 } else { 1.0 };
+        for tenant in [1, 2] {
+            while line.of(tenant).0 < 3 {
+                let work = if tenant == 1 { 0.1 } else { 1.0 };
                 line.hold(
                     Waiting {
                         request: next,
-                        team,
+                        tenant,
                         class: 0,
                         density: 1.0,
                         work,
@@ -257,9 +264,9 @@
         let request = line.next(now).unwrap();
         line.went(request, now);
         // The first one's requests need ten times what they say: all need the same.
-        let team = if line.of(1).2 > 0 { 1 } else { 2 };
-        had[team] += 1.0;
-        line.over(team, if team == 1 { 0.1 } else { 1.0 }, 1.0, now);
+        let tenant = if line.of(1).2 > 0 { 1 } else { 2 };
+        had[tenant] += 1.0;
+        line.over(tenant, if tenant == 1 { 0.1 } else { 1.0 }, 1.0, now);
     }
     assert!((had[1] / had[2] - 1.0).abs() < 0.05, "{had:?}");
 }
@@ -281,21 +288,24 @@
 }
 
 #[test]
-fn a_teams_own_order_of_classes_comes_before_their_density() {
+fn a_tenants_own_order_of_classes_comes_before_their_density() {
     let mut line = Line::new(vec![Terms { order: vec![0.0, 10.0], ..Terms::default() }], 0.0);
     for (request, class, density) in [(1, 0, 5.0), (2, 1, 1.0), (3, 1, 2.0), (4, 2, 9.0)] {
-        line.hold(Waiting { request, team: 0, class, density, work: 1.0, since: 0.0, never_ran: true }, 0.0);
+        line.hold(
+            Waiting { request, tenant: 0, class, density, work: 1.0, since: 0.0, never_ran: true },
+            0.0,
+        );
     }
     assert_eq!([0; 4].map(|_| line.next(0.0).unwrap()), [3, 2, 4, 1]);
 }
 
 #[test]
 fn a_line_that_is_too_long_displaces_its_last_that_never_ran() {
-    let mut tree = teams(&[1.0, 1.0]);
+    let mut tree = tenants(&[1.0, 1.0]);
     tree[1].most_queued = 3;
     let mut line = Line::new(tree, 0.0);
-    let hold = |line: &mut Line, request: usize, team, never_ran| {
-        line.hold(Waiting { request, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran }, 0.0);
+    let hold = |line: &mut Line, request: usize, tenant, never_ran| {
+        line.hold(Waiting { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran }, 0.0);
     };
     (0..3).for_each(|request| hold(&mut line, request, 1, true));
     (10..30).for_each(|request| hold(&mut line, request, 2, true));
@@ -311,15 +321,18 @@
     assert_eq!(line.surplus(), None);
 }
 
-/// A bound holds for every team, also for one that is short beside many others.
+/// A bound holds for every tenant, also for one that is short beside many others.
 #[test]
-fn a_small_team_past_its_bound_is_found_among_many_longer_ones() {
-    let mut tree = teams(&[1.0; 50]);
+fn a_small_tenant_past_its_bound_is_found_among_many_longer_ones() {
+    let mut tree = tenants(&[1.0; 50]);
     tree[50].most_queued = 1;
     let mut line = Line::new(tree, 0.0);
     for request in 0..100 {
-        let (team, work) = if request < 98 { (1 + request % 49, 1.0) } else { (50, 0.01) };
-        line.hold(Waiting { request, team, class: 0, density: 1.0, work, since: 0.0, never_ran: true }, 0.0);
+        let (tenant, work) = if request < 98 { (1 + request % 49, 1.0) } else { (50, 0.01) };
+        line.hold(
+            Waiting { request, tenant, class: 0, density: 1.0, work, since: 0.0, never_ran: true },
+            0.0,
+        );
     }
     assert_eq!(line.surplus(), Some(99));
     line.leave(99);
@@ -328,13 +341,13 @@
 
 #[test]
 fn the_bound_of_all_takes_from_the_longest_line_for_its_weight() {
-    let mut tree = teams(&[1.0, 4.0]);
+    let mut tree = tenants(&[1.0, 4.0]);
     tree[0].most_queued = 10;
     let mut line = Line::new(tree, 0.0);
     for request in 0..12 {
-        let team = 1 + request % 2;
+        let tenant = 1 + request % 2;
         line.hold(
-            Waiting { request, team, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+            Waiting { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
@@ -347,13 +360,13 @@
 }
 
 #[test]
-fn a_team_has_no_more_out_than_it_may_and_goes_on_when_one_is_over() {
-    let mut tree = teams(&[1.0, 1.0]);
+fn a_tenant_has_no_more_out_than_it_may_and_goes_on_when_one_is_over() {
+    let mut tree = tenants(&[1.0, 1.0]);
     tree[1].most_out = 2;
     let mut line = Line::new(tree, 0.0);
     for request in 0..5 {
         line.hold(
-            Waiting { request, team: 1, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+            Waiting { request, tenant: 1, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
@@ -369,13 +382,13 @@
 
 #[test]
 fn estimates_come_true_on_a_steady_server_and_none_is_made_while_it_is_silent() {
-    let mut world = World::new(teams(&[1.0, 1.0]));
+    let mut world = World::new(tenants(&[1.0, 1.0]));
     world.speed = 4.0;
     for step in 0..4000 {
         world.run(f64::from(step) * 0.02);
         // Together a tenth more than it does, so that lines grow slowly.
-        for team in [1, 2] {
-            let request = world.arrives(team, 0.044);
+        for tenant in [1, 2] {
+            let request = world.arrives(tenant, 0.044);
             let wait = world.line.wait_of(request, world.now);
             world.line.waits.told(request, wait, world.now);
         }
@@ -393,9 +406,9 @@
     /// Whatever comes and goes: no request is lost or offered twice, counts add up, and what never was offered can be.
     #[test]
     fn no_request_is_lost_or_offered_twice(steps in proptest::collection::vec((0u8..6, 0usize..5, 1u32..100), 1..300)) {
-        let mut tree = teams(&[1.0, 2.0]);
-        tree.extend([Terms { parent: 1, most_out: 2, ..team(1.0) }, Terms { parent: 1, budget: Some((0.5, 1.0)), ..team(2.0) }]);
-        tree.push(Terms { parent: 2, ageing: Some(1.0), ..team(1.0) });
+        let mut tree = tenants(&[1.0, 2.0]);
+        tree.extend([Terms { parent: 1, most_out: 2, ..tenant(1.0) }, Terms { parent: 1, budget: Some((0.5, 1.0)), ..tenant(2.0) }]);
+        tree.push(Terms { parent: 2, ageing: Some(1.0), ..tenant(1.0) });
         let leaves = [3, 4, 5];
         let mut line = Line::new(tree, 0.0);
         let (mut waiting, mut offered, mut out) = (BTreeSet::new(), Vec::new(), Vec::new());
@@ -405,9 +418,9 @@
             let work = f64::from(work) / 50.0;
             match what {
                 0 | 1 => {
-                    let team = leaves[which % 3];
-                    line.hold(Waiting { request: next, team, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
-                    waiting.insert((next, team, work.to_bits()));
+                    let tenant = leaves[which % 3];
+                    line.hold(Waiting { request: next, tenant, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
+                    waiting.insert((next, tenant, work.to_bits()));
                     next += 1;
                 }
                 2 => {
@@ -427,8 +440,8 @@
                     waiting.extend(offered.drain(..));
                 }
                 5 if !out.is_empty() => {
-                    let (_, team, work) = out.remove(which % out.len());
-                    line.over(team, f64::from_bits(work), f64::from_bits(work) * 3.0, now);
+                    let (_, tenant, work) = out.remove(which % out.len());
+                    line.over(tenant, f64::from_bits(work), f64::from_bits(work) * 3.0, now);
                 }
                 _ => {
                     if let Some(entry) = waiting.iter().nth(which).copied() {
@@ -439,16 +452,16 @@
                 }
             }
             prop_assert_eq!(line.len(), waiting.len() + offered.len());
-            for team in leaves {
-                let count = waiting.iter().filter(|entry| entry.1 == team).count();
-                let gone = out.iter().chain(&offered).filter(|entry| entry.1 == team).count();
-                prop_assert_eq!((line.of(team).0, line.of(team).2), (count, gone));
+            for tenant in leaves {
+                let count = waiting.iter().filter(|entry| entry.1 == tenant).count();
+                let gone = out.iter().chain(&offered).filter(|entry| entry.1 == tenant).count();
+                prop_assert_eq!((line.of(tenant).0, line.of(tenant).2), (count, gone));
             }
         }
         // All that is left goes, once those that are out are over and budgets are earned.
         line.put_back(now);
         waiting.extend(offered);
-        out.into_iter().for_each(|(_, team, work)| line.over(team, f64::from_bits(work), 0.0, now));
+        out.into_iter().for_each(|(_, tenant, work)| line.over(tenant, f64::from_bits(work), 0.0, now));
         while let Some(request) = line.next(now) {
             line.went(request, now);
             let entry = *waiting.iter().find(|entry| entry.0 == request).expect("in line");
--- a/crates/queue/src/waits.rs
+++ b/crates/queue/src/waits.rs
@@ -72,14 +72,14 @@
 const PARTS: usize = 4;
 
 #[derive(Clone, Debug, Default)]
-struct Team {
+struct Tenant {
     errors: [Errors; PARTS],
     rate: Rate,
 }
 
 #[derive(Clone, Debug)]
 pub struct Waits {
-    teams: Vec<Team>,
+    tenants: Vec<Tenant>,
     all: Rate,
     /// Estimates that were made, until their requests go: when, how long, and from which part of the line. Bounded.
     made: std::collections::BTreeMap<usize, (f64, f64, usize)>,
@@ -100,9 +100,9 @@
     /// Shorter waits are a turn of the loop, and no wait.
     const LEAST: f64 = 0.005;
 
-    pub fn new(teams: usize) -> Waits {
+    pub fn new(tenants: usize) -> Waits {
         Waits {
-            teams: vec![Team::default(); teams],
+            tenants: vec![Tenant::default(); tenants],
             all: Rate::default(),
             made: Default::default(),
             compared: 0,
@@ -112,10 +112,10 @@
         }
     }
 
-    /// A request joins a line in which none, of its team and of all, stood before: the time of idleness does not count.
-    pub fn joins(&mut self, team: usize, first_of_team: bool, first_of_all: bool, now: f64) {
-        if first_of_team {
-            self.teams[team].rate.last = self.teams[team].rate.last.map(|_| now);
+    /// A request joins a line in which none, of its tenant and of all, stood before: the time of idleness does not count.
+    pub fn joins(&mut self, tenant: usize, first_of_tenant: bool, first_of_all: bool, now: f64) {
+        if first_of_tenant {
+            self.tenants[tenant].rate.last = self.tenants[tenant].rate.last.map(|_| now);
         }
         if first_of_all {
             self.all.last = self.all.last.map(|_| now);
@@ -125,7 +125,7 @@
     /// A request has gone: the rates, and what its estimate was worth.
     pub fn went(&mut self, waiting: &Waiting, now: f64) {
         self.all.went(waiting.work, now);
-        self.teams[waiting.team].rate.went(waiting.work, now);
+        self.tenants[waiting.tenant].rate.went(waiting.work, now);
         let Some((made, estimate, part)) = self.made.remove(&waiting.request) else { return };
         let truth = now - made;
         if truth < Waits::LEAST {
@@ -135,7 +135,7 @@
         self.compared += 1;
         self.within_a_fifth += u64::from(off <= 0.2 * truth);
         self.near += u64::from(off <= (0.2 * truth).max(0.02));
-        let errors = &mut self.teams[waiting.team].errors[part];
+        let errors = &mut self.tenants[waiting.tenant].errors[part];
         let ratio = (truth / estimate.max(Waits::LEAST)).ln().clamp(-3.0, 3.0);
         errors.spread.add(ratio.abs(), 0.95);
         // The estimate was corrected by the bias already: what is left of it is learned.
@@ -167,11 +167,11 @@
         now: f64,
     ) -> Option<Wait> {
         let all = self.all.now(now)?;
-        let team = self.teams.get(waiting.team)?;
-        // What the team had of late while it waited says more than its weight; without that, its share.
-        let rate = team.rate.now(now).unwrap_or(all * share.max(1e-6));
+        let tenant = self.tenants.get(waiting.tenant)?;
+        // What the tenant had of late while it waited says more than its weight; without that, its share.
+        let rate = tenant.rate.now(now).unwrap_or(all * share.max(1e-6));
         let part = ((ahead / line.max(1e-9) * PARTS as f64) as usize).min(PARTS - 1);
-        let errors = &team.errors[part];
+        let errors = &tenant.errors[part];
         // It goes once what is ahead has gone, and its own turn has come.
         let plain = (ahead + 0.5 * waiting.work) / rate;
         let expected = plain * errors.bias.with(2.0).exp();
--- a/crates/queue/tests/model.rs
+++ b/crates/queue/tests/model.rs
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A request comes to this team.
+    /// A request comes to this tenant.
     Comes(usize),
     /// The next one is offered and dispatched, or goes back.
     Attempt,
@@ -49,8 +49,8 @@
     fn hold(&mut self, request: usize, planted: Planted) {
         let never_ran = planted == Planted::ForgetsThatItRan || !self.ran.contains(&request);
         // Later ones are denser, so that any may be the last.
-        let (team, now, density) = (1 + request % 2, self.now, 1.0 + request as f64);
-        self.line.hold(Waiting { request, team, class: 0, density, work: 1.0, since: now, never_ran }, now);
+        let (tenant, now, density) = (1 + request % 2, self.now, 1.0 + request as f64);
+        self.line.hold(Waiting { request, tenant, class: 0, density, work: 1.0, since: now, never_ran }, now);
         self.waiting.insert(request);
     }
 }
@@ -74,8 +74,9 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<At> {
-        let team = |weight| Terms { weight, most_queued: 1, most_out: 2, ..Terms::default() };
-        let line = Line::new(vec![Terms { most_queued: 3, ..Terms::default() }, team(1.0), team(2.0)], 0.0);
+        let tenant = |weight| Terms { weight, most_queued: 1, most_out: 2, ..Terms::default() };
+        let line =
+            Line::new(vec![Terms { most_queued: 3, ..Terms::default() }, tenant(1.0), tenant(2.0)], 0.0);
         let none = BTreeSet::new();
         let (out, ran, displaced) = (Vec::new(), none.clone(), none.clone());
         vec![At { line, now: 0.0, next: 0, waiting: none, out, ran, displaced }]
@@ -99,8 +100,8 @@
     fn next_state(&self, at: &At, step: Step) -> Option<At> {
         let mut next = at.clone();
         match step {
-            Step::Comes(team) => {
-                let request = 2 * next.next + team;
+            Step::Comes(tenant) => {
+                let request = 2 * next.next + tenant;
                 next.next += 1;
                 next.hold(request, self.0);
             }
@@ -160,13 +161,13 @@
                 while let Some(request) = line.surplus() {
                     line.leave(request);
                 }
-                let over = |team: usize| line.of(team).0 > 1;
-                let movable = |team: usize| {
+                let over = |tenant: usize| line.of(tenant).0 > 1;
+                let movable = |tenant: usize| {
                     at.waiting.iter().any(|request| {
-                        1 + request % 2 == team && line.holds(*request) && !at.ran.contains(request)
+                        1 + request % 2 == tenant && line.holds(*request) && !at.ran.contains(request)
                     })
                 };
-                (1..=2).all(|team| !over(team) || !movable(team))
+                (1..=2).all(|tenant| !over(tenant) || !movable(tenant))
             }),
             Property::sometimes("one is displaced while another that ran waits", |_, at: &At| {
                 !at.displaced.is_empty() && at.waiting.iter().any(|request| at.ran.contains(request))
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 struct Files {
     service: Option<PathBuf>,
-    teams: Option<PathBuf>,
+    tenants: Option<PathBuf>,
     cluster: Option<PathBuf>,
     store: Option<PathBuf>,
 }
@@ -43,13 +43,13 @@
     let files = || {
         let service = long("service").help("The service addresses that follow this router");
         let service = service.argument::<PathBuf>("FILE").optional();
-        let teams = long("teams").help("The teams that share the engines");
-        let teams = teams.argument::<PathBuf>("FILE").optional();
+        let tenants = long("teams").help("The teams that share the engines");
+        let tenants = tenants.argument::<PathBuf>("FILE").optional();
         let cluster = long("cluster").help("The routers that know each other");
         let cluster = cluster.argument::<PathBuf>("FILE").optional();
         let store = long("store").help("Where this router keeps what it needs after a restart");
         let store = store.argument::<PathBuf>("FILE").optional();
-        construct!(Files { service, teams, cluster, store })
+        construct!(Files { service, tenants, cluster, store })
     };
     let serve = {
         let config = long("config")
@@ -139,7 +139,7 @@
     Ok(Reread { discovery: told.place.discovery, known: told.known })
 }
 
-fn teams(path: &Path) -> Result<TeamsFile, String> {
+fn tenants(path: &Path) -> Result<TeamsFile, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     cleatgw_operator::read_teams(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
 }
@@ -162,12 +162,13 @@
 }
 
 fn serve(config: Option<PathBuf>, files: Files) -> Result<(), String> {
-    let Files { service: service_path, teams: teams_path, cluster: cluster_path, store: store_path } = files;
+    let Files { service: service_path, tenants: teams_path, cluster: cluster_path, store: store_path } =
+        files;
     let path = path(config)?;
     let mut told = told(&path)?;
     let service_file = service_path.as_deref().map(service).transpose()?;
     let store_file = store_path.as_deref().map(store).transpose()?;
-    let teams_file = teams_path.as_deref().map(teams).transpose()?;
+    let teams_file = teams_path.as_deref().map(tenants).transpose()?;
     let (name, seed) = (told.name.clone(), told.seed);
     let operators = Operators {
         store: store_file.map(|file| (file, cleatgw_start::name_hash(&told.name))),
@@ -177,14 +178,14 @@
         }),
         service: service_file.map(|file| (file, told.seed)),
         reread_service: Box::new(move || service(service_path.as_deref().unwrap_or(Path::new("")))),
-        reread_teams: teams_path.map(|path| Box::new(move || teams(&path)) as _),
+        reread_teams: teams_path.map(|path| Box::new(move || tenants(&path)) as _),
     };
     told.place.descriptors = descriptors(told.place.descriptors as u64) as usize;
     log::info!("{} starts, version {}", told.name, env!("CARGO_PKG_VERSION"));
     told.contradictions.iter().for_each(|words| log::warn!("configuration: contradictory {words}"));
     let mut routing = Routing::new(told.deployment, told.names, told.seed, transport::unix_time());
     if let Some(file) = teams_file {
-        routing.teams(file);
+        routing.tenants(file);
     }
     let news = News { lists: told.known, ..News::default() };
     let listen = told.place.listen;
@@ -213,8 +214,8 @@
 }
 
 fn check_teams(path: &Path) -> Result<(), String> {
-    let (line, names) = teams(path)?.line(0.0, &[]);
-    println!("{}: {} lines ({})", path.display(), line.teams(), names.names().join(" "));
+    let (line, names) = tenants(path)?.line(0.0, &[]);
+    println!("{}: {} lines ({})", path.display(), line.tenants(), names.names().join(" "));
     Ok(())
 }
 
@@ -227,14 +228,16 @@
 
 fn check(config: Option<PathBuf>, files: Files) -> Result<(), String> {
     files.service.as_deref().map(check_service).transpose()?;
-    files.teams.as_deref().map(check_teams).transpose()?;
+    files.tenants.as_deref().map(check_teams).transpose()?;
     files.cluster.as_deref().map(check_cluster).transpose()?;
     if let Some(path) = &files.store {
         println!("{}: keeps {}", path.display(), store(path)?.path.display());
     }
     // Each may be checked alone.
-    let any =
-        files.service.is_some() || files.teams.is_some() || files.cluster.is_some() || files.store.is_some();
+    let any = files.service.is_some()
+        || files.tenants.is_some()
+        || files.cluster.is_some()
+        || files.store.is_some();
     if any && config.is_none() && std::env::var_os(CONFIG).is_none() {
         return Ok(());
     }
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -12,7 +12,7 @@
         session: u32,
         query_only: bool,
     },
-    /// What an operator asks for: `SHOW ANNOUNCEMENTS`, `SHOW TEAMS`, `SHOW CLUSTER`, `SHOW DUTIES`, `SHOW STORE`.
+    /// What an operator asks for: `SHOW ANNOUNCEMENTS`, `SHOW Tenants`, `SHOW CLUSTER`, `SHOW DUTIES`, `SHOW STORE`.
     Question(Question),
     /// Answered with OK: there is no state that it could change.
     Harmless,
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -159,7 +159,7 @@
     /// Clients that asked in this turn, and whose requests are not taken yet.
     untaken: VecDeque<SessionId>,
     /// Who shares the engines, and which line a name stands in.
-    teams: Option<(TeamsFile, TeamNames)>,
+    tenants: Option<(TeamsFile, TeamNames)>,
     next_request: usize,
     next_engine: u64,
     stops_at: f64,
@@ -411,7 +411,7 @@
             seed,
             desk,
             untaken: VecDeque::new(),
-            teams: None,
+            tenants: None,
             next_request: 0,
             next_engine: 0,
             stops_at: f64::INFINITY,
@@ -452,20 +452,20 @@
         self.gateway.drain(now)
     }
 
-    /// Teams share the engines by this file from now on; requests that wait move to their lines by their names.
-    pub fn teams(&mut self, file: TeamsFile) {
+    /// Tenants share the engines by this file from now on; requests that wait move to their lines by their names.
+    pub fn tenants(&mut self, file: TeamsFile) {
         let (line, names) = file.line(self.desk.now, &self.names.classes);
         let requests = &self.desk.requests;
-        let team_of =
+        let tenant_of =
             |id: usize| names.of(requests.get(&id).and_then(|request| request.statement.tenant.as_deref()));
-        self.gateway.teams(self.desk.now, line, &team_of);
-        self.teams = Some((file, names));
+        self.gateway.tenants(self.desk.now, line, &tenant_of);
+        self.tenants = Some((file, names));
     }
 
-    /// How the teams stand, in rows of three: those that have requests in line or out, at most so many.
-    pub fn teams_status(&self) -> Option<Vec<[String; 3]>> {
+    /// How the tenants stand, in rows of three: those that have requests in line or out, at most so many.
+    pub fn tenant_status(&self) -> Option<Vec<[String; 3]>> {
         const MOST: usize = 256;
-        let (_, names) = self.teams.as_ref()?;
+        let (_, names) = self.tenants.as_ref()?;
         let line = &self.gateway.line;
         let (compared, unknown) = (line.waits.compared, line.waits.unknown);
         let share = line.waits.within_a_fifth as f64 / (compared as f64).max(1.0);
@@ -730,7 +730,7 @@
             cost: statement.work,
             memory_mb: statement.memory_mb,
             deadline: gives_up,
-            team: self.teams.as_ref().map_or(0, |(_, names)| names.of(statement.tenant.as_deref())),
+            tenant: self.tenants.as_ref().map_or(0, |(_, names)| names.of(statement.tenant.as_deref())),
             earlier,
         };
         let state = RequestState::Open { session };
@@ -818,8 +818,8 @@
         if let Some(began) = self.drained_at {
             self.gateway.drain(began);
         }
-        if let Some((file, _)) = &self.teams {
-            self.gateway.teams(self.desk.now, file.line(self.desk.now, &self.names.classes).0, &|_| 0);
+        if let Some((file, _)) = &self.tenants {
+            self.gateway.tenants(self.desk.now, file.line(self.desk.now, &self.names.classes).0, &|_| 0);
         }
         let listings: Vec<Listing> = self.desk.engines.iter().map(|engine| engine.listing).collect();
         self.gateway.engines_listed(self.desk.now, &listings, true);
--- a/crates/router/src/status.rs
+++ b/crates/router/src/status.rs
@@ -1,4 +1,4 @@
-//! Asks a running router, as a client does, how its service addresses, its cluster or its teams stand.
+//! Asks a running router, as a client does, how its service addresses, its cluster or its tenants stand.
 
 use crate::protocol::mysql;
 use std::io::{Read, Write};
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -150,7 +150,7 @@
     /// What announces the service addresses, and what its chance is drawn from.
     pub service: Option<(ServiceFile, u64)>,
     pub reread_service: Box<dyn Fn() -> Result<ServiceFile, String>>,
-    /// Reads the teams file again; none where there are no teams.
+    /// Reads the teams file again; none where there are no tenants.
     pub reread_teams: Option<Box<dyn Fn() -> Result<TeamsFile, String>>>,
     /// The routers that know each other.
     pub cluster: Option<Joining>,
@@ -432,7 +432,7 @@
         for question in self.net.sessions.questions() {
             let rows = match question {
                 Question::Announcements => self.speaker.as_ref().map(|one| one.status(self.steady.read())),
-                Question::Teams => self.routing.teams_status(),
+                Question::Teams => self.routing.tenant_status(),
                 Question::Cluster => self.cluster.as_ref().map(|one| one.status(self.steady.read())),
                 Question::Store => self.keeper.as_ref().map(|one| one.status(self.steady.read())),
                 Question::Duties => {
@@ -555,8 +555,8 @@
         if let Some(reread) = &self.reread_teams {
             match reread() {
                 Ok(file) => {
-                    log::info!(teams = file.teams.len(); "teams file taken");
-                    self.routing.teams(file);
+                    log::info!(tenants = file.teams.len(); "teams file taken");
+                    self.routing.tenants(file);
                 }
                 Err(why) => {
                     self.counters.reloads_refused += 1;
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -1,4 +1,4 @@
-//! The real program with teams, between stand-ins.
+//! The real program with tenants, between stand-ins.
 
 use cleatgw_lab::shared::Shared;
 use cleatgw_lab::standins::*;
@@ -39,10 +39,10 @@
     }
 }
 
-fn ask(team: &str, work: f64) -> String {
+fn ask(tenant: &str, work: f64) -> String {
     request("look", 15000, &format!("work {work} FROM sales_1.t")).replacen(
         "op=look",
-        &format!("op=look,org={team}"),
+        &format!("op=look,org={tenant}"),
         1,
     )
 }
@@ -56,9 +56,9 @@
     }
 }
 
-/// Hard case: one team sends far more than its share.
+/// Hard case: one tenant sends far more than its share.
 #[test]
-fn a_greedy_team_is_rejected_past_its_line_and_another_one_goes_ahead_of_it() {
+fn a_greedy_tenant_is_rejected_past_its_line_and_another_one_goes_ahead_of_it() {
     let world = started(TWO, 2.0);
     let mut greedy: Vec<Client> = (0..60).map(|_| Client::new(&world.router)).collect();
     greedy.iter_mut().for_each(|client| client.send(&ask("greedy", 150.0)));
@@ -76,9 +76,9 @@
     assert!(answers.iter().all(|answer| matches!(answer, Answered::Rows(_) | Answered::Error(1040, _))));
 }
 
-/// Hard case: an engine is silent while requests wait, and a reload takes a team away from them.
+/// Hard case: an engine is silent while requests wait, and a reload takes a tenant away from them.
 #[test]
-fn a_reload_that_removes_a_team_loses_none_of_its_requests() {
+fn a_reload_that_removes_a_tenant_loses_none_of_its_requests() {
     let world = started(TWO, 2.0);
     world.engine.silent(true);
     let mut waiting: Vec<Client> = (0..15).map(|_| Client::new(&world.router)).collect();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn without_a_teams_file_there_are_no_teams_to_show() {
+fn without_a_tenants_file_there_are_no_tenants_to_show() {
     let engine = Engine::start("e");
     let discovery = Discovery::start();
     discovery.tell(true, &[engine.entry("ready")]);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -139,8 +139,8 @@
     pub cost: Option<f64>,
     pub memory_mb: Option<f64>,
     pub deadline: f64,
-    /// The line that it stands in while it is held, see [`queue`]; 0 where there are no teams.
-    pub team: usize,
+    /// The line that it stands in while it is held, see [`queue`]; 0 where there are no tenants.
+    pub tenant: usize,
     /// When the same request was first dispatched under another request, by us in a former life or by another: it may have run.
     pub earlier: Option<f64>,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -10,7 +10,7 @@
 //! 2. engine doubt: a draw from the posterior of an engine's success ([`Doubt`]);
 //! 3. time-outs and retries: `time_out`, `overdue`, and a budget of them (`retry_budget`);
 //! 4. holding and turning back: threads per core are limited ([`Room`]), the best credit for work goes first,
-//!    teams in their turns ([`Line`], which keeps the order alone);
+//!    tenants in their turns ([`Line`], which keeps the order alone);
 //! 5. priority lanes by credit for work (`lane`);
 //! 6. peers' words on engines, beside what we met ourselves (`peers_say`).
 
@@ -335,7 +335,7 @@
     pub line: Line,
     /// Requests that are held since this round began, and those whose attempt has just ended.
     fresh: Vec<usize>,
-    /// With teams: a request whose turn came before found no room in this round.
+    /// With tenants: a request whose turn came before found no room in this round.
     passed_by: bool,
     again: Vec<usize>,
     keys: BTreeMap<u64, KeyLine>,
@@ -474,17 +474,17 @@
         self.time_ends(id, self.stop);
     }
 
-    /// Teams have these lines from now on; requests that are open move to where `team_of` says.
-    pub fn teams(&mut self, now: f64, line: Line, team_of: &dyn Fn(usize) -> usize) {
+    /// Tenants have these lines from now on; requests that are open move to where `tenant_of` says.
+    pub fn tenants(&mut self, now: f64, line: Line, tenant_of: &dyn Fn(usize) -> usize) {
         let before = std::mem::replace(&mut self.line, line);
         let held: Vec<usize> = self.requests.keys().copied().filter(|id| before.holds(*id)).collect();
         for (id, request) in &mut self.requests {
-            request.taken.team = team_of(*id);
+            request.taken.tenant = tenant_of(*id);
             request
                 .attempts
                 .iter()
                 .filter(|attempt| attempt.out)
-                .for_each(|_| self.line.carries(request.taken.team));
+                .for_each(|_| self.line.carries(request.taken.tenant));
         }
         held.into_iter().for_each(|id| self.hold(now, id));
     }
@@ -492,8 +492,8 @@
     fn hold(&mut self, now: f64, id: usize) {
         let &Request { ref taken, density, work, since, ref attempts, .. } = &self.requests[&id];
         let never_ran = attempts.iter().all(|attempt| attempt.never_ran);
-        let Taken { team, class, .. } = *taken;
-        self.line.hold(Waiting { request: id, team, class, density, work, since, never_ran }, now);
+        let Taken { tenant, class, .. } = *taken;
+        self.line.hold(Waiting { request: id, tenant, class, density, work, since, never_ran }, now);
     }
 
     /// All that peers have met of an engine of late, each of them once for what went well and badly.
@@ -663,7 +663,7 @@
         self.settle(end.request, index);
         let needed = if end.ending.never_ran() { 0.0 } else { work };
         let Request { taken, work: charged, .. } = &self.requests[&end.request];
-        self.line.over(taken.team, *charged, needed, now);
+        self.line.over(taken.tenant, *charged, needed, now);
         if end.request_done {
             self.request_withdrawn(end.request);
         } else if let Some(request) =
@@ -765,19 +765,19 @@
         self.log.extend(over.map(|_| format!("turning none back: {} held", self.line.len())));
     }
 
-    /// Tries what is held: teams in their turns, within a team the best credit for its work first.
+    /// Tries what is held: tenants in their turns, within a tenant the best credit for its work first.
     fn dispatch_queued(&mut self, now: f64, out: &mut dyn Writer) {
         for id in std::mem::take(&mut self.again) {
             self.end_if_stuck(now, id, out);
         }
-        // A line that is longer than its team's may be: its last is told at once.
+        // A line that is longer than its tenant's may be: its last is told at once.
         while let Some(id) = self.line.surplus() {
             self.turns_back(now, id, out);
         }
         let mut failures = 0;
         while failures < 12 {
             let Some(id) = self.line.next(now) else { break };
-            // Another team's light requests must not fill what a heavy one, whose turn it is, waits for.
+            // Another tenant's light requests must not fill what a heavy one, whose turn it is, waits for.
             self.passed_by = failures > 0 && self.line.parted();
             match self.in_turn(id, now) && !self.retries_exhausted(id, now) {
                 true if self.place(now, id, out) => self.line.went(id, now),
@@ -1087,11 +1087,11 @@
         self.due.extend((until < f64::INFINITY).then_some((rank(until), Due::Expired(id))));
     }
 
-    /// When to come back, no later than clients follow: with teams, once the line would take the request.
+    /// When to come back, no later than clients follow: with tenants, once the line would take the request.
     /// Spread by chance, so that those that are rejected together do not return as one.
     fn advice(&mut self, now: f64, id: usize) -> Option<f64> {
         let (most, request) = (self.given.advice?, &self.requests[&id]);
-        let wait = self.line.wait_for(request.taken.team, request.work, now).filter(|_| self.line.parted());
+        let wait = self.line.wait_for(request.taken.tenant, request.work, now).filter(|_| self.line.parted());
         self.draws += u64::from(wait.is_some());
         let spread = 0.8 + 0.4 * mix((self.seed, self.draws)) as f64 / u64::MAX as f64;
         Some(wait.map_or(most, |wait| (spread * wait.expected).clamp(most / 10.0, most)))
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -317,12 +317,14 @@
     assert!(choices > 15_000 && held > 1_000 && quarters > 100, "{choices} choices, {held} held, {quarters}");
 }
 
-/// With teams a heavy request whose turn came before keeps light ones from passing.
+/// With tenants a heavy request whose turn came before keeps light ones from passing.
 #[test]
-fn the_index_finds_the_same_with_teams() {
+fn the_index_finds_the_same_with_tenants() {
     let mut story = Story::new(30, 3.0, true, 77);
-    let team = Terms { parent: 0, weight: 1.0, ..Terms::default() };
-    story.gateway.teams(0.0, Line::new(vec![Terms::default(), team.clone(), team], 0.0), &|id| 1 + id % 2);
+    let tenant = Terms { parent: 0, weight: 1.0, ..Terms::default() };
+    story
+        .gateway
+        .tenants(0.0, Line::new(vec![Terms::default(), tenant.clone(), tenant], 0.0), &|id| 1 + id % 2);
     story.plays(700, 20, 8, 10);
     assert!(story.choices > 1_000 && story.held > 100, "{} {}", story.choices, story.held);
 }
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -341,7 +341,7 @@
             self.gateway.ahead = Some(40);
         }
         if at(3.0) && self.variant != Variant::ManyGateways {
-            self.gateway.teams(self.now, Line::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
+            self.gateway.tenants(self.now, Line::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
         }
         let faults = [
             (6.0, 0, Fault::Silent),
@@ -433,7 +433,7 @@
             cost: estimated.then_some(work * off),
             memory_mb: estimated.then_some(memory * off),
             deadline,
-            team: if self.now < START_S + 3.0 { 0 } else { LEAF_TENANTS[id % 3] },
+            tenant: if self.now < START_S + 3.0 { 0 } else { LEAF_TENANTS[id % 3] },
             earlier,
         };
         self.requests.insert(id, Truth { class, work, memory, deadline, attempts: 0 });
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -934,34 +934,34 @@
     assert_eq!(world.engines_of(heavy), [0]);
 }
 
-// ---- teams ----
+// ---- tenants ----
 
-/// Two teams of these weights, whose lines hold so many requests.
-fn teams(world: &mut World, weights: [f64; 2], most_queued: usize) {
-    teams_moved(world, weights, most_queued, 0);
+/// Two tenants of these weights, whose lines hold so many requests.
+fn tenants(world: &mut World, weights: [f64; 2], most_queued: usize) {
+    tenants_moved(world, weights, most_queued, 0);
 }
 
 /// The same, with all that is open moved to one of them.
-fn teams_moved(world: &mut World, weights: [f64; 2], most_queued: usize, to: usize) {
+fn tenants_moved(world: &mut World, weights: [f64; 2], most_queued: usize, to: usize) {
     use cleatgw::queue::{Line, Terms};
-    let team = |weight| Terms { weight, most_queued, ..Terms::default() };
-    let line = Line::new(vec![Terms::default(), team(weights[0]), team(weights[1])], world.now);
-    world.gateway.teams(world.now, line, &|_| to);
+    let tenant = |weight| Terms { weight, most_queued, ..Terms::default() };
+    let line = Line::new(vec![Terms::default(), tenant(weights[0]), tenant(weights[1])], world.now);
+    world.gateway.tenants(world.now, line, &|_| to);
 }
 
 #[test]
-fn a_greedy_team_does_not_keep_another_ones_requests_from_their_engines() {
+fn a_greedy_tenant_does_not_keep_another_ones_requests_from_their_engines() {
     let order = |parted: bool| {
         let mut world = World::new(plain(), 1);
         if parted {
-            teams(&mut world, [1.0, 1.0], 1000);
+            tenants(&mut world, [1.0, 1.0], 1000);
         }
         // The greedy one's requests are the denser ones, and there are a hundred.
         let greedy: Vec<usize> = (0..100)
-            .map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.1))))
+            .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
             .collect();
         let modest: Vec<usize> = (0..3)
-            .map(|_| world.request(0, |request| (request.team, request.cost) = (2, Some(0.2))))
+            .map(|_| world.request(0, |request| (request.tenant, request.cost) = (2, Some(0.2))))
             .collect();
         world.round();
         let out = |requests: &[usize]| {
@@ -978,12 +978,13 @@
 #[test]
 fn a_line_that_is_too_long_has_its_last_rejected_at_once_but_none_that_may_have_run() {
     let mut world = World::new(plain(), 1);
-    teams(&mut world, [1.0, 1.0], 2);
-    let ran = world.request(0, |request| (request.team, request.cost) = (1, Some(9.0)));
+    tenants(&mut world, [1.0, 1.0], 2);
+    let ran = world.request(0, |request| (request.tenant, request.cost) = (1, Some(9.0)));
     world.round();
     assert_eq!(world.engines_of(ran).len(), 1);
-    let later: Vec<usize> =
-        (0..60).map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)))).collect();
+    let later: Vec<usize> = (0..60)
+        .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
+        .collect();
     world.round();
     // Its attempt breaks: it may have run, and waits for the last in the line.
     world.over(ran, Ending::Broken, 0.1);
@@ -1001,16 +1002,17 @@
 #[test]
 fn requests_whose_clients_vanish_leave_the_line_and_hold_nobody_up() {
     let mut world = World::new(plain(), 1);
-    teams(&mut world, [1.0, 1.0], 40);
-    let gone: Vec<usize> =
-        (0..40).map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)))).collect();
+    tenants(&mut world, [1.0, 1.0], 40);
+    let gone: Vec<usize> = (0..40)
+        .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
+        .collect();
     world.round();
     let waited = world.gateway.line.of(1).0;
     gone.iter().for_each(|request| world.gateway.request_withdrawn(*request));
     assert!(waited > 0 && world.gateway.line.is_empty(), "{waited}");
     // Its line has room again: none of those that come now is displaced.
     for _ in 0..40 {
-        world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)));
+        world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1)));
     }
     world.round();
     assert!(world.book.advice.is_empty(), "{:?}", world.book.advice);
@@ -1019,16 +1021,17 @@
 #[test]
 fn new_lines_take_over_what_waits_and_what_is_out() {
     let mut world = World::new(plain(), 1);
-    teams(&mut world, [1.0, 1.0], 1000);
-    let requests: Vec<usize> =
-        (0..50).map(|_| world.request(0, |request| (request.team, request.cost) = (1, Some(0.2)))).collect();
+    tenants(&mut world, [1.0, 1.0], 1000);
+    let requests: Vec<usize> = (0..50)
+        .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.2))))
+        .collect();
     world.round();
     let out =
         |world: &World| requests.iter().filter(|request| !world.engines_of(**request).is_empty()).count();
     let before = out(&world);
     assert!(before > 0 && before < 50);
-    // The team is gone from the file: its requests wait among the others, and none is lost.
-    teams_moved(&mut world, [1.0, 1.0], 1000, 2);
+    // The tenant is gone from the file: its requests wait among the others, and none is lost.
+    tenants_moved(&mut world, [1.0, 1.0], 1000, 2);
     assert_eq!((world.gateway.line.len(), world.gateway.line.of(2).2), (50 - before, before));
     let first = *requests.iter().find(|request| !world.engines_of(**request).is_empty()).unwrap();
     world.over(first, Ending::Completed, 0.2);
@@ -1037,17 +1040,17 @@
 }
 
 #[test]
-fn a_team_that_is_rejected_is_told_when_its_line_would_take_it() {
+fn a_tenant_that_is_rejected_is_told_when_its_line_would_take_it() {
     let advice = |parted: bool| {
         let mut world = World::new(Deployment { advice: Some(60.0), ..plain() }, 1);
         if parted {
-            teams(&mut world, [1.0, 1.0], 30);
+            tenants(&mut world, [1.0, 1.0], 30);
         }
         // Its line moves: eight requests go and end each tenth of a second.
         let mut out = Vec::new();
         for _ in 0..30 {
             (0..8).for_each(|_| {
-                out.push(world.request(0, |request| (request.team, request.cost) = (1, Some(0.1))))
+                out.push(world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
             });
             world.round();
             world.pass(0.1);
@@ -1059,7 +1062,7 @@
             }
         }
         for _ in 0..100 {
-            world.request(0, |request| (request.team, request.cost) = (1, Some(0.1)));
+            world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1)));
         }
         world.pass(3.0);
         world.book.advice.clone()
