--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -4,7 +4,7 @@
 use base64::{engine::general_purpose::STANDARD, Engine as _};
 use cleatgw::logic::Gateway;
 use cleatgw::{AttemptEnd, Ending, Listing, Load, Met, Note, Stage, Taken, Writer};
-use cleatgw_members::digest::{self, EngineLife, PeerEvidence, Rounds};
+use cleatgw_members::digest::{self, EngineIncarnation, PeerEvidence, Rounds};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_start::{self as start, name_hash, Complaint, Names, Pairs};
 use std::collections::HashMap;
@@ -57,9 +57,9 @@
     names: Names,
     ids: Ids,
     tenants: Option<TeamNames>,
-    /// What instances tell each other of engines, where the deployment allows that, and which life each engine is in.
+    /// What instances tell each other of engines, where the deployment allows that, and which incarnation each engine is in.
     rounds: Option<Rounds>,
-    lives: Vec<EngineLife>,
+    incarnations: Vec<EngineIncarnation>,
     hear_at: f64,
 }
 
@@ -250,8 +250,8 @@
                 let talks = talks.map_err(|Complaint(words)| Complaint(format!("BEGIN: {words}")))?;
                 let rounds =
                     talks.filter(|_| self.tells).map(|(me, all)| Rounds::new(me, all, seed, self.now));
-                let (ids, lives, hear_at) = Default::default();
-                let instance = Instance { gateway, names, ids, tenants, rounds, lives, hear_at };
+                let (ids, incarnations, hear_at) = Default::default();
+                let instance = Instance { gateway, names, ids, tenants, rounds, incarnations, hear_at };
                 self.instances.insert(name.to_string(), instance);
             }
             "KILLED" => {
@@ -459,9 +459,9 @@
             })
             .collect();
         for listing in &listings {
-            let life = start::engine_life(listing);
-            self.lives.resize(self.lives.len().max(listing.engine + 1), life);
-            self.lives[listing.engine] = life;
+            let incarnation = start::engine_incarnation(listing);
+            self.incarnations.resize(self.incarnations.len().max(listing.engine + 1), incarnation);
+            self.incarnations[listing.engine] = incarnation;
         }
         self.gateway.engines_listed(now, &listings, whole);
         Ok(())
@@ -470,18 +470,18 @@
     /// Who is to be told what of engines now.
     fn tells(&mut self, now: f64) -> Option<(Vec<u16>, Vec<u8>)> {
         let met = |at: usize| self.gateway.met(at, now).map(|met| (met.good, met.bad, met.sent));
-        let lives = self.lives.iter().enumerate();
-        self.rounds
-            .as_mut()?
-            .due(now, || digest::observations(lives.filter_map(|(at, life)| Some((*life, met(at)?)))))
+        let incarnations = self.incarnations.iter().enumerate();
+        self.rounds.as_mut()?.due(now, || {
+            digest::observations(incarnations.filter_map(|(at, incarnation)| Some((*incarnation, met(at)?))))
+        })
     }
 
     /// Hands the decisions what others say of each engine.
     fn hear_peers(&mut self, now: f64) {
         let Some(rounds) = self.rounds.as_ref().filter(|_| now >= self.hear_at) else { return };
         self.hear_at = now + HEARS;
-        for (at, life) in self.lives.iter().enumerate() {
-            let PeerEvidence { good, bad, sent, .. } = rounds.said(life, now);
+        for (at, incarnation) in self.incarnations.iter().enumerate() {
+            let PeerEvidence { good, bad, sent, .. } = rounds.said(incarnation, now);
             self.gateway.peers_say(at, Met { good, bad, sent });
         }
     }
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -9,7 +9,7 @@
     RetryBudget,
 };
 use cleatgw::{Stage, Taken, Writer};
-use cleatgw_members::digest::{self, EngineLife, LASTS};
+use cleatgw_members::digest::{self, EngineIncarnation, LASTS};
 use cleatgw_members::swim::Pace;
 use cleatgw_members::{duty, Members};
 use rand::rngs::SmallRng;
@@ -191,7 +191,7 @@
 #[derive(Clone, Copy)]
 struct Work {
     router: usize,
-    life: u32,
+    incarnation: u32,
     request: usize,
     number: usize,
     id: u64,
@@ -246,7 +246,7 @@
 struct Router {
     gateway: Option<Gateway>,
     members: Option<Members>,
-    life: u32,
+    incarnation: u32,
     drains: bool,
     turn_at: f64,
     next: usize,
@@ -257,7 +257,7 @@
 #[derive(Default)]
 struct Engine {
     up: bool,
-    life: u32,
+    incarnation: u32,
     since: Option<f64>,
     hangs_until: f64,
     running: Vec<Work>,
@@ -357,9 +357,9 @@
     measured: [Option<Spent>; 2],
 }
 
-fn life_of(listing: &Listing) -> EngineLife {
+fn incarnation_of(listing: &Listing) -> EngineIncarnation {
     let since = listing.since.unwrap_or(0.0).to_bits();
-    EngineLife { name: listing.name_hash, life: (since ^ (since >> 32)) as u32 }
+    EngineIncarnation { name: listing.name_hash, incarnation: (since ^ (since >> 32)) as u32 }
 }
 
 /// A change of the list as the discovery service writes it, in bytes.
@@ -605,8 +605,8 @@
         }
     }
 
-    fn lives(&self, router: usize, life: u32) -> bool {
-        self.routers[router].gateway.is_some() && self.routers[router].life == life
+    fn lives(&self, router: usize, incarnation: u32) -> bool {
+        self.routers[router].gateway.is_some() && self.routers[router].incarnation == incarnation
     }
 
     fn happens(&mut self, event: Event) {
@@ -619,25 +619,27 @@
                 self.serve(to);
             }
             Event::MembersTurn(at) if self.routers[at].turn_at <= self.now => self.serve(at),
-            Event::Ask(at, life) if self.lives(at, life) => self.ask(at),
-            Event::Wake(at, life) if self.lives(at, life) => self.round(at),
-            Event::Words(at, life) if self.lives(at, life) => self.words(at),
-            Event::Listed(at, life, listings) if self.lives(at, life) => self.listed(at, &listings, false),
-            Event::TimeOut(work) if self.lives(work.router, work.life) => {
+            Event::Ask(at, incarnation) if self.lives(at, incarnation) => self.ask(at),
+            Event::Wake(at, incarnation) if self.lives(at, incarnation) => self.round(at),
+            Event::Words(at, incarnation) if self.lives(at, incarnation) => self.words(at),
+            Event::Listed(at, incarnation, listings) if self.lives(at, incarnation) => {
+                self.listed(at, &listings, false)
+            }
+            Event::TimeOut(work) if self.lives(work.router, work.incarnation) => {
                 self.give_up(work.router, work.request, Some(work.number), Ending::TimedOut);
             }
-            Event::Ended(work, ending, held) if self.lives(work.router, work.life) => {
+            Event::Ended(work, ending, held) if self.lives(work.router, work.incarnation) => {
                 self.ended(work, ending, held);
             }
             Event::Arrives(engine, work) => self.arrives(engine, work),
             Event::Dropped(engine, work) => {
                 let same = |other: &Work| {
-                    let of = |work: &Work| (work.router, work.life, work.request, work.number);
+                    let of = |work: &Work| (work.router, work.incarnation, work.request, work.number);
                     of(other) == of(&work)
                 };
                 self.engines[engine].queue.retain(|other| !same(other));
             }
-            Event::Done(engine, life, work) => self.done(engine, life, work),
+            Event::Done(engine, incarnation, work) => self.done(engine, incarnation, work),
             Event::Do(act) => self.act(act),
             _ => {}
         }
@@ -682,15 +684,15 @@
 
     /// What was met of engines is told, and what others say of them is handed to the decisions.
     fn words(&mut self, at: usize) {
-        let (now, life) = (self.now, self.routers[at].life);
-        self.at(now + WORDS, Event::Words(at, life));
+        let (now, incarnation) = (self.now, self.routers[at].incarnation);
+        self.at(now + WORDS, Event::Words(at, incarnation));
         let all = self.play.hears_all || at.is_multiple_of(self.play.routers.div_ceil(12));
         let router = &mut self.routers[at];
         let (Some(gateway), Some(members)) = (&mut router.gateway, &mut router.members) else { return };
         let began = Instant::now();
         let met = |listing: &Listing| {
             let met = gateway.met(listing.engine, now)?;
-            Some((life_of(listing), (met.good, met.bad, met.sent)))
+            Some((incarnation_of(listing), (met.good, met.bad, met.sent)))
         };
         let words = digest::words(router.listings.iter().filter_map(met));
         members.tell(words.clone());
@@ -704,7 +706,7 @@
         let spoken_of = &self.spoken_of;
         let hears = |listing: &&Listing| all || now < spoken_of[listing.engine] + lasts;
         for listing in router.listings.iter().filter(hears) {
-            let said = members.said(&life_of(listing), now);
+            let said = members.said(&incarnation_of(listing), now);
             gateway.peers_say(listing.engine, Met { good: said.good, bad: said.bad, sent: said.sent });
         }
         if at.is_multiple_of(self.play.routers.div_ceil(12)) {
@@ -715,9 +717,9 @@
 
     fn ask(&mut self, at: usize) {
         let wait = -(1.0 - self.rng.random::<f64>()).ln() / self.play.rate;
-        let (now, life) = (self.now, self.routers[at].life);
+        let (now, incarnation) = (self.now, self.routers[at].incarnation);
         if now + wait < self.calm_at() {
-            self.at(now + wait, Event::Ask(at, life));
+            self.at(now + wait, Event::Ask(at, incarnation));
         }
         let work = self.mean * (0.5 + self.rng.random::<f64>());
         let cost = Some(work * (0.7 + 0.6 * self.rng.random::<f64>()));
@@ -746,13 +748,13 @@
     }
 
     fn round(&mut self, at: usize) {
-        let (now, life) = (self.now, self.routers[at].life);
+        let (now, incarnation) = (self.now, self.routers[at].incarnation);
         let mut book = Book::default();
         let Some(gateway) = &mut self.routers[at].gateway else { return };
         let began = Instant::now();
         gateway.round(now, &mut book);
         self.spent.decisions += began.elapsed();
-        book.wake.into_iter().for_each(|wake| self.at(wake, Event::Wake(at, life)));
+        book.wake.into_iter().for_each(|wake| self.at(wake, Event::Wake(at, incarnation)));
         for (id, engine, time_out) in book.attempts {
             self.dispatch(at, id, engine, time_out);
         }
@@ -781,7 +783,7 @@
     }
 
     fn dispatch(&mut self, at: usize, id: usize, engine: usize, time_out: Option<f64>) {
-        let (now, life, mean) = (self.now, self.routers[at].life, self.mean);
+        let (now, incarnation, mean) = (self.now, self.routers[at].incarnation, self.mean);
         let planted = self.play.planted;
         let other = match planted {
             Some(Planted::ToTheGone) => self.discovery.iter().find(|one| one.stage == Stage::Gone),
@@ -794,7 +796,7 @@
         let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let number = request.attempts.len();
         request.attempts.push((engine, sent_to, now, true));
-        let work = Work { router: at, life, request: id, number, id: request.id, work: request.work };
+        let work = Work { router: at, incarnation, request: id, number, id: request.id, work: request.work };
         self.further += u64::from(number > 0);
         self.checker.dispatched(at, sent_to, work.work / mean, mean, now);
         time_out.into_iter().for_each(|wait| self.at(now + wait, Event::TimeOut(work)));
@@ -807,13 +809,14 @@
 
     /// Attempts of a request are given up, and their ends are news in this turn.
     fn give_up(&mut self, at: usize, id: usize, only: Option<usize>, ending: Ending) {
-        let (now, life) = (self.now, self.routers[at].life);
+        let (now, incarnation) = (self.now, self.routers[at].incarnation);
         let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let mut ends = Vec::new();
         for (number, (engine, sent_to, sent, out)) in request.attempts.iter_mut().enumerate() {
             if *out && only.is_none_or(|only| only == number) {
                 *out = false;
-                let work = Work { router: at, life, request: id, number, id: request.id, work: request.work };
+                let work =
+                    Work { router: at, incarnation, request: id, number, id: request.id, work: request.work };
                 ends.push((work, *engine, *sent_to, *sent));
             }
         }
@@ -830,7 +833,7 @@
     }
 
     fn attempt_ended(&mut self, at: usize, end: &AttemptEnd) {
-        let (now, life) = (self.now, self.routers[at].life);
+        let (now, incarnation) = (self.now, self.routers[at].incarnation);
         let router = &mut self.routers[at];
         let Some(gateway) = &mut router.gateway else { return };
         let began = Instant::now();
@@ -840,7 +843,7 @@
         if router.requests.get(&end.request).is_some_and(done) {
             router.requests.remove(&end.request);
         }
-        self.at(now, Event::Wake(at, life));
+        self.at(now, Event::Wake(at, incarnation));
     }
 
     fn ended(&mut self, work: Work, ending: Ending, held: f64) {
@@ -884,20 +887,20 @@
             engine.running.push(work);
             let age = engine.since.map_or(f64::INFINITY, |since| now - since);
             let warmth = (COLD.from + (1.0 - COLD.from) * age / COLD.warm_after).min(1.0);
-            let life = engine.life;
+            let incarnation = engine.incarnation;
             self.checker.begun(work.id, now);
-            self.at(now + work.work / warmth, Event::Done(at, life, work));
+            self.at(now + work.work / warmth, Event::Done(at, incarnation, work));
         }
     }
 
-    fn done(&mut self, at: usize, life: u32, work: Work) {
+    fn done(&mut self, at: usize, incarnation: u32, work: Work) {
         let engine = &mut self.engines[at];
-        if !engine.up || engine.life != life {
+        if !engine.up || engine.incarnation != incarnation {
             return;
         }
         if self.now < engine.hangs_until {
             let until = engine.hangs_until;
-            return self.at(until, Event::Done(at, life, work));
+            return self.at(until, Event::Done(at, incarnation, work));
         }
         let same = |other: &Work| (other.id, other.number) == (work.id, work.number);
         if let Some(place) = engine.running.iter().position(same) {
@@ -932,22 +935,22 @@
         let news: Rc<[Listing]> = Rc::new([self.discovery[engine]]);
         for router in 0..self.routers.len() {
             let way = self.way(0, self.router_zone(router));
-            let life = self.routers[router].life;
-            self.at(self.now + way, Event::Listed(router, life, news.clone()));
+            let incarnation = self.routers[router].incarnation;
+            self.at(self.now + way, Event::Listed(router, incarnation, news.clone()));
         }
     }
 
     fn start(&mut self, at: usize) {
         let (now, Play { routers, seed, .. }) = (self.now, self.play);
-        let again = self.routers[at].life > 0;
-        let life = self.routers[at].life + 1;
-        let own = seed.wrapping_mul(31).wrapping_add(at as u64 * 1000 + u64::from(life));
+        let again = self.routers[at].incarnation > 0;
+        let incarnation = self.routers[at].incarnation + 1;
+        let own = seed.wrapping_mul(31).wrapping_add(at as u64 * 1000 + u64::from(incarnation));
         let mut gateway = Gateway::new(self.deployment(), own, now);
         let born = 1_700_000_000_000 + (now * 1e3) as u64;
         let mut members = Members::new(CLUSTER, routers, at, born, &Pace::default(), own, now);
         members.take_on(&[duty::thing(DUTY)], now);
         if again {
-            // Nothing is kept here from one life to the next.
+            // Nothing is kept here from one incarnation to the next.
             gateway.forgot(now);
         }
         self.checker.forgets(at);
@@ -955,7 +958,7 @@
         self.routers[at] = Router {
             gateway: Some(gateway),
             members: Some(members),
-            life,
+            incarnation,
             next,
             listings: self.discovery.clone(),
             turn_at: now,
@@ -965,8 +968,8 @@
         self.listed(at, &whole, true);
         self.at(now, Event::MembersTurn(at));
         let first = now + WORDS * self.rng.random::<f64>();
-        self.at(first, Event::Words(at, life));
-        self.at(now.max(ASKS), Event::Ask(at, life));
+        self.at(first, Event::Words(at, incarnation));
+        self.at(now.max(ASKS), Event::Ask(at, incarnation));
     }
 
     /// Its clients' connections break with it.
@@ -1021,8 +1024,8 @@
                 }
             }
             Act::EngineUp(at) if !self.engines[at].up => {
-                let life = self.engines[at].life + 1;
-                self.engines[at] = Engine { up: true, life, since: Some(now), ..Engine::default() };
+                let incarnation = self.engines[at].incarnation + 1;
+                self.engines[at] = Engine { up: true, incarnation, since: Some(now), ..Engine::default() };
                 self.checker.started(at, now);
                 (self.discovery[at].stage, self.discovery[at].since) = (Stage::Ready, Some(now));
                 self.publish(at);
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -67,7 +67,7 @@
     world.record.truths.drain(..last);
 }
 
-/// Bytes on the wire that each running router sent in this life.
+/// Bytes on the wire that each running router sent in this incarnation.
 fn sent(world: &World) -> Vec<u64> {
     let bytes = |router| {
         let counts = world.members(router).map(|members| members.counts());
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -159,7 +159,7 @@
             at: 0.0,
             up: vec![false; routers],
             cut: vec![vec![false; routers]; routers],
-            life: vec![0; routers],
+            incarnation: vec![0; routers],
             rough: false,
         };
         let listed = |engine: &Shared| Listed { uid: engine.uid.clone(), state: "ready", boot_ms: 0 };
@@ -376,7 +376,7 @@
             at: now,
             up: self.slots.iter().map(up).collect(),
             cut: cuts,
-            life: self.slots.iter().map(|slot| slot.starts).collect(),
+            incarnation: self.slots.iter().map(|slot| slot.starts).collect(),
             rough,
         });
     }
@@ -493,7 +493,7 @@
         judge(&asked, &ran, &facts)
     }
 
-    /// The most retries of a router within so many seconds, over all its lives, by what engines were given.
+    /// The most retries of a router within so many seconds, over all its incarnations, by what engines were given.
     pub fn retries(&self, tally: &Tally, router: usize, window: f64) -> usize {
         let calls: std::collections::HashSet<&str> = tally
             .asked
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -22,8 +22,8 @@
     pub up: Vec<bool>,
     /// By sender, then receiver.
     pub cut: Vec<Vec<bool>>,
-    /// In which life each is: counts its starts.
-    pub life: Vec<u32>,
+    /// In which incarnation each is: counts its starts.
+    pub incarnation: Vec<u32>,
     /// Links that are not cut lose, delay or damage more than a sound network does.
     pub rough: bool,
 }
@@ -204,7 +204,7 @@
     use super::*;
 
     fn truth(at: f64, up: [bool; 3]) -> Truth {
-        Truth { at, up: up.to_vec(), cut: vec![vec![false; 3]; 3], life: vec![0; 3], rough: false }
+        Truth { at, up: up.to_vec(), cut: vec![vec![false; 3]; 3], incarnation: vec![0; 3], rough: false }
     }
 
     fn said(at: f64, by: usize, of: usize, state: &str) -> Said {
--- a/crates/lab/src/virtual_comeback.rs
+++ b/crates/lab/src/virtual_comeback.rs
@@ -57,7 +57,7 @@
 
 struct Running {
     router: usize,
-    life: u32,
+    incarnation: u32,
     request: usize,
     number: usize,
     left: f64,
@@ -84,7 +84,7 @@
 
 struct Router {
     gateway: Option<Gateway>,
-    life: u32,
+    incarnation: u32,
     requests: HashMap<usize, Request>,
     next: usize,
     wake: f64,
@@ -171,7 +171,7 @@
             |at| Engine { listing: listing(at), running: Vec::new(), silent: false, given: Vec::new() };
         let router = |_| Router {
             gateway: None,
-            life: 0,
+            incarnation: 0,
             requests: HashMap::new(),
             next: 0,
             wake: 0.0,
@@ -204,12 +204,15 @@
         let (now, given) = (self.now, deployment(self.play.routers));
         let budget = given.budget.expect("it is stated").window;
         let looks = Looks { repeats: budget, cold: given.cold.window, receipts: 0.0 };
-        let mut gateway =
-            Gateway::new(given, self.play.seed + at as u64 * 1000 + u64::from(self.routers[at].life), now);
+        let mut gateway = Gateway::new(
+            given,
+            self.play.seed + at as u64 * 1000 + u64::from(self.routers[at].incarnation),
+            now,
+        );
         let listings: Vec<Listing> = self.engines.iter().map(|engine| engine.listing).collect();
         gateway.engines_listed(now, &listings, true);
         let router = &mut self.routers[at];
-        router.life += 1;
+        router.incarnation += 1;
         router.gateway = Some(gateway);
         (router.wake, router.full_at) = (now, None);
         router.puts = Puts::new(now);
@@ -259,7 +262,7 @@
                 gateway.repeats.iter().map(|at| now - at).filter(|age| (0.0..10.0).contains(age)).collect();
             let sent = |engine: &Engine| {
                 let work = gateway.met(engine.listing.engine, now)?.sent;
-                (work > 0.0).then_some(Sent { name: engine.listing.name_hash, life: 0, work })
+                (work > 0.0).then_some(Sent { name: engine.listing.name_hash, incarnation: 0, work })
             };
             let cold = self.engines.iter().filter_map(sent).collect();
             let kept = Kept { at: moment, repeats, ahead: AHEAD, cold, marks: Vec::new() };
@@ -308,11 +311,11 @@
             }
             let number = request.out.len();
             request.out.push((engine, true, Some(until)));
-            let (life, work) = (router.life, request.work);
+            let (incarnation, work) = (router.incarnation, request.work);
             self.engines[engine].given.push((now, work));
             self.engines[engine].running.push(Running {
                 router: at,
-                life,
+                incarnation,
                 request: id,
                 number,
                 left: work,
@@ -382,7 +385,8 @@
             let done: Vec<Running> = done;
             for run in done {
                 let router = &mut self.routers[run.router];
-                let Some(gateway) = router.gateway.as_mut().filter(|_| router.life == run.life) else {
+                let Some(gateway) = router.gateway.as_mut().filter(|_| router.incarnation == run.incarnation)
+                else {
                     continue;
                 };
                 let Some(request) = router.requests.get_mut(&run.request).filter(|request| !request.over)
--- a/crates/lab/src/virtual_members.rs
+++ b/crates/lab/src/virtual_members.rs
@@ -36,7 +36,7 @@
     pub weather: Weather,
     pub record: Record,
     pub pace: Pace,
-    /// The Unix clock that each router's life begins from, in milliseconds beside the true one.
+    /// The Unix clock that each router's incarnation begins from, in milliseconds beside the true one.
     pub clocks: Vec<i64>,
     /// Its turns come so late, in seconds: it is overloaded.
     pub slow: Vec<f64>,
@@ -62,7 +62,7 @@
             at: 0.0,
             up: vec![false; routers],
             cut: vec![vec![false; routers]; routers],
-            life: vec![0; routers],
+            incarnation: vec![0; routers],
             rough: false,
         };
         let dead = || Router {
@@ -312,11 +312,12 @@
             cut: (0..count)
                 .map(|from| (0..count).map(|to| self.weather.is_cut(from, to)).collect())
                 .collect(),
-            life: self.routers.iter().map(|router| router.starts).collect(),
+            incarnation: self.routers.iter().map(|router| router.starts).collect(),
             rough: self.weather.rough(),
         };
         let same = |last: &Truth| {
-            (&last.up, &last.cut, &last.life, last.rough) == (&truth.up, &truth.cut, &truth.life, truth.rough)
+            (&last.up, &last.cut, &last.incarnation, last.rough)
+                == (&truth.up, &truth.cut, &truth.incarnation, truth.rough)
         };
         if !self.record.truths.last().is_some_and(same) {
             self.record.truths.push(truth);
--- a/crates/members/src/digest.rs
+++ b/crates/members/src/digest.rs
@@ -1,6 +1,6 @@
 //! What routers tell each other of engines: short digests of what each has seen itself. Nothing that was heard from others
 //! is passed on, so no rumour comes back as evidence; each source counts once for an engine, by its latest word; and what was
-//! said of a former life of an engine does not count.
+//! said of a former incarnation of an engine does not count.
 
 mod rounds;
 
@@ -24,13 +24,13 @@
 /// Work is told in milliseconds.
 const MS_PER_S: f64 = 1e3;
 
-/// An engine in one life.
+/// An engine in one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct EngineLife {
+pub struct EngineIncarnation {
     /// A hash of its name.
     pub name: u64,
     /// A hash of its start.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// What a router has met of one engine of late, in its own traffic, as its decisions hold it: faded with age. The order of
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// The engine.
-    pub engine: EngineLife,
+    pub engine: EngineIncarnation,
     /// Attempts that went well, in quarters.
     pub good: u8,
     /// Attempts that did not, in quarters.
@@ -49,9 +49,9 @@
 
 /// What is worth telling of what was met: for each engine the good and the bad attempts, and the work sent during its slow
 /// start in seconds. The most trouble comes first, then the most work.
-pub fn observations(met: impl Iterator<Item = (EngineLife, (f64, f64, f64))>) -> Vec<Observation> {
+pub fn observations(met: impl Iterator<Item = (EngineIncarnation, (f64, f64, f64))>) -> Vec<Observation> {
     let quarters = |attempts: f64| (attempts * QUARTERS).round().clamp(0.0, f64::from(u8::MAX)) as u8;
-    let observation = |(engine, (good, bad, sent)): (EngineLife, (f64, f64, f64))| {
+    let observation = |(engine, (good, bad, sent)): (EngineIncarnation, (f64, f64, f64))| {
         let sent = (sent * MS_PER_S).ceil().clamp(0.0, f64::from(u16::MAX)) as u16;
         Observation { engine, good: quarters(good), bad: quarters(bad), sent }
     };
@@ -137,7 +137,7 @@
 /// The digests that were heard, by source.
 #[derive(Debug, Default)]
 pub struct PeerDigests {
-    by_source: BTreeMap<u16, BTreeMap<EngineLife, HeardObservation>>,
+    by_source: BTreeMap<u16, BTreeMap<EngineIncarnation, HeardObservation>>,
 }
 
 impl PeerDigests {
@@ -152,13 +152,13 @@
         }
     }
 
-    /// Forgets a source that has failed, or speaks from a new life.
+    /// Forgets a source that has failed, or speaks from a new incarnation.
     pub fn forget(&mut self, source: u16) {
         self.by_source.remove(&source);
     }
 
     /// What is said of an engine by those sources that are `trusted`.
-    pub fn of(&self, engine: &EngineLife, now: f64, trusted: impl Fn(u16) -> bool) -> PeerEvidence {
+    pub fn of(&self, engine: &EngineIncarnation, now: f64, trusted: impl Fn(u16) -> bool) -> PeerEvidence {
         let mut evidence = PeerEvidence::default();
         for (_, engines) in self.by_source.iter().filter(|(source, _)| trusted(**source)) {
             if let Some(heard) = engines.get(engine) {
--- a/crates/members/src/digest/rounds.rs
+++ b/crates/members/src/digest/rounds.rs
@@ -1,6 +1,6 @@
 //! Digests among many instances whose host only carries messages.
 
-use super::{read, write, EngineLife, Observation, PeerDigests, PeerEvidence, QUARTERS};
+use super::{read, write, EngineIncarnation, Observation, PeerDigests, PeerEvidence, QUARTERS};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Between two rounds, in seconds.
@@ -35,7 +35,7 @@
     }
 
     /// What the others say of an engine.
-    pub fn said(&self, engine: &EngineLife, now: f64) -> PeerEvidence {
+    pub fn said(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
         self.heard.of(engine, now, |_| true)
     }
 
--- a/crates/members/src/digest/tests.rs
+++ b/crates/members/src/digest/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-const ENGINE: EngineLife = EngineLife { name: 7, life: 1 };
+const ENGINE: EngineIncarnation = EngineIncarnation { name: 7, incarnation: 1 };
 
 /// Whole attempts.
 fn seen(bad: u8, good: u8) -> Observation {
@@ -15,7 +15,7 @@
 #[test]
 fn longest_digest_fits_and_longer_ones_are_refused() {
     let most = Observation {
-        engine: EngineLife { name: u64::MAX, life: u32::MAX },
+        engine: EngineIncarnation { name: u64::MAX, incarnation: u32::MAX },
         good: 255,
         bad: 255,
         sent: u16::MAX,
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn ignores_former_engine_lives_and_untrusted_sources() {
+fn ignores_former_engine_incarnations_and_untrusted_sources() {
     let mut heard = PeerDigests::default();
     heard.hear(3, vec![seen(9, 0)], 10.0);
-    let replaced = EngineLife { life: 2, ..ENGINE };
+    let replaced = EngineIncarnation { incarnation: 2, ..ENGINE };
     assert_eq!(heard.of(&replaced, 10.0, all), PeerEvidence::default());
     assert_eq!(heard.of(&ENGINE, 10.0, |source| source != 3), PeerEvidence::default());
     heard.forget(3);
@@ -66,9 +66,10 @@
 
 #[test]
 fn tells_most_trouble_first_and_omits_engines_not_met() {
-    let well = (0..40).map(|name| (EngineLife { name, life: 0 }, (3.0, 0.0, 0.0)));
-    let ill = [(ENGINE, (0.5, 2.1, 0.0)), (EngineLife { name: 99, life: 0 }, (0.01, 0.02, 0.0))];
-    let cold = [(EngineLife { name: 50, life: 0 }, (0.0, 0.0, 0.0101))];
+    let well = (0..40).map(|name| (EngineIncarnation { name, incarnation: 0 }, (3.0, 0.0, 0.0)));
+    let ill =
+        [(ENGINE, (0.5, 2.1, 0.0)), (EngineIncarnation { name: 99, incarnation: 0 }, (0.01, 0.02, 0.0))];
+    let cold = [(EngineIncarnation { name: 50, incarnation: 0 }, (0.0, 0.0, 0.0101))];
     let told = observations(well.chain(ill).chain(cold));
     assert_eq!(told.len(), MAX_OBSERVATIONS);
     assert_eq!(told[0], Observation { engine: ENGINE, good: 2, bad: 8, sent: 0 });
@@ -112,7 +113,7 @@
 fn bounds_memory_for_invented_engines() {
     let mut heard = PeerDigests::default();
     for name in 0..1000 {
-        let made_up = Observation { engine: EngineLife { name, life: 0 }, ..seen(1, 0) };
+        let made_up = Observation { engine: EngineIncarnation { name, incarnation: 0 }, ..seen(1, 0) };
         heard.hear(3, vec![made_up], 10.0);
     }
     assert_eq!(heard.by_source[&3].len(), MAX_ENGINES_OF_SOURCE);
--- a/crates/members/src/lease/mod.rs
+++ b/crates/members/src/lease/mod.rs
@@ -60,7 +60,7 @@
 pub struct Leases {
     me: u16,
     expected: usize,
-    /// Nothing is granted before this time: what was granted in a former life has expired by then.
+    /// Nothing is granted before this time: what was granted in a former incarnation has expired by then.
     grants_from: f64,
     counter: u64,
     grants: BTreeMap<Resource, Grant>,
@@ -86,7 +86,7 @@
 }
 
 impl Leases {
-    /// The part of router `me` among `expected` routers after its start. `counter` must be larger than in any former life:
+    /// The part of router `me` among `expected` routers after its start. `counter` must be larger than in any former incarnation:
     /// the Unix time of the start in milliseconds is.
     pub fn new(me: u16, expected: usize, counter: u64, now: f64) -> Leases {
         Leases {
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,4 +1,4 @@
-//! Cluster membership: which routers are present, suspected, failed or gone, in which life, and on what evidence.
+//! Cluster membership: which routers are present, suspected, failed or gone, in which incarnation, and on what evidence.
 //!
 //! - [`Members`] is one router's part; it ties the others together.
 //! - [`swim`] is the failure detector, [`direct_probe`] its complement where many routers fall silent at once.
--- a/crates/members/src/member.rs
+++ b/crates/members/src/member.rs
@@ -53,7 +53,7 @@
 pub struct Member {
     /// Its present state.
     pub state: State,
-    /// Its life, 0 where none is known.
+    /// Its incarnation, 0 where none is known.
     pub born: u64,
     /// When it came to this state.
     pub since: f64,
@@ -75,7 +75,7 @@
     pub(crate) probe_answered_at: f64,
     /// When its indirect probe was last answered.
     pub(crate) indirect_probe_answered_at: f64,
-    /// The latest epoch of its store that this router was shown, over all its lives.
+    /// The latest epoch of its store that this router was shown, over all its incarnations.
     pub(crate) store_epoch: u64,
 }
 
@@ -111,7 +111,7 @@
     pub from: State,
     /// The new state.
     pub to: State,
-    /// Its life.
+    /// Its incarnation.
     pub born: u64,
     /// Seconds since it was last heard here; infinite for never.
     pub heard_ago: f64,
@@ -132,8 +132,8 @@
     pub accusations: u64,
     /// Suspicions of this router that it refuted.
     pub refutations: u64,
-    /// Lives that it had to begin anew.
-    pub new_lives: u64,
+    /// Incarnations that it had to begin anew.
+    pub new_incarnations: u64,
     /// Words of others that a router is down which direct contact outweighed.
     pub contradicted: u64,
     /// Pauses in which this router had no turn.
--- a/crates/members/src/membership/mod.rs
+++ b/crates/members/src/membership/mod.rs
@@ -5,12 +5,12 @@
 mod receive;
 mod send;
 
-use crate::digest::{EngineLife, Observation, PeerDigests, PeerEvidence};
+use crate::digest::{EngineIncarnation, Observation, PeerDigests, PeerEvidence};
 use crate::direct_probe::DirectProbes;
 use crate::leader::LeaderRoles;
 use crate::lease::Leases;
 use crate::member::{Change, Counts, Member, State, ViewDigest};
-use crate::swim::{DetectorCounts, Life, Pace, Swim};
+use crate::swim::{DetectorCounts, Incarnation, Pace, Swim};
 use crate::view::{self, Allowed, Standing};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -27,7 +27,7 @@
     cluster: u64,
     members: Vec<Member>,
     swim: Swim,
-    adopt_younger_life: bool,
+    adopt_younger_incarnation: bool,
     /// The epoch of this router's own store.
     store_epoch: u64,
     /// The latest epoch of it that another router says it was shown, once one has said anything.
@@ -48,8 +48,8 @@
     /// A majority was present once.
     formed: bool,
     leaving_since: Option<f64>,
-    /// When this router's name was found in a younger life.
-    younger_lives: Vec<f64>,
+    /// When this router's name was found in a younger incarnation.
+    younger_incarnations: Vec<f64>,
     seed: u64,
     draws: u64,
     /// The routers that are still to be sent a heartbeat in this round, the next one last.
@@ -75,7 +75,7 @@
     /// A router's part after its start.
     ///
     /// `me` is its place among the `routers` that the cluster file names, at most [`MOST_ROUTERS`]. `born` has to be larger
-    /// than in any former life: the Unix time of the start in milliseconds.
+    /// than in any former incarnation: the Unix time of the start in milliseconds.
     pub fn new(
         cluster: u64,
         routers: usize,
@@ -86,7 +86,7 @@
         now: f64,
     ) -> Members {
         let routers = routers.clamp(1, MOST_ROUTERS);
-        let life = Life { router: me as u16, born, leaving: false };
+        let incarnation = Incarnation { router: me as u16, born, leaving: false };
         let mut members = vec![Member::unseen(now); routers];
         members[me].state = State::Present;
         members[me].born = born;
@@ -94,8 +94,8 @@
             me: me as u16,
             cluster,
             members,
-            swim: Swim::new(life, routers, pace, seed, now),
-            adopt_younger_life: pace.defences.adopt_younger_life,
+            swim: Swim::new(incarnation, routers, pace, seed, now),
+            adopt_younger_incarnation: pace.defences.adopt_younger_incarnation,
             store_epoch: 0,
             store_epoch_shown: None,
             leases: Leases::new(me as u16, routers, born, now),
@@ -110,7 +110,7 @@
             resumed_at: f64::NEG_INFINITY,
             formed: false,
             leaving_since: None,
-            younger_lives: Vec::new(),
+            younger_incarnations: Vec::new(),
             seed,
             draws: 0,
             heartbeat_round: Vec::new(),
@@ -210,7 +210,7 @@
         }
         self.leaving_since = Some(now);
         let born = self.swim.me().born;
-        self.swim.begin_life(born + 1, true, now);
+        self.swim.begin_incarnation(born + 1, true, now);
         self.heartbeat_round.clear();
         self.heartbeat_at = now;
         // At once, so that what is released below is not requested again in the next turn.
@@ -224,7 +224,7 @@
     }
 
     /// What others say of an engine: those that are present in this router's view.
-    pub fn said(&self, engine: &EngineLife, now: f64) -> PeerEvidence {
+    pub fn said(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
         if !self.allowed().hears_of_engines {
             return PeerEvidence::default();
         }
@@ -253,7 +253,7 @@
         self.store_epoch = self.store_epoch.max(epoch);
     }
 
-    /// The latest epoch of this router's store that another was shown by this life or a former one; `None` until one has
+    /// The latest epoch of this router's store that another was shown by this incarnation or a former one; `None` until one has
     /// said so.
     pub fn store_epoch_shown(&self) -> Option<u64> {
         self.store_epoch_shown
@@ -266,7 +266,7 @@
 
     /// What was counted since the start.
     pub fn counts(&self) -> Counts {
-        let DetectorCounts { refutations, new_lives, contradicted } = self.swim.counts();
-        Counts { refutations, new_lives, contradicted, ..self.counts.clone() }
+        let DetectorCounts { refutations, new_incarnations, contradicted } = self.swim.counts();
+        Counts { refutations, new_incarnations, contradicted, ..self.counts.clone() }
     }
 }
--- a/crates/members/src/membership/observe.rs
+++ b/crates/members/src/membership/observe.rs
@@ -1,9 +1,9 @@
 //! The state of each router, from what the failure detector tells and what is heard directly; and what is counted of all.
 
-use super::receive::{NAME_CONFLICT_LIVES, NAME_CONFLICT_WITHIN};
+use super::receive::{NAME_CONFLICT_INCARNATIONS, NAME_CONFLICT_WITHIN};
 use super::Members;
 use crate::member::{Change, Member, State, ViewDigest};
-use crate::swim::{DetectorState, Life};
+use crate::swim::{DetectorState, Incarnation};
 use crate::view::{self, Count};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -20,12 +20,12 @@
 impl Members {
     /// Puts together what the detector tells and what is heard directly, and notes who came to another state.
     pub(super) fn observe(&mut self, now: f64) {
-        let states: Vec<(Life, DetectorState)> = self.swim.states().collect();
-        for (life, detected) in states {
-            let router = usize::from(life.router);
-            if life.router != self.me && router < self.members.len() {
-                let state = self.state_of(life, detected, now);
-                self.set_state(router, state, life.born, now);
+        let states: Vec<(Incarnation, DetectorState)> = self.swim.states().collect();
+        for (incarnation, detected) in states {
+            let router = usize::from(incarnation.router);
+            if incarnation.router != self.me && router < self.members.len() {
+                let state = self.state_of(incarnation, detected, now);
+                self.set_state(router, state, incarnation.born, now);
             }
         }
         self.members[usize::from(self.me)].born = self.swim.me().born;
@@ -35,11 +35,11 @@
     }
 
     /// The state of a router by the detector, and by when it was heard.
-    fn state_of(&self, life: Life, detected: DetectorState, now: f64) -> State {
-        let member = &self.members[usize::from(life.router)];
+    fn state_of(&self, incarnation: Incarnation, detected: DetectorState, now: f64) -> State {
+        let member = &self.members[usize::from(incarnation.router)];
         let heard_ago = now - member.heard_at;
         match detected {
-            _ if life.leaving || (member.leaving && detected == DetectorState::Down) => State::Left,
+            _ if incarnation.leaving || (member.leaving && detected == DetectorState::Down) => State::Left,
             DetectorState::Down => State::Failed,
             DetectorState::Suspect => State::Suspected,
             DetectorState::Alive if heard_ago > self.max_silence() => State::SeenByOthers,
@@ -94,8 +94,8 @@
 
     /// Whether another process goes by this router's name.
     fn has_name_conflict(&self, now: f64) -> bool {
-        let recent = self.younger_lives.iter().any(|at| now < at + NAME_CONFLICT_WITHIN);
-        self.younger_lives.len() >= NAME_CONFLICT_LIVES && recent
+        let recent = self.younger_incarnations.iter().any(|at| now < at + NAME_CONFLICT_WITHIN);
+        self.younger_incarnations.len() >= NAME_CONFLICT_INCARNATIONS && recent
     }
 }
 
--- a/crates/members/src/membership/receive.rs
+++ b/crates/members/src/membership/receive.rs
@@ -11,11 +11,11 @@
 
 /// The probes of one router are answered no more often than this, in seconds: several of one round are answered once.
 const ANSWER_INTERVAL: f64 = 0.05;
-/// A router that has run so much longer than this one knows of former lives of it, in seconds. Those that were started
+/// A router that has run so much longer than this one knows of former incarnations of it, in seconds. Those that were started
 /// together know no more than they tell each other.
 const STARTED_BEFORE: f64 = 1.0;
-/// So many younger lives under this router's name, the last of them within so many seconds: another process goes by it.
-pub(super) const NAME_CONFLICT_LIVES: usize = 4;
+/// So many younger incarnations under this router's name, the last of them within so many seconds: another process goes by it.
+pub(super) const NAME_CONFLICT_INCARNATIONS: usize = 4;
 pub(super) const NAME_CONFLICT_WITHIN: f64 = 20.0;
 
 impl Members {
@@ -39,7 +39,7 @@
         self.note_contact(from, &envelope, now)?;
         self.note_store_epochs(from, &envelope, now);
         self.note_view(from, &envelope, now);
-        self.renew_life(&envelope, now);
+        self.renew_incarnation(&envelope, now);
         self.notify_absent(from, &envelope, now);
         match envelope.kind {
             Kind::Swim => self.swim.receive(body, now).map_err(|_| Dropped::Body),
@@ -69,13 +69,13 @@
         Ok(())
     }
 
-    /// Notes that the sender was heard, in which life, and when it last heard this router.
+    /// Notes that the sender was heard, in which incarnation, and when it last heard this router.
     fn note_contact(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), Dropped> {
         {
             let mut contacts = self.swim.contacts.borrow_mut();
             contacts.now = now;
             if !contacts.record(from, envelope.born) {
-                return Err(Dropped::FormerLife);
+                return Err(Dropped::FormerIncarnation);
             }
         }
         self.swim.heard(now);
@@ -92,12 +92,12 @@
     }
 
     /// Notes the epoch of the sender's store, and which epoch of this router's it was shown, where it was there before this
-    /// life of it and knows this life.
+    /// incarnation of it and knows this incarnation.
     fn note_store_epochs(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
         member.store_epoch = member.store_epoch.max(envelope.store_epoch.min(YOUNGEST));
-        let knows_this_life = envelope.receiver_born == self.swim.me().born;
-        if knows_this_life && f64::from(envelope.age) > now - self.started + STARTED_BEFORE {
+        let knows_this_incarnation = envelope.receiver_born == self.swim.me().born;
+        if knows_this_incarnation && f64::from(envelope.age) > now - self.started + STARTED_BEFORE {
             let shown = envelope.receiver_store_epoch.min(YOUNGEST);
             self.store_epoch_shown = Some(self.store_epoch_shown.unwrap_or(0).max(shown));
         }
@@ -115,23 +115,23 @@
         }
     }
 
-    /// Begins a new life where others know this router in a younger one, or hold this one failed.
-    fn renew_life(&mut self, envelope: &Envelope, now: f64) {
+    /// Begins a new incarnation where others know this router in a younger one, or hold this one failed.
+    fn renew_incarnation(&mut self, envelope: &Envelope, now: f64) {
         let leaving = self.leaving_since.is_some();
-        // Its name was in a younger life: its clock was set back before its start, or another process goes by its name.
-        if envelope.receiver_born > self.swim.me().born && self.adopt_younger_life {
-            self.younger_lives.retain(|at| now < at + NAME_CONFLICT_WITHIN);
-            if self.younger_lives.len() < NAME_CONFLICT_LIVES {
-                self.younger_lives.push(now);
-                self.swim.begin_life(envelope.receiver_born.saturating_add(1), leaving, now);
+        // Its name was in a younger incarnation: its clock was set back before its start, or another process goes by its name.
+        if envelope.receiver_born > self.swim.me().born && self.adopt_younger_incarnation {
+            self.younger_incarnations.retain(|at| now < at + NAME_CONFLICT_WITHIN);
+            if self.younger_incarnations.len() < NAME_CONFLICT_INCARNATIONS {
+                self.younger_incarnations.push(now);
+                self.swim.begin_incarnation(envelope.receiver_born.saturating_add(1), leaving, now);
             }
         }
         if envelope.receiver_failed && envelope.receiver_born == self.swim.me().born && !leaving {
-            self.swim.begin_life(envelope.receiver_born + 1, false, now);
+            self.swim.begin_incarnation(envelope.receiver_born + 1, false, now);
         }
     }
 
-    /// Answers a sender that does not count as present. In the life that is held failed it can't know that, and is told at
+    /// Answers a sender that does not count as present. In the incarnation that is held failed it can't know that, and is told at
     /// once; in a younger one it is asked for all members, by which it learns of this router as well.
     fn notify_absent(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
--- a/crates/members/src/membership/send.rs
+++ b/crates/members/src/membership/send.rs
@@ -135,14 +135,14 @@
             from: self.me,
             to,
             born: self.swim.me().born,
-            // A router whose life is older than the one known under its name is told of that one.
+            // A router whose incarnation is older than the one known under its name is told of that one.
             receiver_born: heard_born.max(member.born),
             heard_ago: if heard_ago < f64::from(u16::MAX) { heard_ago as u16 } else { u16::MAX },
             present: self.view.present,
             present_hash: self.view.hash,
             age: (now - self.started) as u32,
             leaving: self.leaving_since.is_some(),
-            // Not of a younger life that was heard, which the detector is only about to learn of.
+            // Not of a younger incarnation that was heard, which the detector is only about to learn of.
             receiver_failed: member.state == State::Failed && heard_born <= member.born,
             store_epoch: self.store_epoch,
             receiver_store_epoch: member.store_epoch,
--- a/crates/members/src/swim/codec.rs
+++ b/crates/members/src/swim/codec.rs
@@ -1,6 +1,6 @@
 //! The codec of the library, which weighs the word of others against what this router hears.
 
-use super::{Contacts, Life, YOUNGEST};
+use super::{Contacts, Incarnation, YOUNGEST};
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, PostcardCodec, State};
 use std::cell::RefCell;
@@ -14,43 +14,43 @@
     pub(super) contradicted: Rc<RefCell<u64>>,
 }
 
-impl Codec<Life> for EvidenceCodec {
+impl Codec<Incarnation> for EvidenceCodec {
     type Error = postcard::Error;
 
-    fn encode_header(&mut self, header: &Header<Life>, buf: impl BufMut) -> Result<(), Self::Error> {
+    fn encode_header(&mut self, header: &Header<Incarnation>, buf: impl BufMut) -> Result<(), Self::Error> {
         PostcardCodec.encode_header(header, buf)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Life>, Self::Error> {
-        let header: Header<Life> = PostcardCodec.decode_header(buf)?;
-        check_life(&header.src)?;
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Incarnation>, Self::Error> {
+        let header: Header<Incarnation> = PostcardCodec.decode_header(buf)?;
+        check_incarnation(&header.src)?;
         Ok(header)
     }
 
-    fn encode_member(&mut self, member: &Member<Life>, buf: impl BufMut) -> Result<(), Self::Error> {
+    fn encode_member(&mut self, member: &Member<Incarnation>, buf: impl BufMut) -> Result<(), Self::Error> {
         PostcardCodec.encode_member(member, buf)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Life>, Self::Error> {
-        let member: Member<Life> = PostcardCodec.decode_member(buf)?;
-        let life = *member.id();
-        check_life(&life)?;
+    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Incarnation>, Self::Error> {
+        let member: Member<Incarnation> = PostcardCodec.decode_member(buf)?;
+        let incarnation = *member.id();
+        check_incarnation(&incarnation)?;
         let contacts = self.contacts.borrow();
-        if !contacts.knows(life.router) {
+        if !contacts.knows(incarnation.router) {
             return Err(postcard::Error::SerdeDeCustom);
         }
-        let failed = member.state() == State::Down && !life.leaving && life.router != self.me;
-        if failed && contacts.refutes(&life) {
+        let failed = member.state() == State::Down && !incarnation.leaving && incarnation.router != self.me;
+        if failed && contacts.refutes(&incarnation) {
             *self.contradicted.borrow_mut() += 1;
-            return Ok(Member::new(life, member.incarnation(), State::Suspect));
+            return Ok(Member::new(incarnation, member.incarnation(), State::Suspect));
         }
         Ok(member)
     }
 }
 
-/// A life beyond the youngest could never be followed by another.
-fn check_life(life: &Life) -> Result<(), postcard::Error> {
-    if life.born > YOUNGEST {
+/// An incarnation beyond the youngest could never be followed by another.
+fn check_incarnation(incarnation: &Incarnation) -> Result<(), postcard::Error> {
+    if incarnation.born > YOUNGEST {
         Err(postcard::Error::SerdeDeCustom)
     } else {
         Ok(())
--- a/crates/members/src/swim/contacts.rs
+++ b/crates/members/src/swim/contacts.rs
@@ -1,6 +1,6 @@
 //! When each router was last heard directly, which outweighs the word of others that it is down.
 
-use super::Life;
+use super::Incarnation;
 
 /// What was heard from one router.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -9,7 +9,7 @@
     at: f64,
 }
 
-/// When this router last heard each of the others, and in which life.
+/// When this router last heard each of the others, and in which incarnation.
 #[derive(Debug)]
 pub(crate) struct Contacts {
     /// The present time, in seconds.
@@ -33,10 +33,11 @@
         usize::from(router) < self.last.len()
     }
 
-    /// Whether the router was heard so recently, in this life or a younger one, that it can't be down.
-    pub(super) fn refutes(&self, life: &Life) -> bool {
-        let recent = |contact: Contact| contact.born >= life.born && self.now - contact.at < Self::RECENT;
-        self.enabled && self.of(life.router).is_some_and(recent)
+    /// Whether the router was heard so recently, in this incarnation or a younger one, that it can't be down.
+    pub(super) fn refutes(&self, incarnation: &Incarnation) -> bool {
+        let recent =
+            |contact: Contact| contact.born >= incarnation.born && self.now - contact.at < Self::RECENT;
+        self.enabled && self.of(incarnation.router).is_some_and(recent)
     }
 
     /// Whether the router was heard within the time in which each of all says something to this one.
@@ -49,12 +50,12 @@
         self.last.get(usize::from(router)).copied().flatten()
     }
 
-    /// The youngest life in which the router was heard.
+    /// The youngest incarnation in which the router was heard.
     pub(crate) fn born(&self, router: u16) -> Option<u64> {
         self.of(router).map(|contact| contact.born)
     }
 
-    /// Notes that a router was heard now. Tells whether in a life that is not older than what is known already.
+    /// Notes that a router was heard now. Tells whether in an incarnation that is not older than what is known already.
     pub(crate) fn record(&mut self, router: usize, born: u64) -> bool {
         let last = &mut self.last[router];
         if last.is_some_and(|contact| contact.born > born) {
--- a/crates/members/src/swim/mod.rs
+++ b/crates/members/src/swim/mod.rs
@@ -9,7 +9,7 @@
 mod codec;
 mod contacts;
 mod health;
-mod life;
+mod incarnation;
 mod runtime;
 mod settings;
 
@@ -17,7 +17,7 @@
 pub(crate) use contacts::Contacts;
 use foca::{Foca, Header, Member, Message, NoCustomBroadcast, State, Timer};
 use health::{LocalHealth, ProbeEnd};
-pub use life::{Life, YOUNGEST};
+pub use incarnation::{Incarnation, YOUNGEST};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use runtime::HostRuntime;
@@ -55,8 +55,8 @@
 pub struct DetectorCounts {
     /// Suspicions of this router that it refuted.
     pub refutations: u64,
-    /// Lives that it had to begin anew.
-    pub new_lives: u64,
+    /// Incarnations that it had to begin anew.
+    pub new_incarnations: u64,
     /// Words of others that a router is down which direct contact outweighed.
     pub contradicted: u64,
 }
@@ -64,15 +64,15 @@
 /// A suspicion that this router has noted.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
-    life: Life,
-    incarnation: foca::Incarnation,
+    incarnation: Incarnation,
+    swim_incarnation: foca::Incarnation,
     /// By this router's clock, in seconds.
     since: f64,
 }
 
 /// The failure detector of one router.
 pub struct Swim {
-    foca: Foca<Life, EvidenceCodec, SmallRng, NoCustomBroadcast>,
+    foca: Foca<Incarnation, EvidenceCodec, SmallRng, NoCustomBroadcast>,
     runtime: HostRuntime,
     pub(crate) contacts: Rc<RefCell<Contacts>>,
     contradicted: Rc<RefCell<u64>>,
@@ -83,8 +83,8 @@
 }
 
 impl Swim {
-    /// The detector of the router with this life, among so many.
-    pub fn new(me: Life, routers: usize, pace: &Pace, seed: u64, now: f64) -> Swim {
+    /// The detector of the router with this incarnation, among so many.
+    pub fn new(me: Incarnation, routers: usize, pace: &Pace, seed: u64, now: f64) -> Swim {
         let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.own_ears, now)));
         let contradicted = Rc::new(RefCell::new(0));
         let codec =
@@ -101,8 +101,8 @@
         }
     }
 
-    /// The present life of this router.
-    pub fn me(&self) -> Life {
+    /// The present incarnation of this router.
+    pub fn me(&self) -> Incarnation {
         *self.foca.identity()
     }
 
@@ -115,7 +115,7 @@
     pub fn counts(&self) -> DetectorCounts {
         DetectorCounts {
             refutations: self.runtime.refutations,
-            new_lives: self.runtime.new_lives,
+            new_incarnations: self.runtime.new_incarnations,
             contradicted: *self.contradicted.borrow(),
         }
     }
@@ -128,8 +128,8 @@
     /// Asks a router for all members that it knows.
     pub fn announce(&mut self, router: u16, now: f64) {
         self.set_time(now);
-        let to = Life { router, born: 0, leaving: false };
-        // An address is all that it takes; which life answers is learned from the answer.
+        let to = Incarnation { router, born: 0, leaving: false };
+        // An address is all that it takes; which incarnation answers is learned from the answer.
         let _ = self.foca.announce(to, &mut self.runtime);
     }
 
@@ -139,7 +139,7 @@
     /// [`Malformed`]; what could be read of it may have been taken.
     pub fn receive(&mut self, bytes: &[u8], now: f64) -> Result<(), Malformed> {
         self.set_time(now);
-        if let Ok((header, _)) = postcard::take_from_bytes::<Header<Life>>(bytes) {
+        if let Ok((header, _)) = postcard::take_from_bytes::<Header<Incarnation>>(bytes) {
             let answers = match header.message {
                 Message::Ack(_) => Some(header.src.router),
                 Message::ForwardedAck { origin, .. } => Some(origin.router),
@@ -148,7 +148,7 @@
             self.runtime.health.awaited.take_if(|awaited| answers == Some(*awaited));
         }
         match self.foca.handle_data(bytes, &mut self.runtime) {
-            // It was meant for a former life of this router, or tells what is known better.
+            // It was meant for a former incarnation of this router, or tells what is known better.
             Ok(()) | Err(foca::Error::DataFromOurselves) => Ok(()),
             Err(foca::Error::NotConnected) => Ok(()),
             Err(_) => Err(Malformed),
@@ -174,9 +174,9 @@
         let contacts = self.contacts.borrow();
         for member in self.foca.iter_membership_state().filter(|member| member.state() == State::Suspect) {
             let suspicion = self.suspicion_of(member, now);
-            suspicions.insert(suspicion.life.router, suspicion);
-            if now >= suspicion.since + lasts && !contacts.refutes(&suspicion.life) {
-                down.push(Member::new(suspicion.life, suspicion.incarnation, State::Down));
+            suspicions.insert(suspicion.incarnation.router, suspicion);
+            if now >= suspicion.since + lasts && !contacts.refutes(&suspicion.incarnation) {
+                down.push(Member::new(suspicion.incarnation, suspicion.swim_incarnation, State::Down));
             }
         }
         drop(contacts);
@@ -187,11 +187,13 @@
     }
 
     /// The suspicion of this member: the one that is noted, or a new one.
-    fn suspicion_of(&self, member: &Member<Life>, now: f64) -> Suspicion {
-        let (life, incarnation) = (*member.id(), member.incarnation());
-        let same = |noted: &&Suspicion| noted.life == life && noted.incarnation == incarnation;
-        let noted = self.suspicions.get(&life.router).filter(same);
-        noted.copied().unwrap_or(Suspicion { life, incarnation, since: now })
+    fn suspicion_of(&self, member: &Member<Incarnation>, now: f64) -> Suspicion {
+        let (incarnation, swim_incarnation) = (*member.id(), member.incarnation());
+        let same = |noted: &&Suspicion| {
+            noted.incarnation == incarnation && noted.swim_incarnation == swim_incarnation
+        };
+        let noted = self.suspicions.get(&incarnation.router).filter(same);
+        noted.copied().unwrap_or(Suspicion { incarnation, swim_incarnation, since: now })
     }
 
     /// When anything was last heard, from any router.
@@ -204,12 +206,12 @@
         self.runtime.health.heard_at = now;
     }
 
-    /// Begins a new life: one in which this router leaves, or one that is younger than what others know of it.
-    pub fn begin_life(&mut self, born: u64, leaving: bool, now: f64) {
+    /// Begins a new incarnation: one in which this router leaves, or one that is younger than what others know of it.
+    pub fn begin_incarnation(&mut self, born: u64, leaving: bool, now: f64) {
         self.set_time(now);
-        let life = Life { router: self.me, born: born.min(YOUNGEST), leaving };
-        if life != self.me() {
-            let _ = self.foca.change_identity(life, &mut self.runtime);
+        let incarnation = Incarnation { router: self.me, born: born.min(YOUNGEST), leaving };
+        if incarnation != self.me() {
+            let _ = self.foca.change_identity(incarnation, &mut self.runtime);
         }
     }
 
@@ -227,7 +229,7 @@
                 Timer::ProbeRandomMember(_) => self.probe_ended(due),
                 _ => {}
             }
-            // A timer from before a change of life no longer concerns the library, which it says by an error.
+            // A timer from before a change of incarnation no longer concerns the library, which it says by an error.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
     }
@@ -257,8 +259,8 @@
         std::mem::take(&mut self.runtime.outgoing)
     }
 
-    /// The life and the state of each router that was heard of.
-    pub fn states(&self) -> impl Iterator<Item = (Life, DetectorState)> + '_ {
+    /// The incarnation and the state of each router that was heard of.
+    pub fn states(&self) -> impl Iterator<Item = (Incarnation, DetectorState)> + '_ {
         self.foca.iter_membership_state().map(|member| {
             let state = match member.state() {
                 State::Alive => DetectorState::Alive,
--- a/crates/members/src/swim/runtime.rs
+++ b/crates/members/src/swim/runtime.rs
@@ -1,7 +1,7 @@
 //! What the library asks of its host: datagrams to send, timers to keep, changes of identity.
 
 use super::health::LocalHealth;
-use super::Life;
+use super::Incarnation;
 use foca::{Header, Message, Notification, Runtime, Timer};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,15 +12,15 @@
     pub(super) now: f64,
     pub(super) outgoing: Vec<(u16, Vec<u8>)>,
     /// By the bits of the time at which they are due, which sort as the times do, then in the order they were asked for.
-    timers: BTreeMap<(u64, u64), Timer<Life>>,
+    timers: BTreeMap<(u64, u64), Timer<Incarnation>>,
     next_timer: u64,
     pub(super) health: LocalHealth,
     /// How often the word of others on this router had to be refuted.
     pub(super) refutations: u64,
-    /// How often a new life had to be begun.
-    pub(super) new_lives: u64,
-    /// The incarnation of this router, which grows with each refutation.
-    incarnation: u64,
+    /// How often a new incarnation had to be begun.
+    pub(super) new_incarnations: u64,
+    /// The incarnation number of this router, which grows with each refutation.
+    swim_incarnation: u64,
 }
 
 impl HostRuntime {
@@ -28,14 +28,14 @@
         HostRuntime { now, health, ..HostRuntime::default() }
     }
 
-    pub(super) fn schedule(&mut self, after: f64, timer: Timer<Life>) {
+    pub(super) fn schedule(&mut self, after: f64, timer: Timer<Incarnation>) {
         self.next_timer += 1;
         let due = (self.now + after).max(0.0);
         self.timers.insert((due.to_bits(), self.next_timer), timer);
     }
 
     /// The first timer that is due now, and when it was.
-    pub(super) fn take_due(&mut self) -> Option<(f64, Timer<Life>)> {
+    pub(super) fn take_due(&mut self) -> Option<(f64, Timer<Incarnation>)> {
         let entry = self.timers.first_entry()?;
         let due = f64::from_bits(entry.key().0);
         (due <= self.now).then(|| (due, entry.remove()))
@@ -54,37 +54,37 @@
     }
 
     /// Notes what is about to be sent: which router a probe waits for, and whether a suspicion is refuted.
-    fn note(&mut self, to: Life, header: &Header<Life>) {
+    fn note(&mut self, to: Incarnation, header: &Header<Incarnation>) {
         if matches!(header.message, Message::Ping(_)) {
             self.health.awaited = Some(to.router);
         }
-        let incarnation = u64::from(header.src_incarnation);
-        if incarnation > self.incarnation {
+        let swim_incarnation = u64::from(header.src_incarnation);
+        if swim_incarnation > self.swim_incarnation {
             // A suspicion is refuted: what reaches this router late, it may answer late.
-            self.incarnation = incarnation;
+            self.swim_incarnation = swim_incarnation;
             self.refutations += 1;
             self.health.worsen();
         }
     }
 }
 
-impl Runtime<Life> for &mut HostRuntime {
-    fn notify(&mut self, notification: Notification<'_, Life>) {
+impl Runtime<Incarnation> for &mut HostRuntime {
+    fn notify(&mut self, notification: Notification<'_, Incarnation>) {
         if let Notification::Rejoin(_) = notification {
-            self.new_lives += 1;
+            self.new_incarnations += 1;
             self.health.worsen();
         }
     }
 
-    fn send_to(&mut self, to: Life, data: &[u8]) {
-        let header: Result<(Header<Life>, _), _> = postcard::take_from_bytes(data);
+    fn send_to(&mut self, to: Incarnation, data: &[u8]) {
+        let header: Result<(Header<Incarnation>, _), _> = postcard::take_from_bytes(data);
         if let Ok((header, _)) = header {
             self.note(to, &header);
         }
         self.outgoing.push((to.router, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Life>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<Incarnation>, after: Duration) {
         let stretch = match &event {
             Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => self.health.probe_stretch(),
             Timer::ChangeSuspectToDown { .. } => self.health.suspicion_stretch(),
--- a/crates/members/src/swim/settings.rs
+++ b/crates/members/src/swim/settings.rs
@@ -34,13 +34,13 @@
     pub own_ears: bool,
     /// A router that a probe did not reach is suspected first. Without, it is down at once.
     pub suspicion: bool,
-    /// A router that others know in a younger life than its own takes one that is younger still.
-    pub adopt_younger_life: bool,
+    /// A router that others know in a younger incarnation than its own takes one that is younger still.
+    pub adopt_younger_incarnation: bool,
 }
 
 impl Default for Defences {
     fn default() -> Defences {
-        Defences { local_health: true, own_ears: true, suspicion: true, adopt_younger_life: true }
+        Defences { local_health: true, own_ears: true, suspicion: true, adopt_younger_incarnation: true }
     }
 }
 
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams between routers: an envelope that ties each to its cluster, its sender's life and its receiver's, and a body.
+//! Datagrams between routers: an envelope that ties each to its cluster, its sender's incarnation and its receiver's, and a body.
 //!
 //! What is read is bounded before anything is made of it, and the checksum finds what a network damages. It is no
 //! signature: whoever can send from a member's address is that member (`deploy/cluster.json` names the networks).
@@ -36,9 +36,9 @@
     pub from: u16,
     /// The receiver, by its place in the cluster file.
     pub to: u16,
-    /// The sender's life.
+    /// The sender's incarnation.
     pub born: u64,
-    /// The receiver's life as the sender knows it, 0 if it knows none.
+    /// The receiver's incarnation as the sender knows it, 0 if it knows none.
     pub receiver_born: u64,
     /// How long ago the sender last heard the receiver, in [`HEARD_UNIT`]; `u16::MAX` for never or long ago.
     pub heard_ago: u16,
@@ -50,11 +50,11 @@
     pub age: u32,
     /// The sender leaves by plan.
     pub leaving: bool,
-    /// The sender holds the receiver failed in the life `receiver_born`: the receiver has to begin a new one.
+    /// The sender holds the receiver failed in the incarnation `receiver_born`: the receiver has to begin a new one.
     pub receiver_failed: bool,
     /// The epoch of the sender's last put that is on its disk, 0 for none.
     pub store_epoch: u64,
-    /// The latest epoch of the receiver's store that the sender was shown, over all its lives; 0 for none.
+    /// The latest epoch of the receiver's store that the sender was shown, over all its incarnations; 0 for none.
     pub receiver_store_epoch: u64,
     /// What the body is.
     pub kind: Kind,
@@ -100,8 +100,8 @@
     OtherCluster,
     /// From one router's address under another's number, or not meant for this router.
     WrongSender,
-    /// Of a former life of its sender.
-    FormerLife,
+    /// Of a former incarnation of its sender.
+    FormerIncarnation,
     /// With a body that can't be read.
     Body,
 }
@@ -114,7 +114,7 @@
         Dropped::Version,
         Dropped::OtherCluster,
         Dropped::WrongSender,
-        Dropped::FormerLife,
+        Dropped::FormerIncarnation,
         Dropped::Body,
     ];
 }
@@ -129,7 +129,7 @@
             Dropped::Version => "version",
             Dropped::OtherCluster => "other_cluster",
             Dropped::WrongSender => "wrong_sender",
-            Dropped::FormerLife => "former_life",
+            Dropped::FormerIncarnation => "former_life",
             Dropped::Body => "body",
         })
     }
--- a/crates/members/tests/golden_bytes.rs
+++ b/crates/members/tests/golden_bytes.rs
@@ -1,7 +1,7 @@
 //! Golden bytes: what routers send each other, written by the version before the code was reshaped. Two versions may run in
 //! one cluster, so the same values have to give the same bytes, and the bytes the same values.
 
-use cleatgw_members::digest::{self, EngineLife, Observation, Rounds};
+use cleatgw_members::digest::{self, EngineIncarnation, Observation, Rounds};
 use cleatgw_members::lease::Message;
 use cleatgw_members::swim::Pace;
 use cleatgw_members::wire::{self, Envelope, Kind, LastHeard};
@@ -71,7 +71,10 @@
 #[test]
 fn digests_have_the_bytes_of_the_former_version() {
     let observation = |number: u64| Observation {
-        engine: EngineLife { name: number.wrapping_mul(0x9e37_79b9_7f4a_7c15), life: number as u32 * 977 },
+        engine: EngineIncarnation {
+            name: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            incarnation: number as u32 * 977,
+        },
         good: (number * 40) as u8,
         bad: (number * 3) as u8,
         sent: (number * 5000) as u16,
@@ -98,7 +101,7 @@
         if step == 300 {
             members[1].request_lease(9, now);
             members[2].tell(vec![Observation {
-                engine: EngineLife { name: 5, life: 6 },
+                engine: EngineIncarnation { name: 5, incarnation: 6 },
                 good: 1,
                 bad: 8,
                 sent: 250,
@@ -135,8 +138,12 @@
     let mut text = String::new();
     for step in 0..80 {
         let now = f64::from(step) * 0.05;
-        let seen =
-            vec![Observation { engine: EngineLife { name: 9, life: 1 }, good: 2, bad: step as u8, sent: 0 }];
+        let seen = vec![Observation {
+            engine: EngineIncarnation { name: 9, incarnation: 1 },
+            good: 2,
+            bad: step as u8,
+            sent: 0,
+        }];
         if let Some((peers, bytes)) = rounds.due(now, || seen) {
             text += &format!("{step} {peers:?} {}\n", hex(&bytes));
         }
--- a/crates/members/tests/scenarios.rs
+++ b/crates/members/tests/scenarios.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn router_restarted_before_detection_is_present_in_its_new_life() {
+fn router_restarted_before_detection_is_present_in_its_new_incarnation() {
     let mut world = whole(9, 3);
     let before = world.members(0).unwrap().members()[5].born;
     world.plan(&vec![(10.0, Act::Kill(5)), (10.2, Act::Start(5))]);
@@ -194,7 +194,7 @@
             world.record.false_failures().into_iter().filter(|(_, by, of)| *by != 3 && *of != 3).count();
         let accused: u64 = others().map(|counts| counts.refutations + counts.contradicted).sum();
         (
-            others().map(|counts| counts.new_lives).sum::<u64>(),
+            others().map(|counts| counts.new_incarnations).sum::<u64>(),
             believed,
             accused,
             world.members(3).unwrap().health(),
@@ -204,12 +204,15 @@
         let all = (0..5).map(|seed| once(defences, seed));
         all.fold((0, 0, 0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1, sum.2 + one.2, sum.3 + one.3))
     };
-    let (new_lives, believed, accused, health) = play(Defences::default());
+    let (new_incarnations, believed, accused, health) = play(Defences::default());
     assert_eq!(believed, 0);
     assert!(accused > 0 && health > 0, "it accused {accused} times, and finds itself slow: {health}");
     let without_local_health = Defences { local_health: false, ..Defences::default() };
     let (without, ..) = play(without_local_health);
-    assert!(without > 4 * (new_lives + 1), "{without} new lives without local health, {new_lives} with");
+    assert!(
+        without > 4 * (new_incarnations + 1),
+        "{without} new lives without local health, {new_incarnations} with"
+    );
 }
 
 #[test]
@@ -243,7 +246,7 @@
 }
 
 /// Hard case: a second process goes under a router's name, from another place: its datagrams come from an address that
-/// is not the name's, which the host drops; here one that got as far is found by its life.
+/// is not the name's, which the host drops; here one that got as far is found by its incarnation.
 #[test]
 fn older_router_detects_a_name_conflict() {
     let mut world = whole(5, 10);
@@ -277,7 +280,7 @@
 }
 
 #[test]
-fn drops_datagrams_of_a_former_life() {
+fn drops_datagrams_of_a_former_incarnation() {
     let mut world = whole(5, 12);
     let now = world.now;
     let old: Vec<(u16, Vec<u8>)> = {
@@ -296,7 +299,10 @@
     old.into_iter().for_each(|(to, bytes)| world.inject(3, to.into(), bytes));
     world.run_until(20.0);
     let counts = world.members(0).unwrap().counts();
-    assert!(counts.dropped.get(&Dropped::FormerLife).is_some_and(|dropped| *dropped > 0), "{counts:?}");
+    assert!(
+        counts.dropped.get(&Dropped::FormerIncarnation).is_some_and(|dropped| *dropped > 0),
+        "{counts:?}"
+    );
     assert_eq!(world.members(0).unwrap().members()[3].born, born);
     assert_eq!(standing(&world, 0), Standing::Whole);
 }
--- a/crates/recovery/src/kept.rs
+++ b/crates/recovery/src/kept.rs
@@ -25,8 +25,8 @@
 pub struct Sent {
     /// A hash of the engine's name.
     pub name: u64,
-    /// The life of the engine.
-    pub life: u32,
+    /// The incarnation of the engine.
+    pub incarnation: u32,
     /// How much was sent, in seconds of work.
     pub work: f64,
 }
--- a/crates/recovery/src/puts.rs
+++ b/crates/recovery/src/puts.rs
@@ -54,8 +54,8 @@
     }
 
     /// How many further attempts may be made now, where `repeats` are the times of those that were made. Those that are not
-    /// kept yet count for as long as a window looks back. None before a put of this life is on the disk, as the next life
-    /// would not know of two lives ahead of it; but no longer than a window, in which what former lives made is over.
+    /// kept yet count for as long as a window looks back. None before a put of this incarnation is on the disk, as the next incarnation
+    /// would not know of two incarnations ahead of it; but no longer than a window, in which what former incarnations made is over.
     pub fn ahead(&self, repeats: impl Iterator<Item = f64>, window: f64, now: f64) -> u32 {
         if self.done.is_none() && now < self.began + window {
             return 0;
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The phases in which a fresh router takes up what a former life has kept.
+//! The phases in which a fresh router takes up what a former incarnation has kept.
 
 use crate::{still_valid, Kept, Looks, Moment, Pieces, StillValid};
 
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -9,7 +9,7 @@
 }
 
 fn kept(at: f64) -> Kept {
-    let cold = vec![Sent { name: 3, life: 1, work: 0.5 }];
+    let cold = vec![Sent { name: 3, incarnation: 1, work: 0.5 }];
     Kept { at: moment(at), repeats: vec![6.0, 1.0], ahead: 2, cold, marks: vec![(42, 3.0)] }
 }
 
--- a/crates/recovery/src/validity.rs
+++ b/crates/recovery/src/validity.rs
@@ -14,7 +14,7 @@
 }
 
 impl Looks {
-    /// After so long nothing that a former life did matters but its marks.
+    /// After so long nothing that a former incarnation did matters but its marks.
     pub(crate) fn longest(&self) -> f64 {
         self.repeats.max(self.cold)
     }
@@ -25,7 +25,7 @@
     }
 }
 
-/// What is still valid of a former life, with ages in seconds now.
+/// What is still valid of a former incarnation, with ages in seconds now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StillValid {
     /// The ages of further attempts.
--- a/crates/recovery/tests/golden_bytes.rs
+++ b/crates/recovery/tests/golden_bytes.rs
@@ -13,7 +13,10 @@
         at: Moment { boot: 0x0123_4567_89ab_cdef, steady: 86_400.25, unix: 1_800_000_000.5 },
         repeats: vec![9.5, 3.25, 0.0],
         ahead: 3,
-        cold: vec![Sent { name: u64::MAX, life: 7, work: 1.25 }, Sent { name: 4, life: u32::MAX, work: 0.5 }],
+        cold: vec![
+            Sent { name: u64::MAX, incarnation: 7, work: 1.25 },
+            Sent { name: 4, incarnation: u32::MAX, work: 0.5 },
+        ],
         marks: vec![(0xfeed_face_cafe_beef, 11.0), (1, 0.125)],
     }
 }
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -29,7 +29,7 @@
     now: f64,
     /// All further attempts that were really made.
     made: Vec<f64>,
-    /// What the present life counts, and what it assumes of former ones.
+    /// What the present incarnation counts, and what it assumes of former ones.
     counted: Vec<f64>,
     assumed: Vec<f64>,
     recovery: Recovery,
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -154,7 +154,7 @@
     cleatgw_operator::read_store(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
 }
 
-/// This router in its cluster, in a life that begins now.
+/// This router in its cluster, in an incarnation that begins now.
 fn joining(path: &Path, name: &str, seed: u64) -> Result<Joining, String> {
     let file = cluster(path)?;
     let place = file.place(name).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))?;
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -96,13 +96,13 @@
     cluster_version: "cluster_version",
     cluster_other: "cluster_other",
     cluster_wrong_sender: "cluster_wrong_sender",
-    cluster_former_life: "cluster_former_life",
+    cluster_former_incarnation: "cluster_former_life",
     cluster_body: "cluster_body",
-    /// Suspicions of ours; others' of us that we refuted; lives that we had to begin anew; words that a router is down
+    /// Suspicions of ours; others' of us that we refuted; incarnations that we had to begin anew; words that a router is down
     /// while we heard it; turns that came far too late.
     cluster_accusations: "cluster_accusations",
     cluster_refutations: "cluster_refutations",
-    cluster_new_lives: "cluster_new_lives",
+    cluster_new_incarnations: "cluster_new_lives",
     cluster_contradicted: "cluster_contradicted",
     cluster_pauses: "cluster_pauses",
     /// Puts of what is kept that are on the disk, and those that failed; requests that had been dispatched before, by their
--- a/crates/router/src/routing/marks.rs
+++ b/crates/router/src/routing/marks.rs
@@ -48,7 +48,7 @@
         self.order.iter().map(|(idempotency_key, at)| (*idempotency_key, (now - at).max(0.0))).collect()
     }
 
-    /// Those of a former life, with their ages.
+    /// Those of a former incarnation, with their ages.
     pub fn remember(&mut self, marks: &[(u64, f64)], now: f64) {
         let mut all: Vec<(u64, f64)> =
             marks.iter().map(|(idempotency_key, age)| (*idempotency_key, now - age)).collect();
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -10,10 +10,10 @@
 use cleatgw::logic::Gateway;
 use cleatgw::queue::Wait;
 use cleatgw::{AttemptEnd, Deployment, Ending, Idempotency, Listing, Load, Met, Stage, Taken, Writer};
-use cleatgw_members::digest::{self, EngineLife, Observation, PeerEvidence};
+use cleatgw_members::digest::{self, EngineIncarnation, Observation, PeerEvidence};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_recovery::{Looks, Sent, StillValid};
-use cleatgw_start::{engine_life, flat, index_of, name_hash, Names};
+use cleatgw_start::{engine_incarnation, flat, index_of, name_hash, Names};
 pub use counters::Counters;
 use marks::Marks;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -504,12 +504,12 @@
         self.gateway.forgot(now);
     }
 
-    /// What of a former life still counts.
+    /// What of a former incarnation still counts.
     pub fn remembers(&mut self, now: f64, taken: StillValid) {
         let repeats: Vec<f64> = taken.repeats.iter().map(|age| now - age).collect();
         let at = |sent: &Sent| {
-            let life = EngineLife { name: sent.name, life: sent.life };
-            self.desk.engines.iter().find(|engine| engine_life(&engine.listing) == life)
+            let incarnation = EngineIncarnation { name: sent.name, incarnation: sent.incarnation };
+            self.desk.engines.iter().find(|engine| engine_incarnation(&engine.listing) == incarnation)
         };
         let cold = taken
             .cold
@@ -531,9 +531,9 @@
         let age = |at: &f64| Some((now - at).max(0.0)).filter(|age| *age < looks.repeats);
         let repeats = self.gateway.repeats.iter().filter_map(age).collect();
         let cold = self.desk.engines.iter().filter_map(|engine| {
-            let EngineLife { name, life } = engine_life(&engine.listing);
+            let EngineIncarnation { name, incarnation } = engine_incarnation(&engine.listing);
             let work = self.gateway.met(engine.listing.engine, now)?.sent;
-            (work > 0.0).then_some(Sent { name, life, work })
+            (work > 0.0).then_some(Sent { name, incarnation, work })
         });
         let cold = cold.collect();
         let marks = self.desk.marks.get_or_insert_default();
@@ -551,13 +551,13 @@
     pub fn words(&self) -> Vec<Observation> {
         let engines = self.desk.engines.iter().map(|engine| &engine.listing);
         let met = |at: usize| self.gateway.met(at, self.desk.now).map(|met| (met.good, met.bad, met.sent));
-        digest::observations(engines.filter_map(|at| Some((engine_life(at), met(at.engine)?))))
+        digest::observations(engines.filter_map(|at| Some((engine_incarnation(at), met(at.engine)?))))
     }
 
     /// Hands the decisions what other routers say of each engine.
-    pub fn hear_peers(&mut self, said: impl Fn(&EngineLife) -> PeerEvidence) {
+    pub fn hear_peers(&mut self, said: impl Fn(&EngineIncarnation) -> PeerEvidence) {
         for engine in &self.desk.engines {
-            let PeerEvidence { good, bad, sent, .. } = said(&engine_life(&engine.listing));
+            let PeerEvidence { good, bad, sent, .. } = said(&engine_incarnation(&engine.listing));
             self.gateway.peers_say(engine.listing.engine, Met { good, bad, sent });
         }
     }
--- a/crates/router/src/transport/cluster.rs
+++ b/crates/router/src/transport/cluster.rs
@@ -4,7 +4,7 @@
 use super::{guarded, watch, Handle, Source};
 use crate::routing::Counters;
 use calloop::RegistrationToken;
-use cleatgw_members::digest::{EngineLife, Observation, PeerEvidence};
+use cleatgw_members::digest::{EngineIncarnation, Observation, PeerEvidence};
 use cleatgw_members::leader::{role_resource, RoleStatus};
 use cleatgw_members::view::Standing;
 use cleatgw_members::wire::{Dropped, MAX_DATAGRAM};
@@ -20,7 +20,7 @@
 /// A lease is asked for of every router; what is more than this in one turn is not sent.
 const MOST_OUT: usize = 4096;
 
-/// A cluster file, this router's place in it, and what lives and chance are drawn from.
+/// A cluster file, this router's place in it, and what incarnations and chance are drawn from.
 pub struct Joining {
     pub file: ClusterFile,
     pub place: usize,
@@ -68,11 +68,11 @@
         cluster_version: dropped(Dropped::Version),
         cluster_other: dropped(Dropped::OtherCluster),
         cluster_wrong_sender: dropped(Dropped::WrongSender),
-        cluster_former_life: dropped(Dropped::FormerLife),
+        cluster_former_incarnation: dropped(Dropped::FormerIncarnation),
         cluster_body: dropped(Dropped::Body),
         cluster_accusations: counts.accusations,
         cluster_refutations: counts.refutations,
-        cluster_new_lives: counts.new_lives,
+        cluster_new_incarnations: counts.new_incarnations,
         cluster_contradicted: counts.contradicted,
         cluster_pauses: counts.pauses,
         ..Counters::default()
@@ -116,7 +116,7 @@
     }
 
     /// A new file. A list that is as it was changes only addresses and pace; another one is another cluster, which
-    /// this router enters in a new life.
+    /// this router enters in a new incarnation.
     pub fn change(&mut self, joining: Joining, now: f64) {
         if joining.file == self.file {
             return;
@@ -268,7 +268,7 @@
     }
 
     /// What others say of an engine.
-    pub fn said(&self, engine: &EngineLife, now: f64) -> PeerEvidence {
+    pub fn said(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
         match self.file.tell_of_engines {
             true => self.members.said(engine, now),
             false => PeerEvidence::default(),
--- a/crates/router/src/transport/discovery_client/tests.rs
+++ b/crates/router/src/transport/discovery_client/tests.rs
@@ -78,7 +78,7 @@
         let (_turns, mut link, mut discovery) = connected();
         discovery.write_all(part.as_bytes()).unwrap();
         assert_eq!(hears(&mut link, part.len(), 100.5), Ok(()));
-        // Half a line is no sign of life.
+        // Half a line is no sign of incarnation.
         assert!(link.due() < 102.0);
         assert_eq!(link.work(false, link.due(), &mut Vec::new()), Err("silent".to_string()));
     }
--- a/crates/router/src/transport/engine.rs
+++ b/crates/router/src/transport/engine.rs
@@ -392,7 +392,7 @@
             let taken = answer.taken;
             let mut asks = Vec::new();
             if matches!(answer.word, Word::Fit | Word::Other) {
-                // A sign of life, which `work` has noted, or news that is of no use here.
+                // A sign of incarnation, which `work` has noted, or news that is of no use here.
                 let said = answer.word == Word::Fit;
                 let let_go = said.then(|| self.leaving.remove(answer.id)).flatten();
                 ends.extend(let_go.map(|leaving| (leaving.attempt, Err(leaving.failure))));
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -207,7 +207,7 @@
     std::thread::scope(|scope| {
         let _ends = Ends(&over);
         scope.spawn(|| crowds(address, &over, &came));
-        for life in 0..5 {
+        for incarnation in 0..5 {
             let before = came.load(Relaxed);
             let begun = Instant::now();
             let at = (discovery.address, &discovery);
@@ -217,11 +217,11 @@
             let allowed = limits.lines().find(|line| line.starts_with("Max open files")).unwrap();
             assert!(allowed.split_whitespace().nth(3) == Some("24"), "{allowed}");
             while !pings(address) {
-                assert!(begun.elapsed() < Duration::from_secs(10), "life {life}: not ready");
+                assert!(begun.elapsed() < Duration::from_secs(10), "life {incarnation}: not ready");
             }
             assert!(
                 begun.elapsed() < Duration::from_secs(10),
-                "life {life}: ready after {:?}",
+                "life {incarnation}: ready after {:?}",
                 begun.elapsed()
             );
             // As many as there is room for, and more.
@@ -231,7 +231,7 @@
             }
             let counters = asked(address, || request("look", 5000, "x"));
             let closed = counter(&counters, "sessions_closed_for_room");
-            assert!(closed > 0, "life {life}: the crowd did not fill it: {counters}");
+            assert!(closed > 0, "life {incarnation}: the crowd did not fill it: {counters}");
             router.signal(Signal::KILL);
         }
     });
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -263,7 +263,7 @@
 }
 
 /// Hard case: the Unix clock of a running router jumps by an hour, either way, and one that is started again begins in the
-/// past of its former life.
+/// past of its former incarnation.
 #[test]
 fn a_clock_that_jumps_by_an_hour_fails_nobody_and_keeps_nobody_out() {
     let environment = Shims::environment();
@@ -277,26 +277,26 @@
     std::thread::sleep(Duration::from_secs(5));
     (0..4).for_each(|router| cluster.stands(router, "whole"));
     assert_eq!(cluster.record().false_failures(), []);
-    // Started with its clock ahead, then set back to the truth and started again: its life would begin before its former one.
-    let life = |cluster: &Cluster| -> u64 {
+    // Started with its clock ahead, then set back to the truth and started again: its incarnation would begin before its former one.
+    let incarnation = |cluster: &Cluster| -> u64 {
         let row = cluster.table(1).into_iter().find(|row| row.contains("this one, life ")).unwrap();
         row.split("life ").nth(1).unwrap().parse().unwrap()
     };
-    let before = life(&cluster);
+    let before = incarnation(&cluster);
     cluster.play(&vec![(0.0, Act::Kill(1)), (0.3, Act::Start(1))], 5.0);
-    let ahead = life(&cluster);
+    let ahead = incarnation(&cluster);
     assert!(ahead > before + 3_000_000, "its clock was moved: {before}, {ahead}");
     clocks.set(1, 0.0);
     cluster.play(&vec![(0.0, Act::Kill(1)), (4.5, Act::Start(1))], 6.0);
-    assert!(life(&cluster) > ahead);
+    assert!(incarnation(&cluster) > ahead);
     (0..4).for_each(|router| cluster.stands(router, "whole"));
     served(&cluster, load, 50);
     judged(&cluster.record(), 4000);
 }
 
-/// Hard case: datagrams of a former life are sent again, from the address of the router that said them.
+/// Hard case: datagrams of a former incarnation are sent again, from the address of the router that said them.
 #[test]
-fn datagrams_of_a_former_life_that_are_sent_again_are_dropped() {
+fn datagrams_of_a_former_incarnation_that_are_sent_again_are_dropped() {
     let mut cluster = whole(4, 16);
     let old = cluster.relays.passed(3);
     assert!(old.len() > 10);
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-pub use peers::engine_life;
+pub use peers::engine_incarnation;
 
 /// What was wrong with the input, in words for a person.
 #[derive(Debug, PartialEq)]
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -48,7 +48,7 @@
 /// One whole put.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Put {
-    /// Grows with each put, over all lives of the owner.
+    /// Grows with each put, over all incarnations of the owner.
     pub epoch: u64,
     /// Unix time at which it was made, by the owner's clock, in seconds.
     pub at: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -141,7 +141,7 @@
     pub deadline: f64,
     /// The line that it stands in while it is held, see [`queue`]; 0 where there are no tenants.
     pub tenant: usize,
-    /// When the same request was first dispatched under another request, by us in a former life or by another: it may have run.
+    /// When the same request was first dispatched under another request, by us in a former incarnation or by another: it may have run.
     pub earlier: Option<f64>,
 }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -1168,7 +1168,7 @@
 
 /// Rule 7 over a restart: until it is known what was dispatched, the spare part of the budget counts as used up.
 #[test]
-fn further_attempts_of_a_former_life_count_and_where_unknown_the_budget_is_used_up() {
+fn further_attempts_of_a_former_incarnation_count_and_where_unknown_the_budget_is_used_up() {
     let budget = Some(RetryBudget { spare: 4.0, share: 0.0, window: 10.0 });
     let play = |told: Option<&[f64]>| {
         let mut world = World::new(Deployment { budget, ..plain() }, 4);
