--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -11,7 +11,7 @@
 use cleatgw::{Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineIncarnation, LASTS};
 use cleatgw_members::swim::Pace;
-use cleatgw_members::{duty, Members};
+use cleatgw_members::{role, Members};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -30,7 +30,7 @@
 /// Of each datagram, beside what the membership writes.
 const HEADERS: f64 = 28.0;
 const CLUSTER: u64 = 7;
-const DUTY: &str = "primary";
+const ROLE: &str = "primary";
 /// Requests from `ASKS`; measured from `QUIET`; troubles from `TROUBLES` on.
 const ASKS: f64 = 2.0;
 const QUIET: f64 = 8.0;
@@ -668,11 +668,11 @@
         }
     }
 
-    /// Who holds the duty now must be the only one, whatever has become of the last one that did.
+    /// Who holds the leader role now must be the only one, whatever has become of the last one that did.
     fn look_at_holder(&mut self, at: usize) {
         let holds = |router: usize| {
             let members = self.routers[router].members.as_ref();
-            members.is_some_and(|members| members.holds(duty::thing(DUTY), self.now).is_some())
+            members.is_some_and(|members| members.holds(role::thing(ROLE), self.now).is_some())
         };
         if self.holder == Some(at) || !holds(at) {
             return;
@@ -948,7 +948,7 @@
         let mut gateway = Gateway::new(self.deployment(), own, now);
         let born = 1_700_000_000_000 + (now * 1e3) as u64;
         let mut members = Members::new(CLUSTER, routers, at, born, &Pace::default(), own, now);
-        members.take_on(&[duty::thing(DUTY)], now);
+        members.take_on(&[role::thing(ROLE)], now);
         if again {
             // Nothing is kept here from one incarnation to the next.
             gateway.forgot(now);
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default)]
 struct Play {
     bytes: f64,
-    /// The same for the holder of the one duty.
+    /// The same for the holder of the one leader role.
     holder_bytes: Option<f64>,
     cpu: f64,
     found_s: f64,
@@ -43,11 +43,11 @@
     kills: usize,
 }
 
-/// Places routers evenly in ten zones, on clocks as far apart as leases allow for, with one duty; lets them meet.
+/// Places routers evenly in ten zones, on clocks as far apart as leases allow for, with one leader role; lets them meet.
 fn settled(routers: usize, seed: u64, absent: &[usize], until: f64) -> World {
     let mut world = World::new(routers, Pace::default(), seed);
     world.weather.place((0..routers).map(|router| router % target::ZONES).collect(), three_regions());
-    world.duty = Some(cleatgw_members::duty::thing("one"));
+    world.role = Some(cleatgw_members::role::thing("one"));
     let drift = cleatgw_members::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
     for router in (0..routers).filter(|router| !absent.contains(router)) {
@@ -131,11 +131,11 @@
 }
 
 /// Runs on in steps of `step` seconds: the most that one router sent in a second, and all on average; how long nobody held
-/// the duty, and the most holders at once.
+/// the leader role, and the most holders at once.
 #[derive(Default)]
 struct Watched {
     most_bytes: f64,
-    /// Who that was, when, and whether it held the duty then.
+    /// Who that was, when, and whether it held the leader role then.
     most_by: Option<(usize, f64, bool)>,
     most_mean_bytes: f64,
     mean_bytes: Vec<f64>,
--- a/crates/lab/src/capacity/primary.rs
+++ b/crates/lab/src/capacity/primary.rs
@@ -1,5 +1,5 @@
 //! A change of primary, for a product that has none of its own: (a) the engine that serves table groups is lost, announced
-//! (drained by the discovery service) or silent (it hangs), and others take its requests; (b) a duty's holder is lost and another holds it.
+//! (drained by the discovery service) or silent (it hangs), and others take its requests; (b) a leader role's holder is lost and another holds it.
 //! Counted from the last good answer of the one that is lost.
 
 use super::{report, target, Ask, Need, Row};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 const ENGINES: [f64; 5] = [3.0, 6.0, 15.0, 30.0, 60.0];
-const DUTIES: [f64; 5] = [12.0, 30.0, 75.0, 150.0, 300.0];
+const ROLES: [f64; 5] = [12.0, 30.0, 75.0, 150.0, 300.0];
 const ROUTERS: usize = 3;
 /// Requests a second of each router's client.
 const RATE: f64 = 100.0;
@@ -177,10 +177,10 @@
 
 /// In virtual time: from the moment a holder that held it is killed to the first moment that another holds it. Then how
 /// often two held it.
-fn duty(routers: usize, seed: u64) -> (f64, usize) {
+fn role(routers: usize, seed: u64) -> (f64, usize) {
     let mut world = World::started(routers, Pace::default(), seed);
-    let thing = cleatgw_members::duty::thing("one");
-    world.duty = Some(thing);
+    let thing = cleatgw_members::role::thing("one");
+    world.role = Some(thing);
     let holder = |world: &World| {
         let holds = |at: &usize| world.members(*at).is_some_and(|one| one.holds(thing, world.now).is_some());
         (0..routers).find(holds)
@@ -205,7 +205,7 @@
 type ToLose = fn(usize) -> Act;
 
 /// Real routers: from a holder's last claim to another's first, by what they say when asked.
-fn duty_of_processes(ask: &Ask, routers: usize, act: ToLose) -> Result<(f64, usize), String> {
+fn role_of_processes(ask: &Ask, routers: usize, act: ToLose) -> Result<(f64, usize), String> {
     let fields = r#""duties":["nightly"],"#.to_string();
     let plan = Plan { routers, seed: ask.seed, fields, ..Plan::default() };
     let mut cluster = Cluster::planned(&ask.program, plan);
@@ -267,21 +267,21 @@
         silent.push((size, by_silence));
     }
     let mut two_holders = 0;
-    let mut duties = |routers: f64| -> Result<Vec<f64>, String> {
-        let one = |play| Ok(duty(routers as usize, ask.seed.wrapping_mul(100) + play as u64));
+    let mut roles = |routers: f64| -> Result<Vec<f64>, String> {
+        let one = |play| Ok(role(routers as usize, ask.seed.wrapping_mul(100) + play as u64));
         let all = beside(ask.plays, one)?;
         two_holders += all.iter().map(|(_, two)| two).sum::<usize>();
         Ok(all.into_iter().map(|(seconds, _)| seconds).collect())
     };
     let mut by_routers = Vec::new();
-    for routers in DUTIES {
-        by_routers.push((routers, duties(routers)?));
+    for routers in ROLES {
+        by_routers.push((routers, roles(routers)?));
     }
-    let at_target = duties(target::ROUTERS as f64)?;
+    let at_target = roles(target::ROUTERS as f64)?;
     let acts: [(&str, ToLose); 3] = [("killed", Act::Kill), ("frozen", Act::Freeze), ("leaves", Act::Leave)];
     let mut real = Vec::new();
     for routers in [3, 9] {
-        let played = beside(acts.len(), |at| duty_of_processes(ask, routers, acts[at].1))?;
+        let played = beside(acts.len(), |at| role_of_processes(ask, routers, acts[at].1))?;
         for ((word, _), (seconds, two)) in acts.iter().zip(played) {
             two_holders += two;
             real.push(json!({"routers": routers, "holder": word, "seconds": seconds}));
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -511,7 +511,7 @@
         again.iter().map(within).max().unwrap_or(0)
     }
 
-    /// How often two routers held one duty at once, by what they said when asked.
+    /// How often two routers held one leader role at once, by what they said when asked.
     pub fn two_holders(&self, claims: &[Claim]) -> (usize, Vec<String>) {
         let ended = |claim: &Claim| {
             // What it was told by the laboratory's clock, on the Unix clock of the claim.
@@ -555,7 +555,7 @@
     });
 }
 
-/// Asks all routers again and again who holds each duty, and notes what they claim.
+/// Asks all routers again and again who holds each leader role, and notes what they claim.
 pub struct Watch {
     over: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<Claim>>>,
@@ -591,9 +591,9 @@
                         let Some(Answered::Rows(rows)) = client.try_answer() else { break };
                         let ours =
                             rows.iter().enumerate().filter_map(|(at, row)| Some((at, read_claim(row)?)));
-                        claims.extend(ours.map(|(duty, (epoch, at, until))| Claim {
+                        claims.extend(ours.map(|(role, (epoch, at, until))| Claim {
                             router,
-                            duty,
+                            role,
                             epoch,
                             at,
                             until,
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -148,8 +148,8 @@
 /// The same code in virtual time, under the same schedule. CPU is this process's, for all routers together.
 pub fn measure_virtual(routers: usize, seed: u64, seconds: f64, plot: Option<&Path>) -> Value {
     let mut world = World::new(routers, Pace::default(), seed);
-    // One duty, and clocks as far apart as leases allow for.
-    world.duty = Some(cleatgw_members::duty::thing("one"));
+    // One leader role, and clocks as far apart as leases allow for.
+    world.role = Some(cleatgw_members::role::thing("one"));
     let drift = cleatgw_members::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
     (0..routers).for_each(|router| world.at(router as f64 / routers as f64, Act::Start(router)));
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -237,11 +237,11 @@
     }
 }
 
-/// One answer of a router to who holds a duty: under which epoch, at which Unix time, and for how many seconds more.
+/// One answer of a router to who holds a leader role: under which epoch, at which Unix time, and for how many seconds more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
     pub router: usize,
-    pub duty: usize,
+    pub role: usize,
     pub epoch: u64,
     pub at: f64,
     pub until: f64,
@@ -249,15 +249,15 @@
     pub ended: Option<f64>,
 }
 
-/// How often two routers held one duty at once, or an epoch went back in the order of claims.
+/// How often two routers held one leader role at once, or an epoch went back in the order of claims.
 pub fn two_holders(claims: &[Claim]) -> (usize, Vec<String>) {
     let mut sorted = claims.to_vec();
-    sorted.sort_by(|one, other| (one.duty, one.at).partial_cmp(&(other.duty, other.at)).expect("times"));
+    sorted.sort_by(|one, other| (one.role, one.at).partial_cmp(&(other.role, other.at)).expect("times"));
     let mut finds = Vec::new();
     let mut last: Option<Claim> = None;
     let mut times = 0;
     for claim in sorted {
-        if let Some(last) = last.filter(|last| last.duty == claim.duty) {
+        if let Some(last) = last.filter(|last| last.role == claim.role) {
             let other = last.router != claim.router;
             let until = last.ended.map_or(last.until, |ended| ended.min(last.until));
             if other && claim.at < until || claim.epoch < last.epoch {
@@ -360,9 +360,9 @@
     }
 
     #[test]
-    fn two_that_hold_one_duty_at_once_are_found_and_one_that_ended_before_its_time_is_none() {
+    fn two_that_hold_one_role_at_once_are_found_and_one_that_ended_before_its_time_is_none() {
         let claim =
-            |router, epoch, at: f64, ended| Claim { router, duty: 0, epoch, at, until: at + 1.8, ended };
+            |router, epoch, at: f64, ended| Claim { router, role: 0, epoch, at, until: at + 1.8, ended };
         let holds = |claims: &[Claim]| two_holders(claims).0;
         assert_eq!(holds(&[claim(0, 5, 1.0, None), claim(0, 6, 2.0, None), claim(1, 7, 3.9, None)]), 0);
         assert_eq!(holds(&[claim(0, 5, 1.0, None), claim(1, 7, 2.0, None)]), 1);
--- a/crates/lab/src/virtual_members.rs
+++ b/crates/lab/src/virtual_members.rs
@@ -45,7 +45,7 @@
     /// The hash of the list that each starts with: another list is another cluster.
     pub lists: Vec<u64>,
     /// What one router at a time holds, if anything; how often it changed hands, and how often two held it.
-    pub duty: Option<Thing>,
+    pub role: Option<Thing>,
     pub changed_hands: usize,
     pub two_holders: usize,
     holder: Option<usize>,
@@ -84,7 +84,7 @@
             slow: vec![0.0; routers],
             rates: vec![1.0; routers],
             lists: vec![CLUSTER; routers],
-            duty: None,
+            role: None,
             changed_hands: 0,
             two_holders: 0,
             holder: None,
@@ -128,10 +128,10 @@
         self.now * self.rates[router]
     }
 
-    /// A router that holds the duty now must be the only one, whatever has become of the last one that did: a frozen
+    /// A router that holds the leader role now must be the only one, whatever has become of the last one that did: a frozen
     /// router may wake at any moment.
     fn look_at_holders(&mut self, at: usize) {
-        let Some(thing) = self.duty else { return };
+        let Some(thing) = self.role else { return };
         let holds = |router: usize| {
             let members = self.routers[router].members.as_ref();
             members.is_some_and(|members| members.holds(thing, self.clock(router)).is_some())
@@ -144,9 +144,9 @@
         self.holder = Some(at);
     }
 
-    /// Those that hold the duty now, by their own clocks.
+    /// Those that hold the leader role now, by their own clocks.
     pub fn holders(&self) -> Vec<usize> {
-        let Some(thing) = self.duty else { return Vec::new() };
+        let Some(thing) = self.role else { return Vec::new() };
         let holds = |router: &usize| {
             let members = self.routers[*router].members.as_ref();
             members.is_some_and(|members| members.holds(thing, self.clock(*router)).is_some())
@@ -260,7 +260,7 @@
                 let clock = self.clock(at);
                 let mut members =
                     Members::new(self.lists[at], count, at, born as u64, &self.pace, seed, clock);
-                members.take_on(self.duty.as_slice(), clock);
+                members.take_on(self.role.as_slice(), clock);
                 let router = &mut self.routers[at];
                 (router.members, router.frozen, router.leaves_at) = (Some(members), false, None);
                 (router.starts, router.turn_at) = (starts, self.now);
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -30,6 +30,6 @@
 
 /// Former names in [`leader`], until the test bed uses the new ones.
 #[doc(hidden)]
-pub mod duty {
+pub mod role {
     pub use crate::leader::role_resource as thing;
 }
--- a/crates/members/tests/agree_model.rs
+++ b/crates/members/tests/agree_model.rs
@@ -33,7 +33,7 @@
 impl Views {
     fn play(&self, path: &Path) -> World {
         let mut world = World::new(ROUTERS, Pace { defences: self.defences, ..Pace::default() }, 5);
-        world.duty = Some(role_resource("one"));
+        world.role = Some(role_resource("one"));
         world.rates = vec![0.99, 1.01, 1.0];
         (0..ROUTERS).for_each(|router| world.at(0.0, Act::Start(router)));
         let mut at = 6.0;
--- a/crates/members/tests/handover.rs
+++ b/crates/members/tests/handover.rs
@@ -23,7 +23,7 @@
     let (mut longest, mut again) = (0.0f64, 0);
     for moment in 0..moments {
         let mut world = World::new(5, Pace::default(), seed);
-        world.duty = Some(role_resource("nightly"));
+        world.role = Some(role_resource("nightly"));
         world.weather.all(|link| link.delay = delay);
         (0..5).for_each(|router| world.at(0.0, Act::Start(router)));
         world.run_until(8.0 + moment as f64 * step);
--- a/crates/members/tests/scenarios.rs
+++ b/crates/members/tests/scenarios.rs
@@ -393,7 +393,7 @@
 fn leader_role_has_one_holder_at_a_time_and_a_successor_under_faults() {
     for seed in 0..6 {
         let mut world = World::new(7, Pace::default(), seed);
-        world.duty = Some(cleatgw_members::leader::role_resource("nightly"));
+        world.role = Some(cleatgw_members::leader::role_resource("nightly"));
         world.rates = [0.99, 1.01, 1.0, 1.01, 0.99, 1.0, 1.01].into();
         (0..7).for_each(|router| world.at(0.0, Act::Start(router)));
         world.run_until(8.0);
@@ -401,7 +401,7 @@
             let at = world.now;
             let holder = (0..7).find(|router| {
                 let members = world.members(*router);
-                members.is_some_and(|one| one.holds(world.duty.unwrap(), at * world.rates[*router]).is_some())
+                members.is_some_and(|one| one.holds(world.role.unwrap(), at * world.rates[*router]).is_some())
             });
             let holder = holder.unwrap_or_else(|| panic!("nobody holds the role at {at}, seed {seed}"));
             let alone = (0..7).map(|router| usize::from(router == holder)).collect();
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -35,7 +35,7 @@
     Check { config: Option<PathBuf>, files: Files },
     Schema { of: String },
     Status { address: SocketAddr, of: String },
-    Holds { address: SocketAddr, duty: String },
+    Holds { address: SocketAddr, role: String },
     Version,
 }
 
@@ -88,8 +88,8 @@
     let status = status.to_options().descr("Asks a router how something stands").command("status");
     let holds = {
         let address = positional("ADDRESS").help("Where the router listens, with its port");
-        let duty = positional("DUTY").help("A duty of the cluster file");
-        construct!(Command::Holds { address, duty })
+        let role = positional("DUTY").help("A duty of the cluster file");
+        construct!(Command::Holds { address, role })
     };
     let holds = holds.to_options().descr("Succeeds where a router holds a duty now, and tells its epoch");
     let holds = holds.command("holds");
@@ -272,7 +272,7 @@
         Command::Serve { config, files, .. } => serve(config, files),
         Command::Check { config, files } => check(config, files),
         Command::Status { address, of } => status::ask(address, &of).map(|table| print!("{table}")),
-        Command::Holds { address, duty } => status::holds(address, &duty).map(|row| println!("{row}")),
+        Command::Holds { address, role } => status::holds(address, &role).map(|row| println!("{row}")),
         Command::Schema { of } => match of.as_str() {
             "service" => {
                 print!("{}", cleatgw_operator::schema());
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -12,7 +12,7 @@
         session: u32,
         query_only: bool,
     },
-    /// What an operator asks for: `SHOW ANNOUNCEMENTS`, `SHOW Tenants`, `SHOW CLUSTER`, `SHOW DUTIES`, `SHOW STORE`.
+    /// What an operator asks for: `SHOW ANNOUNCEMENTS`, `SHOW Tenants`, `SHOW CLUSTER`, `SHOW Leader roles`, `SHOW STORE`.
     Question(Question),
     /// Answered with OK: there is no state that it could change.
     Harmless,
@@ -24,7 +24,7 @@
     Announcements,
     Teams,
     Cluster,
-    Duties,
+    Roles,
     Store,
 }
 
@@ -67,7 +67,7 @@
         }
         "SHOW" if is(1, "TEAMS") && tokens.len() == 2 => Ok(Statement::Question(Question::Teams)),
         "SHOW" if is(1, "CLUSTER") && tokens.len() == 2 => Ok(Statement::Question(Question::Cluster)),
-        "SHOW" if is(1, "DUTIES") && tokens.len() == 2 => Ok(Statement::Question(Question::Duties)),
+        "SHOW" if is(1, "DUTIES") && tokens.len() == 2 => Ok(Statement::Question(Question::Roles)),
         "SHOW" if is(1, "STORE") && tokens.len() == 2 => Ok(Statement::Question(Question::Store)),
         "SET" | "USE" | "BEGIN" | "START" | "COMMIT" | "ROLLBACK" => Ok(Statement::Harmless),
         "" => Err("the statement is empty".to_string()),
--- a/crates/router/src/status.rs
+++ b/crates/router/src/status.rs
@@ -35,17 +35,17 @@
     Some(value)
 }
 
-/// The row that says that this router holds a duty now, with its epoch; an error says who does, as far as it knows.
+/// The row that says that this router holds a leader role now, with its epoch; an error says who does, as far as it knows.
 ///
 /// # Errors
-/// It does not, has no such duty, or did not answer.
-pub fn holds(address: SocketAddr, duty: &str) -> Result<String, String> {
+/// It does not, has no such leader role, or did not answer.
+pub fn holds(address: SocketAddr, role: &str) -> Result<String, String> {
     let table = ask(address, "duties")?;
-    let of = format!("duty {duty}  ");
+    let of = format!("duty {role}  ");
     match table.lines().find_map(|row| row.strip_prefix(&of)) {
         Some(row) if row.starts_with("ours  ") => Ok(row.to_string()),
-        Some(row) => Err(format!("duty {duty} is not held there: {row}")),
-        None => Err(format!("that router has no duty {duty}")),
+        Some(row) => Err(format!("duty {role} is not held there: {row}")),
+        None => Err(format!("that router has no duty {role}")),
     }
 }
 
--- a/crates/router/src/transport/cluster.rs
+++ b/crates/router/src/transport/cluster.rs
@@ -44,7 +44,7 @@
     unsent: u64,
     /// What was counted before the file was last read.
     before: Counters,
-    /// The duties that were ours when this was last looked at, by place in the file.
+    /// The leader roles that were ours when this was last looked at, by place in the file.
     ours: Vec<bool>,
 }
 
@@ -135,7 +135,7 @@
                 }
             }
         }
-        // What is held of duties is released under the old file: the new one may be another cluster.
+        // What is held of leader roles is released under the old file: the new one may be another cluster.
         self.members.take_on(&[], now);
         self.turn(now);
         self.before.add(&counted(&self.members));
@@ -186,7 +186,7 @@
             let to = self.file.routers[usize::from(to)].address;
             self.unsent += u64::from(self.socket.send_to(&bytes, to).is_err());
         }
-        self.look_at_duties(now);
+        self.log_role_changes(now);
         for change in self.members.changes() {
             let name = self.file.routers[change.router].name.as_str();
             let (from, to) = (change.from.word(), change.to.word());
@@ -202,26 +202,26 @@
         }
     }
 
-    /// Tells of duties that are ours from now on, or are no longer.
-    fn look_at_duties(&mut self, now: f64) {
+    /// Tells of leader roles that are ours from now on, or are no longer.
+    fn log_role_changes(&mut self, now: f64) {
         self.ours.resize(self.file.duties.len(), false);
         for (at, name) in self.file.duties.iter().enumerate() {
             let stands = self.members.role_status(role_resource(name), now);
             match (std::mem::replace(&mut self.ours[at], matches!(stands, RoleStatus::Held { .. })), stands) {
                 (false, RoleStatus::Held { epoch, .. }) => {
-                    log::info!(duty = name.as_str(), epoch = epoch; "duty {name} is ours, epoch {epoch}")
+                    log::info!(role = name.as_str(), epoch = epoch; "duty {name} is ours, epoch {epoch}")
                 }
                 (true, RoleStatus::HeldBy(_) | RoleStatus::Unknown) => {
-                    log::info!(duty = name.as_str(); "duty {name} is no longer ours")
+                    log::info!(role = name.as_str(); "duty {name} is no longer ours")
                 }
                 _ => {}
             }
         }
     }
 
-    /// A row for each duty: whose it is, and under which epoch until when if it is ours. `unix` is the Unix time of this
+    /// A row for each leader role: whose it is, and under which epoch until when if it is ours. `unix` is the Unix time of this
     /// turn in seconds, which the row tells.
-    pub fn duties(&self, now: f64, unix: f64) -> Vec<[String; 3]> {
+    pub fn roles(&self, now: f64, unix: f64) -> Vec<[String; 3]> {
         let row = |name: &String| {
             let stands = self.members.role_status(role_resource(name), now);
             let (state, why) = match stands {
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -435,10 +435,10 @@
                 Question::Teams => self.routing.tenant_status(),
                 Question::Cluster => self.cluster.as_ref().map(|one| one.status(self.steady.read())),
                 Question::Store => self.keeper.as_ref().map(|one| one.status(self.steady.read())),
-                Question::Duties => {
+                Question::Roles => {
                     // Read ahead of the look, so that no pause between the two lets a row claim too much.
                     let unix = unix_time();
-                    self.cluster.as_ref().map(|one| one.duties(self.steady.read(), unix))
+                    self.cluster.as_ref().map(|one| one.roles(self.steady.read(), unix))
                 }
             };
             self.net.sessions.tell_how(question, rows.as_deref(), now);
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -367,9 +367,9 @@
     assert!(counter(&counts, "cluster_other") > 0, "the wrong address was used: {counts}");
 }
 
-/// A duty is held by one router; when that is killed, frozen or cut off another has it, and no two ever do.
+/// A leader role is held by one router; when that is killed, frozen or cut off another has it, and no two ever do.
 #[test]
-fn a_duty_is_held_by_one_router_at_a_time_whatever_becomes_of_its_holder() {
+fn a_role_is_held_by_one_router_at_a_time_whatever_becomes_of_its_holder() {
     let fields = r#""duties":["nightly"],"#.to_string();
     let mut cluster =
         Cluster::planned(Path::new(PROGRAM), Plan { routers: 5, seed: 21, fields, ..Plan::default() });
