--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -2,8 +2,11 @@
 
 use crate::wire::{micros, seconds, Fields};
 use base64::{engine::general_purpose::STANDARD, Engine as _};
-use cleatgw::logic::Gateway;
-use cleatgw::{AttemptEnd, Ending, Listing, Load, Met, Note, Stage, Taken, Writer};
+use cleatgw::Gateway;
+use cleatgw::{
+    ActionWriter, AttemptEnd, AttemptNote, AttemptOutcome, EngineEvidence, EngineListing, EngineStage,
+    IncomingRequest, LoadReport, MeasuredCost,
+};
 use cleatgw_members::digest::{self, EngineIncarnation, PeerEvidence, Rounds};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_start::{self as start, name_hash, Complaint, Names, Pairs};
@@ -81,8 +84,8 @@
     }
 }
 
-impl Writer for Pen<'_> {
-    fn terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+impl ActionWriter for Pen<'_> {
+    fn set_terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
         let Some(id) = self.id(request) else { return };
         write_line(self.reply, format_args!("PROVIDE {} {id} {lane} {:.1}", self.instance, memory_mb));
     }
@@ -114,11 +117,11 @@
         self.ids.over(request);
     }
 
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         write_line(self.reply, format_args!("LISTEN {} {}", self.instance, u8::from(on)));
     }
 
-    fn fetch(&mut self) {
+    fn fetch_list(&mut self) {
         write_line(self.reply, format_args!("RESOLVE {}", self.instance));
     }
 
@@ -127,18 +130,18 @@
         write_line(self.reply, format_args!("HEALTH_CHECK {} {address}", self.instance));
     }
 
-    fn close(&mut self, engine: usize) {
+    fn close_idle(&mut self, engine: usize) {
         let address = self.ids.engines[engine].clone();
         write_line(self.reply, format_args!("CLOSE {} {address}", self.instance));
     }
 
-    fn tell(&mut self, peer: Option<usize>, content: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<usize>, content: &[u8]) {
         let peer = peer.map_or("*".to_string(), |number| number.to_string());
         let content = if content.is_empty() { "-".to_string() } else { STANDARD.encode(content) };
         write_line(self.reply, format_args!("POST {} {peer} {content}", self.instance));
     }
 
-    fn wake(&mut self, at: f64) {
+    fn wake_at(&mut self, at: f64) {
         write_line(self.reply, format_args!("NOTIFY_ME {} due {}", self.instance, (at * 1e6).ceil() as u64));
     }
 
@@ -151,7 +154,7 @@
     address: String,
     zone: String,
     kind: String,
-    stage: Stage,
+    stage: EngineStage,
     cell: u64,
     since: Option<f64>,
 }
@@ -243,7 +246,7 @@
                 let mut gateway = Gateway::new(deployment, seed, self.now);
                 let tenants = self.tenants.as_ref().map(|file| {
                     let (line, tenants) = file.line(self.now, &names.classes);
-                    gateway.tenants(self.now, line, &|_| 0);
+                    gateway.set_tenants(self.now, line, &|_| 0);
                     tenants
                 });
                 let talks = pairs.instances();
@@ -300,7 +303,7 @@
             let (gateway, ids) = (&mut instance.gateway, &mut instance.ids);
             let mut pen = Pen { instance: &name, ids, reply: &mut reply };
             if let Some((who, words)) = told {
-                who.iter().for_each(|peer| pen.tell(Some(usize::from(*peer)), &words));
+                who.iter().for_each(|peer| pen.send_to_peers(Some(usize::from(*peer)), &words));
             }
             if let Err(panic) = catch_unwind(AssertUnwindSafe(|| gateway.round(now, &mut pen))) {
                 self.fault(&name, &*panic);
@@ -319,9 +322,9 @@
     let zone = fields.text().unwrap_or("").to_string();
     let address = fields.need("engine", "an address")?.to_string();
     let stage = match fields.need("stage-state", "Ready, Terminating or Gone")? {
-        "Ready" => Stage::Ready,
-        "Terminating" => Stage::Draining,
-        "Gone" => Stage::Gone,
+        "Ready" => EngineStage::Ready,
+        "Terminating" => EngineStage::Draining,
+        "Gone" => EngineStage::Gone,
         other => return Err(fields.complain("stage-state", "Ready, Terminating or Gone", other)),
     };
     let cell = fields.maybe::<u64>("group", "a whole number")?.unwrap_or(0);
@@ -329,8 +332,8 @@
     Ok(Entry { address, zone, kind, stage, cell, since })
 }
 
-fn read_load(columns: &[String], row: Option<&str>, fields: &Fields) -> Result<Load, Complaint> {
-    let mut load = Load::default();
+fn read_load(columns: &[String], row: Option<&str>, fields: &Fields) -> Result<LoadReport, Complaint> {
+    let mut load = LoadReport::default();
     let Some(row) = row else { return Ok(load) };
     for (column, text) in columns.iter().zip(row.split(',')) {
         let value = match text {
@@ -340,23 +343,23 @@
         match column.as_str() {
             "outstanding" => load.requests = value,
             "backlog" => load.memory_waits = value,
-            "x0" => load.memory_granted = value,
+            "x0" => load.granted_memory_share = value,
             _ => {}
         }
     }
     Ok(load)
 }
 
-fn read_ending(fields: &mut Fields) -> Result<Ending, Complaint> {
+fn read_ending(fields: &mut Fields) -> Result<AttemptOutcome, Complaint> {
     Ok(match fields.need("state-code", "an outcome")? {
-        "done" => Ending::Completed,
-        "err" => Ending::Erred,
-        "busy" => Ending::Full,
-        "etimedout" => Ending::TimedOut,
-        "econnrefused" => Ending::Unreached,
-        "econnreset" => Ending::Broken,
-        "ecanceled" => Ending::Cancelled,
-        "skipped" => Ending::NeverSent,
+        "done" => AttemptOutcome::Completed,
+        "err" => AttemptOutcome::EngineError,
+        "busy" => AttemptOutcome::EngineFull,
+        "etimedout" => AttemptOutcome::TimedOut,
+        "econnrefused" => AttemptOutcome::Unreachable,
+        "econnreset" => AttemptOutcome::ConnectionLost,
+        "ecanceled" => AttemptOutcome::Cancelled,
+        "skipped" => AttemptOutcome::NeverSent,
         other => return Err(fields.complain("state-code", "an outcome", other)),
     })
 }
@@ -386,10 +389,10 @@
                 let kind = fields.whole("kind")?;
                 let value = fields.number("x")?.unwrap_or(0.0);
                 let note = match kind {
-                    1 => Note::Progress(value),
-                    2 => Note::Spills,
-                    3 if value == 2.0 => Note::WaitsForLoad,
-                    3 => Note::WaitsForMemory,
+                    1 => AttemptNote::Progress(value),
+                    2 => AttemptNote::Spills,
+                    3 if value == 2.0 => AttemptNote::WaitsForLoad,
+                    3 => AttemptNote::WaitsForMemory,
                     _ => return Ok(()),
                 };
                 if let Some(&request) = self.ids.request_of.get(&wire_id) {
@@ -446,15 +449,15 @@
             let got = sheet.map_or("nothing".to_string(), |sheet| sheet.to_string());
             return Err(fields.complain("ref", "a sheet that was sent", &got));
         };
-        let listings: Vec<Listing> = entries
+        let listings: Vec<EngineListing> = entries
             .iter()
-            .map(|entry| Listing {
+            .map(|entry| EngineListing {
                 engine: self.ids.engine(&entry.address),
                 name_hash: name_hash(&entry.address),
                 zone: start::index_of(&mut self.names.zones, &entry.zone),
                 kind: start::index_of(&mut self.names.kinds, &entry.kind),
                 cell: entry.cell,
-                since: entry.since,
+                started_at: entry.since,
                 stage: entry.stage,
             })
             .collect();
@@ -469,7 +472,9 @@
 
     /// Who is to be told what of engines now.
     fn tells(&mut self, now: f64) -> Option<(Vec<u16>, Vec<u8>)> {
-        let met = |at: usize| self.gateway.met(at, now).map(|met| (met.good, met.bad, met.sent));
+        let met = |at: usize| {
+            self.gateway.evidence(at, now).map(|met| (met.successes, met.failures, met.slow_start_work))
+        };
         let incarnations = self.incarnations.iter().enumerate();
         self.rounds.as_mut()?.due(now, || {
             digest::observations(incarnations.filter_map(|(at, incarnation)| Some((*incarnation, met(at)?))))
@@ -482,7 +487,10 @@
         self.hear_at = now + HEARS;
         for (at, incarnation) in self.incarnations.iter().enumerate() {
             let PeerEvidence { good, bad, sent, .. } = rounds.said(incarnation, now);
-            self.gateway.peers_say(at, Met { good, bad, sent });
+            self.gateway.peer_evidence_received(
+                at,
+                EngineEvidence { successes: good, failures: bad, slow_start_work: sent },
+            );
         }
     }
 
@@ -511,15 +519,15 @@
         self.ids.next_request += 1;
         self.ids.requests.insert(request, WireRequest { id: wire_id, out: 0, over: false });
         self.ids.request_of.insert(wire_id, request);
-        let taken = Taken {
+        let taken = IncomingRequest {
             class,
             key,
             table_group: table_group.to_bits(),
-            cost: cost.filter(|&cost| bits & 1 == 1 && cost > 0).map(seconds),
-            memory_mb: memory.filter(|&memory| memory > 0.0),
+            estimated_work: cost.filter(|&cost| bits & 1 == 1 && cost > 0).map(seconds),
+            estimated_memory_mb: memory.filter(|&memory| memory > 0.0),
             deadline,
             tenant,
-            earlier: None,
+            earlier_attempt_at: None,
         };
         self.gateway.request_received(now, request, taken);
         Ok(())
@@ -540,9 +548,14 @@
             name.out = name.out.saturating_sub(1);
             name.over |= request_done;
         }
-        let told = told.map(|told| ((told / 4096) as f64 / 1e3, (told % 4096) as f64 * 4.0));
-        self.gateway
-            .attempt_ended(now, &AttemptEnd { request, engine, ending, request_done, spent, told, load });
+        let measured = told.map(|told| MeasuredCost {
+            work: (told / 4096) as f64 / 1e3,
+            memory_mb: (told % 4096) as f64 * 4.0,
+        });
+        self.gateway.attempt_ended(
+            now,
+            &AttemptEnd { request, engine, outcome: ending, request_done, elapsed: spent, measured, load },
+        );
         self.ids.drop_if_done(request);
         Ok(())
     }
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -2,7 +2,7 @@
 //! read around its calls only.
 
 use super::{report, target, Ask, Row};
-use cleatgw::logic::Gateway;
+use cleatgw::Gateway;
 use cleatgw::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -44,49 +44,49 @@
 #[derive(Default)]
 struct Book(Vec<(usize, usize)>);
 
-impl Writer for Book {
-    fn terms(&mut self, _: usize, _: u8, _: f64) {}
+impl ActionWriter for Book {
+    fn set_terms(&mut self, _: usize, _: u8, _: f64) {}
     fn dispatch(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
         self.0.push((request, engine));
     }
     fn cancel(&mut self, _: usize, _: u32) {}
     fn reject(&mut self, _: usize, _: Option<f64>) {}
     fn fail(&mut self, _: usize) {}
-    fn watch(&mut self, _: bool) {}
-    fn fetch(&mut self) {}
+    fn watch_list(&mut self, _: bool) {}
+    fn fetch_list(&mut self) {}
     fn probe(&mut self, _: usize) {}
-    fn close(&mut self, _: usize) {}
-    fn tell(&mut self, _: Option<usize>, _: &[u8]) {}
-    fn wake(&mut self, _: f64) {}
+    fn close_idle(&mut self, _: usize) {}
+    fn send_to_peers(&mut self, _: Option<usize>, _: &[u8]) {}
+    fn wake_at(&mut self, _: f64) {}
     fn log(&mut self, _: &str) {}
 }
 
 /// Of so many engines, with routers in the target's proportion.
 fn deployment(engines: usize) -> Deployment {
     let class = |credit, threads, only_kinds| RequestClass {
-        credit,
-        late_share: 0.0,
-        expected_time: 1.0,
-        longest: f64::INFINITY,
-        stretch: 2.0,
+        value: credit,
+        late_value_share: 0.0,
+        latency_objective: 1.0,
+        max_wait: f64::INFINITY,
+        objective_stretch: 2.0,
         threads,
         idempotency: Idempotency::Idempotent,
         in_key_order: false,
-        holds_tables: false,
-        waits_for_holders: false,
-        only_zones: None,
-        only_kinds,
+        locks_tables: false,
+        waits_for_table_locks: false,
+        allowed_zones: None,
+        allowed_kinds: only_kinds,
     };
     Deployment {
         gateways: (engines * target::ROUTERS).div_ceil(target::ENGINES) as f64,
         // The second one is bound to a kind that is not there: its requests are held.
         classes: vec![class(1.0, 1.0, None), class(0.1, 1.0, Some(vec![1]))],
-        kinds: vec![Kind { cores: CORES, memory_mb: 64_000.0 }; 2],
-        largest_share: 0.5,
-        grants: true,
-        lanes: true,
+        engine_kinds: vec![EngineKind { cores: CORES, memory_mb: 64_000.0 }; 2],
+        max_memory_share: 0.5,
+        honours_grants: true,
+        has_priority_lanes: true,
         max_attempts: 3,
-        cold: ColdStart { from: 0.3, warm_after: 1e6, multiple: 2.0, window: 1.0 },
+        slow_start: SlowStart { initial_share: 0.3, duration: 1e6, overload_multiple: 2.0, window: 1.0 },
         ..Deployment::default()
     }
 }
@@ -101,18 +101,23 @@
         names += 1;
         let is_cold = play.third == Third::Cold && engine.is_multiple_of(3);
         let since = (is_cold || new).then_some(0.0);
-        Listing { engine, name_hash: seed ^ (names * 0x9e37_79b9_7f4a_7c15), since, ..Listing::default() }
+        EngineListing {
+            engine,
+            name_hash: seed ^ (names * 0x9e37_79b9_7f4a_7c15),
+            started_at: since,
+            ..EngineListing::default()
+        }
     };
-    let all: Vec<Listing> = (0..play.engines).map(|engine| listing(engine, false)).collect();
+    let all: Vec<EngineListing> = (0..play.engines).map(|engine| listing(engine, false)).collect();
     gateway.engines_listed(0.0, &all, true);
     let mut book = Book::default();
-    let taken = |class, table_group, deadline| Taken {
+    let taken = |class, table_group, deadline| IncomingRequest {
         class,
         table_group,
         deadline,
-        cost: Some(WORK),
-        memory_mb: Some(50.0),
-        ..Taken::default()
+        estimated_work: Some(WORK),
+        estimated_memory_mb: Some(50.0),
+        ..IncomingRequest::default()
     };
     for request in 0..play.held {
         gateway.request_received(0.0, request, taken(1, request as u64 % play.groups, 1e6));
@@ -142,16 +147,24 @@
         }
         for &(_, request, engine) in &ends {
             let ending = match play.third {
-                Third::Fails if engine.is_multiple_of(3) => Ending::Broken,
-                Third::Full if engine.is_multiple_of(3) => Ending::Full,
-                _ => Ending::Completed,
+                Third::Fails if engine.is_multiple_of(3) => AttemptOutcome::ConnectionLost,
+                Third::Full if engine.is_multiple_of(3) => AttemptOutcome::EngineFull,
+                _ => AttemptOutcome::Completed,
             };
-            let request_done = ending == Ending::Completed;
-            let told = request_done.then_some((WORK, 50.0));
-            let load = Load { requests: Some(stands), ..Load::default() };
+            let request_done = ending == AttemptOutcome::Completed;
+            let told = request_done.then_some(MeasuredCost { work: WORK, memory_mb: 50.0 });
+            let load = LoadReport { requests: Some(stands), ..LoadReport::default() };
             gateway.attempt_ended(
                 now,
-                &AttemptEnd { request, engine, ending, request_done, spent: WORK, told, load },
+                &AttemptEnd {
+                    request,
+                    engine,
+                    outcome: ending,
+                    request_done,
+                    elapsed: WORK,
+                    measured: told,
+                    load,
+                },
             );
         }
         gateway.request_received(now, request, taken(0, group, now + 5.0));
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -3,12 +3,12 @@
 //! datagrams, attempts, answers and news of the list travel for as long as the regions lie apart.
 
 use super::target::{REGIONS, ROUTERS, ZONES};
-use cleatgw::logic::Gateway;
+use cleatgw::Gateway;
+use cleatgw::{ActionWriter, EngineStage, IncomingRequest};
 use cleatgw::{
-    AttemptEnd, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, Met, RequestClass,
-    RetryBudget,
+    AttemptEnd, AttemptOutcome, Deployment, EngineEvidence, EngineKind, EngineListing, Idempotency,
+    LoadReport, MeasuredCost, RequestClass, RetryBudget, SlowStart,
 };
-use cleatgw::{Stage, Taken, Writer};
 use cleatgw_members::digest::{self, EngineIncarnation, LASTS};
 use cleatgw_members::swim::Pace;
 use cleatgw_members::{role, Members};
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 
 const CORES: f64 = 8.0;
-const COLD: ColdStart = ColdStart { from: 0.2, warm_after: 6.0, multiple: 1.5, window: 1.0 };
+const COLD: SlowStart = SlowStart { initial_share: 0.2, duration: 6.0, overload_multiple: 1.5, window: 1.0 };
 /// A request is wanted after so long, and its client waits no longer than that.
 const EXPECTED: f64 = 1.0;
 const LONGEST: f64 = 4.0;
@@ -146,7 +146,7 @@
         }
         let Some((since, sent)) = self.cold.get_mut(&engine) else { return };
         let age = now - *since;
-        if age >= COLD.warm_after {
+        if age >= COLD.duration {
             self.cold.remove(&engine);
             return;
         }
@@ -155,8 +155,8 @@
             sent.pop_front();
         }
         let sum: f64 = sent.iter().map(|(_, calls)| calls).sum();
-        let stands = COLD.from + (1.0 - COLD.from) * age / COLD.warm_after;
-        let budget = COLD.multiple * CORES * stands * COLD.window / mean;
+        let stands = COLD.initial_share + (1.0 - COLD.initial_share) * age / COLD.duration;
+        let budget = COLD.overload_multiple * CORES * stands * COLD.window / mean;
         self.looked("cold budget");
         // What may be chance: no router knows what the others draw in the same moment.
         if sum > budget + 2.0 * budget.sqrt() + 2.0 {
@@ -208,10 +208,10 @@
     Ask(usize, u32),
     Wake(usize, u32),
     Words(usize, u32),
-    Listed(usize, u32, Rc<[Listing]>),
+    Listed(usize, u32, Rc<[EngineListing]>),
     TimeOut(Work),
     /// Of an attempt, as its router hears of it; and how many requests the engine holds.
-    Ended(Work, Ending, f64),
+    Ended(Work, AttemptOutcome, f64),
     Arrives(usize, Work),
     Dropped(usize, Work),
     Done(usize, u32, Work),
@@ -230,7 +230,7 @@
     Wakes(usize),
     /// Of an engine there.
     Lost(&'static str, usize),
-    List(usize, Stage),
+    List(usize, EngineStage),
 }
 
 struct Request {
@@ -251,7 +251,7 @@
     turn_at: f64,
     next: usize,
     requests: BTreeMap<usize, Request>,
-    listings: Vec<Listing>,
+    listings: Vec<EngineListing>,
 }
 
 #[derive(Default)]
@@ -273,8 +273,8 @@
     wake: Option<f64>,
 }
 
-impl Writer for Book {
-    fn terms(&mut self, _: usize, _: u8, _: f64) {}
+impl ActionWriter for Book {
+    fn set_terms(&mut self, _: usize, _: u8, _: f64) {}
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
         self.attempts.push((request, engine, time_out));
     }
@@ -287,12 +287,12 @@
     fn fail(&mut self, request: usize) {
         self.ended.push((request, false));
     }
-    fn watch(&mut self, _: bool) {}
-    fn fetch(&mut self) {}
+    fn watch_list(&mut self, _: bool) {}
+    fn fetch_list(&mut self) {}
     fn probe(&mut self, _: usize) {}
-    fn close(&mut self, _: usize) {}
-    fn tell(&mut self, _: Option<usize>, _: &[u8]) {}
-    fn wake(&mut self, at: f64) {
+    fn close_idle(&mut self, _: usize) {}
+    fn send_to_peers(&mut self, _: Option<usize>, _: &[u8]) {}
+    fn wake_at(&mut self, at: f64) {
         self.wake = Some(at);
     }
     fn log(&mut self, _: &str) {}
@@ -332,7 +332,7 @@
     numbered: u64,
     routers: Vec<Router>,
     engines: Vec<Engine>,
-    discovery: Vec<Listing>,
+    discovery: Vec<EngineListing>,
     /// When anyone last spoke of an engine.
     spoken_of: Vec<f64>,
     names: HashMap<u64, usize>,
@@ -357,19 +357,19 @@
     measured: [Option<Spent>; 2],
 }
 
-fn incarnation_of(listing: &Listing) -> EngineIncarnation {
-    let since = listing.since.unwrap_or(0.0).to_bits();
+fn incarnation_of(listing: &EngineListing) -> EngineIncarnation {
+    let since = listing.started_at.unwrap_or(0.0).to_bits();
     EngineIncarnation { name: listing.name_hash, incarnation: (since ^ (since >> 32)) as u32 }
 }
 
 /// A change of the list as the discovery service writes it, in bytes.
-fn change_bytes(listing: &Listing) -> u64 {
+fn change_bytes(listing: &EngineListing) -> u64 {
     let entry = format!(
         r#"{{"uid":"engine-{:04}","endpoint":"10.0.0.0:50000","az":"zone-{}","model":"m","pod_group":0,"state":"{:?}","boot_ms":{}}}"#,
         listing.engine,
         listing.zone,
         listing.stage,
-        (listing.since.unwrap_or(0.0) * 1e3) as u64
+        (listing.started_at.unwrap_or(0.0) * 1e3) as u64
     );
     entry.len() as u64 + 60
 }
@@ -380,13 +380,13 @@
 
 impl World {
     pub fn new(play: Play) -> World {
-        let listing = |engine| Listing {
+        let listing = |engine| EngineListing {
             engine,
             name_hash: engine as u64 * 7919 + 13,
             zone: zone(engine, play.engines),
-            ..Listing::default()
+            ..EngineListing::default()
         };
-        let discovery: Vec<Listing> = (0..play.engines).map(listing).collect();
+        let discovery: Vec<EngineListing> = (0..play.engines).map(listing).collect();
         let mut world = World {
             play,
             now: 0.0,
@@ -422,28 +422,28 @@
 
     fn deployment(&self) -> Deployment {
         let class = |idempotency| RequestClass {
-            credit: 1.0,
-            late_share: 0.0,
-            expected_time: EXPECTED,
-            longest: LONGEST,
-            stretch: 0.0,
+            value: 1.0,
+            late_value_share: 0.0,
+            latency_objective: EXPECTED,
+            max_wait: LONGEST,
+            objective_stretch: 0.0,
             threads: 1.0,
             idempotency,
             in_key_order: false,
-            holds_tables: false,
-            waits_for_holders: false,
-            only_zones: None,
-            only_kinds: None,
+            locks_tables: false,
+            waits_for_table_locks: false,
+            allowed_zones: None,
+            allowed_kinds: None,
         };
         Deployment {
             gateways: self.play.routers as f64,
             classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
-            kinds: vec![Kind { cores: CORES, memory_mb: 8192.0 }],
-            largest_share: 0.5,
-            cancel: true,
+            engine_kinds: vec![EngineKind { cores: CORES, memory_mb: 8192.0 }],
+            max_memory_share: 0.5,
+            can_cancel: true,
             max_attempts: 3,
-            cold: COLD,
-            budget: Some(RetryBudget { spare: 10.0, share: 0.2, window: 10.0 }),
+            slow_start: COLD,
+            retry_budget: Some(RetryBudget { base: 10.0, per_request: 0.2, window: 10.0 }),
             ..Deployment::default()
         }
     }
@@ -476,8 +476,8 @@
                     "engine failed" => self.engine_lost(victim, 0.0),
                     "router failed" => vec![(0.0, Act::Kill(victim)), (6.0, Act::Start(victim))],
                     "engine restarted" => vec![
-                        (0.0, Act::List(victim, Stage::Draining)),
-                        (5.0, Act::List(victim, Stage::Gone)),
+                        (0.0, Act::List(victim, EngineStage::Draining)),
+                        (5.0, Act::List(victim, EngineStage::Gone)),
                         (5.2, Act::EngineDown(victim)),
                         (6.0, Act::EngineUp(victim)),
                     ],
@@ -514,7 +514,7 @@
     fn engine_lost(&self, engine: usize, after: f64) -> Vec<(f64, Act)> {
         vec![
             (after, Act::EngineDown(engine)),
-            (after + 1.5, Act::List(engine, Stage::Gone)),
+            (after + 1.5, Act::List(engine, EngineStage::Gone)),
             (after + 6.0, Act::EngineUp(engine)),
         ]
     }
@@ -626,7 +626,7 @@
                 self.listed(at, &listings, false)
             }
             Event::TimeOut(work) if self.lives(work.router, work.incarnation) => {
-                self.give_up(work.router, work.request, Some(work.number), Ending::TimedOut);
+                self.give_up(work.router, work.request, Some(work.number), AttemptOutcome::TimedOut);
             }
             Event::Ended(work, ending, held) if self.lives(work.router, work.incarnation) => {
                 self.ended(work, ending, held);
@@ -690,9 +690,9 @@
         let router = &mut self.routers[at];
         let (Some(gateway), Some(members)) = (&mut router.gateway, &mut router.members) else { return };
         let began = Instant::now();
-        let met = |listing: &Listing| {
-            let met = gateway.met(listing.engine, now)?;
-            Some((incarnation_of(listing), (met.good, met.bad, met.sent)))
+        let met = |listing: &EngineListing| {
+            let met = gateway.evidence(listing.engine, now)?;
+            Some((incarnation_of(listing), (met.successes, met.failures, met.slow_start_work)))
         };
         let words = digest::words(router.listings.iter().filter_map(met));
         members.tell(words.clone());
@@ -704,10 +704,13 @@
         // A word may be on its way, and stands in hellos until the next are made.
         let lasts = LASTS + 4.0 * WORDS;
         let spoken_of = &self.spoken_of;
-        let hears = |listing: &&Listing| all || now < spoken_of[listing.engine] + lasts;
+        let hears = |listing: &&EngineListing| all || now < spoken_of[listing.engine] + lasts;
         for listing in router.listings.iter().filter(hears) {
             let said = members.said(&incarnation_of(listing), now);
-            gateway.peers_say(listing.engine, Met { good: said.good, bad: said.bad, sent: said.sent });
+            gateway.peer_evidence_received(
+                listing.engine,
+                EngineEvidence { successes: said.good, failures: said.bad, slow_start_work: said.sent },
+            );
         }
         if at.is_multiple_of(self.play.routers.div_ceil(12)) {
             self.spent.hears += began.elapsed();
@@ -731,7 +734,14 @@
         (self.ids, router.next) = (self.ids + 1, router.next + 1);
         let (id, deadline) = (self.ids, now + LONGEST);
         let (class, memory_mb) = (usize::from(non_idempotent), Some(10.0));
-        let taken = Taken { class, table_group, cost, memory_mb, deadline, ..Taken::default() };
+        let taken = IncomingRequest {
+            class,
+            table_group,
+            estimated_work: cost,
+            estimated_memory_mb: memory_mb,
+            deadline,
+            ..IncomingRequest::default()
+        };
         let began = Instant::now();
         gateway.request_received(now, router.next, taken);
         self.spent.decisions += began.elapsed();
@@ -765,10 +775,10 @@
             let phase = self.phase(since);
             *if back { &mut phase.rejected } else { &mut phase.failed } += 1;
             self.answered(number);
-            self.give_up(at, id, None, Ending::Cancelled);
+            self.give_up(at, id, None, AttemptOutcome::Cancelled);
         }
         for (id, number) in book.cancelled {
-            self.give_up(at, id, Some(number as usize), Ending::Cancelled);
+            self.give_up(at, id, Some(number as usize), AttemptOutcome::Cancelled);
         }
     }
 
@@ -786,9 +796,10 @@
         let (now, incarnation, mean) = (self.now, self.routers[at].incarnation, self.mean);
         let planted = self.play.planted;
         let other = match planted {
-            Some(Planted::ToTheGone) => self.discovery.iter().find(|one| one.stage == Stage::Gone),
+            Some(Planted::ToTheGone) => self.discovery.iter().find(|one| one.stage == EngineStage::Gone),
             Some(Planted::ColdFlood) => self.discovery.iter().find(|one| {
-                one.stage == Stage::Ready && one.since.is_some_and(|since| now < since + COLD.warm_after)
+                one.stage == EngineStage::Ready
+                    && one.started_at.is_some_and(|since| now < since + COLD.duration)
             }),
             _ => None,
         };
@@ -808,7 +819,7 @@
     }
 
     /// Attempts of a request are given up, and their ends are news in this turn.
-    fn give_up(&mut self, at: usize, id: usize, only: Option<usize>, ending: Ending) {
+    fn give_up(&mut self, at: usize, id: usize, only: Option<usize>, ending: AttemptOutcome) {
         let (now, incarnation) = (self.now, self.routers[at].incarnation);
         let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let mut ends = Vec::new();
@@ -824,10 +835,18 @@
         for (work, engine, sent_to, sent) in ends {
             let way = self.engine_way(at, sent_to);
             self.at(now + way, Event::Dropped(sent_to, work));
-            let (spent, load) = (now - sent, Load::default());
+            let (spent, load) = (now - sent, LoadReport::default());
             self.attempt_ended(
                 at,
-                &AttemptEnd { request: id, engine, ending, request_done, spent, told: None, load },
+                &AttemptEnd {
+                    request: id,
+                    engine,
+                    outcome: ending,
+                    request_done,
+                    elapsed: spent,
+                    measured: None,
+                    load,
+                },
             );
         }
     }
@@ -846,7 +865,7 @@
         self.at(now, Event::Wake(at, incarnation));
     }
 
-    fn ended(&mut self, work: Work, ending: Ending, held: f64) {
+    fn ended(&mut self, work: Work, ending: AttemptOutcome, held: f64) {
         let (now, at) = (self.now, work.router);
         let Some(request) = self.routers[at].requests.get_mut(&work.request) else { return };
         let attempt = &mut request.attempts[work.number];
@@ -854,25 +873,33 @@
             return;
         }
         let (engine, spent, since) = (attempt.0, now - attempt.2, request.since);
-        let completed = ending == Ending::Completed;
+        let completed = ending == AttemptOutcome::Completed;
         if completed && !std::mem::replace(&mut request.over, true) {
             self.answered(work.id);
             let phase = self.phase(since);
             phase.completed += 1;
             phase.in_time += u64::from(now - since <= EXPECTED);
         }
-        let told = completed.then_some((work.work, 10.0));
-        let load = Load { requests: completed.then_some(held), ..Load::default() };
+        let told = completed.then_some(MeasuredCost { work: work.work, memory_mb: 10.0 });
+        let load = LoadReport { requests: completed.then_some(held), ..LoadReport::default() };
         let request_done = self.routers[at].requests[&work.request].over;
         self.attempt_ended(
             at,
-            &AttemptEnd { request: work.request, engine, ending, request_done, spent, told, load },
+            &AttemptEnd {
+                request: work.request,
+                engine,
+                outcome: ending,
+                request_done,
+                elapsed: spent,
+                measured: told,
+                load,
+            },
         );
     }
 
     fn arrives(&mut self, at: usize, work: Work) {
         if !self.engines[at].up {
-            return self.answers(at, work, Ending::Unreached);
+            return self.answers(at, work, AttemptOutcome::Unreachable);
         }
         self.engines[at].queue.push_back(work);
         self.runs(at);
@@ -886,7 +913,7 @@
             let Some(work) = engine.queue.pop_front() else { return };
             engine.running.push(work);
             let age = engine.since.map_or(f64::INFINITY, |since| now - since);
-            let warmth = (COLD.from + (1.0 - COLD.from) * age / COLD.warm_after).min(1.0);
+            let warmth = (COLD.initial_share + (1.0 - COLD.initial_share) * age / COLD.duration).min(1.0);
             let incarnation = engine.incarnation;
             self.checker.begun(work.id, now);
             self.at(now + work.work / warmth, Event::Done(at, incarnation, work));
@@ -906,17 +933,17 @@
         if let Some(place) = engine.running.iter().position(same) {
             engine.running.swap_remove(place);
         }
-        self.answers(at, work, Ending::Completed);
+        self.answers(at, work, AttemptOutcome::Completed);
         self.runs(at);
     }
 
-    fn answers(&mut self, at: usize, work: Work, ending: Ending) {
+    fn answers(&mut self, at: usize, work: Work, ending: AttemptOutcome) {
         let held = self.engines[at].running.len() + self.engines[at].queue.len();
         let way = self.engine_way(work.router, at);
         self.at(self.now + way, Event::Ended(work, ending, held as f64));
     }
 
-    fn listed(&mut self, at: usize, listings: &[Listing], whole: bool) {
+    fn listed(&mut self, at: usize, listings: &[EngineListing], whole: bool) {
         let now = self.now;
         let router = &mut self.routers[at];
         let Some(gateway) = &mut router.gateway else { return };
@@ -926,13 +953,13 @@
         for listing in listings {
             router.listings[listing.engine] = *listing;
             self.spent.list_bytes += change_bytes(listing);
-            self.checker.told(at, listing.engine, listing.stage == Stage::Ready, now);
+            self.checker.told(at, listing.engine, listing.stage == EngineStage::Ready, now);
         }
         self.round(at);
     }
 
     fn publish(&mut self, engine: usize) {
-        let news: Rc<[Listing]> = Rc::new([self.discovery[engine]]);
+        let news: Rc<[EngineListing]> = Rc::new([self.discovery[engine]]);
         for router in 0..self.routers.len() {
             let way = self.way(0, self.router_zone(router));
             let incarnation = self.routers[router].incarnation;
@@ -951,7 +978,7 @@
         members.take_on(&[role::thing(ROLE)], now);
         if again {
             // Nothing is kept here from one incarnation to the next.
-            gateway.forgot(now);
+            gateway.assume_lost_history(now);
         }
         self.checker.forgets(at);
         let next = self.routers[at].next;
@@ -1018,8 +1045,8 @@
                 let engine = &mut self.engines[at];
                 if std::mem::replace(&mut engine.up, false) {
                     let lost: Vec<Work> = engine.running.drain(..).chain(engine.queue.drain(..)).collect();
-                    lost.into_iter().for_each(|work| self.answers(at, work, Ending::Broken));
-                    let planned = self.discovery[at].stage != Stage::Ready;
+                    lost.into_iter().for_each(|work| self.answers(at, work, AttemptOutcome::ConnectionLost));
+                    let planned = self.discovery[at].stage != EngineStage::Ready;
                     self.took_effect(if planned { "engine restarted" } else { "engine failed" });
                 }
             }
@@ -1027,7 +1054,7 @@
                 let incarnation = self.engines[at].incarnation + 1;
                 self.engines[at] = Engine { up: true, incarnation, since: Some(now), ..Engine::default() };
                 self.checker.started(at, now);
-                (self.discovery[at].stage, self.discovery[at].since) = (Stage::Ready, Some(now));
+                (self.discovery[at].stage, self.discovery[at].started_at) = (EngineStage::Ready, Some(now));
                 self.publish(at);
             }
             Act::Hang(at, seconds) => {
--- a/crates/lab/src/virtual_comeback.rs
+++ b/crates/lab/src/virtual_comeback.rs
@@ -1,11 +1,12 @@
 //! Hundreds of routers' decisions in virtual time: the real module and the real way back, with engines that share their
 //! cores, when a share of the routers is killed at once and some engines are replaced by cold ones.
 
-use cleatgw::logic::Gateway;
+use cleatgw::Gateway;
+use cleatgw::{ActionWriter, EngineStage, IncomingRequest};
 use cleatgw::{
-    AttemptEnd, ColdStart, Deployment, Ending, Idempotency, Kind, Listing, Load, RequestClass, RetryBudget,
+    AttemptEnd, AttemptOutcome, Deployment, EngineKind, EngineListing, Idempotency, LoadReport, MeasuredCost,
+    RequestClass, RetryBudget, SlowStart, SlowStartWork,
 };
-use cleatgw::{Stage, Taken, Writer};
 use cleatgw_recovery::{Kept, Looks, Moment, Pieces, Puts, Recovery, Sent, Step, AHEAD};
 use plotters::prelude::*;
 use rand::rngs::SmallRng;
@@ -29,28 +30,28 @@
 
 fn deployment(routers: usize) -> Deployment {
     let class = RequestClass {
-        credit: 1.0,
-        late_share: 0.0,
-        expected_time: EXPECTED,
-        longest: PATIENCE,
-        stretch: 0.0,
+        value: 1.0,
+        late_value_share: 0.0,
+        latency_objective: EXPECTED,
+        max_wait: PATIENCE,
+        objective_stretch: 0.0,
         threads: 1.0,
         idempotency: Idempotency::Idempotent,
         in_key_order: false,
-        holds_tables: false,
-        waits_for_holders: false,
-        only_zones: None,
-        only_kinds: None,
+        locks_tables: false,
+        waits_for_table_locks: false,
+        allowed_zones: None,
+        allowed_kinds: None,
     };
     Deployment {
         gateways: routers as f64,
         classes: vec![class],
-        kinds: vec![Kind { cores: CORES, memory_mb: 8192.0 }],
-        largest_share: 0.5,
-        cancel: true,
+        engine_kinds: vec![EngineKind { cores: CORES, memory_mb: 8192.0 }],
+        max_memory_share: 0.5,
+        can_cancel: true,
         max_attempts: 3,
-        cold: ColdStart { from: 0.2, warm_after: 6.0, multiple: 1.5, window: 1.0 },
-        budget: Some(RetryBudget { spare: 4.0, share: 0.1, window: 10.0 }),
+        slow_start: SlowStart { initial_share: 0.2, duration: 6.0, overload_multiple: 1.5, window: 1.0 },
+        retry_budget: Some(RetryBudget { base: 4.0, per_request: 0.1, window: 10.0 }),
         ..Deployment::default()
     }
 }
@@ -65,7 +66,7 @@
 }
 
 struct Engine {
-    listing: Listing,
+    listing: EngineListing,
     running: Vec<Running>,
     /// Works and says nothing.
     silent: bool,
@@ -105,8 +106,8 @@
     wake: f64,
 }
 
-impl Writer for Book {
-    fn terms(&mut self, _: usize, _: u8, _: f64) {}
+impl ActionWriter for Book {
+    fn set_terms(&mut self, _: usize, _: u8, _: f64) {}
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
         self.attempts.push((request, engine, time_out));
     }
@@ -119,12 +120,12 @@
     fn fail(&mut self, request: usize) {
         self.ended.push(request);
     }
-    fn watch(&mut self, _: bool) {}
-    fn fetch(&mut self) {}
+    fn watch_list(&mut self, _: bool) {}
+    fn fetch_list(&mut self) {}
     fn probe(&mut self, _: usize) {}
-    fn close(&mut self, _: usize) {}
-    fn tell(&mut self, _: Option<usize>, _: &[u8]) {}
-    fn wake(&mut self, at: f64) {
+    fn close_idle(&mut self, _: usize) {}
+    fn send_to_peers(&mut self, _: Option<usize>, _: &[u8]) {}
+    fn wake_at(&mut self, at: f64) {
         self.wake = at;
     }
     fn log(&mut self, _: &str) {}
@@ -161,11 +162,11 @@
 impl World {
     fn new(play: Play) -> World {
         let engines = (play.routers / 6).max(4);
-        let listing = |engine: usize| Listing {
+        let listing = |engine: usize| EngineListing {
             engine,
             name_hash: engine as u64 * 7919 + 13,
-            stage: Stage::Ready,
-            ..Listing::default()
+            stage: EngineStage::Ready,
+            ..EngineListing::default()
         };
         let engine =
             |at| Engine { listing: listing(at), running: Vec::new(), silent: false, given: Vec::new() };
@@ -202,14 +203,14 @@
 
     fn start(&mut self, at: usize) {
         let (now, given) = (self.now, deployment(self.play.routers));
-        let budget = given.budget.expect("it is stated").window;
-        let looks = Looks { repeats: budget, cold: given.cold.window, receipts: 0.0 };
+        let budget = given.retry_budget.expect("it is stated").window;
+        let looks = Looks { repeats: budget, cold: given.slow_start.window, receipts: 0.0 };
         let mut gateway = Gateway::new(
             given,
             self.play.seed + at as u64 * 1000 + u64::from(self.routers[at].incarnation),
             now,
         );
-        let listings: Vec<Listing> = self.engines.iter().map(|engine| engine.listing).collect();
+        let listings: Vec<EngineListing> = self.engines.iter().map(|engine| engine.listing).collect();
         gateway.engines_listed(now, &listings, true);
         let router = &mut self.routers[at];
         router.incarnation += 1;
@@ -244,14 +245,18 @@
         let (Some(gateway), Some(recovery)) = (&mut router.gateway, &mut router.recovery) else { return };
         for step in recovery.turn(now, &moment) {
             match step {
-                Step::Forgot => gateway.forgot(now),
+                Step::Forgot => gateway.assume_lost_history(now),
                 Step::Remembers(taken) => {
                     let repeats: Vec<f64> = taken.repeats.iter().map(|age| now - age).collect();
                     let cold = taken.cold.iter().filter_map(|(sent, age)| {
                         let engine = self.engines.iter().find(|one| one.listing.name_hash == sent.name)?;
-                        Some((engine.listing.engine, now - age, sent.work))
+                        Some(SlowStartWork {
+                            engine: engine.listing.engine,
+                            sent_at: now - age,
+                            work: sent.work,
+                        })
                     });
-                    gateway.remembers(&repeats, &cold.collect::<Vec<_>>());
+                    gateway.restore_history(&repeats, &cold.collect::<Vec<_>>());
                 }
                 Step::Lost(_) | Step::Enters(_) => {}
             }
@@ -259,9 +264,9 @@
         // The disk takes a step for each put.
         if router.puts.wants(now) {
             let repeats =
-                gateway.repeats.iter().map(|at| now - at).filter(|age| (0.0..10.0).contains(age)).collect();
+                gateway.retries().map(|at| now - at).filter(|age| (0.0..10.0).contains(age)).collect();
             let sent = |engine: &Engine| {
-                let work = gateway.met(engine.listing.engine, now)?.sent;
+                let work = gateway.evidence(engine.listing.engine, now)?.slow_start_work;
                 (work > 0.0).then_some(Sent { name: engine.listing.name_hash, incarnation: 0, work })
             };
             let cold = self.engines.iter().filter_map(sent).collect();
@@ -270,7 +275,8 @@
             router.disk = Some((epoch, kept.write()));
             router.puts.answered(true);
         }
-        gateway.ahead = Some(router.puts.ahead(gateway.repeats.iter().copied(), 10.0, now));
+        let allowance = router.puts.ahead(gateway.retries(), 10.0, now);
+        gateway.limit_unpersisted_retries(allowance);
     }
 
     fn ask(&mut self, at: usize) {
@@ -284,7 +290,13 @@
         router.next += 1;
         let deadline = now + PATIENCE;
         let cost = Some(work);
-        let taken = Taken { table_group: group, cost, memory_mb: Some(10.0), deadline, ..Taken::default() };
+        let taken = IncomingRequest {
+            table_group: group,
+            estimated_work: cost,
+            estimated_memory_mb: Some(10.0),
+            deadline,
+            ..IncomingRequest::default()
+        };
         gateway.request_received(now, router.next, taken);
         router
             .requests
@@ -324,15 +336,15 @@
         }
         for id in book.ended {
             self.routers[at].requests.get_mut(&id).into_iter().for_each(|request| request.over = true);
-            self.drop_attempts(at, id, Ending::Cancelled, None);
+            self.drop_attempts(at, id, AttemptOutcome::Cancelled, None);
         }
         for (id, number) in book.cancelled {
-            self.drop_attempts(at, id, Ending::Cancelled, Some(number as usize));
+            self.drop_attempts(at, id, AttemptOutcome::Cancelled, Some(number as usize));
         }
     }
 
     /// Attempts of a request are given up, and their ends are news at once.
-    fn drop_attempts(&mut self, at: usize, id: usize, ending: Ending, only: Option<usize>) {
+    fn drop_attempts(&mut self, at: usize, id: usize, ending: AttemptOutcome, only: Option<usize>) {
         let now = self.now;
         let Some(request) = self.routers[at].requests.get_mut(&id) else { return };
         let mut ends = Vec::new();
@@ -347,8 +359,16 @@
             self.engines[engine]
                 .running
                 .retain(|run| (run.router, run.request, run.number) != (at, id, number));
-            let load = Load::default();
-            let end = AttemptEnd { request: id, engine, ending, request_done, spent: 0.1, told: None, load };
+            let load = LoadReport::default();
+            let end = AttemptEnd {
+                request: id,
+                engine,
+                outcome: ending,
+                request_done,
+                elapsed: 0.1,
+                measured: None,
+                load,
+            };
             self.routers[at].gateway.iter_mut().for_each(|gateway| gateway.attempt_ended(now, &end));
         }
         self.routers[at].wake = now;
@@ -362,7 +382,7 @@
         let late: Vec<usize> =
             self.routers[at].requests.iter().filter(|(_, request)| due(request)).map(|(id, _)| *id).collect();
         for id in late {
-            self.drop_attempts(at, id, Ending::TimedOut, None);
+            self.drop_attempts(at, id, AttemptOutcome::TimedOut, None);
         }
         let cut = |request: &Request| {
             request.over && request.out.iter().all(|(_, out, _)| !out) || now > request.deadline + 1.0
@@ -398,11 +418,18 @@
                 if now - request.sent <= EXPECTED {
                     *self.served.entry(tenth(now)).or_default() += 1;
                 }
-                let told = Some((request.work, 10.0));
-                let (spent, load) = (now - run.sent, Load::default());
-                let (ending, request_done) = (Ending::Completed, true);
-                let end =
-                    AttemptEnd { request: run.request, engine: at, ending, request_done, spent, told, load };
+                let told = Some(MeasuredCost { work: request.work, memory_mb: 10.0 });
+                let (spent, load) = (now - run.sent, LoadReport::default());
+                let (ending, request_done) = (AttemptOutcome::Completed, true);
+                let end = AttemptEnd {
+                    request: run.request,
+                    engine: at,
+                    outcome: ending,
+                    request_done,
+                    elapsed: spent,
+                    measured: told,
+                    load,
+                };
                 gateway.attempt_ended(now, &end);
                 router.wake = now;
             }
@@ -413,11 +440,11 @@
         let now = self.now;
         let engine = &mut self.engines[at];
         engine.listing.name_hash += 1_000_003;
-        engine.listing.since = Some(now);
+        engine.listing.started_at = Some(now);
         let lost: Vec<Running> = std::mem::take(&mut engine.running);
         let listing = engine.listing;
         for run in lost {
-            self.drop_attempts(run.router, run.request, Ending::Broken, Some(run.number));
+            self.drop_attempts(run.router, run.request, AttemptOutcome::ConnectionLost, Some(run.number));
         }
         for router in &mut self.routers {
             router.gateway.iter_mut().for_each(|gateway| gateway.engines_listed(now, &[listing], false));
@@ -479,7 +506,7 @@
                 |step: u64| sum(&self.connected, from + step as f64 * 0.1, from + step as f64 * 0.1 + 1.0);
             (0..((to - from) * 10.0) as u64).map(at).max().unwrap_or(0)
         };
-        let cold = self.engines.iter().filter_map(|engine| Some((engine.listing.since?, &engine.given)));
+        let cold = self.engines.iter().filter_map(|engine| Some((engine.listing.started_at?, &engine.given)));
         let over_cold: usize = cold.map(|(since, given)| self.over_cold(since, given)).sum();
         let over_budget =
             self.routers.iter().filter(|router| most_within(&router.further, 10.0) > 4 + 10).count();
@@ -498,11 +525,12 @@
 
     /// Windows in which a cold engine got more than it stands, by the rule on cold ones.
     fn over_cold(&self, since: f64, given: &[(f64, f64)]) -> usize {
-        let cold = deployment(1).cold;
+        let cold = deployment(1).slow_start;
         let mut over = 0;
-        for (at, _) in given.iter().filter(|(at, _)| *at >= since && *at < since + cold.warm_after) {
-            let warmth = (cold.from + (1.0 - cold.from) * (at - since) / cold.warm_after).min(1.0);
-            let stands = cold.multiple * CORES * warmth * cold.window / WORK;
+        for (at, _) in given.iter().filter(|(at, _)| *at >= since && *at < since + cold.duration) {
+            let warmth =
+                (cold.initial_share + (1.0 - cold.initial_share) * (at - since) / cold.duration).min(1.0);
+            let stands = cold.overload_multiple * CORES * warmth * cold.window / WORK;
             let got =
                 given.iter().filter(|(when, _)| *when <= *at && *when > at - cold.window && *when >= since);
             over += usize::from(
--- a/crates/router/src/protocol/discovery.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -1,6 +1,6 @@
 //! The discovery service's lines: numbered events, and each second the last number alone.
 
-use cleatgw::Stage;
+use cleatgw::EngineStage;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     pub zone: String,
     pub kind: String,
     pub cell: u64,
-    pub stage: Stage,
+    pub stage: EngineStage,
     /// When it started late, in seconds of Unix time.
     pub since: Option<f64>,
 }
@@ -68,9 +68,9 @@
     let uid = expected(value["uid"].as_str().filter(|uid| !uid.is_empty()), "uid", "a name")?;
     let address = value["endpoint"].as_str().and_then(|text| text.parse().ok());
     let stage = match value["state"].as_str() {
-        Some("ready") => Some(Stage::Ready),
-        Some("draining") => Some(Stage::Draining),
-        Some("gone") => Some(Stage::Gone),
+        Some("ready") => Some(EngineStage::Ready),
+        Some("draining") => Some(EngineStage::Draining),
+        Some("gone") => Some(EngineStage::Gone),
         _ => None,
     };
     let name = |field: &str| value[field].as_str().map_or(String::new(), cleatgw_start::flat);
--- a/crates/router/src/protocol/discovery/tests.rs
+++ b/crates/router/src/protocol/discovery/tests.rs
@@ -12,7 +12,7 @@
     assert_eq!((event.number, whole, entries.len()), (41, false, 1));
     let entry = &entries[0];
     assert_eq!((entry.uid.as_str(), entry.cell, entry.since), ("s-00c4", 2, Some(1.5)));
-    assert_eq!((entry.address, entry.stage), ("10.1.0.9:6565".parse().unwrap(), Stage::Draining));
+    assert_eq!((entry.address, entry.stage), ("10.1.0.9:6565".parse().unwrap(), EngineStage::Draining));
     let later = EVENT.replace("1500", "0");
     let Ok(Line::Event(event)) = line(later.as_bytes()) else { panic!("no event") };
     assert_eq!(event.list.unwrap().1[0].since, None);
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -7,9 +7,12 @@
 use crate::protocol::discovery::{Entry, Event};
 use crate::protocol::engine::Ask;
 use crate::protocol::statement::{self as statements, ParsedStatement};
-use cleatgw::logic::Gateway;
 use cleatgw::queue::Wait;
-use cleatgw::{AttemptEnd, Deployment, Ending, Idempotency, Listing, Load, Met, Stage, Taken, Writer};
+use cleatgw::Gateway;
+use cleatgw::{
+    ActionWriter, AttemptEnd, AttemptOutcome, Deployment, EngineEvidence, EngineListing, EngineStage,
+    Idempotency, IncomingRequest, LoadReport, MeasuredCost, SlowStartWork,
+};
 use cleatgw_members::digest::{self, EngineIncarnation, Observation, PeerEvidence};
 use cleatgw_operator::{TeamNames, TeamsFile};
 use cleatgw_recovery::{Looks, Sent, StillValid};
@@ -92,7 +95,7 @@
     uid: String,
     number: u64,
     address: SocketAddr,
-    listing: Listing,
+    listing: EngineListing,
 }
 
 enum AttemptState {
@@ -101,7 +104,7 @@
         engine: usize,
         sent: f64,
         until: f64,
-        given_up: Option<Ending>,
+        given_up: Option<AttemptOutcome>,
     },
     Over,
 }
@@ -142,7 +145,7 @@
     /// When each attempt that is out has waited long enough.
     due: BTreeSet<(u64, AttemptId)>,
     /// Ends brought about by decisions: news of the next turn.
-    later: Vec<(AttemptId, Ending)>,
+    later: Vec<(AttemptId, AttemptOutcome)>,
     wake: f64,
     deployment: Deployment,
     counters: Counters,
@@ -172,27 +175,31 @@
     time.max(0.0).to_bits()
 }
 
-fn ending(outcome: &Outcome) -> Ending {
+fn ending(outcome: &Outcome) -> AttemptOutcome {
     match outcome {
-        Ok(Reply::Done { .. }) => Ending::Completed,
-        Ok(Reply::Full) => Ending::Full,
-        Ok(Reply::Erred) => Ending::Erred,
-        Ok(Reply::TooLate) | Err(Failure::NeverSent) => Ending::NeverSent,
-        Err(Failure::Refused) => Ending::Unreached,
-        Err(Failure::Sent | Failure::AnsweredInPart) => Ending::Broken,
+        Ok(Reply::Done { .. }) => AttemptOutcome::Completed,
+        Ok(Reply::Full) => AttemptOutcome::EngineFull,
+        Ok(Reply::Erred) => AttemptOutcome::EngineError,
+        Ok(Reply::TooLate) | Err(Failure::NeverSent) => AttemptOutcome::NeverSent,
+        Err(Failure::Refused) => AttemptOutcome::Unreachable,
+        Err(Failure::Sent | Failure::AnsweredInPart) => AttemptOutcome::ConnectionLost,
     }
 }
 
 impl Desk {
     /// Closes an attempt's state; tells how it ended, its engine, and how long it was out.
-    fn attempt_ended(&mut self, attempt: AttemptId, ending: Ending) -> Option<(Ending, usize, f64)> {
+    fn attempt_ended(
+        &mut self,
+        attempt: AttemptId,
+        ending: AttemptOutcome,
+    ) -> Option<(AttemptOutcome, usize, f64)> {
         let request = self.requests.get_mut(&attempt.request)?;
         let state = request.attempts.get_mut(attempt.number as usize)?;
         let AttemptState::Out { engine, sent, until, given_up } = *state else { return None };
         // What never left is reported so, whatever it was given up for; so is an answer that was quicker.
         let ending = match (given_up, ending) {
-            (Some(asked), Ending::Broken) => asked,
-            (Some(_), Ending::NeverSent) => Ending::Unreached,
+            (Some(asked), AttemptOutcome::ConnectionLost) => asked,
+            (Some(_), AttemptOutcome::NeverSent) => AttemptOutcome::Unreachable,
             (_, ending) => ending,
         };
         *state = AttemptState::Over;
@@ -202,20 +209,20 @@
         }
         let counters = &mut self.counters;
         *match ending {
-            Ending::Completed => &mut counters.attempts_completed,
-            Ending::Erred => &mut counters.attempts_erred,
-            Ending::Full => &mut counters.attempts_full,
-            Ending::TimedOut => &mut counters.attempts_timed_out,
-            Ending::Unreached => &mut counters.attempts_unreached,
-            Ending::Broken => &mut counters.attempts_broken,
-            Ending::Cancelled => &mut counters.attempts_cancelled,
-            Ending::NeverSent => &mut counters.attempts_never_sent,
+            AttemptOutcome::Completed => &mut counters.attempts_completed,
+            AttemptOutcome::EngineError => &mut counters.attempts_erred,
+            AttemptOutcome::EngineFull => &mut counters.attempts_full,
+            AttemptOutcome::TimedOut => &mut counters.attempts_timed_out,
+            AttemptOutcome::Unreachable => &mut counters.attempts_unreached,
+            AttemptOutcome::ConnectionLost => &mut counters.attempts_broken,
+            AttemptOutcome::Cancelled => &mut counters.attempts_cancelled,
+            AttemptOutcome::NeverSent => &mut counters.attempts_never_sent,
         } += 1;
         Some((ending, engine, (self.now - sent).max(0.0)))
     }
 
     /// Gives an attempt up; its end is news of a later turn.
-    fn give_up(&mut self, attempt: AttemptId, ending: Ending, peers: &mut dyn Peers) {
+    fn give_up(&mut self, attempt: AttemptId, ending: AttemptOutcome, peers: &mut dyn Peers) {
         let state = self
             .requests
             .get_mut(&attempt.request)
@@ -235,7 +242,7 @@
                 AttemptState::Over => None,
             })
             .collect();
-        let gone = |at: &usize| self.engines[*at].listing.stage == Stage::Gone && !used.contains(at);
+        let gone = |at: &usize| self.engines[*at].listing.stage == EngineStage::Gone && !used.contains(at);
         (0..self.engines.len()).find(gone)
     }
 
@@ -289,14 +296,14 @@
     /// Nothing more is done for a request that has its answer.
     fn end(&mut self, id: usize, answer: Answer) {
         for attempt in self.desk.attempts_in_flight(id) {
-            self.desk.give_up(attempt, Ending::Cancelled, self.peers);
+            self.desk.give_up(attempt, AttemptOutcome::Cancelled, self.peers);
         }
         self.desk.answer(id, answer, self.peers);
     }
 }
 
-impl Writer for Pen<'_> {
-    fn terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+impl ActionWriter for Pen<'_> {
+    fn set_terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
         let out = self.desk.attempts_in_flight(request);
         let Some(request) = self.desk.requests.get_mut(&request) else { return };
         request.grant_mb = memory_mb;
@@ -311,11 +318,11 @@
             return log::error!("a push of an unknown job or to an unknown engine: {id} to {at}");
         };
         let open = matches!(request.state, RequestState::Open { .. }) && request.deadline > desk.now;
-        let another = (desk.deployment.copies || !request.out())
+        let another = (desk.deployment.allows_hedging || !request.out())
             && (request.attempts.len() as u32) < desk.deployment.max_attempts.max(1);
         let attempt = AttemptId { request: id, number: request.attempts.len() as u32 };
         let until = time_out.map_or(request.deadline, |wait| request.deadline.min(desk.now + wait));
-        let legal = open && another && engine.listing.stage == Stage::Ready;
+        let legal = open && another && engine.listing.stage == EngineStage::Ready;
         if legal {
             let ask = Ask {
                 id: &request.statement.id,
@@ -335,13 +342,13 @@
             desk.due.insert((order(until), attempt));
         } else {
             log::error!("a push that is not legal was not made: job {id} to engine {at}");
-            desk.later.push((attempt, Ending::NeverSent));
+            desk.later.push((attempt, AttemptOutcome::NeverSent));
         }
         let request = desk.requests.get_mut(&id).expect("just seen");
         request.attempts.push(AttemptState::Out { engine: at, sent: desk.now, until, given_up: None });
     }
 
-    fn waits(&mut self, request: usize, wait: Option<Wait>) {
+    fn announce_wait(&mut self, request: usize, wait: Option<Wait>) {
         let Some(request) = self.desk.requests.get(&request) else { return };
         let id = request.statement.id.as_str();
         match wait {
@@ -354,8 +361,8 @@
 
     fn cancel(&mut self, request: usize, number: u32) {
         let attempt = AttemptId { request, number };
-        if self.desk.deployment.cancel {
-            self.desk.give_up(attempt, Ending::Cancelled, self.peers);
+        if self.desk.deployment.can_cancel {
+            self.desk.give_up(attempt, AttemptOutcome::Cancelled, self.peers);
         }
     }
 
@@ -368,20 +375,20 @@
     }
 
     /// The discovery service sends its changes unasked.
-    fn watch(&mut self, _on: bool) {}
-    fn fetch(&mut self) {}
+    fn watch_list(&mut self, _on: bool) {}
+    fn fetch_list(&mut self) {}
 
     /// Engines cannot be probed, nor peers told, on this protocol.
     fn probe(&mut self, _engine: usize) {}
-    fn tell(&mut self, _peer: Option<usize>, _content: &[u8]) {}
+    fn send_to_peers(&mut self, _peer: Option<usize>, _content: &[u8]) {}
 
-    fn close(&mut self, engine: usize) {
+    fn close_idle(&mut self, engine: usize) {
         if let Some(engine) = self.desk.engines.get(engine) {
             self.peers.close_idle(engine.number);
         }
     }
 
-    fn wake(&mut self, at: f64) {
+    fn wake_at(&mut self, at: f64) {
         self.desk.wake = at;
     }
 
@@ -430,7 +437,7 @@
     }
 
     pub fn counters(&mut self) -> &mut Counters {
-        let waits = &self.gateway.line.waits;
+        let waits = &self.gateway.queue.waits;
         self.desk.counters.waits_compared = waits.compared;
         self.desk.counters.waits_within_a_fifth = waits.within_a_fifth;
         self.desk.counters.waits_near = waits.near;
@@ -458,7 +465,7 @@
         let requests = &self.desk.requests;
         let tenant_of =
             |id: usize| names.of(requests.get(&id).and_then(|request| request.statement.tenant.as_deref()));
-        self.gateway.tenants(self.desk.now, line, &tenant_of);
+        self.gateway.set_tenants(self.desk.now, line, &tenant_of);
         self.tenants = Some((file, names));
     }
 
@@ -466,7 +473,7 @@
     pub fn tenant_status(&self) -> Option<Vec<[String; 3]>> {
         const MOST: usize = 256;
         let (_, names) = self.tenants.as_ref()?;
-        let line = &self.gateway.line;
+        let line = &self.gateway.queue;
         let (compared, unknown) = (line.waits.compared, line.waits.unknown);
         let share = line.waits.within_a_fifth as f64 / (compared as f64).max(1.0);
         let worth = format!("{compared} estimates compared, {unknown} jobs without one");
@@ -486,7 +493,7 @@
 
     /// How far back the rules look, by what the deployment states.
     pub fn looks(&self) -> Looks {
-        let Deployment { cold, classes, .. } = &self.desk.deployment;
+        let Deployment { slow_start: cold, classes, .. } = &self.desk.deployment;
         let windows = classes.iter().filter_map(|class| match class.idempotency {
             Idempotency::Deduplicated { window, .. } => Some(window),
             _ => None,
@@ -501,7 +508,7 @@
     /// This router begins without knowing what it dispatched before; from now on it is kept.
     pub fn forgot(&mut self, now: f64) {
         self.desk.marks = Some(Marks::default());
-        self.gateway.forgot(now);
+        self.gateway.assume_lost_history(now);
     }
 
     /// What of a former incarnation still counts.
@@ -511,12 +518,11 @@
             let incarnation = EngineIncarnation { name: sent.name, incarnation: sent.incarnation };
             self.desk.engines.iter().find(|engine| engine_incarnation(&engine.listing) == incarnation)
         };
-        let cold = taken
-            .cold
-            .iter()
-            .filter_map(|(sent, age)| Some((at(sent)?.listing.engine, now - age, sent.work)));
-        let cold: Vec<(usize, f64, f64)> = cold.collect();
-        self.gateway.remembers(&repeats, &cold);
+        let cold = taken.cold.iter().filter_map(|(sent, age)| {
+            Some(SlowStartWork { engine: at(sent)?.listing.engine, sent_at: now - age, work: sent.work })
+        });
+        let cold: Vec<SlowStartWork> = cold.collect();
+        self.gateway.restore_history(&repeats, &cold);
         self.desk.marks.get_or_insert_default().remember(&taken.marks, now);
     }
 
@@ -529,10 +535,10 @@
     pub fn kept(&mut self, now: f64) -> (Vec<f64>, Vec<Sent>, Vec<(u64, f64)>) {
         let looks = self.looks();
         let age = |at: &f64| Some((now - at).max(0.0)).filter(|age| *age < looks.repeats);
-        let repeats = self.gateway.repeats.iter().filter_map(age).collect();
+        let repeats = self.gateway.retries().filter_map(|at| age(&at)).collect();
         let cold = self.desk.engines.iter().filter_map(|engine| {
             let EngineIncarnation { name, incarnation } = engine_incarnation(&engine.listing);
-            let work = self.gateway.met(engine.listing.engine, now)?.sent;
+            let work = self.gateway.evidence(engine.listing.engine, now)?.slow_start_work;
             (work > 0.0).then_some(Sent { name, incarnation, work })
         });
         let cold = cold.collect();
@@ -543,14 +549,18 @@
 
     /// How many retries may be made, by their times so far.
     pub fn ahead(&mut self, may: impl Fn(&mut dyn Iterator<Item = f64>) -> u32) {
-        let ahead = may(&mut self.gateway.repeats.iter().copied());
-        self.gateway.ahead = Some(ahead);
+        let ahead = may(&mut self.gateway.retries());
+        self.gateway.limit_unpersisted_retries(ahead);
     }
 
     /// What we have met of engines of late, for other routers.
     pub fn words(&self) -> Vec<Observation> {
         let engines = self.desk.engines.iter().map(|engine| &engine.listing);
-        let met = |at: usize| self.gateway.met(at, self.desk.now).map(|met| (met.good, met.bad, met.sent));
+        let met = |at: usize| {
+            self.gateway
+                .evidence(at, self.desk.now)
+                .map(|met| (met.successes, met.failures, met.slow_start_work))
+        };
         digest::observations(engines.filter_map(|at| Some((engine_incarnation(at), met(at.engine)?))))
     }
 
@@ -558,13 +568,16 @@
     pub fn hear_peers(&mut self, said: impl Fn(&EngineIncarnation) -> PeerEvidence) {
         for engine in &self.desk.engines {
             let PeerEvidence { good, bad, sent, .. } = said(&engine_incarnation(&engine.listing));
-            self.gateway.peers_say(engine.listing.engine, Met { good, bad, sent });
+            self.gateway.peer_evidence_received(
+                engine.listing.engine,
+                EngineEvidence { successes: good, failures: bad, slow_start_work: sent },
+            );
         }
     }
 
     /// Engines that are ready and not in doubt.
     pub fn sound_engines(&self) -> usize {
-        self.gateway.sound_engines()
+        self.gateway.usable_engines()
     }
 
     /// One turn: all news in, one round, and what was decided carried out. Returns what is wrong with requests that
@@ -579,7 +592,7 @@
         let mut unusable = Vec::new();
         // What the decisions may fail over is noted first, so that no list and no client is forgotten with them.
         let events = std::mem::take(&mut news.lists);
-        let lists: Vec<(Vec<Listing>, bool)> =
+        let lists: Vec<(Vec<EngineListing>, bool)> =
             events.into_iter().filter_map(|event| self.note(event)).collect();
         self.untaken = news.asked.iter().map(|(session, _)| *session).collect();
         let done = catch_unwind(AssertUnwindSafe(|| self.decide(lists, news, peers, &mut unusable)));
@@ -593,14 +606,14 @@
 
     fn decide(
         &mut self,
-        lists: Vec<(Vec<Listing>, bool)>,
+        lists: Vec<(Vec<EngineListing>, bool)>,
         news: News,
         peers: &mut dyn Peers,
         unusable: &mut Vec<(SessionId, String)>,
     ) {
         for (listings, whole) in lists {
             self.gateway.engines_listed(self.desk.now, &listings, whole);
-            let ready = |engine: &Engine| engine.listing.stage == Stage::Ready;
+            let ready = |engine: &Engine| engine.listing.stage == EngineStage::Ready;
             self.desk
                 .engines
                 .iter()
@@ -616,7 +629,7 @@
         }
         while let Some(&(at, attempt)) = self.desk.due.first().filter(|(at, _)| *at <= order(self.desk.now)) {
             self.desk.due.remove(&(at, attempt));
-            self.desk.give_up(attempt, Ending::TimedOut, peers);
+            self.desk.give_up(attempt, AttemptOutcome::TimedOut, peers);
         }
         for (session, statement) in news.asked {
             if let Err(why) = self.take(session, statement, news.since) {
@@ -632,10 +645,11 @@
     }
 
     /// Notes what the discovery service tells of engines.
-    fn note(&mut self, event: Event) -> Option<(Vec<Listing>, bool)> {
+    fn note(&mut self, event: Event) -> Option<(Vec<EngineListing>, bool)> {
         let (whole, entries) = event.list?;
         let mut new = Vec::new();
-        let listings: Vec<Listing> = entries.into_iter().map(|entry| self.listing(entry, &mut new)).collect();
+        let listings: Vec<EngineListing> =
+            entries.into_iter().map(|entry| self.listing(entry, &mut new)).collect();
         let name = |at: &usize| {
             let Engine { uid, address, .. } = &self.desk.engines[*at];
             (*at, uid.as_str(), address)
@@ -653,7 +667,7 @@
             }
         }
         if whole {
-            self.desk.engines.iter_mut().for_each(|engine| engine.listing.stage = Stage::Gone);
+            self.desk.engines.iter_mut().for_each(|engine| engine.listing.stage = EngineStage::Gone);
         }
         for listing in &listings {
             self.desk.engines[listing.engine].listing = *listing;
@@ -662,16 +676,16 @@
         Some((listings, whole))
     }
 
-    fn listing(&mut self, entry: Entry, new: &mut Vec<usize>) -> Listing {
+    fn listing(&mut self, entry: Entry, new: &mut Vec<usize>) -> EngineListing {
         let known = self.desk.engines.iter().position(|engine| engine.uid == entry.uid);
         let at = known.or_else(|| self.desk.spare_index()).unwrap_or(self.desk.engines.len());
-        let listing = Listing {
+        let listing = EngineListing {
             engine: at,
             name_hash: name_hash(&entry.uid),
             zone: index_of(&mut self.names.zones, &entry.zone),
             kind: index_of(&mut self.names.kinds, &entry.kind),
             cell: entry.cell,
-            since: entry.since,
+            started_at: entry.since,
             stage: entry.stage,
         };
         let engines = &mut self.desk.engines;
@@ -718,24 +732,24 @@
         let earlier = earlier.filter(|at| now - at < self.looks().marks());
         self.desk.counters.marks_met += u64::from(earlier.is_some());
         // No client is to wait for longer, whatever it says: what is learned of usual ones would be upset.
-        let longest = self.desk.deployment.classes[class].longest;
+        let longest = self.desk.deployment.classes[class].max_wait;
         let gives_up = since.unwrap_or(now) + statement.patience.min(longest);
         let deadline = gives_up.min(self.stops_at);
         let id = self.next_request;
         self.next_request += 1;
-        let taken = Taken {
+        let taken = IncomingRequest {
             class,
             key: None,
             table_group: statement.table_group.map_or(0, |group| (group as f64).to_bits()),
-            cost: statement.work,
-            memory_mb: statement.memory_mb,
+            estimated_work: statement.work,
+            estimated_memory_mb: statement.memory_mb,
             deadline: gives_up,
             tenant: self.tenants.as_ref().map_or(0, |(_, names)| names.of(statement.tenant.as_deref())),
-            earlier,
+            earlier_attempt_at: earlier,
         };
         let state = RequestState::Open { session };
         let of = &self.desk.deployment.classes[class];
-        let expected_at = since.unwrap_or(now) + of.expected_for(statement.work.unwrap_or(0.0));
+        let expected_at = since.unwrap_or(now) + of.objective_for(statement.work.unwrap_or(0.0));
         let attempts = Vec::new();
         let request =
             Request { statement, state, deadline, expected_at, lane: 1, grant_mb: 0.0, attempts, mark };
@@ -751,7 +765,7 @@
     fn attempt_ended(
         &mut self,
         attempt: AttemptId,
-        ending: Ending,
+        ending: AttemptOutcome,
         reply: Option<Reply>,
         peers: &mut dyn Peers,
     ) {
@@ -761,7 +775,7 @@
         };
         let mut told = None;
         if let Some(Reply::Done { rows, told: needed }) = reply {
-            told = needed;
+            told = needed.map(|(work, memory_mb)| MeasuredCost { work, memory_mb });
             self.desk.answer(attempt.request, Answer::Completed(rows), peers);
         }
         let request_done = self
@@ -769,8 +783,16 @@
             .requests
             .get(&attempt.request)
             .is_none_or(|request| matches!(request.state, RequestState::Over));
-        let load = Load::default();
-        let end = AttemptEnd { request: attempt.request, engine, ending, request_done, spent, told, load };
+        let load = LoadReport::default();
+        let end = AttemptEnd {
+            request: attempt.request,
+            engine,
+            outcome: ending,
+            request_done,
+            elapsed: spent,
+            measured: told,
+            load,
+        };
         self.gateway.attempt_ended(self.desk.now, &end);
         self.desk.forget_if_done(attempt.request);
     }
@@ -782,7 +804,7 @@
         self.desk.answer(request, Answer::Withdrawn, peers);
         self.gateway.request_withdrawn(request);
         for attempt in out {
-            self.desk.give_up(attempt, Ending::Cancelled, peers);
+            self.desk.give_up(attempt, AttemptOutcome::Cancelled, peers);
         }
     }
 
@@ -795,8 +817,8 @@
         let requests: Vec<usize> = self.desk.requests.keys().copied().collect();
         for id in requests {
             for attempt in self.desk.attempts_in_flight(id) {
-                self.desk.give_up(attempt, Ending::Cancelled, peers);
-                self.desk.attempt_ended(attempt, Ending::Broken);
+                self.desk.give_up(attempt, AttemptOutcome::Cancelled, peers);
+                self.desk.attempt_ended(attempt, AttemptOutcome::ConnectionLost);
             }
             self.desk.answer(id, Answer::Failed, peers);
         }
@@ -813,15 +835,15 @@
         self.seed = self.seed.wrapping_add(1);
         self.gateway = Gateway::new(self.desk.deployment.clone(), self.seed, self.desk.now);
         // What it dispatched before still counts, and it does not know it.
-        self.gateway.forgot(self.desk.now);
+        self.gateway.assume_lost_history(self.desk.now);
         self.gateway.stop_at(self.stops_at);
         if let Some(began) = self.drained_at {
             self.gateway.drain(began);
         }
         if let Some((file, _)) = &self.tenants {
-            self.gateway.tenants(self.desk.now, file.line(self.desk.now, &self.names.classes).0, &|_| 0);
+            self.gateway.set_tenants(self.desk.now, file.line(self.desk.now, &self.names.classes).0, &|_| 0);
         }
-        let listings: Vec<Listing> = self.desk.engines.iter().map(|engine| engine.listing).collect();
+        let listings: Vec<EngineListing> = self.desk.engines.iter().map(|engine| engine.listing).collect();
         self.gateway.engines_listed(self.desk.now, &listings, true);
         self.desk.wake = self.desk.now;
     }
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -1,7 +1,7 @@
 //! Routing against a scripted peer: what it is told, and what it asks of the connections.
 
 use super::*;
-use cleatgw::{DeduplicationScope, Kind, RequestClass};
+use cleatgw::{DeduplicationScope, EngineKind, RequestClass};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 #[derive(Default)]
@@ -51,7 +51,7 @@
         zone: String::new(),
         kind: "std".to_string(),
         cell: 0,
-        stage: Stage::Ready,
+        stage: EngineStage::Ready,
         since: None,
     }
 }
@@ -78,27 +78,27 @@
     /// Two engines; requests that look up are pure, those that load are deduplicated.
     fn new() -> Host {
         let class = RequestClass {
-            credit: 1.0,
-            late_share: 0.0,
-            expected_time: 1.0,
-            longest: 30.0,
-            stretch: 1.0,
+            value: 1.0,
+            late_value_share: 0.0,
+            latency_objective: 1.0,
+            max_wait: 30.0,
+            objective_stretch: 1.0,
             threads: 1.0,
             idempotency: Idempotency::Idempotent,
             in_key_order: false,
-            holds_tables: false,
-            waits_for_holders: false,
-            only_zones: None,
-            only_kinds: None,
+            locks_tables: false,
+            waits_for_table_locks: false,
+            allowed_zones: None,
+            allowed_kinds: None,
         };
         let idempotency = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 12.0 };
         let deployment = Deployment {
             gateways: 1.0,
             classes: vec![class.clone(), RequestClass { idempotency, ..class }],
-            kinds: vec![Kind { cores: 8.0, memory_mb: 8000.0 }],
-            largest_share: 0.5,
-            grants: true,
-            cancel: true,
+            engine_kinds: vec![EngineKind { cores: 8.0, memory_mb: 8000.0 }],
+            max_memory_share: 0.5,
+            honours_grants: true,
+            can_cancel: true,
             max_attempts: 3,
             ..Deployment::default()
         };
@@ -156,13 +156,13 @@
 #[test]
 fn what_became_of_a_attempt_is_told_by_how_far_it_came() {
     for (outcome, ending) in [
-        (Ok(Reply::Full), Ending::Full),
-        (Ok(Reply::Erred), Ending::Erred),
-        (Ok(Reply::TooLate), Ending::NeverSent),
-        (Err(Failure::NeverSent), Ending::NeverSent),
-        (Err(Failure::Refused), Ending::Unreached),
-        (Err(Failure::Sent), Ending::Broken),
-        (Err(Failure::AnsweredInPart), Ending::Broken),
+        (Ok(Reply::Full), AttemptOutcome::EngineFull),
+        (Ok(Reply::Erred), AttemptOutcome::EngineError),
+        (Ok(Reply::TooLate), AttemptOutcome::NeverSent),
+        (Err(Failure::NeverSent), AttemptOutcome::NeverSent),
+        (Err(Failure::Refused), AttemptOutcome::Unreachable),
+        (Err(Failure::Sent), AttemptOutcome::ConnectionLost),
+        (Err(Failure::AnsweredInPart), AttemptOutcome::ConnectionLost),
     ] {
         assert_eq!(super::ending(&outcome), ending);
         let mut host = Host::new();
@@ -327,7 +327,7 @@
 #[test]
 fn a_new_engine_at_an_old_address_is_another() {
     let mut host = Host::new();
-    let gone = |uid, port| Entry { stage: Stage::Gone, ..entry(uid, port) };
+    let gone = |uid, port| Entry { stage: EngineStage::Gone, ..entry(uid, port) };
     let news = |event| News { lists: vec![event], ..News::default() };
     host.turn(news(list(2, false, vec![gone("a", 1), gone("b", 2)])));
     host.turn(news(list(3, false, vec![entry("c", 1)])));
@@ -379,8 +379,8 @@
     host.ask(4, parsed("look"));
     let mut pen = Pen { desk: &mut host.routing.desk, peers: &mut host.peers };
     let lane = pen.desk.requests[&0].lane;
-    pen.terms(0, lane, 64.0);
-    pen.terms(0, 3 - lane, 64.0);
+    pen.set_terms(0, lane, 64.0);
+    pen.set_terms(0, 3 - lane, 64.0);
     pen.cancel(0, 0);
     pen.cancel(0, 0);
     assert_eq!((&host.peers.lanes[..], host.peers.given_up.len()), (&[3 - lane][..], 1));
@@ -411,7 +411,7 @@
     let [first, second] =
         ["a", "b"].map(|uid| host.routing.desk.engines.iter().find(|one| one.uid == uid).unwrap().number);
     let (uid, port, other) = if engine == first { ("a", 1, second) } else { ("b", 2, first) };
-    let drains = Entry { stage: Stage::Draining, ..entry(uid, port) };
+    let drains = Entry { stage: EngineStage::Draining, ..entry(uid, port) };
     host.turn(News { lists: vec![list(2, false, vec![drains])], ..News::default() });
     assert_eq!(host.peers.called_back, [engine]);
     // It never left, so that it goes elsewhere.
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -124,7 +124,7 @@
         assert!(requests > 50 && unanswered == 0, "{requests} jobs, {unanswered} unanswered");
         let doubts = |router: usize| {
             let lines = cluster.router(router).log.all();
-            lines.iter().any(|line| line.contains("doubted"))
+            lines.iter().any(|line| line.contains("ejected"))
         };
         assert!((0..3).all(doubts));
         assert_eq!(doubts(3), tell);
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -4,7 +4,9 @@
 mod contradictions;
 mod peers;
 
-use cleatgw::{ColdStart, DeduplicationScope, Deployment, Idempotency, Kind, RequestClass, RetryBudget};
+use cleatgw::{
+    DeduplicationScope, Deployment, EngineKind, Idempotency, RequestClass, RetryBudget, SlowStart,
+};
 use serde_json::Value;
 use std::collections::HashMap;
 
@@ -202,24 +204,24 @@
             (!allowed.is_empty()).then(|| allowed.iter().map(|name| index_of(known, name)).collect())
         };
         classes.push(RequestClass {
-            only_zones: bound("confined-to", &mut names.zones),
-            only_kinds: bound("allowed-on", &mut names.kinds),
-            credit: pairs.number(&path("gain"), 1.0)?,
-            late_share: pairs.number(&path("late-worth"), 0.0)?,
-            expected_time: pairs.time(&path("objective-us"), 1.0)?,
-            longest: pairs.time(&path("hard-limit-us"), f64::INFINITY)?,
-            stretch: pairs.number(&path("aim-stretch"), 0.0)?,
+            allowed_zones: bound("confined-to", &mut names.zones),
+            allowed_kinds: bound("allowed-on", &mut names.kinds),
+            value: pairs.number(&path("gain"), 1.0)?,
+            late_value_share: pairs.number(&path("late-worth"), 0.0)?,
+            latency_objective: pairs.time(&path("objective-us"), 1.0)?,
+            max_wait: pairs.time(&path("hard-limit-us"), f64::INFINITY)?,
+            objective_stretch: pairs.number(&path("aim-stretch"), 0.0)?,
             threads: threads.get(at).copied().unwrap_or(1.0).max(1.0),
             idempotency,
-            holds_tables: holds.get(at) == Some(&"true"),
-            waits_for_holders: waits.get(at) == Some(&"true"),
+            locks_tables: holds.get(at) == Some(&"true"),
+            waits_for_table_locks: waits.get(at) == Some(&"true"),
             in_key_order: pairs.flag(&path("serial-by-key")),
         });
     }
     let cores = pairs.numbers("family-info.cores-by-kind")?;
     let memory = pairs.numbers("family-info.ram-of-kind-mb")?;
     let kinds = (0..names.kinds.len())
-        .map(|at| Kind {
+        .map(|at| EngineKind {
             cores: cores.get(at).copied().unwrap_or(1.0).max(1.0),
             memory_mb: memory.get(at).copied().unwrap_or(0.0),
         })
@@ -227,8 +229,8 @@
     let budget = match pairs.maybe("rules.look-back-us")? {
         None => None,
         Some(window) => Some(RetryBudget {
-            spare: pairs.number("rules.spare-attempts", 0.0)?,
-            share: pairs.number("rules.budget-share", 0.0)?,
+            base: pairs.number("rules.spare-attempts", 0.0)?,
+            per_request: pairs.number("rules.budget-share", 0.0)?,
             window: window / 1e6,
         }),
     };
@@ -236,27 +238,27 @@
     let deployment = Deployment {
         gateways: pairs.number("balancers", 1.0)?.max(1.0),
         classes,
-        kinds,
-        largest_share: pairs.number("family-info.largest-share", 1.0)?,
-        grants: pairs.flag("family-info.grants-count"),
-        trims: pairs.text("family-info.overbooked") == Some("trim"),
-        pages: pairs.text("family-info.overbooked") == Some("swap"),
-        lanes: pairs.flag("family-info.takes-priority"),
-        cancel: pairs.flag("limits.cancel"),
-        copies: pairs.flag("limits.second-copies"),
+        engine_kinds: kinds,
+        max_memory_share: pairs.number("family-info.largest-share", 1.0)?,
+        honours_grants: pairs.flag("family-info.grants-count"),
+        trims_grants: pairs.text("family-info.overbooked") == Some("trim"),
+        pages_memory: pairs.text("family-info.overbooked") == Some("swap"),
+        has_priority_lanes: pairs.flag("family-info.takes-priority"),
+        can_cancel: pairs.flag("limits.cancel"),
+        allows_hedging: pairs.flag("limits.second-copies"),
         max_attempts: pairs.number("limits.max-attempts", 1.0)? as u32,
-        advice: match pairs.flag("limits.retry-after") {
+        max_retry_after: match pairs.flag("limits.retry-after") {
             true => Some(pairs.time("limits.max-retry-after-us", 0.0)?),
             false => None,
         },
-        ask_within: if asks { Some(pairs.time("rules.ask-within-us", 10.0)?) } else { None },
-        cold: ColdStart {
-            from: pairs.number("rules.cold-from", 1.0)?,
-            warm_after: pairs.time("rules.warm-after-us", 0.0)?,
-            multiple: pairs.number("rules.fall-multiple", 1.0)?,
+        max_list_age: if asks { Some(pairs.time("rules.ask-within-us", 10.0)?) } else { None },
+        slow_start: SlowStart {
+            initial_share: pairs.number("rules.cold-from", 1.0)?,
+            duration: pairs.time("rules.warm-after-us", 0.0)?,
+            overload_multiple: pairs.number("rules.fall-multiple", 1.0)?,
             window: pairs.time("rules.overload-for-us", 0.0)?,
         },
-        budget,
+        retry_budget: budget,
         key_rest: pairs.time("rules.key-quiet-us", 0.0)?,
     };
     Ok((deployment, names))
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -37,16 +37,17 @@
     let (cores, engines) = (16.0, 1);
     let mut deployment = plain();
     deployment.gateways = play.gateways as f64;
-    deployment.kinds = vec![Kind { cores, memory_mb: 32000.0 }];
-    deployment.cold = ColdStart { from: 0.3, warm_after: 10.0, multiple: 3.0, window: 2.0 };
+    deployment.engine_kinds = vec![EngineKind { cores, memory_mb: 32000.0 }];
+    deployment.slow_start =
+        SlowStart { initial_share: 0.3, duration: 10.0, overload_multiple: 3.0, window: 2.0 };
     deployment.classes[1].threads = 2.0;
-    let cold = deployment.cold;
+    let cold = deployment.slow_start;
     let mut seed = play.seed;
     let mut worlds: Vec<World> = (0..play.gateways)
         .map(|at| World::seeded(deployment.clone(), engines, play.seed * 1000 + at as u64))
         .collect();
     let begun = worlds[0].now;
-    let fresh = Listing { since: Some(begun), ..listing(0) };
+    let fresh = EngineListing { started_at: Some(begun), ..listing(0) };
     worlds.iter_mut().for_each(|world| world.gateway.engines_listed(begun, &[fresh], false));
     let rate = play.demand * engines as f64 * cores / mean / play.busy as f64;
     let mut out: Vec<VecDeque<(f64, usize, f64)>> = vec![VecDeque::new(); play.gateways];
@@ -86,7 +87,7 @@
                 let work = play.work[class] * (0.5 + draw(&mut seed));
                 let told = play.estimates.then_some(work);
                 let group = (draw(&mut seed) * 300.0) as u64;
-                world.request(class, |taken| (taken.cost, taken.table_group) = (told, group));
+                world.request(class, |taken| (taken.estimated_work, taken.table_group) = (told, group));
                 costs[at].push(work);
             }
             let before = world.book.wrote.len();
@@ -104,8 +105,9 @@
         }
         sent.retain(|(at, _)| *at > now - cold.window);
         let calls = sent.iter().map(|(_, work)| work).sum::<f64>() / mean;
-        let warmth = (cold.from + (1.0 - cold.from) * (now - begun) / cold.warm_after).min(1.0);
-        let budget = cold.multiple * cores * warmth * cold.window / mean;
+        let warmth =
+            (cold.initial_share + (1.0 - cold.initial_share) * (now - begun) / cold.duration).min(1.0);
+        let budget = cold.overload_multiple * cores * warmth * cold.window / mean;
         let over = calls - (budget + 2.0 * budget.sqrt() + 2.0);
         most = (over.max(most.0), most.1.max(calls / budget));
     }
@@ -185,8 +187,9 @@
     fn new(seed: u64) -> Replaced {
         let mut deployment = plain();
         deployment.gateways = Self::GATEWAYS as f64;
-        deployment.kinds = vec![Kind { cores: Self::CORES, memory_mb: 32000.0 }];
-        deployment.cold = ColdStart { from: 0.4, warm_after: 12.0, multiple: 3.0, window: 3.0 };
+        deployment.engine_kinds = vec![EngineKind { cores: Self::CORES, memory_mb: 32000.0 }];
+        deployment.slow_start =
+            SlowStart { initial_share: 0.4, duration: 12.0, overload_multiple: 3.0, window: 3.0 };
         let seeds = (0..Self::GATEWAYS as u64).map(|at| 1000 * seed + at);
         let worlds = seeds.map(|seed| World::seeded(deployment.clone(), Self::ENGINES, seed)).collect();
         Replaced { worlds, out: vec![VecDeque::new(); Self::GATEWAYS], sent_to_new: 0.0, rejected: 0, seed }
@@ -195,9 +198,9 @@
     /// Old engines 0 to 5 go, and cold ones take their places in the list.
     fn replace(&mut self) {
         for world in &mut self.worlds {
-            let gone = (0..Self::NEW).map(|at| Listing { stage: Stage::Gone, ..listing(at) });
-            let new =
-                (0..Self::NEW).map(|at| Listing { since: Some(world.now), ..listing(Self::ENGINES + at) });
+            let gone = (0..Self::NEW).map(|at| EngineListing { stage: EngineStage::Gone, ..listing(at) });
+            let new = (0..Self::NEW)
+                .map(|at| EngineListing { started_at: Some(world.now), ..listing(Self::ENGINES + at) });
             world.gateway.engines_listed(world.now, &gone.chain(new).collect::<Vec<_>>(), false);
         }
     }
@@ -211,7 +214,7 @@
                 world.now += Self::STEP;
                 while out.front().is_some_and(|(end, ..)| *end <= world.now) {
                     let (_, request, spent) = out.pop_front().expect("there is one");
-                    world.over(request, Ending::Completed, spent);
+                    world.over(request, AttemptOutcome::Completed, spent);
                 }
                 let mut left = rate * Self::STEP;
                 while left > 0.0 && draw(&mut self.seed) < left {
@@ -265,7 +268,7 @@
     const HOT_SHARE: f64 = 0.3;
     let mut deployment = plain();
     deployment.gateways = GATEWAYS as f64;
-    deployment.kinds = vec![Kind { cores: 16.0, memory_mb: 32000.0 }];
+    deployment.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 32000.0 }];
     let mut seed = 11;
     let mut sent = [0.0; ENGINES];
     for at in 0..GATEWAYS as u64 {
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,10 +1,11 @@
 //! A seeded scenario around one gateway: arrivals, engines with faults, and a record of all that the gateway writes.
 
-use cleatgw::logic::Gateway;
 use cleatgw::queue::{Line, Terms, Wait};
+use cleatgw::Gateway;
 use cleatgw::{
-    AttemptEnd, ColdStart, DeduplicationScope, Deployment, Ending, Idempotency, Kind, Listing, Load, Met,
-    Note, RequestClass, RetryBudget, Stage, Taken, Writer,
+    ActionWriter, AttemptEnd, AttemptNote, AttemptOutcome, DeduplicationScope, Deployment, EngineEvidence,
+    EngineKind, EngineListing, EngineStage, Idempotency, IncomingRequest, LoadReport, MeasuredCost,
+    RequestClass, RetryBudget, SlowStart, SlowStartWork,
 };
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -59,8 +60,8 @@
     }
 }
 
-impl Writer for Recorder {
-    fn terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+impl ActionWriter for Recorder {
+    fn set_terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
         self.grants.insert(request, memory_mb);
         self.line(format_args!("terms {request} {lane} {memory_mb:?}"));
     }
@@ -83,27 +84,27 @@
         self.ended.push(request);
         self.line(format_args!("fail {request}"));
     }
-    fn waits(&mut self, request: usize, wait: Option<Wait>) {
+    fn announce_wait(&mut self, request: usize, wait: Option<Wait>) {
         self.counts.announced_waits += 1;
         let wait = wait.map(|wait| (wait.expected, wait.from, wait.to));
         self.line(format_args!("waits {request} {wait:?}"));
     }
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         self.line(format_args!("watch {on}"));
     }
-    fn fetch(&mut self) {
+    fn fetch_list(&mut self) {
         self.line(format_args!("fetch"));
     }
     fn probe(&mut self, engine: usize) {
         self.line(format_args!("probe {engine}"));
     }
-    fn close(&mut self, engine: usize) {
+    fn close_idle(&mut self, engine: usize) {
         self.line(format_args!("close {engine}"));
     }
-    fn tell(&mut self, peer: Option<usize>, content: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<usize>, content: &[u8]) {
         self.line(format_args!("tell {peer:?} {content:?}"));
     }
-    fn wake(&mut self, at: f64) {
+    fn wake_at(&mut self, at: f64) {
         self.line(format_args!("wake {at:?}"));
     }
     fn log(&mut self, _line: &str) {}
@@ -128,7 +129,7 @@
 
 #[derive(Clone, Copy, Default)]
 struct Engine {
-    listing: Listing,
+    listing: EngineListing,
     fault: Fault,
     running: f64,
 }
@@ -139,7 +140,7 @@
     number: u32,
     sent: f64,
     ends_at: f64,
-    ending: Ending,
+    ending: AttemptOutcome,
 }
 
 /// What a request really needs, which the gateway is not told.
@@ -168,18 +169,18 @@
 
 fn class(value: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        credit: value,
-        late_share: 0.3,
-        expected_time: 1.0,
-        longest: 10.0,
-        stretch: 2.0,
+        value,
+        late_value_share: 0.3,
+        latency_objective: 1.0,
+        max_wait: 10.0,
+        objective_stretch: 2.0,
         threads,
         idempotency,
         in_key_order: false,
-        holds_tables: false,
-        waits_for_holders: false,
-        only_zones: None,
-        only_kinds: None,
+        locks_tables: false,
+        waits_for_table_locks: false,
+        allowed_zones: None,
+        allowed_kinds: None,
     }
 }
 
@@ -190,17 +191,17 @@
     vec![
         class(1.0, 1.0, Idempotency::Idempotent),
         RequestClass {
-            expected_time: 4.0,
-            waits_for_holders: true,
+            latency_objective: 4.0,
+            waits_for_table_locks: true,
             ..class(6.0, 4.0, Idempotency::Idempotent)
         },
         class(2.0, 1.0, everywhere),
         class(2.0, 1.0, in_zone),
         RequestClass { in_key_order: true, ..class(3.0, 1.0, Idempotency::NonIdempotent) },
-        RequestClass { expected_time: 3.0, holds_tables: true, ..class(4.0, 2.0, in_cell) },
+        RequestClass { latency_objective: 3.0, locks_tables: true, ..class(4.0, 2.0, in_cell) },
         RequestClass {
-            only_zones: Some(vec![0, 1]),
-            only_kinds: Some(vec![0]),
+            allowed_zones: Some(vec![0, 1]),
+            allowed_kinds: Some(vec![0]),
             ..class(1.5, 1.0, Idempotency::Idempotent)
         },
     ]
@@ -210,26 +211,36 @@
     let common = Deployment {
         gateways: 3.0,
         classes: classes(),
-        kinds: vec![Kind { cores: 8.0, memory_mb: 4000.0 }, Kind { cores: 16.0, memory_mb: 8000.0 }],
-        largest_share: 0.5,
-        grants: true,
-        trims: true,
-        lanes: true,
-        cancel: true,
-        copies: false,
+        engine_kinds: vec![
+            EngineKind { cores: 8.0, memory_mb: 4000.0 },
+            EngineKind { cores: 16.0, memory_mb: 8000.0 },
+        ],
+        max_memory_share: 0.5,
+        honours_grants: true,
+        trims_grants: true,
+        has_priority_lanes: true,
+        can_cancel: true,
+        allows_hedging: false,
         max_attempts: 3,
-        advice: Some(5.0),
-        cold: ColdStart { from: 0.2, warm_after: 12.0, multiple: 2.0, window: 2.0 },
-        budget: Some(RetryBudget { spare: 20.0, share: 0.25, window: 10.0 }),
+        max_retry_after: Some(5.0),
+        slow_start: SlowStart { initial_share: 0.2, duration: 12.0, overload_multiple: 2.0, window: 2.0 },
+        retry_budget: Some(RetryBudget { base: 20.0, per_request: 0.25, window: 10.0 }),
         key_rest: 0.4,
         ..Deployment::default()
     };
     match variant {
-        Variant::FewGateways => Deployment { copies: true, ask_within: Some(5.0), ..common },
-        Variant::ManyGateways => Deployment { gateways: 60.0, budget: None, advice: None, ..common },
-        Variant::Restarted => {
-            Deployment { gateways: 12.0, trims: false, pages: true, lanes: false, cancel: false, ..common }
+        Variant::FewGateways => Deployment { allows_hedging: true, max_list_age: Some(5.0), ..common },
+        Variant::ManyGateways => {
+            Deployment { gateways: 60.0, retry_budget: None, max_retry_after: None, ..common }
         }
+        Variant::Restarted => Deployment {
+            gateways: 12.0,
+            trims_grants: false,
+            pages_memory: true,
+            has_priority_lanes: false,
+            can_cancel: false,
+            ..common
+        },
         Variant::SingleAttempt => Deployment { gateways: 1.0, max_attempts: 1, ..common },
     }
 }
@@ -285,7 +296,7 @@
     pub fn play(&mut self) {
         self.list(true);
         if self.variant == Variant::Restarted {
-            self.gateway.forgot(self.now);
+            self.gateway.assume_lost_history(self.now);
         }
         let steps = (LENGTH_S / STEP_S) as usize;
         for step in 0..steps {
@@ -323,7 +334,7 @@
 
     /// Lists all engines, or those alone that this step changed.
     fn list(&mut self, complete: bool) {
-        let listings: Vec<Listing> = self.engines.iter().map(|engine| engine.listing).collect();
+        let listings: Vec<EngineListing> = self.engines.iter().map(|engine| engine.listing).collect();
         self.gateway.engines_listed(self.now, &listings, complete);
     }
 
@@ -336,12 +347,15 @@
     fn change_fleet(&mut self, step: usize) {
         let at = |seconds: f64| step == (seconds / STEP_S) as usize;
         if at(2.0) && self.variant == Variant::Restarted {
-            let sent: Vec<(usize, f64, f64)> = vec![(3, self.now - 1.0, 0.5), (5, self.now - 0.5, 1.5)];
-            self.gateway.remembers(&[self.now - 4.0, self.now - 0.7], &sent);
-            self.gateway.ahead = Some(40);
+            let sent = [
+                SlowStartWork { engine: 3, sent_at: self.now - 1.0, work: 0.5 },
+                SlowStartWork { engine: 5, sent_at: self.now - 0.5, work: 1.5 },
+            ];
+            self.gateway.restore_history(&[self.now - 4.0, self.now - 0.7], &sent);
+            self.gateway.limit_unpersisted_retries(40);
         }
         if at(3.0) && self.variant != Variant::ManyGateways {
-            self.gateway.tenants(self.now, Line::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
+            self.gateway.set_tenants(self.now, Line::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
         }
         let faults = [
             (6.0, 0, Fault::Silent),
@@ -366,24 +380,24 @@
             if at(15.0 + joined as f64) {
                 let index = self.engines.len();
                 let since = Some(self.now - 0.2);
-                let listing = Listing { since, ..first_listing(index) };
+                let listing = EngineListing { started_at: since, ..first_listing(index) };
                 self.engines.push(Engine { listing, ..Engine::default() });
                 self.list_one(index);
             }
         }
         for (draining, index) in (5..9).enumerate() {
             if at(24.0 + draining as f64) {
-                self.engines[index].listing.stage = Stage::Draining;
+                self.engines[index].listing.stage = EngineStage::Draining;
                 self.list_one(index);
             }
             if at(27.0 + draining as f64) {
-                self.engines[index].listing.stage = Stage::Gone;
+                self.engines[index].listing.stage = EngineStage::Gone;
                 self.list_one(index);
             }
             if at(36.0 + 0.5 * draining as f64) {
                 // It comes back, started anew.
-                self.engines[index].listing.stage = Stage::Ready;
-                self.engines[index].listing.since = Some(self.now);
+                self.engines[index].listing.stage = EngineStage::Ready;
+                self.engines[index].listing.started_at = Some(self.now);
                 self.list_one(index);
             }
         }
@@ -426,15 +440,15 @@
         let deadline = self.now + 2.0 + 6.0 * self.chance();
         let key = (self.chance() < 0.5).then(|| self.below(9) as u64);
         let earlier = (self.chance() < 0.02).then_some(self.now - 1.0);
-        let taken = Taken {
+        let taken = IncomingRequest {
             class,
             key,
             table_group: self.below(40).min(self.below(40)) as u64,
-            cost: estimated.then_some(work * off),
-            memory_mb: estimated.then_some(memory * off),
+            estimated_work: estimated.then_some(work * off),
+            estimated_memory_mb: estimated.then_some(memory * off),
             deadline,
             tenant: if self.now < START_S + 3.0 { 0 } else { LEAF_TENANTS[id % 3] },
-            earlier,
+            earlier_attempt_at: earlier,
         };
         self.requests.insert(id, Truth { class, work, memory, deadline, attempts: 0 });
         self.gateway.request_received(self.now, id, taken);
@@ -456,22 +470,22 @@
         let coin = self.chance();
         let model = &mut self.engines[engine];
         model.running += threads;
-        let cores = self.deployment.kinds[model.listing.kind].cores;
+        let cores = self.deployment.engine_kinds[model.listing.kind].cores;
         let crowded = (model.running / cores).max(1.0);
         let took = work / threads * noise * crowded * if short { 2.5 } else { 1.0 };
         let (ending, took) = match model.fault {
-            Fault::None if coin < 0.004 => (Ending::Broken, took / 2.0),
+            Fault::None if coin < 0.004 => (AttemptOutcome::ConnectionLost, took / 2.0),
             Fault::None | Fault::Slow => {
-                (Ending::Completed, if model.fault == Fault::Slow { 10.0 * took } else { took })
+                (AttemptOutcome::Completed, if model.fault == Fault::Slow { 10.0 * took } else { took })
             }
-            Fault::Silent => (Ending::TimedOut, f64::INFINITY),
-            Fault::Failing if coin < 0.5 => (Ending::Erred, 0.01),
-            Fault::Failing => (Ending::Completed, took),
-            Fault::Full => (Ending::Full, 0.005),
-            Fault::Unreachable => (Ending::Unreached, 0.2),
+            Fault::Silent => (AttemptOutcome::TimedOut, f64::INFINITY),
+            Fault::Failing if coin < 0.5 => (AttemptOutcome::EngineError, 0.01),
+            Fault::Failing => (AttemptOutcome::Completed, took),
+            Fault::Full => (AttemptOutcome::EngineFull, 0.005),
+            Fault::Unreachable => (AttemptOutcome::Unreachable, 0.2),
         };
         let limit = time_out.unwrap_or(f64::INFINITY).min(deadline - self.now);
-        let (ending, took) = if took > limit { (Ending::TimedOut, limit) } else { (ending, took) };
+        let (ending, took) = if took > limit { (AttemptOutcome::TimedOut, limit) } else { (ending, took) };
         let ends_at = self.now + took;
         self.attempts.push(Attempt { request, engine, number, sent: self.now, ends_at, ending });
     }
@@ -481,7 +495,7 @@
         let soon = self.now + 0.01;
         for attempt in &mut self.attempts {
             if attempt.request == request && number.is_none_or(|number| number == attempt.number) {
-                attempt.ending = Ending::Cancelled;
+                attempt.ending = AttemptOutcome::Cancelled;
                 attempt.ends_at = attempt.ends_at.min(soon);
             }
         }
@@ -517,24 +531,26 @@
         model.running = (model.running - self.deployment.classes[class].threads).max(0.0);
         let running = model.running;
         let known = self.variant != Variant::ManyGateways;
-        let completed = ending == Ending::Completed;
+        let completed = ending == AttemptOutcome::Completed;
         if completed {
             self.requests.remove(&request);
             self.cancel(request, None);
         }
         let reports = known && engine.is_multiple_of(2);
-        let load = Load {
+        let load = LoadReport {
             requests: (reports && completed).then_some(running / 1.5 + 1.0),
             memory_waits: (reports && completed).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
-            memory_granted: (known && completed && engine % 3 == 0).then_some((running / 24.0).min(1.0)),
+            granted_memory_share: (known && completed && engine % 3 == 0)
+                .then_some((running / 24.0).min(1.0)),
         };
         let end = AttemptEnd {
             request,
             engine,
-            ending,
+            outcome: ending,
             request_done: !self.requests.contains_key(&request),
-            spent: self.now - sent,
-            told: (known && completed && engine % 5 != 0).then_some((work, memory)),
+            elapsed: self.now - sent,
+            measured: (known && completed && engine % 5 != 0)
+                .then_some(MeasuredCost { work, memory_mb: memory }),
             load,
         };
         self.gateway.attempt_ended(self.now, &end);
@@ -547,7 +563,12 @@
         }
         let index = self.below(self.attempts.len());
         let request = self.attempts[index].request;
-        let notes = [Note::Progress(0.5), Note::Spills, Note::WaitsForMemory, Note::WaitsForLoad];
+        let notes = [
+            AttemptNote::Progress(0.5),
+            AttemptNote::Spills,
+            AttemptNote::WaitsForMemory,
+            AttemptNote::WaitsForLoad,
+        ];
         let note = notes[self.below(4)];
         self.gateway.attempt_noted(self.now, request, note);
     }
@@ -560,27 +581,33 @@
         for engine in 0..self.engines.len() {
             if self.chance() < 0.3 {
                 let bad = if self.engines[engine].fault == Fault::None { 0.0 } else { 4.0 * self.chance() };
-                let met = Met { good: 3.0 * self.chance(), bad, sent: 0.4 * self.chance() };
-                self.gateway.peers_say(engine, met);
+                let met = EngineEvidence {
+                    successes: 3.0 * self.chance(),
+                    failures: bad,
+                    slow_start_work: 0.4 * self.chance(),
+                };
+                self.gateway.peer_evidence_received(engine, met);
             }
-            if let Some(Met { good, bad, sent }) = self.gateway.met(engine, self.now) {
+            if let Some(EngineEvidence { successes: good, failures: bad, slow_start_work: sent }) =
+                self.gateway.evidence(engine, self.now)
+            {
                 self.hash.update(format!("met {engine} {good:?} {bad:?} {sent:?}\n"));
             }
         }
-        self.hash.update(format!("sound {}\n", self.gateway.sound_engines()));
-        let repeats: Vec<f64> = self.gateway.repeats.iter().copied().collect();
+        self.hash.update(format!("sound {}\n", self.gateway.usable_engines()));
+        let repeats: Vec<f64> = self.gateway.retries().collect();
         self.hash.update(format!("repeats {repeats:?}\n"));
     }
 }
 
-fn first_listing(index: usize) -> Listing {
-    Listing {
+fn first_listing(index: usize) -> EngineListing {
+    EngineListing {
         engine: index,
         name_hash: 7919 * (index as u64 + 1),
         zone: index % 3,
         kind: usize::from(index.is_multiple_of(4)),
         cell: index as u64 % 4,
-        since: None,
-        stage: Stage::Ready,
+        started_at: None,
+        stage: EngineStage::Ready,
     }
 }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,6 +1,6 @@
 //! One tiny fake host: it hands news to a gateway and keeps what the gateway writes.
 
-use cleatgw::logic::Gateway;
+use cleatgw::Gateway;
 use cleatgw::*;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -31,8 +31,8 @@
     }
 }
 
-impl Writer for Book {
-    fn terms(&mut self, _request: usize, lane: u8, memory_mb: f64) {
+impl ActionWriter for Book {
+    fn set_terms(&mut self, _request: usize, lane: u8, memory_mb: f64) {
         self.terms = (lane, memory_mb);
     }
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
@@ -51,14 +51,14 @@
     fn fail(&mut self, request: usize) {
         self.note(Wrote::Fail(request));
     }
-    fn watch(&mut self, _on: bool) {
+    fn watch_list(&mut self, _on: bool) {
         self.note(Wrote::Watch);
     }
-    fn fetch(&mut self) {}
+    fn fetch_list(&mut self) {}
     fn probe(&mut self, _engine: usize) {}
-    fn close(&mut self, _engine: usize) {}
-    fn tell(&mut self, _peer: Option<usize>, _content: &[u8]) {}
-    fn wake(&mut self, _at: f64) {}
+    fn close_idle(&mut self, _engine: usize) {}
+    fn send_to_peers(&mut self, _peer: Option<usize>, _content: &[u8]) {}
+    fn wake_at(&mut self, _at: f64) {}
     fn log(&mut self, line: &str) {
         self.log.push(line.to_string());
     }
@@ -66,18 +66,18 @@
 
 pub fn class(credit: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        credit,
-        late_share: 0.0,
-        expected_time: 2.0,
-        longest: f64::INFINITY,
-        stretch: 2.0,
+        value: credit,
+        late_value_share: 0.0,
+        latency_objective: 2.0,
+        max_wait: f64::INFINITY,
+        objective_stretch: 2.0,
         threads,
         idempotency,
         in_key_order: false,
-        holds_tables: false,
-        waits_for_holders: true,
-        only_zones: None,
-        only_kinds: None,
+        locks_tables: false,
+        waits_for_table_locks: true,
+        allowed_zones: None,
+        allowed_kinds: None,
     }
 }
 
@@ -86,12 +86,12 @@
     Deployment {
         gateways: 1.0,
         classes: vec![class(1.0, 1.0, Idempotency::Idempotent), class(5.0, 4.0, Idempotency::Idempotent)],
-        kinds: vec![Kind { cores: 8.0, memory_mb: 8000.0 }],
-        largest_share: 0.5,
-        grants: true,
-        lanes: true,
+        engine_kinds: vec![EngineKind { cores: 8.0, memory_mb: 8000.0 }],
+        max_memory_share: 0.5,
+        honours_grants: true,
+        has_priority_lanes: true,
         max_attempts: 3,
-        cold: ColdStart { from: 0.3, warm_after: 10.0, multiple: 2.0, window: 2.0 },
+        slow_start: SlowStart { initial_share: 0.3, duration: 10.0, overload_multiple: 2.0, window: 2.0 },
         ..Deployment::default()
     }
 }
@@ -111,16 +111,22 @@
     pub fn seeded(deployment: Deployment, engines: usize, seed: u64) -> World {
         let gateway = Gateway::new(deployment, seed, 100.0);
         let mut world = World { gateway, book: Book::default(), now: 100.0, next_request: 0 };
-        let listings: Vec<Listing> = (0..engines).map(listing).collect();
+        let listings: Vec<EngineListing> = (0..engines).map(listing).collect();
         world.gateway.engines_listed(100.0, &listings, true);
         world
     }
 
-    pub fn request(&mut self, class: usize, change: impl Fn(&mut Taken)) -> usize {
+    pub fn request(&mut self, class: usize, change: impl Fn(&mut IncomingRequest)) -> usize {
         let cost = Some(if class == 0 { 0.1 } else { 4.0 });
         let memory_mb = Some(if class == 0 { 50.0 } else { 1000.0 });
         let deadline = self.now + 10.0;
-        let mut taken = Taken { class, cost, memory_mb, deadline, ..Taken::default() };
+        let mut taken = IncomingRequest {
+            class,
+            estimated_work: cost,
+            estimated_memory_mb: memory_mb,
+            deadline,
+            ..IncomingRequest::default()
+        };
         change(&mut taken);
         self.gateway.request_received(self.now, self.next_request, taken);
         self.next_request += 1;
@@ -141,30 +147,44 @@
         }
     }
 
-    pub fn over(&mut self, request: usize, ending: Ending, spent: f64) {
-        self.end(request, ending, spent, None, Load::default());
+    pub fn over(&mut self, request: usize, ending: AttemptOutcome, spent: f64) {
+        self.end(request, ending, spent, None, LoadReport::default());
     }
 
     /// Completed by an engine that tells how many requests it holds.
     pub fn report(&mut self, request: usize, spent: f64, requests: f64) {
         self.end(
             request,
-            Ending::Completed,
+            AttemptOutcome::Completed,
             spent,
             None,
-            Load { requests: Some(requests), ..Load::default() },
+            LoadReport { requests: Some(requests), ..LoadReport::default() },
         );
     }
 
     /// Completed, and told what it needed.
     pub fn tell(&mut self, request: usize, spent: f64, work: f64, memory: f64) {
-        self.end(request, Ending::Completed, spent, Some((work, memory)), Load::default());
+        self.end(
+            request,
+            AttemptOutcome::Completed,
+            spent,
+            Some(MeasuredCost { work, memory_mb: memory }),
+            LoadReport::default(),
+        );
     }
 
-    fn end(&mut self, request: usize, ending: Ending, spent: f64, told: Option<(f64, f64)>, load: Load) {
+    fn end(
+        &mut self,
+        request: usize,
+        ending: AttemptOutcome,
+        spent: f64,
+        measured: Option<MeasuredCost>,
+        load: LoadReport,
+    ) {
         let engine = self.engines_of(request).pop().expect("it was pushed");
-        let request_done = ending == Ending::Completed;
-        let end = AttemptEnd { request, engine, ending, request_done, spent, told, load };
+        let request_done = ending == AttemptOutcome::Completed;
+        let end =
+            AttemptEnd { request, engine, outcome: ending, request_done, elapsed: spent, measured, load };
         self.gateway.attempt_ended(self.now, &end);
     }
 
@@ -196,6 +216,6 @@
     }
 }
 
-pub fn listing(engine: usize) -> Listing {
-    Listing { engine, name_hash: 1000 + engine as u64, ..Listing::default() }
+pub fn listing(engine: usize) -> EngineListing {
+    EngineListing { engine, name_hash: 1000 + engine as u64, ..EngineListing::default() }
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -36,7 +36,7 @@
     let mut world = World::new(deployment, 3);
     let request = world.request(0, |_| ());
     world.round();
-    world.over(request, Ending::Broken, 0.1);
+    world.over(request, AttemptOutcome::ConnectionLost, 0.1);
     world.pass(0.05);
     assert_eq!(world.engines_of(request).len(), 1);
     assert_eq!(world.answers(request).last().map(|(_, what)| what), Some(&Wrote::Fail(request)));
@@ -49,7 +49,7 @@
     let mut world = World::new(deployment, 3);
     let request = world.request(0, |_| ());
     world.round();
-    world.over(request, Ending::Unreached, 0.1);
+    world.over(request, AttemptOutcome::Unreachable, 0.1);
     world.pass(0.05);
     assert_eq!(world.engines_of(request).len(), 2);
 }
@@ -59,19 +59,20 @@
     let mut deployment = plain();
     deployment.classes[0].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 1.0 };
-    deployment.classes[0].expected_time = 8.0;
+    deployment.classes[0].latency_objective = 8.0;
     let mut world = World::new(deployment, 0);
-    let cells: Vec<Listing> = (0..6).map(|at| Listing { cell: at as u64 % 2, ..listing(at) }).collect();
+    let cells: Vec<EngineListing> =
+        (0..6).map(|at| EngineListing { cell: at as u64 % 2, ..listing(at) }).collect();
     world.gateway.engines_listed(100.0, &cells, true);
     let (early, late) = (world.request(0, |_| ()), world.request(0, |_| ()));
     world.round();
     world.now += 0.5;
-    world.over(early, Ending::Broken, 0.5);
+    world.over(early, AttemptOutcome::ConnectionLost, 0.5);
     world.pass(0.05);
     let cells: Vec<usize> = world.engines_of(early).iter().map(|engine| engine % 2).collect();
     assert!(cells.len() == 2 && cells[0] == cells[1]);
     world.now += 0.6;
-    world.over(late, Ending::Broken, 1.2);
+    world.over(late, AttemptOutcome::ConnectionLost, 1.2);
     world.pass(0.05);
     assert_eq!(world.engines_of(late).len(), 1);
     assert_eq!(world.answers(late)[0].1, Wrote::Fail(late));
@@ -85,7 +86,7 @@
     let mut deployment = plain();
     deployment.classes[0].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
-    deployment.classes[0].expected_time = 8.0;
+    deployment.classes[0].latency_objective = 8.0;
     let mut world = World::new(deployment, 6);
     let requests: Vec<usize> = (0..3).map(|_| world.request(0, |_| ())).collect();
     world.round();
@@ -93,20 +94,20 @@
     assert_eq!(world.book.leave_by, [f64::INFINITY; 3], "nothing has run before");
     // The first of these never ran: only the second one's time counts.
     world.now = begun + 0.4;
-    world.over(requests[0], Ending::Unreached, 0.4);
+    world.over(requests[0], AttemptOutcome::Unreachable, 0.4);
     world.round();
     assert_eq!(world.book.leave_by[3], f64::INFINITY);
     world.now = begun + 0.5;
-    world.over(requests[0], Ending::Broken, 0.1);
-    world.over(requests[1], Ending::Broken, 0.5);
+    world.over(requests[0], AttemptOutcome::ConnectionLost, 0.1);
+    world.over(requests[1], AttemptOutcome::ConnectionLost, 0.5);
     world.round();
     let mut by = world.book.leave_by[4..].to_vec();
     by.sort_by(f64::total_cmp);
     assert!((by[0] - (begun + 0.98)).abs() < 1e-9 && (by[1] - (begun + 1.38)).abs() < 1e-9, "{by:?}");
     // Its connection did not come up in time; and one whose attempt ends when a repeat could not be there any more.
     world.now = begun + 0.985;
-    world.over(requests[1], Ending::NeverSent, 0.485);
-    world.over(requests[2], Ending::Broken, 0.985);
+    world.over(requests[1], AttemptOutcome::NeverSent, 0.485);
+    world.over(requests[2], AttemptOutcome::ConnectionLost, 0.985);
     world.round();
     assert_eq!((world.engines_of(requests[1]).len(), world.engines_of(requests[2]).len()), (2, 1));
     assert_eq!((world.answers(requests[1]).len(), world.answers(requests[2]).len()), (1, 1));
@@ -118,7 +119,7 @@
     let request = world.request(0, |taken| taken.deadline += 50.0);
     for _ in 0..3 {
         world.round();
-        world.over(request, Ending::Full, 0.0);
+        world.over(request, AttemptOutcome::EngineFull, 0.0);
     }
     world.pass(1.0);
     assert_eq!(world.engines_of(request).len(), 3);
@@ -128,13 +129,13 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_engine() {
     let mut world = World::new(plain(), 2);
-    let draining = Listing { stage: Stage::Draining, ..listing(0) };
+    let draining = EngineListing { stage: EngineStage::Draining, ..listing(0) };
     world.gateway.engines_listed(100.0, &[draining, listing(1)], true);
     for group in 0..20 {
         let request = world.request(0, |taken| taken.table_group = group);
         world.pass(0.1);
         assert_eq!(world.engines_of(request), [1]);
-        world.over(request, Ending::Completed, 0.1);
+        world.over(request, AttemptOutcome::Completed, 0.1);
     }
     // Missing from a whole list is gone.
     world.gateway.engines_listed(world.now, &[draining], true);
@@ -147,14 +148,14 @@
 fn a_cold_engine_gets_no_more_than_our_share_of_what_it_stands() {
     let mut deployment = plain();
     deployment.gateways = 2.0;
-    let cold = deployment.cold;
+    let cold = deployment.slow_start;
     let mut world = World::new(deployment, 0);
-    world.gateway.engines_listed(100.0, &[Listing { since: Some(99.9), ..listing(0) }], true);
+    world.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(99.9), ..listing(0) }], true);
     for step in 0..100 {
         let request = world.request(0, |_| ());
         world.pass(0.02);
         if !world.engines_of(request).is_empty() {
-            world.over(request, Ending::Completed, 0.1);
+            world.over(request, AttemptOutcome::Completed, 0.1);
         }
         if step == 0 {
             assert!(!world.engines_of(request).is_empty());
@@ -162,8 +163,8 @@
     }
     let mut sent: Vec<f64> = world.book.wrote.iter().map(|(at, _)| *at).collect();
     sent.dedup();
-    let warmth = cold.from + 0.7 * 0.2;
-    let stands = cold.multiple * 8.0 * warmth * cold.window / 2.0;
+    let warmth = cold.initial_share + 0.7 * 0.2;
+    let stands = cold.overload_multiple * 8.0 * warmth * cold.window / 2.0;
     let attempts = (0..world.next_request).map(|request| world.engines_of(request).len()).sum::<usize>();
     assert!(attempts as f64 * 0.1 <= stands);
     // Many heavy requests at once: most of them wait.
@@ -184,7 +185,7 @@
     let other = world.request(0, |taken| taken.key = Some(6));
     world.pass(0.1);
     assert_eq!([first, second, other].map(|request| world.engines_of(request).len()), [1, 0, 1]);
-    world.over(first, Ending::TimedOut, 0.1);
+    world.over(first, AttemptOutcome::TimedOut, 0.1);
     world.gateway.request_withdrawn(first);
     world.pass(0.9);
     assert_eq!(world.engines_of(second).len(), 0);
@@ -196,7 +197,7 @@
 fn a_long_line_for_one_key_holds_up_nobody_else() {
     let mut deployment = plain();
     deployment.classes[0].in_key_order = true;
-    deployment.classes[0].credit = 50.0;
+    deployment.classes[0].value = 50.0;
     let mut world = World::new(deployment, 3);
     for _ in 0..30 {
         world.request(0, |taken| taken.key = Some(5));
@@ -209,8 +210,8 @@
 #[test]
 fn a_bound_request_goes_nowhere_else_even_when_its_places_are_down() {
     let mut deployment = plain();
-    deployment.classes[0].only_zones = Some(vec![1]);
-    deployment.classes[1].only_kinds = Some(vec![1]);
+    deployment.classes[0].allowed_zones = Some(vec![1]);
+    deployment.classes[1].allowed_kinds = Some(vec![1]);
     let mut world = World::new(deployment, 3);
     let requests = [world.request(0, |_| ()), world.request(1, |_| ())];
     world.pass(15.0);
@@ -222,12 +223,12 @@
 #[test]
 fn further_attempts_stay_within_the_budget() {
     let mut deployment = plain();
-    deployment.budget = Some(RetryBudget { spare: 2.0, share: 0.1, window: 10.0 });
+    deployment.retry_budget = Some(RetryBudget { base: 2.0, per_request: 0.1, window: 10.0 });
     let mut world = World::new(deployment, 6);
     let requests: Vec<usize> = (0..10).map(|_| world.request(0, |_| ())).collect();
     world.round();
     for &request in &requests {
-        world.over(request, Ending::Erred, 0.0);
+        world.over(request, AttemptOutcome::EngineError, 0.0);
     }
     world.pass(1.0);
     let further: usize = requests.iter().map(|&request| world.engines_of(request).len() - 1).sum();
@@ -242,20 +243,20 @@
     let calm = world.request(1, |_| ());
     world.round();
     assert!(world.grant_of(calm) > 999.0);
-    world.over(calm, Ending::Completed, 1.0);
+    world.over(calm, AttemptOutcome::Completed, 1.0);
     // Two periods of work with waits for memory: θ jumps, and half the memory asked for is no longer given.
     let mut quarters = 0;
     for step in 0..60 {
-        let request =
-            world.request(1, |taken| taken.memory_mb = Some(if step % 2 == 0 { 1000.0 } else { 500.0 }));
+        let request = world
+            .request(1, |taken| taken.estimated_memory_mb = Some(if step % 2 == 0 { 1000.0 } else { 500.0 }));
         world.pass(0.1);
         if world.engines_of(request).is_empty() {
             continue;
         }
-        world.gateway.attempt_noted(world.now, request, Note::WaitsForMemory);
+        world.gateway.attempt_noted(world.now, request, AttemptNote::WaitsForMemory);
         let quarter = world.grant_of(request) <= 420.0;
         quarters += usize::from(quarter);
-        world.over(request, Ending::Completed, if quarter { 2.0 } else { 1.0 });
+        world.over(request, AttemptOutcome::Completed, if quarter { 2.0 } else { 1.0 });
     }
     assert!(world.logged("θ"));
     assert!(quarters > 5);
@@ -264,7 +265,7 @@
         let request = world.request(1, |_| ());
         world.pass(0.1);
         let quarter = world.grant_of(request) <= 500.0;
-        world.over(request, Ending::Completed, if quarter { 2.0 } else { 1.0 });
+        world.over(request, AttemptOutcome::Completed, if quarter { 2.0 } else { 1.0 });
     }
     assert!(world.grant_of(world.next_request - 1) > 900.0);
 }
@@ -272,9 +273,9 @@
 #[test]
 fn a_grant_is_at_most_half_an_engines_memory() {
     let mut deployment = plain();
-    deployment.largest_share = 0.9;
+    deployment.max_memory_share = 0.9;
     let mut world = World::new(deployment, 1);
-    let request = world.request(1, |taken| taken.memory_mb = Some(7000.0));
+    let request = world.request(1, |taken| taken.estimated_memory_mb = Some(7000.0));
     world.round();
     assert_eq!(world.grant_of(request), 4000.0);
 }
@@ -284,18 +285,18 @@
     // A second gateway: the ledger starts at half the memory, 4000 MB.
     let mut deployment = plain();
     deployment.gateways = 2.0;
-    deployment.kinds[0].cores = 64.0;
+    deployment.engine_kinds[0].cores = 64.0;
     let mut world = World::new(deployment, 1);
-    let large = |taken: &mut Taken| taken.memory_mb = Some(3000.0);
+    let large = |taken: &mut IncomingRequest| taken.estimated_memory_mb = Some(3000.0);
     let calm = [world.request(1, large), world.request(1, large)];
     world.round();
     assert!(calm.iter().all(|&request| world.grant_of(request) > 2999.0));
-    world.over(calm[1], Ending::Completed, 1.0);
-    world.gateway.attempt_noted(world.now, calm[0], Note::WaitsForMemory);
+    world.over(calm[1], AttemptOutcome::Completed, 1.0);
+    world.gateway.attempt_noted(world.now, calm[0], AttemptNote::WaitsForMemory);
     let pressed = world.request(1, large);
     world.round();
     assert_ne!(world.engines_of(pressed).len(), 1, "3000 and 750 MB are past what is left of 3200 MB");
-    world.over(calm[0], Ending::Completed, 1.0);
+    world.over(calm[0], AttemptOutcome::Completed, 1.0);
     world.round();
     assert!(world.grant_of(pressed) > 2999.0, "an empty ledger admits a first job");
 }
@@ -309,7 +310,7 @@
             let request = world.request(0, |taken| taken.table_group = 3);
             world.round();
             homes.extend(world.engines_of(request));
-            world.over(request, Ending::Completed, 0.1);
+            world.over(request, AttemptOutcome::Completed, 0.1);
         }
         homes.sort_unstable();
         homes.dedup();
@@ -324,7 +325,7 @@
 #[test]
 fn no_request_is_dispatched_behind_a_holder_of_its_tables() {
     let mut deployment = plain();
-    deployment.classes.push(RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
+    deployment.classes.push(RequestClass { locks_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 1);
     let (holder, second) = (world.request(2, |_| ()), world.request(2, |_| ()));
     let elsewhere = world.request(0, |taken| taken.table_group = 8);
@@ -335,7 +336,7 @@
         [holder, second, reader, elsewhere].map(|request| world.engines_of(request).len()),
         [1, 0, 0, 1]
     );
-    world.over(holder, Ending::Completed, 1.0);
+    world.over(holder, AttemptOutcome::Completed, 1.0);
     world.round();
     assert_eq!([second, reader].map(|request| world.engines_of(request).len()), [1, 1]);
 }
@@ -343,7 +344,7 @@
 #[test]
 fn readers_keep_away_from_the_engine_where_a_holder_of_their_tables_runs() {
     let mut deployment = plain();
-    deployment.classes.push(RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
+    deployment.classes.push(RequestClass { locks_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) });
     let mut world = World::new(deployment, 6);
     let holder = world.request(2, |_| ());
     world.round();
@@ -364,24 +365,24 @@
         let Some(&engine) = world.engines_of(request).last() else { continue };
         if engine == world.engines_of(0)[0] {
             failed += 1;
-            world.over(request, Ending::Broken, 0.001);
+            world.over(request, AttemptOutcome::ConnectionLost, 0.001);
         } else {
-            world.over(request, Ending::Completed, 0.1);
+            world.over(request, AttemptOutcome::Completed, 0.1);
         }
     }
-    assert!(world.logged("doubted"));
+    assert!(world.logged("ejected"));
     assert!((2..40).contains(&failed), "{failed} of 400");
 }
 
 #[test]
 fn an_engine_that_falls_silent_is_doubted_and_its_attempts_called_off_where_that_is_allowed() {
     let mut deployment = plain();
-    deployment.cancel = true;
+    deployment.can_cancel = true;
     let mut world = World::new(deployment, 4);
     let requests: Vec<usize> = (0..6).map(|_| world.request(0, |_| ())).collect();
     world.pass(1.5);
     let cancelled = world.book.wrote.iter().any(|(_, what)| matches!(what, Wrote::Cancel(_)));
-    assert!(world.logged("doubted") && cancelled);
+    assert!(world.logged("ejected") && cancelled);
     let silent = world.engines_of(requests[0])[0];
     let later = world.request(0, |_| ());
     world.round();
@@ -393,17 +394,17 @@
     // Whatever it stands behind: a holder of its tables, a lost answer, a dead engine. Quick and slow deployments.
     for pace in [0.2, 1.0] {
         let mut deployment = plain();
-        deployment.cancel = true;
-        deployment.classes.iter_mut().for_each(|class| class.expected_time = pace);
+        deployment.can_cancel = true;
+        deployment.classes.iter_mut().for_each(|class| class.latency_objective = pace);
         for seed in 0..8 {
             let mut world = World::seeded(deployment.clone(), 3, seed);
-            let request = world.request(0, |taken| taken.cost = Some(0.05 * pace));
+            let request = world.request(0, |taken| taken.estimated_work = Some(0.05 * pace));
             world.round();
             let wait = world.book.time_outs[0].expect("a time-out");
             let (expected, run) = (1.1 * pace, 0.075 * pace);
             assert!((2.0 * run..expected - 2.0 * run).contains(&wait), "{wait} s of {expected} s");
             world.now += wait;
-            world.over(request, Ending::TimedOut, wait);
+            world.over(request, AttemptOutcome::TimedOut, wait);
             world.round();
             let engines = world.engines_of(request);
             assert!(engines.len() == 2 && engines[0] != engines[1], "{engines:?}");
@@ -416,9 +417,9 @@
 #[test]
 fn a_holder_of_tables_keeps_its_place_behind_other_holders() {
     let mut deployment = plain();
-    deployment.cancel = true;
+    deployment.can_cancel = true;
     let mut waits = |holds| {
-        deployment.classes[1].holds_tables = holds;
+        deployment.classes[1].locks_tables = holds;
         let mut world = World::new(deployment.clone(), 3);
         world.request(1, |taken| taken.deadline += 60.0);
         world.round();
@@ -430,9 +431,9 @@
 
 #[test]
 fn what_strikes_one_class_on_one_engine_keeps_only_that_class_away() {
-    for ending in [Ending::TimedOut, Ending::Full] {
+    for ending in [AttemptOutcome::TimedOut, AttemptOutcome::EngineFull] {
         let mut deployment = plain();
-        deployment.cancel = true;
+        deployment.can_cancel = true;
         deployment.classes[1].threads = 1.0;
         let mut world = World::new(deployment, 4);
         let mut there = [0, 0];
@@ -440,7 +441,10 @@
             // The others are answered, so the engine is not silent.
             let requests = [1, 1, 0].map(|class| {
                 let cost = Some(0.1 + class as f64);
-                (class, world.request(class, |taken| (taken.table_group, taken.cost) = (round, cost)))
+                (
+                    class,
+                    world.request(class, |taken| (taken.table_group, taken.estimated_work) = (round, cost)),
+                )
             });
             world.round();
             world.now += 0.1;
@@ -452,7 +456,7 @@
                         world.round();
                     }
                 }
-                world.over(request, Ending::Completed, 0.1 + class as f64);
+                world.over(request, AttemptOutcome::Completed, 0.1 + class as f64);
             }
         }
         assert!(there[0] < 30 && there[1] > 50, "{ending:?}: {there:?} of 150 and 300");
@@ -462,17 +466,17 @@
 #[test]
 fn when_everything_is_slower_attempts_are_waited_for_longer() {
     let mut deployment = plain();
-    deployment.cancel = true;
-    deployment.classes[0].expected_time = 0.2;
+    deployment.can_cancel = true;
+    deployment.classes[0].latency_objective = 0.2;
     let mut world = World::new(deployment, 4);
     let mut asked = |requests: usize, pace: f64| {
         for _ in 0..requests {
             let request = world.request(0, |_| ());
             world.round();
             world.now += 0.05;
-            world.over(request, Ending::Completed, 0.1 * pace);
+            world.over(request, AttemptOutcome::Completed, 0.1 * pace);
         }
-        world.request(0, |taken| taken.cost = Some(0.4));
+        world.request(0, |taken| taken.estimated_work = Some(0.4));
         world.round();
         world.book.time_outs.last().copied().flatten().expect("a time-out")
     };
@@ -485,16 +489,16 @@
 fn a_spill_where_grants_are_honoured_is_no_pressure() {
     for trims in [false, true] {
         let mut deployment = plain();
-        deployment.kinds[0].cores = 64.0;
-        deployment.trims = trims;
+        deployment.engine_kinds[0].cores = 64.0;
+        deployment.trims_grants = trims;
         let mut world = World::new(deployment, 1);
         let requests: Vec<usize> = (0..3)
-            .map(|_| world.request(1, |taken| taken.memory_mb = Some(3000.0)))
+            .map(|_| world.request(1, |taken| taken.estimated_memory_mb = Some(3000.0)))
             .inspect(|_| ())
             .collect();
         world.round();
-        world.gateway.attempt_noted(world.now, requests[0], Note::Spills);
-        let next = world.request(1, |taken| taken.memory_mb = Some(3000.0));
+        world.gateway.attempt_noted(world.now, requests[0], AttemptNote::Spills);
+        let next = world.request(1, |taken| taken.estimated_memory_mb = Some(3000.0));
         world.round();
         assert_eq!(world.engines_of(next).is_empty(), trims);
     }
@@ -509,7 +513,7 @@
     for &request in rejected {
         assert!(world.answers(request)[0].0 < 104.0);
     }
-    assert!(world.logged("turning back"));
+    assert!(world.logged("load shedding started"));
 }
 
 #[test]
@@ -518,7 +522,7 @@
     let request = world.request(0, |_| ());
     world.round();
     world.now += 3.0;
-    world.over(request, Ending::Unreached, 0.2);
+    world.over(request, AttemptOutcome::Unreachable, 0.2);
     world.pass(0.3);
     let again = world.engines_of(request).len() > 1;
     assert!(again || world.answers(request).len() == 1);
@@ -527,34 +531,34 @@
 #[test]
 fn a_lost_list_is_asked_for_again() {
     let mut deployment = plain();
-    deployment.ask_within = Some(10.0);
+    deployment.max_list_age = Some(10.0);
     let mut world = World::new(deployment, 1);
     world.round();
     world.gateway.list_failed(world.now);
     world.pass(2.0);
     let asked = world.book.wrote.iter().filter(|(_, what)| *what == Wrote::Watch).count();
     assert_eq!(asked, 2);
-    assert!(world.logged("list out of reach"));
+    assert!(world.logged("engine list unavailable"));
 }
 
 #[test]
 fn large_estimates_that_scatter_are_not_taken_at_their_word() {
     let mut deployment = plain();
-    deployment.classes[1].stretch = 0.0;
+    deployment.classes[1].objective_stretch = 0.0;
     let mut world = World::new(deployment, 1);
     // Estimates from a fifth of the truth to twice as much: those that lie low run, and all seem too low.
     for step in 0..60 {
         let cost = [0.2, 0.5, 1.0, 2.0][step % 4];
-        let request = world.request(1, |taken| taken.cost = Some(cost));
+        let request = world.request(1, |taken| taken.estimated_work = Some(cost));
         world.pass(0.5);
         world.tell(request, 0.5, 1.0, 1000.0);
     }
     for _ in 0..4 {
-        world.request(1, |taken| taken.cost = Some(0.2));
+        world.request(1, |taken| taken.estimated_work = Some(0.2));
     }
     world.round();
     // Held, and at its word it could never come in time.
-    let large = world.request(1, |taken| taken.cost = Some(8.0));
+    let large = world.request(1, |taken| taken.estimated_work = Some(8.0));
     world.pass(0.5);
     assert_eq!((world.engines_of(large).len(), world.answers(large).len()), (0, 0));
 }
@@ -564,7 +568,7 @@
     let mut world = World::new(plain(), 4);
     let early = world.request(0, |_| ());
     world.round();
-    world.over(early, Ending::Completed, 0.1);
+    world.over(early, AttemptOutcome::Completed, 0.1);
     // Frozen for two and a half seconds: the requests that came meanwhile are late when they are seen.
     world.now += 2.5;
     let late: Vec<usize> = (0..4).map(|_| world.request(0, |taken| taken.deadline -= 2.5)).collect();
@@ -588,17 +592,17 @@
 #[test]
 fn bound_requests_are_not_starved_when_all_their_places_are_in_doubt() {
     let mut deployment = plain();
-    deployment.classes[1].only_zones = Some(vec![1]);
+    deployment.classes[1].allowed_zones = Some(vec![1]);
     let mut world = World::new(deployment, 3);
-    world.gateway.engines_listed(100.0, &[Listing { zone: 1, ..listing(9) }], false);
+    world.gateway.engines_listed(100.0, &[EngineListing { zone: 1, ..listing(9) }], false);
     for _ in 0..3 {
         let request = world.request(1, |_| ());
         world.round();
-        world.over(request, Ending::Broken, 0.1);
+        world.over(request, AttemptOutcome::ConnectionLost, 0.1);
         world.gateway.request_withdrawn(request);
     }
     world.pass(0.5);
-    assert!(world.logged("engine 9 doubted"));
+    assert!(world.logged("engine 9 ejected"));
     let request = world.request(1, |_| ());
     world.round();
     assert_eq!(world.engines_of(request), [9]);
@@ -609,15 +613,15 @@
     let mut deployment = plain();
     deployment.gateways = 2.0;
     let mut world = World::new(deployment, 2);
-    let bare = |taken: &mut Taken| (taken.cost, taken.memory_mb) = (None, None);
+    let bare = |taken: &mut IncomingRequest| (taken.estimated_work, taken.estimated_memory_mb) = (None, None);
     for _ in 0..20 {
         let request = world.request(1, bare);
         world.pass(0.1);
-        world.over(request, Ending::Completed, 2.0);
+        world.over(request, AttemptOutcome::Completed, 2.0);
     }
     // Eight seconds of work each: our share of what a cold engine stands is under six in its window.
-    let gone = |engine| Listing { stage: Stage::Gone, ..listing(engine) };
-    let cold = Listing { since: Some(world.now), ..listing(5) };
+    let gone = |engine| EngineListing { stage: EngineStage::Gone, ..listing(engine) };
+    let cold = EngineListing { started_at: Some(world.now), ..listing(5) };
     world.gateway.engines_listed(world.now, &[gone(0), gone(1), cold], false);
     let request = world.request(1, bare);
     world.pass(0.5);
@@ -641,12 +645,12 @@
         |world: &World, request| (0..2).any(|engine| world.gateway.may_attempt(request, engine, world.now));
     assert_eq!(requests.map(|request| gate(&world, request)), [false; 3], "one is out");
     world.now += 0.9;
-    requests.iter().for_each(|&request| world.over(request, Ending::Broken, 0.9));
+    requests.iter().for_each(|&request| world.over(request, AttemptOutcome::ConnectionLost, 0.9));
     assert_eq!(requests.map(|request| gate(&world, request)), [false, true, true]);
     world.now += 0.2;
     assert!(!gate(&world, requests[1]), "its window is over");
     world.round();
-    world.over(requests[2], Ending::Erred, 0.1);
+    world.over(requests[2], AttemptOutcome::EngineError, 0.1);
     assert!(!gate(&world, requests[2]), "it has had two");
 }
 
@@ -662,8 +666,8 @@
 #[test]
 fn holders_of_tables_keep_to_the_far_half_while_they_have_time() {
     let mut deployment = plain();
-    let holder = RequestClass { holds_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) };
-    deployment.classes.push(RequestClass { expected_time: 8.0, ..holder });
+    let holder = RequestClass { locks_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) };
+    deployment.classes.push(RequestClass { latency_objective: 8.0, ..holder });
     let mut world = World::new(deployment, 6);
     let requests: Vec<usize> = (0..5).map(|_| world.request(2, |taken| taken.deadline += 20.0)).collect();
     let dispatched =
@@ -726,7 +730,7 @@
     for _ in 0..40 {
         let request = world.request(0, |_| ());
         world.pass(0.1);
-        world.over(request, Ending::Completed, 0.08);
+        world.over(request, AttemptOutcome::Completed, 0.08);
     }
     let burst: Vec<usize> = (0..8).map(|_| world.request(0, |_| ())).collect();
     world.round();
@@ -751,12 +755,12 @@
 fn hundreds_of_gateways_together_spare_a_cold_engine_but_use_it() {
     let mut deployment = plain();
     deployment.gateways = 300.0;
-    let ColdStart { from, multiple, window, .. } = deployment.cold;
+    let SlowStart { initial_share: from, overload_multiple: multiple, window, .. } = deployment.slow_start;
     let stands = multiple * 8.0 * from * window;
     let mut work = 0.0;
     for seed in 0..300 {
         let mut world = World::seeded(deployment.clone(), 0, seed);
-        world.gateway.engines_listed(100.0, &[Listing { since: Some(100.0), ..listing(0) }], true);
+        world.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(100.0), ..listing(0) }], true);
         let requests: Vec<usize> = (0..4).map(|at| world.request(usize::from(at == 3), |_| ())).collect();
         world.pass(window / 2.0);
         work += requests
@@ -773,16 +777,16 @@
         let mut world = World::new(plain(), 1);
         let early = world.request(0, |_| ());
         world.round();
-        world.over(early, Ending::Completed, 0.1);
+        world.over(early, AttemptOutcome::Completed, 0.1);
         let requests: Vec<usize> = (0..10).map(|_| world.request(0, |_| ())).collect();
         world.round();
         world.pass(6.0 - gap);
         // Time goes on, but we have no turn.
         world.now += gap;
-        requests.iter().for_each(|&request| world.over(request, Ending::Completed, 6.0));
+        requests.iter().for_each(|&request| world.over(request, AttemptOutcome::Completed, 6.0));
         world.round();
         world.pass(0.3);
-        assert_eq!(world.logged("doubted"), doubted, "a gap of {gap}");
+        assert_eq!(world.logged("ejected"), doubted, "a gap of {gap}");
     }
 }
 
@@ -795,7 +799,8 @@
     world.pass(0.5);
     for count in [2, 10] {
         let since = Some(world.now);
-        let cold: Vec<Listing> = (0..count).map(|at| Listing { since, ..listing(at) }).collect();
+        let cold: Vec<EngineListing> =
+            (0..count).map(|at| EngineListing { started_at: since, ..listing(at) }).collect();
         world.gateway.engines_listed(world.now, &cold, true);
         world.pass(30.0);
         let warm: Vec<usize> =
@@ -826,7 +831,7 @@
 #[test]
 fn engines_that_lose_a_third_of_their_answers_all_stay_in_use() {
     let mut deployment = plain();
-    deployment.budget = Some(RetryBudget { spare: 2.0, share: 0.2, window: 10.0 });
+    deployment.retry_budget = Some(RetryBudget { base: 2.0, per_request: 0.2, window: 10.0 });
     let mut world = World::new(deployment, 4);
     let mut used = vec![0; 4];
     for step in 0..240 {
@@ -834,9 +839,9 @@
         world.pass(0.05);
         let Some(&at) = world.engines_of(request).last() else { continue };
         used[at] += usize::from(step > 120);
-        let ending = if step % 3 == 0 { Ending::Broken } else { Ending::Completed };
+        let ending = if step % 3 == 0 { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Completed };
         world.over(request, ending, 0.1);
-        if ending == Ending::Broken {
+        if ending == AttemptOutcome::ConnectionLost {
             world.gateway.request_withdrawn(request);
         }
     }
@@ -849,7 +854,7 @@
     let passed = world.request(1, |taken| taken.deadline -= 9.0);
     world.round();
     world.now += 2.0;
-    let draining = Listing { stage: Stage::Draining, ..listing(0) };
+    let draining = EngineListing { stage: EngineStage::Draining, ..listing(0) };
     let new: Vec<usize> = (0..6).map(|group| world.request(0, |taken| taken.table_group = group)).collect();
     world.gateway.engines_listed(world.now, &[draining], false);
     world.round();
@@ -909,7 +914,7 @@
     assert_eq!((world.engines_of(late).len(), world.answers(late).len()), (0, 1));
     assert_eq!(world.answers(late)[0].1, Wrote::Reject(late));
     // What was taken before may be dispatched again.
-    world.over(out, Ending::Unreached, 0.1);
+    world.over(out, AttemptOutcome::Unreachable, 0.1);
     world.pass(0.05);
     assert_eq!((world.engines_of(out).len(), world.answers(out).len()), (2, 0));
 }
@@ -921,13 +926,13 @@
         let request = world.request(0, |_| ());
         world.round();
         if !world.engines_of(request).is_empty() {
-            world.over(request, Ending::Broken, 0.1);
+            world.over(request, AttemptOutcome::ConnectionLost, 0.1);
         }
         world.gateway.request_withdrawn(request);
     }
     world.pass(0.3);
-    assert!(world.logged("doubted"));
-    let new = Listing { name_hash: 7, ..listing(0) };
+    assert!(world.logged("ejected"));
+    let new = EngineListing { name_hash: 7, ..listing(0) };
     world.gateway.engines_listed(world.now, &[new], true);
     let heavy = world.request(1, |_| ());
     world.round();
@@ -946,7 +951,7 @@
     use cleatgw::queue::{Line, Terms};
     let tenant = |weight| Terms { weight, most_queued, ..Terms::default() };
     let line = Line::new(vec![Terms::default(), tenant(weights[0]), tenant(weights[1])], world.now);
-    world.gateway.tenants(world.now, line, &|_| to);
+    world.gateway.set_tenants(world.now, line, &|_| to);
 }
 
 #[test]
@@ -958,10 +963,10 @@
         }
         // The greedy one's requests are the denser ones, and there are a hundred.
         let greedy: Vec<usize> = (0..100)
-            .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
+            .map(|_| world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.1))))
             .collect();
         let modest: Vec<usize> = (0..3)
-            .map(|_| world.request(0, |request| (request.tenant, request.cost) = (2, Some(0.2))))
+            .map(|_| world.request(0, |request| (request.tenant, request.estimated_work) = (2, Some(0.2))))
             .collect();
         world.round();
         let out = |requests: &[usize]| {
@@ -979,15 +984,15 @@
 fn a_line_that_is_too_long_has_its_last_rejected_at_once_but_none_that_may_have_run() {
     let mut world = World::new(plain(), 1);
     tenants(&mut world, [1.0, 1.0], 2);
-    let ran = world.request(0, |request| (request.tenant, request.cost) = (1, Some(9.0)));
+    let ran = world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(9.0)));
     world.round();
     assert_eq!(world.engines_of(ran).len(), 1);
     let later: Vec<usize> = (0..60)
-        .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
+        .map(|_| world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.1))))
         .collect();
     world.round();
     // Its attempt breaks: it may have run, and waits for the last in the line.
-    world.over(ran, Ending::Broken, 0.1);
+    world.over(ran, AttemptOutcome::ConnectionLost, 0.1);
     world.round();
     world.round();
     let back = |request: &usize| matches!(world.answers(*request)[..], [(_, Wrote::Reject(_))]);
@@ -1004,15 +1009,15 @@
     let mut world = World::new(plain(), 1);
     tenants(&mut world, [1.0, 1.0], 40);
     let gone: Vec<usize> = (0..40)
-        .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
+        .map(|_| world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.1))))
         .collect();
     world.round();
-    let waited = world.gateway.line.of(1).0;
+    let waited = world.gateway.queue.of(1).0;
     gone.iter().for_each(|request| world.gateway.request_withdrawn(*request));
-    assert!(waited > 0 && world.gateway.line.is_empty(), "{waited}");
+    assert!(waited > 0 && world.gateway.queue.is_empty(), "{waited}");
     // Its line has room again: none of those that come now is displaced.
     for _ in 0..40 {
-        world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1)));
+        world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.1)));
     }
     world.round();
     assert!(world.book.advice.is_empty(), "{:?}", world.book.advice);
@@ -1023,7 +1028,7 @@
     let mut world = World::new(plain(), 1);
     tenants(&mut world, [1.0, 1.0], 1000);
     let requests: Vec<usize> = (0..50)
-        .map(|_| world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.2))))
+        .map(|_| world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.2))))
         .collect();
     world.round();
     let out =
@@ -1032,9 +1037,9 @@
     assert!(before > 0 && before < 50);
     // The tenant is gone from the file: its requests wait among the others, and none is lost.
     tenants_moved(&mut world, [1.0, 1.0], 1000, 2);
-    assert_eq!((world.gateway.line.len(), world.gateway.line.of(2).2), (50 - before, before));
+    assert_eq!((world.gateway.queue.len(), world.gateway.queue.of(2).2), (50 - before, before));
     let first = *requests.iter().find(|request| !world.engines_of(**request).is_empty()).unwrap();
-    world.over(first, Ending::Completed, 0.2);
+    world.over(first, AttemptOutcome::Completed, 0.2);
     world.pass(0.05);
     assert_eq!(out(&world), before + 1);
 }
@@ -1042,7 +1047,7 @@
 #[test]
 fn a_tenant_that_is_rejected_is_told_when_its_line_would_take_it() {
     let advice = |parted: bool| {
-        let mut world = World::new(Deployment { advice: Some(60.0), ..plain() }, 1);
+        let mut world = World::new(Deployment { max_retry_after: Some(60.0), ..plain() }, 1);
         if parted {
             tenants(&mut world, [1.0, 1.0], 30);
         }
@@ -1050,19 +1055,21 @@
         let mut out = Vec::new();
         for _ in 0..30 {
             (0..8).for_each(|_| {
-                out.push(world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1))))
+                out.push(
+                    world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.1))),
+                )
             });
             world.round();
             world.pass(0.1);
             for request in std::mem::take(&mut out) {
                 match world.engines_of(request).is_empty() {
                     true => out.push(request),
-                    false => world.over(request, Ending::Completed, 0.1),
+                    false => world.over(request, AttemptOutcome::Completed, 0.1),
                 }
             }
         }
         for _ in 0..100 {
-            world.request(0, |request| (request.tenant, request.cost) = (1, Some(0.1)));
+            world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.1)));
         }
         world.pass(3.0);
         world.book.advice.clone()
@@ -1081,7 +1088,7 @@
             .flat_map(|_| {
                 let request = world.request(0, |taken| taken.table_group = group);
                 world.pass(0.1);
-                world.over(request, Ending::Completed, 0.1);
+                world.over(request, AttemptOutcome::Completed, 0.1);
                 world.engines_of(request)
             })
             .collect();
@@ -1093,22 +1100,22 @@
 #[test]
 fn one_peer_s_word_puts_no_engine_in_doubt_and_that_of_two_does_until_it_is_old() {
     let mut world = World::new(plain(), 3);
-    world.gateway.peers_say(0, Met { bad: 1.0, ..Met::default() });
+    world.gateway.peer_evidence_received(0, EngineEvidence { failures: 1.0, ..EngineEvidence::default() });
     world.pass(0.5);
-    assert!(!world.logged("engine 0 doubted"));
-    world.gateway.peers_say(0, Met { bad: 2.0, ..Met::default() });
+    assert!(!world.logged("engine 0 ejected"));
+    world.gateway.peer_evidence_received(0, EngineEvidence { failures: 2.0, ..EngineEvidence::default() });
     world.pass(0.5);
-    assert!(world.logged("engine 0 doubted"));
+    assert!(world.logged("engine 0 ejected"));
     // What we meet ourselves outweighs it.
     for group in 0..30 {
         let request = world.request(0, |taken| taken.table_group = group);
         world.round();
-        world.over(request, Ending::Completed, 0.1);
+        world.over(request, AttemptOutcome::Completed, 0.1);
     }
-    world.gateway.peers_say(0, Met::default());
+    world.gateway.peer_evidence_received(0, EngineEvidence::default());
     world.pass(0.5);
-    assert!(world.logged("engine 0 trusted"));
-    world.gateway.peers_say(99, Met { bad: 9.0, ..Met::default() });
+    assert!(world.logged("engine 0 readmitted"));
+    world.gateway.peer_evidence_received(99, EngineEvidence { failures: 9.0, ..EngineEvidence::default() });
     world.pass(0.5);
 }
 
@@ -1118,11 +1125,13 @@
 fn what_peers_sent_a_cold_engine_leaves_less_room_for_us_and_never_more_than_our_share() {
     let attempts_with = |sent: f64| {
         let mut world = World::new(Deployment { gateways: 2.0, ..plain() }, 0);
-        world.gateway.engines_listed(100.0, &[Listing { since: Some(99.9), ..listing(0) }], true);
+        world.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(99.9), ..listing(0) }], true);
         for _ in 0..60 {
             world.request(0, |_| ());
         }
-        world.gateway.peers_say(0, Met { sent, ..Met::default() });
+        world
+            .gateway
+            .peer_evidence_received(0, EngineEvidence { slow_start_work: sent, ..EngineEvidence::default() });
         world.pass(0.05);
         (0..world.next_request).map(|request| world.engines_of(request).len()).sum::<usize>()
     };
@@ -1149,7 +1158,7 @@
     let play = |scope: DeduplicationScope, class: usize, ago: f64| {
         let mut world = World::new(keyed(scope), 3);
         let earlier = Some(world.now - ago);
-        let request = world.request(class, |taken| taken.earlier = earlier);
+        let request = world.request(class, |taken| taken.earlier_attempt_at = earlier);
         world.pass(0.1);
         (
             world.engines_of(request).len(),
@@ -1169,17 +1178,17 @@
 /// Rule 7 over a restart: until it is known what was dispatched, the spare part of the budget counts as used up.
 #[test]
 fn further_attempts_of_a_former_incarnation_count_and_where_unknown_the_budget_is_used_up() {
-    let budget = Some(RetryBudget { spare: 4.0, share: 0.0, window: 10.0 });
+    let budget = Some(RetryBudget { base: 4.0, per_request: 0.0, window: 10.0 });
     let play = |told: Option<&[f64]>| {
-        let mut world = World::new(Deployment { budget, ..plain() }, 4);
-        world.gateway.forgot(world.now);
+        let mut world = World::new(Deployment { retry_budget: budget, ..plain() }, 4);
+        world.gateway.assume_lost_history(world.now);
         if let Some(repeats) = told {
-            world.gateway.remembers(repeats, &[]);
+            world.gateway.restore_history(repeats, &[]);
         }
         let requests: Vec<usize> = (0..8).map(|_| world.request(0, |_| ())).collect();
         world.pass(0.1);
         for request in &requests {
-            world.over(*request, Ending::Broken, 0.05);
+            world.over(*request, AttemptOutcome::ConnectionLost, 0.05);
         }
         world.pass(0.1);
         requests.iter().filter(|request| world.engines_of(**request).len() > 1).count()
@@ -1192,12 +1201,12 @@
 /// Rule 4 over a restart: until it is known what was sent to a cold engine, nothing more is, for one window.
 #[test]
 fn a_cold_engine_gets_nothing_from_one_that_forgot_what_it_sent_until_its_window_is_over() {
-    let play = |told: Option<&[(usize, f64, f64)]>| {
+    let play = |told: Option<&[SlowStartWork]>| {
         let mut world = World::new(Deployment { gateways: 2.0, ..plain() }, 0);
-        world.gateway.engines_listed(100.0, &[Listing { since: Some(99.9), ..listing(0) }], true);
-        world.gateway.forgot(100.0);
+        world.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(99.9), ..listing(0) }], true);
+        world.gateway.assume_lost_history(100.0);
         if let Some(sent) = told {
-            world.gateway.remembers(&[], sent);
+            world.gateway.restore_history(&[], sent);
         }
         let first = world.request(0, |_| ());
         world.pass(0.5);
@@ -1207,25 +1216,34 @@
     };
     assert_eq!(play(None), (0, 1));
     assert_eq!(play(Some(&[])), (1, 1));
-    assert_eq!(play(Some(&[(0, 99.9, 50.0), (7, 99.9, 1.0)])), (0, 1));
+    assert_eq!(
+        play(Some(&[
+            SlowStartWork { engine: 0, sent_at: 99.9, work: 50.0 },
+            SlowStartWork { engine: 7, sent_at: 99.9, work: 1.0 },
+        ])),
+        (0, 1)
+    );
 }
 
 /// While what is kept of them lags behind, only so many retries are made as were kept ahead.
 #[test]
 fn no_more_further_attempts_are_made_than_were_kept_ahead() {
     let mut world = World::new(
-        Deployment { budget: Some(RetryBudget { spare: 9.0, share: 0.0, window: 10.0 }), ..plain() },
+        Deployment {
+            retry_budget: Some(RetryBudget { base: 9.0, per_request: 0.0, window: 10.0 }),
+            ..plain()
+        },
         4,
     );
-    world.gateway.ahead = Some(2);
+    world.gateway.limit_unpersisted_retries(2);
     let requests: Vec<usize> = (0..8).map(|_| world.request(0, |_| ())).collect();
     world.pass(0.1);
-    requests.iter().for_each(|request| world.over(*request, Ending::Broken, 0.05));
+    requests.iter().for_each(|request| world.over(*request, AttemptOutcome::ConnectionLost, 0.05));
     world.pass(0.1);
     let again =
         |world: &World| requests.iter().filter(|request| world.engines_of(**request).len() > 1).count();
     assert_eq!(again(&world), 2);
-    world.gateway.ahead = Some(3);
+    world.gateway.limit_unpersisted_retries(3);
     world.pass(0.1);
     assert_eq!(again(&world), 5);
 }
@@ -1236,7 +1254,7 @@
 fn few_gateways_see_no_crowd_in_estimates_that_no_answer_corrects() {
     let mut deployment = plain();
     deployment.gateways = 6.0;
-    deployment.kinds = vec![Kind { cores: 16.0, memory_mb: 32000.0 }];
+    deployment.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 32000.0 }];
     deployment.classes[1].threads = 3.0;
     let mut world = World::new(deployment, 4);
     let off = [0.05, 0.6, 0.1, 0.3];
@@ -1244,16 +1262,16 @@
     for round in 0..200 {
         // A light request that needs 0.3 s, whatever is said of it; now and then a heavy one that is said to need 3 s, and does.
         let group = round as u64 % 40;
-        let light =
-            world.request(0, |taken| (taken.cost, taken.table_group) = (Some(0.3 * off[round % 4]), group));
-        heavy.extend(
-            (round % 20 == 19)
-                .then(|| world.request(1, |taken| (taken.cost, taken.table_group) = (Some(3.0), group))),
-        );
+        let light = world.request(0, |taken| {
+            (taken.estimated_work, taken.table_group) = (Some(0.3 * off[round % 4]), group)
+        });
+        heavy.extend((round % 20 == 19).then(|| {
+            world.request(1, |taken| (taken.estimated_work, taken.table_group) = (Some(3.0), group))
+        }));
         world.round();
         world.now += 0.3;
         if !world.engines_of(light).is_empty() {
-            world.over(light, Ending::Completed, 0.3);
+            world.over(light, AttemptOutcome::Completed, 0.3);
         }
         world.pass(0.1);
         for request in heavy.clone() {
@@ -1264,7 +1282,7 @@
                 .iter()
                 .find(|(_, what)| matches!(what, Wrote::Attempt { request: of, .. } if *of == request));
             if out && since.is_some_and(|(at, _)| world.now >= at + 1.2) {
-                world.over(request, Ending::Completed, 1.2);
+                world.over(request, AttemptOutcome::Completed, 1.2);
                 heavy.retain(|other| *other != request);
             }
         }
@@ -1278,15 +1296,16 @@
 fn many_that_feel_a_crowd() -> World {
     let mut deployment = plain();
     deployment.gateways = 32.0;
-    deployment.kinds = vec![Kind { cores: 16.0, memory_mb: 32000.0 }];
+    deployment.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 32000.0 }];
     deployment.classes[1].threads = 3.0;
     let mut world = World::new(deployment, 8);
     for group in 0..40 {
-        let request = world.request(0, |taken| (taken.cost, taken.table_group) = (Some(0.002), group));
+        let request =
+            world.request(0, |taken| (taken.estimated_work, taken.table_group) = (Some(0.002), group));
         world.round();
         if !world.engines_of(request).is_empty() {
             world.now += 0.022;
-            world.over(request, Ending::Completed, 0.022);
+            world.over(request, AttemptOutcome::Completed, 0.022);
         }
         world.now += 0.01;
     }
@@ -1302,12 +1321,13 @@
     for round in 0..100 {
         let heavy = usize::from(round % 10 == 9);
         let (said, takes) = if heavy == 1 { (1.0, 1.2) } else { (0.002, 0.022) };
-        let request = world.request(heavy, |taken| (taken.cost, taken.table_group) = (Some(said), round));
+        let request =
+            world.request(heavy, |taken| (taken.estimated_work, taken.table_group) = (Some(said), round));
         world.pass(0.05);
         (dispatched, of) = (dispatched + world.engines_of(request).len(), of + 1);
         world.now += takes;
         if !world.engines_of(request).is_empty() {
-            world.over(request, Ending::Completed, takes);
+            world.over(request, AttemptOutcome::Completed, takes);
         }
     }
     assert_eq!((dispatched, of), (100, 100));
@@ -1320,7 +1340,9 @@
         let mut world = many_that_feel_a_crowd();
         let requests: Vec<usize> = (0..30)
             .map(|group| {
-                world.request(class, |taken| (taken.cost, taken.table_group) = (Some(said), 100 + group))
+                world.request(class, |taken| {
+                    (taken.estimated_work, taken.table_group) = (Some(said), 100 + group)
+                })
             })
             .collect();
         world.pass(0.1);
@@ -1333,8 +1355,8 @@
 #[test]
 fn grants_have_more_headroom_where_engines_page() {
     let granted = |pages: bool| {
-        let mut world = World::new(Deployment { pages, ..plain() }, 2);
-        let request = world.request(1, |taken| taken.memory_mb = Some(1000.0));
+        let mut world = World::new(Deployment { pages_memory: pages, ..plain() }, 2);
+        let request = world.request(1, |taken| taken.estimated_memory_mb = Some(1000.0));
         world.round();
         world.grant_of(request)
     };
