--- a/crates/start/src/peers.rs
+++ b/crates/deployment-config/src/peers.rs
@@ -1,7 +1,7 @@
 //! What both hosts need where routers tell each other of engines.
 
 use cleatgw::EngineListing;
-use cleatgw_members::digest::EngineIncarnation;
+use cleatgw_membership::digest::EngineIncarnation;
 
 /// An engine as routers tell each other of it: in the incarnation that the list gives it.
 pub fn engine_incarnation(listing: &EngineListing) -> EngineIncarnation {
--- a/crates/members/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -1,11 +1,11 @@
 //! After the last fault all views agree: the real code of three routers under every schedule of a few faults, walked by
 //! stateright. A state is the faults so far; what comes of them is played in virtual time, then left without faults.
 
-use cleatgw_lab::virtual_members::World;
-use cleatgw_lab::weather::Act;
-use cleatgw_members::leader::role_resource;
-use cleatgw_members::swim::{Defences, Pace};
-use cleatgw_members::view::Standing;
+use cleatgw_membership::leader::role_resource;
+use cleatgw_membership::swim::{Defences, Pace};
+use cleatgw_membership::view::Standing;
+use cleatgw_testbed::virtual_members::World;
+use cleatgw_testbed::weather::Act;
 use stateright::{Checker, Model, Property};
 
 const ROUTERS: usize = 3;
--- a/crates/members/tests/golden_bytes.rs
+++ b/crates/membership/tests/golden_bytes.rs
@@ -1,11 +1,11 @@
 //! Golden bytes: what routers send each other, written by the version before the code was reshaped. Two versions may run in
 //! one cluster, so the same values have to give the same bytes, and the bytes the same values.
 
-use cleatgw_members::digest::{self, EngineIncarnation, Observation, Rounds};
-use cleatgw_members::lease::Message;
-use cleatgw_members::swim::Pace;
-use cleatgw_members::wire::{self, Envelope, Kind, LastHeard};
-use cleatgw_members::{cluster_hash, Members};
+use cleatgw_membership::digest::{self, EngineIncarnation, Observation, Rounds};
+use cleatgw_membership::lease::Message;
+use cleatgw_membership::swim::Pace;
+use cleatgw_membership::wire::{self, Envelope, Kind, LastHeard};
+use cleatgw_membership::{cluster_hash, Members};
 use expect_test::expect_file;
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/members/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -1,10 +1,10 @@
 //! The holder of a leader role leaves by plan: the next one holds it soon, whatever the holder was about to do. In virtual time, so that no
 //! machine's load is in the figures.
 
-use cleatgw_lab::virtual_members::World;
-use cleatgw_lab::weather::Act;
-use cleatgw_members::leader::role_resource;
-use cleatgw_members::swim::Pace;
+use cleatgw_membership::leader::role_resource;
+use cleatgw_membership::swim::Pace;
+use cleatgw_testbed::virtual_members::World;
+use cleatgw_testbed::weather::Act;
 
 /// A lease ends by itself after two seconds: a router that is told of its release need not wait for that. Seconds.
 const SOON: f64 = 1.3;
--- a/crates/members/tests/lease_model.rs
+++ b/crates/membership/tests/lease_model.rs
@@ -1,8 +1,8 @@
 //! Model checking (stateright) of the real leases: an adversary that delays, loses and repeats messages, freezes holders,
 //! restarts grantors without their memory, and runs the clocks apart as far as the bound allows.
 
-use cleatgw_lab::told_by_digest;
-use cleatgw_members::lease::{Epoch, InjectedFault, Leases, Message, DRIFT, MAX_TERM, MAX_USE_DELAY};
+use cleatgw_membership::lease::{Epoch, InjectedFault, Leases, Message, DRIFT, MAX_TERM, MAX_USE_DELAY};
+use cleatgw_testbed::told_by_digest;
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::fmt;
 
--- a/crates/members/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -1,11 +1,11 @@
 //! Several routers in virtual time: one scenario for each way in which they may lose contact with one another.
 
-use cleatgw_lab::virtual_members::World;
-use cleatgw_lab::weather::Act;
-use cleatgw_members::swim::{Defences, Pace};
-use cleatgw_members::view::Standing;
-use cleatgw_members::wire::Dropped;
-use cleatgw_members::{cluster_hash, Members, State};
+use cleatgw_membership::swim::{Defences, Pace};
+use cleatgw_membership::view::Standing;
+use cleatgw_membership::wire::Dropped;
+use cleatgw_membership::{cluster_hash, Members, State};
+use cleatgw_testbed::virtual_members::World;
+use cleatgw_testbed::weather::Act;
 
 /// All started and whole.
 fn whole(routers: usize, seed: u64) -> World {
@@ -393,7 +393,7 @@
 fn leader_role_has_one_holder_at_a_time_and_a_successor_under_faults() {
     for seed in 0..6 {
         let mut world = World::new(7, Pace::default(), seed);
-        world.role = Some(cleatgw_members::leader::role_resource("nightly"));
+        world.role = Some(cleatgw_membership::leader::role_resource("nightly"));
         world.rates = [0.99, 1.01, 1.0, 1.01, 0.99, 1.0, 1.01].into();
         (0..7).for_each(|router| world.at(0.0, Act::Start(router)));
         world.run_until(8.0);
--- a/crates/operator/src/cluster.rs
+++ b/crates/operator-config/src/cluster.rs
@@ -2,9 +2,9 @@
 
 use crate::bgp::seconds;
 use crate::{parse, wrong, Wrong, LONGEST};
-use cleatgw_members::leader::{role_resource, MAX_ROLES};
-use cleatgw_members::swim::{Defences, Pace};
-use cleatgw_members::{cluster_hash, MOST_ROUTERS};
+use cleatgw_membership::leader::{role_resource, MAX_ROLES};
+use cleatgw_membership::swim::{Defences, Pace};
+use cleatgw_membership::{cluster_hash, MOST_ROUTERS};
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
--- a/crates/operator/src/teams.rs
+++ b/crates/operator-config/src/teams.rs
@@ -2,7 +2,7 @@
 
 use crate::bgp::seconds;
 use crate::{parse, wrong, Wrong, LONGEST};
-use cleatgw_queue::{Line, Terms, ROOT};
+use cleatgw_tenant_queue::{Line, Terms, ROOT};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -1,8 +1,8 @@
 //! Rule 7 over restarts, walked by stateright over the real code of recovery and puts, with a disk that hangs, loses what
 //! it acknowledged, or has an older copy put back; and phases that always end.
 
-use cleatgw_lab::told_by_digest;
 use cleatgw_recovery::{InjectedFault, Kept, Looks, Moment, Phase, Pieces, Puts, Recovery, Step, AHEAD};
+use cleatgw_testbed::told_by_digest;
 use stateright::{Checker, Model, Property};
 
 const SPARE: usize = 4;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -3,7 +3,7 @@
 use crate::protocol::discovery::{self, Event};
 use crate::transport::Place;
 use cleatgw::Deployment;
-use cleatgw_start::{Complaint, Names, Pairs};
+use cleatgw_deployment_config::{Complaint, Names, Pairs};
 use serde_json::Value;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     }
     let pairs = Pairs::from_json(&value["settings"]);
     let within = |Complaint(words): Complaint| Complaint(format!("field settings: {words}"));
-    let (deployment, names) = cleatgw_start::read(&pairs).map_err(within)?;
+    let (deployment, names) = cleatgw_deployment_config::read(&pairs).map_err(within)?;
     let contradictions = pairs.contradictions().map_err(within)?;
     if deployment.classes.is_empty() {
         return wrong("settings.categories", "at least one", &value["settings"]["categories"]);
@@ -81,7 +81,7 @@
     let told = events.iter().map(|event| event.number).max().unwrap_or(0);
     let seed = match &value["seed"] {
         Value::Null => RandomState::new().hash_one(0),
-        Value::String(text) => cleatgw_start::name_hash(text),
+        Value::String(text) => cleatgw_deployment_config::name_hash(text),
         other => other.as_u64().map_or_else(|| wrong("seed", "a text", other), Ok)?,
     };
     Ok(Told {
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -8,7 +8,7 @@
 mod transport;
 
 use bpaf::{construct, long, positional, pure, OptionParser, Parser};
-use cleatgw_operator::{ClusterFile, ServiceFile, StoreFile, TeamsFile};
+use cleatgw_operator_config::{ClusterFile, ServiceFile, StoreFile, TeamsFile};
 use log_lines::Form;
 use routing::{News, Routing};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -102,7 +102,7 @@
 
 fn service(path: &Path) -> Result<ServiceFile, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    cleatgw_operator::read(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
+    cleatgw_operator_config::read(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
 }
 
 fn path(config: Option<PathBuf>) -> Result<PathBuf, String> {
@@ -141,17 +141,17 @@
 
 fn tenants(path: &Path) -> Result<TeamsFile, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    cleatgw_operator::read_teams(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
+    cleatgw_operator_config::read_teams(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
 }
 
 fn cluster(path: &Path) -> Result<ClusterFile, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    cleatgw_operator::read_cluster(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
+    cleatgw_operator_config::read_cluster(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
 }
 
 fn store(path: &Path) -> Result<StoreFile, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    cleatgw_operator::read_store(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
+    cleatgw_operator_config::read_store(&text).map_err(|wrong| format!("{}: {}", path.display(), wrong.0))
 }
 
 /// This router in its cluster, in an incarnation that begins now.
@@ -171,7 +171,7 @@
     let teams_file = teams_path.as_deref().map(tenants).transpose()?;
     let (name, seed) = (told.name.clone(), told.seed);
     let operators = Operators {
-        store: store_file.map(|file| (file, cleatgw_start::name_hash(&told.name))),
+        store: store_file.map(|file| (file, cleatgw_deployment_config::name_hash(&told.name))),
         cluster: cluster_path.as_deref().map(|path| joining(path, &name, seed)).transpose()?,
         reread_cluster: Box::new(move || {
             joining(cluster_path.as_deref().unwrap_or(Path::new("")), &name, seed)
@@ -275,19 +275,19 @@
         Command::Holds { address, role } => status::holds(address, &role).map(|row| println!("{row}")),
         Command::Schema { of } => match of.as_str() {
             "service" => {
-                print!("{}", cleatgw_operator::schema());
+                print!("{}", cleatgw_operator_config::schema());
                 Ok(())
             }
             "teams" => {
-                print!("{}", cleatgw_operator::teams_schema());
+                print!("{}", cleatgw_operator_config::teams_schema());
                 Ok(())
             }
             "cluster" => {
-                print!("{}", cleatgw_operator::cluster_schema());
+                print!("{}", cleatgw_operator_config::cluster_schema());
                 Ok(())
             }
             "store" => {
-                print!("{}", cleatgw_operator::store_schema());
+                print!("{}", cleatgw_operator_config::store_schema());
                 Ok(())
             }
             other => Err(format!("no file {other:?}: expected service, teams, cluster or store")),
--- a/crates/router/src/protocol/discovery.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -73,7 +73,7 @@
         Some("gone") => Some(EngineStage::Gone),
         _ => None,
     };
-    let name = |field: &str| value[field].as_str().map_or(String::new(), cleatgw_start::flat);
+    let name = |field: &str| value[field].as_str().map_or(String::new(), cleatgw_deployment_config::flat);
     let boot = match &value["boot_ms"] {
         Value::Null => 0.0,
         boot => expected(boot.as_f64(), "boot_ms", "a number of milliseconds")?,
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -13,10 +13,10 @@
     ActionWriter, AttemptEnd, AttemptOutcome, Deployment, EngineEvidence, EngineListing, EngineStage,
     Idempotency, IncomingRequest, LoadReport, MeasuredCost, SlowStartWork,
 };
-use cleatgw_members::digest::{self, EngineIncarnation, Observation, PeerEvidence};
-use cleatgw_operator::{TeamNames, TeamsFile};
+use cleatgw_deployment_config::{engine_incarnation, flat, index_of, name_hash, Names};
+use cleatgw_membership::digest::{self, EngineIncarnation, Observation, PeerEvidence};
+use cleatgw_operator_config::{TeamNames, TeamsFile};
 use cleatgw_recovery::{Looks, Sent, StillValid};
-use cleatgw_start::{engine_incarnation, flat, index_of, name_hash, Names};
 pub use counters::Counters;
 use marks::Marks;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
--- a/crates/router/src/transport/cluster.rs
+++ b/crates/router/src/transport/cluster.rs
@@ -4,12 +4,12 @@
 use super::{guarded, watch, Handle, Source};
 use crate::routing::Counters;
 use calloop::RegistrationToken;
-use cleatgw_members::digest::{EngineIncarnation, Observation, PeerEvidence};
-use cleatgw_members::leader::{role_resource, RoleStatus};
-use cleatgw_members::view::Standing;
-use cleatgw_members::wire::{Dropped, MAX_DATAGRAM};
-use cleatgw_members::Members;
-use cleatgw_operator::ClusterFile;
+use cleatgw_membership::digest::{EngineIncarnation, Observation, PeerEvidence};
+use cleatgw_membership::leader::{role_resource, RoleStatus};
+use cleatgw_membership::view::Standing;
+use cleatgw_membership::wire::{Dropped, MAX_DATAGRAM};
+use cleatgw_membership::Members;
+use cleatgw_operator_config::ClusterFile;
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/router/src/transport/engine.rs
+++ b/crates/router/src/transport/engine.rs
@@ -5,7 +5,7 @@
 use crate::protocol::engine::{self, Malformed, Pages, Word};
 use crate::routing::{AttemptId, Failure, Outcome, Reply};
 use calloop::RegistrationToken;
-use cleatgw_start::LinkLimits;
+use cleatgw_deployment_config::LinkLimits;
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
--- a/crates/router/src/transport/keeper.rs
+++ b/crates/router/src/transport/keeper.rs
@@ -2,10 +2,10 @@
 //! leaves what is to be put, of which the newest counts, and looks in each turn whether something was answered.
 
 use crate::routing::{Counters, Routing};
-use cleatgw_operator::StoreFile;
+use cleatgw_deployment_config::name_hash;
+use cleatgw_operator_config::StoreFile;
 use cleatgw_recovery::{Kept, Looks, Moment, Phase, Pieces, Puts, Recovery, Step, AHEAD};
-use cleatgw_start::name_hash;
-use cleatgw_store::{Found, Store};
+use cleatgw_snapshot_store::{Found, Store};
 use rustix::time::{clock_gettime, ClockId};
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver, Sender, TryRecvError};
@@ -154,7 +154,7 @@
                     self.recovery.found(found, now);
                 }
                 Said::Aside(why) => {
-                    let aside = cleatgw_store::aside(&self.path);
+                    let aside = cleatgw_snapshot_store::aside(&self.path);
                     log::warn!("store: what was there is set aside as {}: {why}", aside.display());
                 }
                 Said::Failed(why) => {
--- a/crates/router/src/transport/links.rs
+++ b/crates/router/src/transport/links.rs
@@ -5,7 +5,7 @@
 use super::{connect, guarded, out_of_descriptors, Handle, Source};
 use crate::protocol::engine::Ask;
 use crate::routing::{AttemptId, Counters, Failure, Outcome};
-use cleatgw_start::LinkLimits;
+use cleatgw_deployment_config::LinkLimits;
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/crates/router/src/transport/sessions/tests.rs
+++ b/crates/router/src/transport/sessions/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use calloop::EventLoop;
-use cleatgw_lab::standins::{login, packet, query, request};
+use cleatgw_testbed::standins::{login, packet, query, request};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
--- a/crates/router/src/transport/speaker.rs
+++ b/crates/router/src/transport/speaker.rs
@@ -8,7 +8,7 @@
 use cleatgw_bgp::{
     Action, Advertisement, CeaseSubcode, Direction, Importance, LogEntry, Peer, State, MAX_MESSAGE_LENGTH,
 };
-use cleatgw_operator::{PeerPart, ServiceFile};
+use cleatgw_operator_config::{PeerPart, ServiceFile};
 use ipnet::IpNet;
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
--- a/crates/router/tests/capacity_lists.rs
+++ b/crates/router/tests/capacity_lists.rs
@@ -1,8 +1,8 @@
 //! What one change of the list costs a router does not grow with the engines on it: counts of bytes, of asks and of log
 //! lines, by the discovery service that tells it.
 
-use cleatgw_lab::capacity::lists::{lines_by_engine, watching, HollowDiscovery};
-use cleatgw_lab::standins::{Client, Router};
+use cleatgw_testbed::capacity::lists::{lines_by_engine, watching, HollowDiscovery};
+use cleatgw_testbed::standins::{Client, Router};
 use rustix::process::Signal;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -7,9 +7,9 @@
     ActionWriter, AttemptEnd, AttemptNote, AttemptOutcome, EngineEvidence, EngineListing, EngineStage,
     IncomingRequest, LoadReport, MeasuredCost,
 };
-use cleatgw_members::digest::{self, EngineIncarnation, PeerEvidence, Rounds};
-use cleatgw_operator::{TeamNames, TeamsFile};
-use cleatgw_start::{self as start, name_hash, Complaint, Names, Pairs};
+use cleatgw_deployment_config::{self as start, name_hash, Complaint, Names, Pairs};
+use cleatgw_membership::digest::{self, EngineIncarnation, PeerEvidence, Rounds};
+use cleatgw_operator_config::{TeamNames, TeamsFile};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 mod host;
 mod wire;
 
-use cleatgw_operator::TeamsFile;
+use cleatgw_operator_config::TeamsFile;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -48,7 +48,7 @@
         ["--teams", path] => {
             let text = std::fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))?;
             let tenants =
-                cleatgw_operator::read_teams(&text).map_err(|wrong| format!("{path}: {}", wrong.0))?;
+                cleatgw_operator_config::read_teams(&text).map_err(|wrong| format!("{path}: {}", wrong.0))?;
             Ok(Told { tenants: Some(tenants), tells: false })
         }
         other => Err(format!("expected --teams FILE, --tell-of-engines or nothing, got {}", other.join(" "))),
--- a/crates/adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Reading the wire's lines: fields by name, with a plain complaint naming line, field and expectation.
 
-use cleatgw_start::Complaint;
+use cleatgw_deployment_config::Complaint;
 
 /// One line, taken apart from left to right.
 pub struct Fields<'a> {
--- a/crates/store/tests/golden_file.rs
+++ b/crates/snapshot-store/tests/golden_file.rs
@@ -1,7 +1,7 @@
 //! A golden file: a store that the version before the code was reshaped (1b8dd66) has written by two puts of three pieces each,
 //! compacted. It is read whole, and the next put follows its epoch.
 
-use cleatgw_store::{Found, Pieces, Put, Store};
+use cleatgw_snapshot_store::{Found, Pieces, Put, Store};
 use std::path::{Path, PathBuf};
 
 const OWNER: u64 = 0x5eed_0b0e;
@@ -35,6 +35,6 @@
     let path = copy("owner");
     let (_, found) = Store::at(&path, OWNER + 1).expect("it opens");
     assert!(matches!(found, Found::Aside(_)), "{found:?}");
-    std::fs::remove_file(cleatgw_store::aside(&path)).expect("it was set aside");
+    std::fs::remove_file(cleatgw_snapshot_store::aside(&path)).expect("it was set aside");
     let _ = std::fs::remove_file(path);
 }
--- a/crates/queue/tests/model.rs
+++ b/crates/tenant-queue/tests/model.rs
@@ -1,6 +1,6 @@
 //! Model checking (stateright) of the real line: an adversary holds, offers, attempts, ends and displaces in any order.
 
-use cleatgw_queue::{Line, Terms, Waiting};
+use cleatgw_tenant_queue::{Line, Terms, Waiting};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -55,7 +55,7 @@
     }
 }
 
-cleatgw_lab::told_by_digest!(At);
+cleatgw_testbed::told_by_digest!(At);
 
 impl fmt::Debug for At {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/testbed/src/capacity/fleet.rs
@@ -9,9 +9,9 @@
     AttemptEnd, AttemptOutcome, Deployment, EngineEvidence, EngineKind, EngineListing, Idempotency,
     LoadReport, MeasuredCost, RequestClass, RetryBudget, SlowStart,
 };
-use cleatgw_members::digest::{self, EngineIncarnation, LASTS};
-use cleatgw_members::swim::Pace;
-use cleatgw_members::{role, Members};
+use cleatgw_membership::digest::{self, EngineIncarnation, LASTS};
+use cleatgw_membership::swim::Pace;
+use cleatgw_membership::{role, Members};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/testbed/src/capacity/members.rs
@@ -5,8 +5,8 @@
 use super::{report, target, Ask, Need, Row};
 use crate::virtual_members::World;
 use crate::weather::{three_regions, Act, REGION_OF_ZONE};
-use cleatgw_members::swim::Pace;
-use cleatgw_members::MOST_ROUTERS;
+use cleatgw_membership::swim::Pace;
+use cleatgw_membership::MOST_ROUTERS;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -47,8 +47,8 @@
 fn settled(routers: usize, seed: u64, absent: &[usize], until: f64) -> World {
     let mut world = World::new(routers, Pace::default(), seed);
     world.weather.place((0..routers).map(|router| router % target::ZONES).collect(), three_regions());
-    world.role = Some(cleatgw_members::role::thing("one"));
-    let drift = cleatgw_members::lease::DRIFT;
+    world.role = Some(cleatgw_membership::role::thing("one"));
+    let drift = cleatgw_membership::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
     for router in (0..routers).filter(|router| !absent.contains(router)) {
         world.at(router as f64 / routers as f64, Act::Start(router));
@@ -223,7 +223,7 @@
     let mut called = [[0usize; 2]; 2];
     for by in 0..routers {
         for (of, member) in world.members(by).expect("it runs").members().iter().enumerate() {
-            called[parts[by]][parts[of]] += usize::from(member.state == cleatgw_members::State::Failed);
+            called[parts[by]][parts[of]] += usize::from(member.state == cleatgw_membership::State::Failed);
         }
     }
     let held_by_rest = world.holders().iter().filter(|holder| parts[**holder] == 0).count();
--- a/crates/lab/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -8,7 +8,7 @@
 use crate::verdict::{Asked, Outcome, Ran};
 use crate::virtual_members::World;
 use crate::weather::Act;
-use cleatgw_members::swim::Pace;
+use cleatgw_membership::swim::Pace;
 use serde_json::{json, Value};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -179,7 +179,7 @@
 /// often two held it.
 fn role(routers: usize, seed: u64) -> (f64, usize) {
     let mut world = World::started(routers, Pace::default(), seed);
-    let thing = cleatgw_members::role::thing("one");
+    let thing = cleatgw_membership::role::thing("one");
     world.role = Some(thing);
     let holder = |world: &World| {
         let holds = |at: &usize| world.members(*at).is_some_and(|one| one.holds(thing, world.now).is_some());
--- a/crates/lab/src/line.rs
+++ b/crates/testbed/src/line.rs
@@ -1,6 +1,6 @@
 //! What the line costs as requests and tenants grow.
 
-use cleatgw_queue::{Line, Terms, Waiting};
+use cleatgw_tenant_queue::{Line, Terms, Waiting};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,7 +1,7 @@
-//! `cleatgw-lab`: measurements that the kit's benches can't show. The last line of each is one JSON object.
+//! `cleatgw-testbed`: measurements that the kit's benches can't show. The last line of each is one JSON object.
 
 use bpaf::{construct, long, OptionParser, Parser};
-use cleatgw_lab::{capacity, comeback, drain, flap, fleet, line, members, tenants, virtual_comeback};
+use cleatgw_testbed::{capacity, comeback, drain, flap, fleet, line, members, tenants, virtual_comeback};
 use std::path::PathBuf;
 
 enum Command {
@@ -227,7 +227,7 @@
     })
 }
 
-fn main() {
+pub fn main() {
     let report = match options().run() {
         Command::Capacity { what, seed, sizes, plays, program } => {
             capacity(&what, seed, sizes.as_deref(), plays, program)
--- a/crates/lab/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -5,7 +5,7 @@
 use crate::standins::{counter, Client, Router};
 use crate::virtual_members::World;
 use crate::weather::{mixed, Act};
-use cleatgw_members::swim::{Defences, Pace};
+use cleatgw_membership::swim::{Defences, Pace};
 use plotters::prelude::*;
 use serde_json::{json, Value};
 use std::path::Path;
@@ -149,8 +149,8 @@
 pub fn measure_virtual(routers: usize, seed: u64, seconds: f64, plot: Option<&Path>) -> Value {
     let mut world = World::new(routers, Pace::default(), seed);
     // One leader role, and clocks as far apart as leases allow for.
-    world.role = Some(cleatgw_members::role::thing("one"));
-    let drift = cleatgw_members::lease::DRIFT;
+    world.role = Some(cleatgw_membership::role::thing("one"));
+    let drift = cleatgw_membership::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
     (0..routers).for_each(|router| world.at(router as f64 / routers as f64, Act::Start(router)));
     // Large clusters take longer to have met all.
--- a/crates/lab/src/virtual_members.rs
+++ b/crates/testbed/src/virtual_members.rs
@@ -2,9 +2,9 @@
 
 use crate::judge::{Record, Said, Truth};
 use crate::weather::{Act, Schedule, Weather};
-use cleatgw_members::lease::Thing;
-use cleatgw_members::swim::Pace;
-use cleatgw_members::Members;
+use cleatgw_membership::lease::Thing;
+use cleatgw_membership::swim::Pace;
+use cleatgw_membership::Members;
 use std::collections::BTreeMap;
 
 enum Event {
--- a/crates/lab/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,11 +1,11 @@
-//! `cleatgw-lab capacity` refuses what it can't do, and starts nothing for it.
+//! `cleatgw-testbed capacity` refuses what it can't do, and starts nothing for it.
 
 use std::process::{Command, Output};
 
 const NO_PROGRAM: &str = "/nonexistent/cleatgw";
 
 fn capacity(arguments: &[&str]) -> (Option<i32>, String) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_cleatgw-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_cleatgw-testbed"));
     let Output { status, stdout, stderr } =
         command.arg("capacity").args(arguments).args(["--program", NO_PROGRAM]).output().unwrap();
     assert_eq!(String::from_utf8_lossy(&stdout), "", "no report");
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -215,7 +215,7 @@
     /// Puts a request into its tenant's queue.
     pub(super) fn enqueue(&mut self, now: f64, id: usize) {
         let request: &RequestState = &self.requests.open[&id];
-        let waiting = cleatgw_queue::Waiting {
+        let waiting = cleatgw_tenant_queue::Waiting {
             request: id,
             tenant: request.incoming.tenant,
             class: request.incoming.class,
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -14,7 +14,7 @@
     ActionWriter, AttemptNote, Deployment, EngineEvidence, EngineListing, EngineStage, IncomingRequest,
     SlowStartWork,
 };
-use cleatgw_queue::Line;
+use cleatgw_tenant_queue::Line;
 
 /// How long new requests are taken after a drain began: within the second that is promised, less a slow turn.
 const ACCEPTS_WHILE_DRAINING: f64 = 0.95;
--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::statistics::{hash_of, order_key};
 use crate::*;
-use cleatgw_queue::{Line, Terms};
+use cleatgw_tenant_queue::{Line, Terms};
 use std::collections::BTreeSet;
 
 /// Keeps the attempts that are in flight, by request and engine.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,7 +20,7 @@
 mod statistics;
 
 pub use actions::ActionWriter;
-pub use cleatgw_queue as queue;
+pub use cleatgw_tenant_queue as queue;
 pub use decision::Gateway;
 pub use deployment::{
     DeduplicationScope, Deployment, EngineKind, Idempotency, RequestClass, RetryBudget, SlowStart,
