--- a/crates/router/src/routing/marks/tests.rs
+++ b/crates/router/src/routing/marks/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_first_attempt_of_a_idempotency_key_counts_and_one_that_never_ran_does_not() {
+fn the_first_attempt_of_an_idempotency_key_counts_and_one_that_never_ran_does_not() {
     let mut marks = Marks::default();
     assert!(marks.dispatched(7, 10.0) && !marks.dispatched(7, 12.0));
     marks.never_ran(7, 12.0);
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_became_of_a_attempt_is_told_by_how_far_it_came() {
+fn what_became_of_an_attempt_is_told_by_how_far_it_came() {
     for (outcome, ending) in [
         (Ok(Reply::Full), AttemptOutcome::EngineFull),
         (Ok(Reply::Erred), AttemptOutcome::EngineError),
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_attempt_given_up_before_it_left_is_told_as_one_that_never_ran() {
+fn an_attempt_given_up_before_it_left_is_told_as_one_that_never_ran() {
     let mut host = Host::new();
     host.peers.how_far = Some(Failure::NeverSent);
     host.ask(4, ParsedStatement { patience: 0.5, ..parsed("look") });
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_idempotent_request_goes_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_talks_nonsense() {
+fn an_idempotent_request_goes_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_talks_nonsense() {
     for (uid, statement) in
         [("resets", "reset"), ("full", "full"), ("loses", "pages 4"), ("garbage", "garbage")]
     {
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_non_idempotent_request_that_may_have_run_is_failed_at_once() {
+fn a_non_idempotent_request_that_may_have_run_is_failed_at_once() {
     let mut deployment = plain();
     deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_non_idempotent_request_that_never_ran_is_dispatched_again() {
+fn a_non_idempotent_request_that_never_ran_is_dispatched_again() {
     let mut deployment = plain();
     deployment.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut world = World::new(deployment, 3);
