--- a/crates/operator-config/src/teams.rs
+++ b/crates/operator-config/src/teams.rs
@@ -2,7 +2,7 @@
 
 use crate::bgp::seconds;
 use crate::{invalid, read_checked, schema_text, OperatorFile, OperatorFileError};
-use cleatgw_tenant_queue::{Line, Terms, ROOT};
+use cleatgw_tenant_queue::{Budget, TenantConfig, TenantQueue, ROOT};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::{BTreeSet, HashMap};
@@ -141,25 +141,25 @@
 }
 
 impl TeamsFile {
-    /// The lines that the file describes, and which names go where. Categories are known by their names.
-    pub fn line(&self, now: f64, categories: &[String]) -> (Line, TeamNames) {
-        let (terms, names) = self.tree(categories);
-        (Line::new(terms, now), names)
+    /// The queue that the file describes, and which names stand for which of its tenants. Categories are known by their names.
+    pub fn tenant_queue(&self, now: f64, categories: &[String]) -> (TenantQueue, TeamNames) {
+        let (configs, names) = self.tree(categories);
+        (TenantQueue::new(configs, now), names)
     }
 
-    fn tree(&self, categories: &[String]) -> (Vec<Terms>, TeamNames) {
-        let mut terms = vec![Terms { most_queued: self.most_queued, ..Terms::default() }];
+    fn tree(&self, categories: &[String]) -> (Vec<TenantConfig>, TeamNames) {
+        let mut configs = vec![TenantConfig { most_queued: self.most_queued, ..TenantConfig::default() }];
         let mut names = TeamNames { by_name: HashMap::new(), names: vec!["all".to_string()], others: 0 };
-        add(&self.teams, ROOT, categories, &mut terms, &mut names);
-        names.others = terms.len();
+        add(&self.teams, ROOT, categories, &mut configs, &mut names);
+        names.others = configs.len();
         names.names.push("others".to_string());
-        terms.push(Terms { weight: self.others.weight, ..Terms::default() });
+        configs.push(TenantConfig { weight: self.others.weight, ..TenantConfig::default() });
         for at in 0..OTHERS {
             names.names.push(format!("others-{at}"));
             let most_queued = self.others.most_queued;
-            terms.push(Terms { parent: names.others, most_queued, ..Terms::default() });
+            configs.push(TenantConfig { parent: names.others, most_queued, ..TenantConfig::default() });
         }
-        (terms, names)
+        (configs, names)
     }
 }
 
@@ -260,15 +260,15 @@
     teams: &[TeamPart],
     parent: usize,
     categories: &[String],
-    terms: &mut Vec<Terms>,
+    configs: &mut Vec<TenantConfig>,
     names: &mut TeamNames,
 ) {
     for team in teams {
-        let at = terms.len();
-        terms.push(Terms {
+        let at = configs.len();
+        configs.push(TenantConfig {
             parent,
             weight: team.weight,
-            budget: team.budget.as_ref().map(|budget| (budget.rate, budget.burst_s)),
+            budget: team.budget.as_ref().map(|budget| Budget { rate: budget.rate, burst: budget.burst_s }),
             most_queued: team.most_queued.unwrap_or_else(most_queued),
             most_queued_work: team.most_queued_work_s.unwrap_or(f64::INFINITY),
             most_out: team.most_out.unwrap_or(usize::MAX),
@@ -279,7 +279,7 @@
         if team.teams.is_empty() {
             names.by_name.insert(team.name.clone(), at);
         }
-        add(&team.teams, at, categories, terms, names);
+        add(&team.teams, at, categories, configs, names);
     }
 }
 
--- a/crates/operator-config/src/teams/tests.rs
+++ b/crates/operator-config/src/teams/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn the_example_is_read_its_names_find_their_lines_and_the_schema_is_the_one_checked_in() {
     let file = read_teams(GOOD).unwrap();
-    let (line, names) = file.line(0.0, &[]);
+    let (line, names) = file.tenant_queue(0.0, &[]);
     let of = |name| names.names()[names.of(Some(name))].clone();
     assert_eq!((of("mondego"), of("vouga")), ("mondego".to_string(), "vouga".to_string()));
     // A group is no team, and a made-up name has a line among the others.
--- a/crates/router/src/routing/action_executor.rs
+++ b/crates/router/src/routing/action_executor.rs
@@ -3,7 +3,7 @@
 use super::types::{Answer, AttemptId, Connections, Dispatch};
 use super::RoutingState;
 use crate::protocol::engine::EngineRequest;
-use cleatgw::queue::Wait;
+use cleatgw::queue::WaitEstimate;
 use cleatgw::{ActionWriter, AttemptOutcome, EngineStage};
 
 /// Why an attempt was not made.
@@ -127,11 +127,11 @@
         self.end(id, Answer::Failed);
     }
 
-    fn announce_wait(&mut self, id: usize, wait: Option<Wait>) {
+    fn announce_wait(&mut self, id: usize, wait: Option<WaitEstimate>) {
         let Some(request) = self.state.requests.get(id) else { return };
         let call = request.statement.id.as_str();
         match wait {
-            Some(Wait { expected, from, to, .. }) => {
+            Some(WaitEstimate { expected, from, to, .. }) => {
                 log::debug!(call = call, wait = expected, from = from, to = to; "request {call} is expected to wait {expected:.3} s");
             }
             None => log::debug!(call = call; "request {call} waits, for how long can't be told"),
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -318,7 +318,7 @@
             self.gateway.drain(began);
         }
         if let Some(tenants) = &self.tenants {
-            let (queue, _) = tenants.file.line(now, &self.names.classes);
+            let (queue, _) = tenants.file.tenant_queue(now, &self.names.classes);
             self.gateway.set_tenants(now, queue, &|_| 0);
         }
         self.gateway.engines_listed(now, &self.state.engines.listings(), true);
--- a/crates/router/src/routing/tenants.rs
+++ b/crates/router/src/routing/tenants.rs
@@ -2,6 +2,7 @@
 
 use super::Routing;
 use crate::status_row::StatusRow;
+use cleatgw::queue::TenantLoad;
 use cleatgw_operator_config::{TeamNames, TeamsFile};
 
 /// Tenants that a table names, at most.
@@ -16,7 +17,7 @@
 impl Routing {
     /// Tenants share the engines by this file from now on; requests that wait move to their queues by their names.
     pub fn set_tenants(&mut self, file: TeamsFile) {
-        let (queue, names) = file.line(self.state.now, &self.names.classes);
+        let (queue, names) = file.tenant_queue(self.state.now, &self.names.classes);
         let requests = &self.state.requests;
         let tenant_of = |id: usize| {
             let request = requests.get(id);
@@ -32,17 +33,18 @@
         let queue = &self.gateway.queue;
         let mut rows = vec![self.estimates_row()];
         let tenants = names.names().iter().enumerate();
-        let usage = tenants.map(|(index, name)| (index, name, queue.of(index)));
-        let busy = usage.filter(|(_, _, (queued, _, in_flight))| queued + in_flight > 0);
-        for (index, name, (queued, work, in_flight)) in busy.take(MAX_ROWS) {
-            let mean_work = work / queued.max(1) as f64;
+        let loads = tenants.map(|(index, name)| (index, name, queue.load(index)));
+        let busy = loads.filter(|(_, _, load)| load.queued + load.in_flight > 0);
+        for (index, name, load) in busy.take(MAX_ROWS) {
+            let TenantLoad { queued, queued_work, in_flight } = load;
+            let mean_work = queued_work / queued.max(1) as f64;
             let wait = match queue.wait_for(index, mean_work, self.state.now) {
                 Some(wait) => format!("{:.2} s, {:.2} to {:.2}", wait.expected, wait.from, wait.to),
                 None => "can't be told".to_string(),
             };
             rows.push(StatusRow::new(
                 format!("team {name}"),
-                format!("{queued} in line, {work:.2} s of work, {in_flight} out"),
+                format!("{queued} in line, {queued_work:.2} s of work, {in_flight} out"),
                 format!("a job that comes now waits {wait}"),
             ));
         }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -43,7 +43,7 @@
         let NamedDeployment { deployment, names } = read_deployment(&settings)?;
         let mut gateway = Gateway::new(deployment, seed, now);
         let tenants = teams.map(|file| {
-            let (queue, tenants) = file.line(now, &names.classes);
+            let (queue, tenants) = file.tenant_queue(now, &names.classes);
             gateway.set_tenants(now, queue, &|_| 0);
             tenants
         });
--- /dev/null
+++ b/crates/tenant-queue/src/estimates.rs
@@ -0,0 +1,64 @@
+//! How long requests will wait, by what is ahead of them.
+
+use crate::config::ROOT;
+use crate::queue::TenantQueue;
+use crate::queued_request::QueuedRequest;
+use crate::wait_estimates::{WaitEstimate, WorkAhead};
+
+/// Of very many siblings the first ones stand for all.
+const MAX_SIBLINGS: usize = 64;
+/// Far back in a long queue, all of it is taken to be ahead.
+const MAX_AHEAD: usize = 256;
+
+impl TenantQueue {
+    /// The share of all that goes through which this tenant has while those wait that wait now.
+    fn share(&self, tenant: usize) -> f64 {
+        let mut share = 1.0;
+        let mut node = tenant;
+        while node != ROOT {
+            let parent = self.nodes[node].config.parent;
+            let siblings = &self.nodes[parent].active;
+            let sampled: Vec<usize> = siblings.iter().take(MAX_SIBLINGS).map(|&(_, child)| child).collect();
+            let weight = |child: &usize| self.nodes[*child].config.weight;
+            let others: f64 = sampled.iter().filter(|child| **child != node).map(weight).sum();
+            let scale = siblings.len().max(1) as f64 / sampled.len().max(1) as f64;
+            let own = self.nodes[node].config.weight;
+            share *= own / (own + others * scale.max(1.0));
+            node = parent;
+        }
+        share
+    }
+
+    /// How long a request of this tenant and so much work would wait if it came now, behind all of its queue.
+    pub fn wait_for(&self, tenant: usize, work: f64, now: f64) -> Option<WaitEstimate> {
+        let queued_work = self.nodes.get(tenant)?.queued_work;
+        let ahead = WorkAhead { ahead: queued_work, queue: queued_work, share: self.share(tenant) };
+        self.waits.estimate(tenant, work, &ahead, now)
+    }
+
+    /// How long this request will wait from now to its first attempt, as far as can be told.
+    pub fn wait_of(&self, request: usize, now: f64) -> Option<WaitEstimate> {
+        let queued = self.waiting.get(&request)?;
+        let ahead = WorkAhead {
+            ahead: self.work_ahead(queued),
+            queue: self.nodes[queued.tenant].queued_work,
+            share: self.share(queued.tenant),
+        };
+        self.waits.estimate(queued.tenant, queued.work, &ahead, now)
+    }
+
+    /// The work ahead of a request in its own queue.
+    fn work_ahead(&self, queued: &QueuedRequest) -> f64 {
+        let node = &self.nodes[queued.tenant];
+        let earlier = node.queue.range(..queued.rank(&node.config)).take(MAX_AHEAD);
+        let (mut count, mut work) = (0, 0.0);
+        for ahead in earlier.filter_map(|rank| self.waiting.get(&rank.request)) {
+            count += 1;
+            work += ahead.work;
+        }
+        if count == MAX_AHEAD {
+            return node.queued_work.max(work);
+        }
+        work
+    }
+}
--- a/crates/tenant-queue/src/tests.rs
+++ b/crates/tenant-queue/src/tests.rs
@@ -2,10 +2,11 @@
 
 use super::*;
 use proptest::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// A server that takes work at `speed`, one request at a time, and a line before it.
 struct World {
-    line: Line,
+    line: TenantQueue,
     now: f64,
     speed: f64,
     free_at: f64,
@@ -16,19 +17,23 @@
     waits: Vec<Vec<f64>>,
 }
 
-fn tenant(weight: f64) -> Terms {
-    Terms { weight, ..Terms::default() }
+fn budget(rate: f64, burst: f64) -> Option<Budget> {
+    Some(Budget { rate, burst })
 }
 
-fn tenants(weights: &[f64]) -> Vec<Terms> {
-    [Terms::default()].into_iter().chain(weights.iter().map(|weight| tenant(*weight))).collect()
+fn tenant(weight: f64) -> TenantConfig {
+    TenantConfig { weight, ..TenantConfig::default() }
+}
+
+fn tenants(weights: &[f64]) -> Vec<TenantConfig> {
+    [TenantConfig::default()].into_iter().chain(weights.iter().map(|weight| tenant(*weight))).collect()
 }
 
 impl World {
-    fn new(tenants: Vec<Terms>) -> World {
+    fn new(tenants: Vec<TenantConfig>) -> World {
         let count = tenants.len();
         World {
-            line: Line::new(tenants, 0.0),
+            line: TenantQueue::new(tenants, 0.0),
             now: 0.0,
             speed: 1.0,
             free_at: 0.0,
@@ -42,7 +47,7 @@
     fn arrives(&mut self, tenant: usize, work: f64) -> usize {
         let request = self.next;
         self.next += 1;
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request,
             tenant,
             class: 0,
@@ -52,7 +57,7 @@
             never_ran: true,
         };
         self.requests.insert(request, (tenant, work, self.now));
-        self.line.hold(waiting, self.now);
+        self.line.enqueue(waiting, self.now);
         request
     }
 
@@ -69,12 +74,12 @@
                 self.now = until;
                 return;
             };
-            self.line.went(request, self.now);
+            self.line.dispatched(request, self.now);
             let (tenant, work, since) = self.requests.remove(&request).unwrap();
             self.waits[tenant].push(self.now - since);
             self.had[tenant] += work;
             self.free_at = self.now + work / self.speed;
-            self.line.over(tenant, work, work, self.free_at);
+            self.line.attempt_ended(tenant, work, work, self.free_at);
         }
     }
 
@@ -87,10 +92,10 @@
 
 #[test]
 fn one_tenant_alone_goes_densest_first_and_a_request_that_does_not_go_stays_in_its_place() {
-    let mut line = Line::single();
+    let mut line = TenantQueue::single();
     for (request, density) in [(1, 2.0), (2, 9.0), (3, 5.0)] {
-        line.hold(
-            Waiting { request, tenant: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true },
+        line.enqueue(
+            QueuedRequest { request, tenant: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
@@ -98,8 +103,8 @@
         [line.next(0.0), line.next(0.0), line.next(0.0), line.next(0.0)],
         [Some(2), Some(3), Some(1), None]
     );
-    line.went(3, 0.0);
-    line.put_back(0.0);
+    line.dispatched(3, 0.0);
+    line.return_offers(0.0);
     assert_eq!((line.len(), line.next(0.0), line.next(0.0)), (2, Some(2), Some(1)));
 }
 
@@ -118,7 +123,7 @@
 #[test]
 fn groups_share_first_and_their_tenants_share_what_the_group_has() {
     let mut tree = tenants(&[1.0, 1.0]);
-    tree.extend([Terms { parent: 1, ..tenant(1.0) }, Terms { parent: 1, ..tenant(3.0) }]);
+    tree.extend([TenantConfig { parent: 1, ..tenant(1.0) }, TenantConfig { parent: 1, ..tenant(3.0) }]);
     let mut world = World::new(tree);
     world.fill(2, 2000, 0.05);
     world.fill(3, 2000, 0.05);
@@ -162,7 +167,7 @@
 #[test]
 fn what_is_over_budget_goes_after_the_others_and_before_nobody() {
     let mut tree = tenants(&[1.0, 1.0]);
-    tree[1].budget = Some((0.2, 1.0));
+    tree[1].budget = budget(0.2, 1.0);
     let mut world = World::new(tree);
     world.fill(1, 2000, 0.05);
     world.fill(2, 800, 0.05);
@@ -178,7 +183,7 @@
 #[test]
 fn a_budget_smaller_than_one_request_lets_one_through_and_then_waits() {
     let mut tree = tenants(&[1.0, 1.0]);
-    tree[1].budget = Some((0.1, 0.5));
+    tree[1].budget = budget(0.1, 0.5);
     let mut world = World::new(tree);
     world.fill(1, 100, 2.0);
     world.fill(2, 10_000, 0.01);
@@ -191,7 +196,7 @@
 #[test]
 fn budgets_that_add_to_more_than_there_is_leave_the_shares_as_they_are() {
     let mut tree = tenants(&[3.0, 1.0]);
-    (tree[1].budget, tree[2].budget) = (Some((2.0, 5.0)), Some((2.0, 5.0)));
+    (tree[1].budget, tree[2].budget) = (budget(2.0, 5.0), budget(2.0, 5.0));
     let mut world = World::new(tree);
     world.fill(1, 4000, 0.02);
     world.fill(2, 400, 0.2);
@@ -204,7 +209,7 @@
 fn a_budget_that_is_halved_by_a_new_file_holds_from_then_on() {
     let tree = |rate| {
         let mut tree = tenants(&[1.0, 1.0]);
-        tree[1].budget = Some((rate, 0.1));
+        tree[1].budget = budget(rate, 0.1);
         tree
     };
     let mut world = World::new(tree(0.4));
@@ -213,11 +218,14 @@
     world.run(40.0);
     let before = world.had[1];
     // What waits goes over to the new lines, as the module has it.
-    let mut new = Line::new(tree(0.2), world.now);
+    let mut new = TenantQueue::new(tree(0.2), world.now);
     for (request, (tenant, work, since)) in &world.requests {
         let (request, tenant, work, since) = (*request, *tenant, *work, *since);
         let density = 1.0 / work;
-        new.hold(Waiting { request, tenant, class: 0, density, work, since, never_ran: true }, world.now);
+        new.enqueue(
+            QueuedRequest { request, tenant, class: 0, density, work, since, never_ran: true },
+            world.now,
+        );
     }
     world.line = new;
     world.run(80.0);
@@ -228,7 +236,7 @@
 #[test]
 fn a_tenant_that_is_over_its_budget_for_long_is_remembered_once() {
     let mut tree = tenants(&[1.0, 1.0]);
-    tree[1].budget = Some((0.1, 0.5));
+    tree[1].budget = budget(0.1, 0.5);
     let mut world = World::new(tree);
     world.fill(1, 5000, 0.05);
     world.run(200.0);
@@ -238,16 +246,16 @@
 /// Hard case: estimates of work that are wrong by ten times.
 #[test]
 fn who_asks_for_little_and_needs_much_pays_later() {
-    let mut line = Line::new(tenants(&[1.0, 1.0]), 0.0);
+    let mut line = TenantQueue::new(tenants(&[1.0, 1.0]), 0.0);
     let mut had = [0.0f64; 3];
     let mut next = 0;
     for round in 0..2000 {
         let now = f64::from(round);
         for tenant in [1, 2] {
-            while line.of(tenant).0 < 3 {
+            while line.load(tenant).queued < 3 {
                 let work = if tenant == 1 { 0.1 } else { 1.0 };
-                line.hold(
-                    Waiting {
+                line.enqueue(
+                    QueuedRequest {
                         request: next,
                         tenant,
                         class: 0,
@@ -262,11 +270,11 @@
             }
         }
         let request = line.next(now).unwrap();
-        line.went(request, now);
+        line.dispatched(request, now);
         // The first one's requests need ten times what they say: all need the same.
-        let tenant = if line.of(1).2 > 0 { 1 } else { 2 };
+        let tenant = if line.load(1).in_flight > 0 { 1 } else { 2 };
         had[tenant] += 1.0;
-        line.over(tenant, if tenant == 1 { 0.1 } else { 1.0 }, 1.0, now);
+        line.attempt_ended(tenant, if tenant == 1 { 0.1 } else { 1.0 }, 1.0, now);
     }
     assert!((had[1] / had[2] - 1.0).abs() < 0.05, "{had:?}");
 }
@@ -274,7 +282,7 @@
 #[test]
 fn aged_requests_go_before_denser_ones_that_came_much_later() {
     let with = |ageing| {
-        let mut world = World::new(vec![Terms { ageing, ..Terms::default() }]);
+        let mut world = World::new(vec![TenantConfig { ageing, ..TenantConfig::default() }]);
         world.fill(0, 10, 0.05);
         let old = world.arrives(0, 1.0);
         for step in 0..200 {
@@ -289,10 +297,11 @@
 
 #[test]
 fn a_tenants_own_order_of_classes_comes_before_their_density() {
-    let mut line = Line::new(vec![Terms { order: vec![0.0, 10.0], ..Terms::default() }], 0.0);
+    let mut line =
+        TenantQueue::new(vec![TenantConfig { order: vec![0.0, 10.0], ..TenantConfig::default() }], 0.0);
     for (request, class, density) in [(1, 0, 5.0), (2, 1, 1.0), (3, 1, 2.0), (4, 2, 9.0)] {
-        line.hold(
-            Waiting { request, tenant: 0, class, density, work: 1.0, since: 0.0, never_ran: true },
+        line.enqueue(
+            QueuedRequest { request, tenant: 0, class, density, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
@@ -303,22 +312,25 @@
 fn a_line_that_is_too_long_displaces_its_last_that_never_ran() {
     let mut tree = tenants(&[1.0, 1.0]);
     tree[1].most_queued = 3;
-    let mut line = Line::new(tree, 0.0);
-    let hold = |line: &mut Line, request: usize, tenant, never_ran| {
-        line.hold(Waiting { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran }, 0.0);
+    let mut line = TenantQueue::new(tree, 0.0);
+    let hold = |line: &mut TenantQueue, request: usize, tenant, never_ran| {
+        line.enqueue(
+            QueuedRequest { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran },
+            0.0,
+        );
     };
     (0..3).for_each(|request| hold(&mut line, request, 1, true));
     (10..30).for_each(|request| hold(&mut line, request, 2, true));
-    assert_eq!(line.surplus(), None);
+    assert_eq!(line.over_limit(), None);
     // The last one may have run: the one before it goes.
     hold(&mut line, 3, 1, false);
-    assert_eq!(line.surplus(), Some(2));
-    line.leave(2);
-    assert_eq!((line.surplus(), line.len()), (None, 23));
+    assert_eq!(line.over_limit(), Some(2));
+    line.remove(2);
+    assert_eq!((line.over_limit(), line.len()), (None, 23));
     // All may have run: nobody is displaced, however long it is.
-    let mut line = Line::new(vec![Terms { most_queued: 2, ..Terms::default() }], 0.0);
+    let mut line = TenantQueue::new(vec![TenantConfig { most_queued: 2, ..TenantConfig::default() }], 0.0);
     (0..9).for_each(|request| hold(&mut line, request, 0, false));
-    assert_eq!(line.surplus(), None);
+    assert_eq!(line.over_limit(), None);
 }
 
 /// A bound holds for every tenant, also for one that is short beside many others.
@@ -326,34 +338,34 @@
 fn a_small_tenant_past_its_bound_is_found_among_many_longer_ones() {
     let mut tree = tenants(&[1.0; 50]);
     tree[50].most_queued = 1;
-    let mut line = Line::new(tree, 0.0);
+    let mut line = TenantQueue::new(tree, 0.0);
     for request in 0..100 {
         let (tenant, work) = if request < 98 { (1 + request % 49, 1.0) } else { (50, 0.01) };
-        line.hold(
-            Waiting { request, tenant, class: 0, density: 1.0, work, since: 0.0, never_ran: true },
+        line.enqueue(
+            QueuedRequest { request, tenant, class: 0, density: 1.0, work, since: 0.0, never_ran: true },
             0.0,
         );
     }
-    assert_eq!(line.surplus(), Some(99));
-    line.leave(99);
-    assert_eq!(line.surplus(), None);
+    assert_eq!(line.over_limit(), Some(99));
+    line.remove(99);
+    assert_eq!(line.over_limit(), None);
 }
 
 #[test]
 fn the_bound_of_all_takes_from_the_longest_line_for_its_weight() {
     let mut tree = tenants(&[1.0, 4.0]);
     tree[0].most_queued = 10;
-    let mut line = Line::new(tree, 0.0);
+    let mut line = TenantQueue::new(tree, 0.0);
     for request in 0..12 {
         let tenant = 1 + request % 2;
-        line.hold(
-            Waiting { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+        line.enqueue(
+            QueuedRequest { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
             0.0,
         );
     }
     let mut gone = Vec::new();
-    while let Some(request) = line.surplus() {
-        line.leave(request);
+    while let Some(request) = line.over_limit() {
+        line.remove(request);
         gone.push(request % 2);
     }
     assert_eq!(gone, [0, 0]);
@@ -363,20 +375,28 @@
 fn a_tenant_has_no_more_out_than_it_may_and_goes_on_when_one_is_over() {
     let mut tree = tenants(&[1.0, 1.0]);
     tree[1].most_out = 2;
-    let mut line = Line::new(tree, 0.0);
+    let mut line = TenantQueue::new(tree, 0.0);
     for request in 0..5 {
-        line.hold(
-            Waiting { request, tenant: 1, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+        line.enqueue(
+            QueuedRequest {
+                request,
+                tenant: 1,
+                class: 0,
+                density: 1.0,
+                work: 1.0,
+                since: 0.0,
+                never_ran: true,
+            },
             0.0,
         );
     }
     let mut went = Vec::new();
     while let Some(request) = line.next(0.0) {
-        line.went(request, 0.0);
+        line.dispatched(request, 0.0);
         went.push(request);
     }
     assert_eq!(went, [0, 1]);
-    line.over(1, 1.0, 1.0, 0.0);
+    line.attempt_ended(1, 1.0, 1.0, 0.0);
     assert_eq!((line.next(0.0), line.next(0.0)), (Some(2), None));
 }
 
@@ -390,7 +410,7 @@
         for tenant in [1, 2] {
             let request = world.arrives(tenant, 0.044);
             let wait = world.line.wait_of(request, world.now);
-            world.line.waits.told(request, wait, world.now);
+            world.line.waits.remember(request, wait, world.now);
         }
     }
     let waits = &world.line.waits;
@@ -407,10 +427,10 @@
     #[test]
     fn no_request_is_lost_or_offered_twice(steps in proptest::collection::vec((0u8..6, 0usize..5, 1u32..100), 1..300)) {
         let mut tree = tenants(&[1.0, 2.0]);
-        tree.extend([Terms { parent: 1, most_out: 2, ..tenant(1.0) }, Terms { parent: 1, budget: Some((0.5, 1.0)), ..tenant(2.0) }]);
-        tree.push(Terms { parent: 2, ageing: Some(1.0), ..tenant(1.0) });
+        tree.extend([TenantConfig { parent: 1, most_out: 2, ..tenant(1.0) }, TenantConfig { parent: 1, budget: budget(0.5, 1.0), ..tenant(2.0) }]);
+        tree.push(TenantConfig { parent: 2, ageing: Some(1.0), ..tenant(1.0) });
         let leaves = [3, 4, 5];
-        let mut line = Line::new(tree, 0.0);
+        let mut line = TenantQueue::new(tree, 0.0);
         let (mut waiting, mut offered, mut out) = (BTreeSet::new(), Vec::new(), Vec::new());
         let (mut now, mut next) = (0.0, 0);
         for (what, which, work) in steps {
@@ -419,7 +439,7 @@
             match what {
                 0 | 1 => {
                     let tenant = leaves[which % 3];
-                    line.hold(Waiting { request: next, tenant, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
+                    line.enqueue(QueuedRequest { request: next, tenant, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
                     waiting.insert((next, tenant, work.to_bits()));
                     next += 1;
                 }
@@ -432,21 +452,21 @@
                 }
                 3 if !offered.is_empty() => {
                     let entry = offered.remove(which % offered.len());
-                    line.went(entry.0, now);
+                    line.dispatched(entry.0, now);
                     out.push(entry);
                 }
                 4 => {
-                    line.put_back(now);
+                    line.return_offers(now);
                     waiting.extend(offered.drain(..));
                 }
                 5 if !out.is_empty() => {
                     let (_, tenant, work) = out.remove(which % out.len());
-                    line.over(tenant, f64::from_bits(work), f64::from_bits(work) * 3.0, now);
+                    line.attempt_ended(tenant, f64::from_bits(work), f64::from_bits(work) * 3.0, now);
                 }
                 _ => {
                     if let Some(entry) = waiting.iter().nth(which).copied() {
                         waiting.remove(&entry);
-                        line.leave(entry.0);
+                        line.remove(entry.0);
                         // What was on offer may have gone back: it did if this one was; here it was not.
                     }
                 }
@@ -455,18 +475,18 @@
             for tenant in leaves {
                 let count = waiting.iter().filter(|entry| entry.1 == tenant).count();
                 let gone = out.iter().chain(&offered).filter(|entry| entry.1 == tenant).count();
-                prop_assert_eq!((line.of(tenant).0, line.of(tenant).2), (count, gone));
+                prop_assert_eq!((line.load(tenant).queued, line.load(tenant).in_flight), (count, gone));
             }
         }
         // All that is left goes, once those that are out are over and budgets are earned.
-        line.put_back(now);
+        line.return_offers(now);
         waiting.extend(offered);
-        out.into_iter().for_each(|(_, tenant, work)| line.over(tenant, f64::from_bits(work), 0.0, now));
+        out.into_iter().for_each(|(_, tenant, work)| line.attempt_ended(tenant, f64::from_bits(work), 0.0, now));
         while let Some(request) = line.next(now) {
-            line.went(request, now);
+            line.dispatched(request, now);
             let entry = *waiting.iter().find(|entry| entry.0 == request).expect("in line");
             waiting.remove(&entry);
-            line.over(entry.1, f64::from_bits(entry.2), f64::from_bits(entry.2), now);
+            line.attempt_ended(entry.1, f64::from_bits(entry.2), f64::from_bits(entry.2), now);
         }
         prop_assert!(waiting.is_empty() && line.is_empty(), "{:?} left", waiting);
     }
--- a/crates/tenant-queue/tests/model.rs
+++ b/crates/tenant-queue/tests/model.rs
@@ -1,6 +1,6 @@
 //! Model checking (stateright) of the real line: an adversary holds, offers, attempts, ends and displaces in any order.
 
-use cleatgw_tenant_queue::{Line, Terms, Waiting};
+use cleatgw_tenant_queue::{QueuedRequest, TenantConfig, TenantQueue};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -31,7 +31,7 @@
 
 #[derive(Clone)]
 struct At {
-    line: Line,
+    line: TenantQueue,
     now: f64,
     next: usize,
     waiting: BTreeSet<usize>,
@@ -50,7 +50,10 @@
         let never_ran = planted == Planted::ForgetsThatItRan || !self.ran.contains(&request);
         // Later ones are denser, so that any may be the last.
         let (tenant, now, density) = (1 + request % 2, self.now, 1.0 + request as f64);
-        self.line.hold(Waiting { request, tenant, class: 0, density, work: 1.0, since: now, never_ran }, now);
+        self.line.enqueue(
+            QueuedRequest { request, tenant, class: 0, density, work: 1.0, since: now, never_ran },
+            now,
+        );
         self.waiting.insert(request);
     }
 }
@@ -74,9 +77,11 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<At> {
-        let tenant = |weight| Terms { weight, most_queued: 1, most_out: 2, ..Terms::default() };
-        let line =
-            Line::new(vec![Terms { most_queued: 3, ..Terms::default() }, tenant(1.0), tenant(2.0)], 0.0);
+        let tenant = |weight| TenantConfig { weight, most_queued: 1, most_out: 2, ..TenantConfig::default() };
+        let line = TenantQueue::new(
+            vec![TenantConfig { most_queued: 3, ..TenantConfig::default() }, tenant(1.0), tenant(2.0)],
+            0.0,
+        );
         let none = BTreeSet::new();
         let (out, ran, displaced) = (Vec::new(), none.clone(), none.clone());
         vec![At { line, now: 0.0, next: 0, waiting: none, out, ran, displaced }]
@@ -107,29 +112,29 @@
             }
             Step::Attempt => {
                 let request = next.line.next(next.now)?;
-                next.line.went(request, next.now);
+                next.line.dispatched(request, next.now);
                 next.waiting.remove(&request);
                 next.out.push(request);
             }
             Step::NotDispatched => {
                 next.line.next(next.now)?;
-                next.line.put_back(next.now);
+                next.line.return_offers(next.now);
             }
             Step::EndsAgain { ran } => {
                 let request = if next.out.is_empty() { return None } else { next.out.remove(0) };
                 if ran {
                     next.ran.insert(request);
                 }
-                next.line.over(1 + request % 2, 1.0, if ran { 1.0 } else { 0.0 }, next.now);
+                next.line.attempt_ended(1 + request % 2, 1.0, if ran { 1.0 } else { 0.0 }, next.now);
                 next.hold(request, self.0);
             }
             Step::Ends => {
                 let request = if next.out.is_empty() { return None } else { next.out.remove(0) };
-                next.line.over(1 + request % 2, 1.0, 2.0, next.now);
+                next.line.attempt_ended(1 + request % 2, 1.0, 2.0, next.now);
             }
             Step::Displace => {
-                let request = next.line.surplus()?;
-                next.line.leave(request);
+                let request = next.line.over_limit()?;
+                next.line.remove(request);
                 next.waiting.remove(&request);
                 next.displaced.insert(request);
             }
@@ -143,28 +148,29 @@
                 at.ran.is_disjoint(&at.displaced)
             }),
             Property::always("no job is lost", |_, at: &At| {
-                at.line.len() == at.waiting.len() && at.waiting.iter().all(|request| at.line.holds(*request))
+                at.line.len() == at.waiting.len()
+                    && at.waiting.iter().all(|request| at.line.contains(*request))
             }),
             Property::always("what waits goes once there is room", |_, at: &At| {
                 let mut line = at.line.clone();
-                at.out.iter().for_each(|request| line.over(1 + request % 2, 1.0, 1.0, at.now));
+                at.out.iter().for_each(|request| line.attempt_ended(1 + request % 2, 1.0, 1.0, at.now));
                 let mut gone = 0;
                 while let Some(request) = line.next(at.now) {
-                    line.went(request, at.now);
-                    line.over(1 + request % 2, 1.0, 1.0, at.now);
+                    line.dispatched(request, at.now);
+                    line.attempt_ended(1 + request % 2, 1.0, 1.0, at.now);
                     gone += 1;
                 }
                 gone == at.waiting.len()
             }),
             Property::always("no line stays too long while one in it can go", |_, at: &At| {
                 let mut line = at.line.clone();
-                while let Some(request) = line.surplus() {
-                    line.leave(request);
+                while let Some(request) = line.over_limit() {
+                    line.remove(request);
                 }
-                let over = |tenant: usize| line.of(tenant).0 > 1;
+                let over = |tenant: usize| line.load(tenant).queued > 1;
                 let movable = |tenant: usize| {
                     at.waiting.iter().any(|request| {
-                        1 + request % 2 == tenant && line.holds(*request) && !at.ran.contains(request)
+                        1 + request % 2 == tenant && line.contains(*request) && !at.ran.contains(request)
                     })
                 };
                 (1..=2).all(|tenant| !over(tenant) || !movable(tenant))
--- a/crates/testbed/src/line.rs
+++ b/crates/testbed/src/line.rs
@@ -1,6 +1,6 @@
 //! What the line costs as requests and tenants grow.
 
-use cleatgw_tenant_queue::{Line, Terms, Waiting};
+use cleatgw_tenant_queue::{Budget, QueuedRequest, TenantConfig, TenantQueue};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -9,16 +9,23 @@
 /// Nanoseconds for one request's whole way (held, estimated, offered, dispatched, over) with so many in line of so many tenants.
 fn cost(requests: usize, tenants: usize, seed: u64) -> f64 {
     let mut chance = SmallRng::seed_from_u64(seed);
-    let leaf =
-        |at: usize| Terms { weight: 1.0 + (at % 7) as f64, budget: Some((0.5, 2.0)), ..Terms::default() };
-    let mut line = Line::new([Terms::default()].into_iter().chain((0..tenants).map(leaf)).collect(), 0.0);
+    let leaf = |at: usize| TenantConfig {
+        weight: 1.0 + (at % 7) as f64,
+        budget: Some(Budget { rate: 0.5, burst: 2.0 }),
+        ..TenantConfig::default()
+    };
+    let mut line =
+        TenantQueue::new([TenantConfig::default()].into_iter().chain((0..tenants).map(leaf)).collect(), 0.0);
     let mut requests_of: Vec<(usize, f64)> = Vec::new();
-    let mut come = |line: &mut Line, requests_of: &mut Vec<(usize, f64)>, now: f64| {
+    let mut come = |line: &mut TenantQueue, requests_of: &mut Vec<(usize, f64)>, now: f64| {
         let (request, tenant, work) =
             (requests_of.len(), 1 + chance.random_range(0..tenants), chance.random_range(0.01..1.0));
         requests_of.push((tenant, work));
         let density = 1.0 / work;
-        line.hold(Waiting { request, tenant, class: 0, density, work, since: now, never_ran: true }, now);
+        line.enqueue(
+            QueuedRequest { request, tenant, class: 0, density, work, since: now, never_ran: true },
+            now,
+        );
         request
     };
     for _ in 0..requests {
@@ -30,15 +37,15 @@
         let now = f64::from(round) * 1e-3;
         let request = come(&mut line, &mut requests_of, now);
         let wait = line.wait_of(request, now);
-        line.waits.told(request, wait, now);
+        line.waits.remember(request, wait, now);
         if let Some(request) = line.next(now) {
             let (tenant, work) = requests_of[request];
-            line.went(request, now);
-            line.over(tenant, work, work * 1.1, now);
+            line.dispatched(request, now);
+            line.attempt_ended(tenant, work, work * 1.1, now);
         }
         // One more that does not fit, as the module tries some in vain.
         line.next(now);
-        line.put_back(now);
+        line.return_offers(now);
     }
     began.elapsed().as_secs_f64() * 1e9 / f64::from(rounds)
 }
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -16,7 +16,7 @@
     /// Answers that the request was not completed.
     fn fail(&mut self, request: usize);
     /// How long a request that was queued in this round will wait for its first attempt; none where that can't be told.
-    fn announce_wait(&mut self, _request: usize, _wait: Option<queue::Wait>) {}
+    fn announce_wait(&mut self, _request: usize, _wait: Option<queue::WaitEstimate>) {}
     /// Asks for the changes of the engine list from now on.
     fn watch_list(&mut self, on: bool);
     /// Asks for the whole engine list once.
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -55,7 +55,7 @@
         self.release(end.request, sample.number);
         let needed = if end.outcome.never_ran() { 0.0 } else { sample.work };
         let request = &self.requests.open[&end.request];
-        self.queue.over(request.incoming.tenant, request.work, needed, now);
+        self.queue.attempt_ended(request.incoming.tenant, request.work, needed, now);
         if end.request_done {
             self.request_withdrawn(end.request);
         } else if request.is_queued() {
@@ -215,7 +215,7 @@
     /// Puts a request into its tenant's queue.
     pub(super) fn enqueue(&mut self, now: f64, id: usize) {
         let request: &RequestState = &self.requests.open[&id];
-        let waiting = cleatgw_tenant_queue::Waiting {
+        let waiting = cleatgw_tenant_queue::QueuedRequest {
             request: id,
             tenant: request.incoming.tenant,
             class: request.incoming.class,
@@ -224,7 +224,7 @@
             since: request.received_at,
             never_ran: request.never_ran(),
         };
-        self.queue.hold(waiting, now);
+        self.queue.enqueue(waiting, now);
     }
 }
 
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -14,7 +14,7 @@
     ActionWriter, AttemptNote, Deployment, EngineEvidence, EngineListing, EngineStage, IncomingRequest,
     SlowStartWork,
 };
-use cleatgw_tenant_queue::Line;
+use cleatgw_tenant_queue::TenantQueue;
 
 /// How long new requests are taken after a drain began: within the second that is promised, less a slow turn.
 const ACCEPTS_WHILE_DRAINING: f64 = 0.95;
@@ -78,7 +78,7 @@
     pub(super) engines: EngineTable,
     pub(super) requests: RequestTable,
     /// The queued requests, by tenant.
-    pub queue: Line,
+    pub queue: TenantQueue,
     pub(super) retries: RetryHistory,
     pub(super) load: LoadEstimates,
     pub(super) lifecycle: Lifecycle,
@@ -189,13 +189,14 @@
     }
 
     /// Tenants have these queues from now on; open requests move to where `tenant_of` says.
-    pub fn set_tenants(&mut self, now: f64, queue: Line, tenant_of: &dyn Fn(usize) -> usize) {
+    pub fn set_tenants(&mut self, now: f64, queue: TenantQueue, tenant_of: &dyn Fn(usize) -> usize) {
         let before = std::mem::replace(&mut self.queue, queue);
-        let queued: Vec<usize> = self.requests.open.keys().copied().filter(|id| before.holds(*id)).collect();
+        let queued: Vec<usize> =
+            self.requests.open.keys().copied().filter(|id| before.contains(*id)).collect();
         for (id, request) in &mut self.requests.open {
             request.incoming.tenant = tenant_of(*id);
             for _ in request.attempts.iter().filter(|attempt| attempt.in_flight) {
-                self.queue.carries(request.incoming.tenant);
+                self.queue.attempt_in_flight(request.incoming.tenant);
             }
         }
         for id in queued {
@@ -314,7 +315,7 @@
         let Some(request) = self.requests.open.get_mut(&id) else { return };
         request.done = true;
         let deadline = request.incoming.deadline;
-        self.queue.leave(id);
+        self.queue.remove(id);
         self.requests.unschedule(deadline, DueEvent::Deadline(id));
         self.requests.forget_if_done(id);
     }
@@ -417,32 +418,32 @@
             self.end_if_exhausted(now, id, out);
         }
         // A queue that is longer than its tenant's may be: its last is told at once.
-        while let Some(id) = self.queue.surplus() {
+        while let Some(id) = self.queue.over_limit() {
             self.shed(now, id, out);
         }
         let mut failed_placements = 0;
         while failed_placements < MAX_FAILED_PLACEMENTS {
             let Some(id) = self.queue.next(now) else { break };
-            self.round.passed_over = failed_placements > 0 && self.queue.parted();
+            self.round.passed_over = failed_placements > 0 && self.queue.has_tenants();
             if !self.is_first_of_key(id, now) || self.retries_exhausted(id, now) {
                 continue;
             }
             if self.place(now, id, out) {
-                self.queue.went(id, now);
+                self.queue.dispatched(id, now);
             } else {
                 failed_placements += 1;
             }
         }
-        self.queue.put_back(now);
+        self.queue.return_offers(now);
         self.announce_waits(now, out);
     }
 
     /// Tells how long those that were queued in this round will wait.
     fn announce_waits(&mut self, now: f64, out: &mut dyn ActionWriter) {
         for id in std::mem::take(&mut self.round.received) {
-            if self.queue.parted() && self.queue.holds(id) {
+            if self.queue.has_tenants() && self.queue.contains(id) {
                 let wait = self.queue.wait_of(id, now);
-                self.queue.waits.told(id, wait, now);
+                self.queue.waits.remember(id, wait, now);
                 out.announce_wait(id, wait);
             }
         }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -62,7 +62,7 @@
     pub(super) fn retry_after(&mut self, now: f64, id: usize) -> Option<f64> {
         let most = self.deployment.max_retry_after?;
         let RequestState { incoming, work, .. } = &self.requests.open[&id];
-        let wait = self.queue.wait_for(incoming.tenant, *work, now).filter(|_| self.queue.parted());
+        let wait = self.queue.wait_for(incoming.tenant, *work, now).filter(|_| self.queue.has_tenants());
         let Some(wait) = wait else { return Some(most) };
         let spread = MIN_SPREAD + SPREAD * fraction(self.random.next());
         Some((spread * wait.expected).clamp(most / MIN_RETRY_AFTER_DIVISOR, most))
--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::statistics::{hash_of, order_key};
 use crate::*;
-use cleatgw_tenant_queue::{Line, Terms};
+use cleatgw_tenant_queue::{TenantConfig, TenantQueue};
 use std::collections::BTreeSet;
 
 /// Keeps the attempts that are in flight, by request and engine.
@@ -285,7 +285,7 @@
         let mut failures = 0;
         while failures < 12 {
             let Some(id) = gateway.queue.next(self.now) else { break };
-            gateway.round.passed_over = failures > 0 && gateway.queue.parted();
+            gateway.round.passed_over = failures > 0 && gateway.queue.has_tenants();
             if !gateway.is_first_of_key(id, self.now) || gateway.retries_exhausted(id, self.now) {
                 continue;
             }
@@ -302,11 +302,11 @@
             self.choices += 1;
             self.held += usize::from(!placed);
             match placed {
-                true => gateway.queue.went(id, self.now),
+                true => gateway.queue.dispatched(id, self.now),
                 false => failures += 1,
             }
         }
-        gateway.queue.put_back(self.now);
+        gateway.queue.return_offers(self.now);
     }
 
     fn plays(&mut self, steps: usize, groups: usize, load: usize, list: usize) {
@@ -355,10 +355,10 @@
 #[test]
 fn the_index_finds_the_same_with_tenants() {
     let mut scenario = Scenario::new(30, 3.0, true, 77);
-    let tenant = Terms { parent: 0, weight: 1.0, ..Terms::default() };
+    let tenant = TenantConfig { parent: 0, weight: 1.0, ..TenantConfig::default() };
     scenario.gateway.set_tenants(
         0.0,
-        Line::new(vec![Terms::default(), tenant.clone(), tenant], 0.0),
+        TenantQueue::new(vec![TenantConfig::default(), tenant.clone(), tenant], 0.0),
         &|id| 1 + id % 2,
     );
     scenario.plays(700, 20, 8, 10);
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,6 +1,6 @@
 //! A seeded scenario around one gateway: arrivals, engines with faults, and a record of all that the gateway writes.
 
-use cleatgw::queue::{Line, Terms, Wait};
+use cleatgw::queue::{Budget, TenantConfig, TenantQueue, WaitEstimate};
 use cleatgw::Gateway;
 use cleatgw::{
     ActionWriter, AttemptEnd, AttemptNote, AttemptOutcome, DeduplicationScope, Deployment, EngineEvidence,
@@ -84,7 +84,7 @@
         self.ended.push(request);
         self.line(format_args!("fail {request}"));
     }
-    fn announce_wait(&mut self, request: usize, wait: Option<Wait>) {
+    fn announce_wait(&mut self, request: usize, wait: Option<WaitEstimate>) {
         self.counts.announced_waits += 1;
         let wait = wait.map(|wait| (wait.expected, wait.from, wait.to));
         self.line(format_args!("waits {request} {wait:?}"));
@@ -246,12 +246,28 @@
 }
 
 /// Two tenants of a group and one beside it, all with small queues.
-fn tenants() -> Vec<Terms> {
-    let root = Terms { most_queued: 400, ..Terms::default() };
-    let group = Terms { parent: 0, weight: 2.0, ..Terms::default() };
-    let first = Terms { parent: 1, weight: 3.0, most_queued: 60, ageing: Some(0.5), ..Terms::default() };
-    let second = Terms { parent: 1, budget: Some((2.0, 4.0)), most_out: 12, ..Terms::default() };
-    let third = Terms { parent: 0, most_queued_work: 40.0, order: vec![1.0, 0.0, 2.0], ..Terms::default() };
+fn tenants() -> Vec<TenantConfig> {
+    let root = TenantConfig { most_queued: 400, ..TenantConfig::default() };
+    let group = TenantConfig { parent: 0, weight: 2.0, ..TenantConfig::default() };
+    let first = TenantConfig {
+        parent: 1,
+        weight: 3.0,
+        most_queued: 60,
+        ageing: Some(0.5),
+        ..TenantConfig::default()
+    };
+    let second = TenantConfig {
+        parent: 1,
+        budget: Some(Budget { rate: 2.0, burst: 4.0 }),
+        most_out: 12,
+        ..TenantConfig::default()
+    };
+    let third = TenantConfig {
+        parent: 0,
+        most_queued_work: 40.0,
+        order: vec![1.0, 0.0, 2.0],
+        ..TenantConfig::default()
+    };
     vec![root, group, first, second, third]
 }
 
@@ -355,7 +371,8 @@
             self.gateway.limit_unpersisted_retries(40);
         }
         if at(3.0) && self.variant != Variant::ManyGateways {
-            self.gateway.set_tenants(self.now, Line::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
+            self.gateway
+                .set_tenants(self.now, TenantQueue::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
         }
         let faults = [
             (6.0, 0, Fault::Silent),
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -948,9 +948,10 @@
 
 /// The same, with all that is open moved to one of them.
 fn tenants_moved(world: &mut World, weights: [f64; 2], most_queued: usize, to: usize) {
-    use cleatgw::queue::{Line, Terms};
-    let tenant = |weight| Terms { weight, most_queued, ..Terms::default() };
-    let line = Line::new(vec![Terms::default(), tenant(weights[0]), tenant(weights[1])], world.now);
+    use cleatgw::queue::{TenantConfig, TenantQueue};
+    let tenant = |weight| TenantConfig { weight, most_queued, ..TenantConfig::default() };
+    let line =
+        TenantQueue::new(vec![TenantConfig::default(), tenant(weights[0]), tenant(weights[1])], world.now);
     world.gateway.set_tenants(world.now, line, &|_| to);
 }
 
@@ -1012,7 +1013,7 @@
         .map(|_| world.request(0, |request| (request.tenant, request.estimated_work) = (1, Some(0.1))))
         .collect();
     world.round();
-    let waited = world.gateway.queue.of(1).0;
+    let waited = world.gateway.queue.load(1).queued;
     gone.iter().for_each(|request| world.gateway.request_withdrawn(*request));
     assert!(waited > 0 && world.gateway.queue.is_empty(), "{waited}");
     // Its line has room again: none of those that come now is displaced.
@@ -1037,7 +1038,7 @@
     assert!(before > 0 && before < 50);
     // The tenant is gone from the file: its requests wait among the others, and none is lost.
     tenants_moved(&mut world, [1.0, 1.0], 1000, 2);
-    assert_eq!((world.gateway.queue.len(), world.gateway.queue.of(2).2), (50 - before, before));
+    assert_eq!((world.gateway.queue.len(), world.gateway.queue.load(2).in_flight), (50 - before, before));
     let first = *requests.iter().find(|request| !world.engines_of(**request).is_empty()).unwrap();
     world.over(first, AttemptOutcome::Completed, 0.2);
     world.pass(0.05);
