--- a/tests/host/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! One tiny fake host: it hands news to a gateway and keeps what the gateway writes.
+//! A host for one gateway: it hands events to the gateway on a clock of its own, and records the actions that are written.
+
+#![allow(dead_code, reason = "each test file uses a part of the helpers")]
 
-use cleatgw::Gateway;
 use cleatgw::*;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wrote {
+pub enum WrittenAction {
     Attempt { request: usize, engine: usize, grant: f64, lane: u8 },
     Cancel(usize),
     Reject(usize),
@@ -13,25 +14,25 @@
 }
 
 #[derive(Default)]
-pub struct Book {
-    pub wrote: Vec<(f64, Wrote)>,
+pub struct ActionRecorder {
+    pub actions: Vec<(f64, WrittenAction)>,
     pub log: Vec<String>,
     /// Of each attempt.
     pub time_outs: Vec<Option<f64>>,
     pub leave_by: Vec<f64>,
     /// Of each request rejected.
-    pub advice: Vec<Option<f64>>,
+    pub retry_after: Vec<Option<f64>>,
     now: f64,
     terms: (u8, f64),
 }
 
-impl Book {
-    fn note(&mut self, what: Wrote) {
-        self.wrote.push((self.now, what));
+impl ActionRecorder {
+    fn record(&mut self, action: WrittenAction) {
+        self.actions.push((self.now, action));
     }
 }
 
-impl ActionWriter for Book {
+impl ActionWriter for ActionRecorder {
     fn set_terms(&mut self, _request: usize, lane: u8, memory_mb: f64) {
         self.terms = (lane, memory_mb);
     }
@@ -39,20 +40,20 @@
         self.time_outs.push(time_out);
         self.leave_by.push(leave_by);
         let (lane, grant) = self.terms;
-        self.note(Wrote::Attempt { request, engine, grant, lane });
+        self.record(WrittenAction::Attempt { request, engine, grant, lane });
     }
     fn cancel(&mut self, request: usize, _attempt: u32) {
-        self.note(Wrote::Cancel(request));
+        self.record(WrittenAction::Cancel(request));
     }
     fn reject(&mut self, request: usize, retry_after: Option<f64>) {
-        self.advice.push(retry_after);
-        self.note(Wrote::Reject(request));
+        self.retry_after.push(retry_after);
+        self.record(WrittenAction::Reject(request));
     }
     fn fail(&mut self, request: usize) {
-        self.note(Wrote::Fail(request));
+        self.record(WrittenAction::Fail(request));
     }
     fn watch_list(&mut self, _on: bool) {
-        self.note(Wrote::Watch);
+        self.record(WrittenAction::Watch);
     }
     fn fetch_list(&mut self) {}
     fn probe(&mut self, _engine: usize) {}
@@ -82,7 +83,7 @@
 }
 
 /// One gateway; light requests are class 0, heavy ones 1, both pure.
-pub fn plain() -> Deployment {
+pub fn two_class_deployment() -> Deployment {
     Deployment {
         gateways: 1.0,
         classes: vec![class(1.0, 1.0, Idempotency::Idempotent), class(5.0, 4.0, Idempotency::Idempotent)],
@@ -96,24 +97,24 @@
     }
 }
 
-pub struct World {
+pub struct TestHost {
     pub gateway: Gateway,
-    pub book: Book,
+    pub recorder: ActionRecorder,
     pub now: f64,
     pub next_request: usize,
 }
 
-impl World {
-    pub fn new(deployment: Deployment, engines: usize) -> World {
-        World::seeded(deployment, engines, 7)
+impl TestHost {
+    pub fn new(deployment: Deployment, engines: usize) -> TestHost {
+        TestHost::seeded(deployment, engines, 7)
     }
 
-    pub fn seeded(deployment: Deployment, engines: usize, seed: u64) -> World {
+    pub fn seeded(deployment: Deployment, engines: usize, seed: u64) -> TestHost {
         let gateway = Gateway::new(deployment, seed, 100.0);
-        let mut world = World { gateway, book: Book::default(), now: 100.0, next_request: 0 };
+        let mut host = TestHost { gateway, recorder: ActionRecorder::default(), now: 100.0, next_request: 0 };
         let listings: Vec<EngineListing> = (0..engines).map(listing).collect();
-        world.gateway.engines_listed(100.0, &listings, true);
-        world
+        host.gateway.engines_listed(100.0, &listings, true);
+        host
     }
 
     pub fn request(&mut self, class: usize, change: impl Fn(&mut IncomingRequest)) -> usize {
@@ -134,12 +135,12 @@
     }
 
     pub fn round(&mut self) {
-        self.book.now = self.now;
-        self.gateway.round(self.now, &mut self.book);
+        self.recorder.now = self.now;
+        self.gateway.round(self.now, &mut self.recorder);
     }
 
     /// Lets time pass in small rounds.
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end - 1e-9 {
             self.now = (self.now + 0.05).min(end);
@@ -147,12 +148,12 @@
         }
     }
 
-    pub fn over(&mut self, request: usize, ending: AttemptOutcome, spent: f64) {
+    pub fn attempt_ended(&mut self, request: usize, ending: AttemptOutcome, spent: f64) {
         self.end(request, ending, spent, None, LoadReport::default());
     }
 
     /// Completed by an engine that tells how many requests it holds.
-    pub fn report(&mut self, request: usize, spent: f64, requests: f64) {
+    pub fn completed_with_load(&mut self, request: usize, spent: f64, requests: f64) {
         self.end(
             request,
             AttemptOutcome::Completed,
@@ -163,7 +164,7 @@
     }
 
     /// Completed, and told what it needed.
-    pub fn tell(&mut self, request: usize, spent: f64, work: f64, memory: f64) {
+    pub fn completed_with_cost(&mut self, request: usize, spent: f64, work: f64, memory: f64) {
         self.end(
             request,
             AttemptOutcome::Completed,
@@ -190,29 +191,29 @@
 
     /// Where a request was dispatched, in turn.
     pub fn engines_of(&self, id: usize) -> Vec<usize> {
-        let of = |what: &Wrote| match *what {
-            Wrote::Attempt { request, engine, .. } if request == id => Some(engine),
+        let of = |what: &WrittenAction| match *what {
+            WrittenAction::Attempt { request, engine, .. } if request == id => Some(engine),
             _ => None,
         };
-        self.book.wrote.iter().filter_map(|(_, what)| of(what)).collect()
+        self.recorder.actions.iter().filter_map(|(_, what)| of(what)).collect()
     }
 
     pub fn grant_of(&self, id: usize) -> f64 {
-        let of = |what: &Wrote| match *what {
-            Wrote::Attempt { request, grant, .. } if request == id => Some(grant),
+        let of = |what: &WrittenAction| match *what {
+            WrittenAction::Attempt { request, grant, .. } if request == id => Some(grant),
             _ => None,
         };
-        self.book.wrote.iter().rev().find_map(|(_, what)| of(what)).expect("it was pushed")
+        self.recorder.actions.iter().rev().find_map(|(_, what)| of(what)).expect("it was pushed")
     }
 
     /// The answers a request got from us, with their times.
-    pub fn answers(&self, request: usize) -> Vec<(f64, Wrote)> {
-        let ends = [Wrote::Reject(request), Wrote::Fail(request)];
-        self.book.wrote.iter().filter(|(_, what)| ends.contains(what)).cloned().collect()
+    pub fn answers(&self, request: usize) -> Vec<(f64, WrittenAction)> {
+        let ends = [WrittenAction::Reject(request), WrittenAction::Fail(request)];
+        self.recorder.actions.iter().filter(|(_, what)| ends.contains(what)).cloned().collect()
     }
 
     pub fn logged(&self, words: &str) -> bool {
-        self.book.log.iter().any(|line| line.contains(words))
+        self.recorder.log.iter().any(|line| line.contains(words))
     }
 }
 
--- /dev/null
+++ b/tests/engine_list.rs
@@ -0,0 +1,81 @@
+//! The engine list: engines that drain, go, come anew or are not listed (rule 3).
+
+mod common;
+
+use cleatgw::*;
+use common::{listing, two_class_deployment, TestHost, WrittenAction};
+
+#[test]
+fn nothing_new_goes_to_a_draining_or_gone_engine() {
+    let mut host = TestHost::new(two_class_deployment(), 2);
+    let draining = EngineListing { stage: EngineStage::Draining, ..listing(0) };
+    host.gateway.engines_listed(100.0, &[draining, listing(1)], true);
+    for group in 0..20 {
+        let request = host.request(0, |taken| taken.table_group = group);
+        host.advance(0.1);
+        assert_eq!(host.engines_of(request), [1]);
+        host.attempt_ended(request, AttemptOutcome::Completed, 0.1);
+    }
+    // Missing from a whole list is gone.
+    host.gateway.engines_listed(host.now, &[draining], true);
+    let request = host.request(0, |_| ());
+    host.advance(1.0);
+    assert_eq!(host.engines_of(request), []);
+}
+
+#[test]
+fn a_lost_list_is_asked_for_again() {
+    let mut deployment = two_class_deployment();
+    deployment.max_list_age = Some(10.0);
+    let mut host = TestHost::new(deployment, 1);
+    host.round();
+    host.gateway.list_failed(host.now);
+    host.advance(2.0);
+    let asked = host.recorder.actions.iter().filter(|(_, what)| *what == WrittenAction::Watch).count();
+    assert_eq!(asked, 2);
+    assert!(host.logged("engine list unavailable"));
+}
+
+#[test]
+fn a_list_may_be_empty_and_grow_fivefold_and_start_cold() {
+    let mut deployment = two_class_deployment();
+    deployment.gateways = 500.0;
+    let mut host = TestHost::new(deployment, 0);
+    let early = host.request(0, |_| ());
+    host.advance(0.5);
+    for count in [2, 10] {
+        let since = Some(host.now);
+        let cold: Vec<EngineListing> =
+            (0..count).map(|at| EngineListing { started_at: since, ..listing(at) }).collect();
+        host.gateway.engines_listed(host.now, &cold, true);
+        host.advance(30.0);
+        let warm: Vec<usize> =
+            (0..40).map(|group| host.request(0, |taken| taken.table_group = group)).collect();
+        host.round();
+        let mut used: Vec<usize> = warm.iter().flat_map(|&request| host.engines_of(request)).collect();
+        used.sort_unstable();
+        used.dedup();
+        assert!(used.len() > count / 2, "{used:?} of {count}");
+    }
+    assert_eq!(host.answers(early).len(), 1);
+}
+
+#[test]
+fn an_engine_under_an_old_ones_index_has_none_of_its_history() {
+    let mut host = TestHost::new(two_class_deployment(), 1);
+    for _ in 0..8 {
+        let request = host.request(0, |_| ());
+        host.round();
+        if !host.engines_of(request).is_empty() {
+            host.attempt_ended(request, AttemptOutcome::ConnectionLost, 0.1);
+        }
+        host.gateway.request_withdrawn(request);
+    }
+    host.advance(0.3);
+    assert!(host.logged("ejected"));
+    let new = EngineListing { name_hash: 7, ..listing(0) };
+    host.gateway.engines_listed(host.now, &[new], true);
+    let heavy = host.request(1, |_| ());
+    host.round();
+    assert_eq!(host.engines_of(heavy), [0]);
+}
--- a/tests/fleet/mod.rs
+++ b/tests/fleet.rs
@@ -1,8 +1,10 @@
 //! What many gateways do together, each by what it sees alone: a cold engine's budget (rule 4), new engines beside crowded
 //! ones, a hot table group.
 
-use crate::host::*;
+mod common;
+
 use cleatgw::*;
+use common::*;
 use std::collections::VecDeque;
 
 /// A draw from 0 to 1; the seed moves on.
@@ -35,7 +37,7 @@
     // So quick that no gateway feels a crowd: what holds them back is the cold engine's budget alone.
     const PACE: f64 = 0.4;
     let (cores, engines) = (16.0, 1);
-    let mut deployment = plain();
+    let mut deployment = two_class_deployment();
     deployment.gateways = play.gateways as f64;
     deployment.engine_kinds = vec![EngineKind { cores, memory_mb: 32000.0 }];
     deployment.slow_start =
@@ -43,12 +45,12 @@
     deployment.classes[1].threads = 2.0;
     let cold = deployment.slow_start;
     let mut seed = play.seed;
-    let mut worlds: Vec<World> = (0..play.gateways)
-        .map(|at| World::seeded(deployment.clone(), engines, play.seed * 1000 + at as u64))
+    let mut hosts: Vec<TestHost> = (0..play.gateways)
+        .map(|at| TestHost::seeded(deployment.clone(), engines, play.seed * 1000 + at as u64))
         .collect();
-    let begun = worlds[0].now;
+    let begun = hosts[0].now;
     let fresh = EngineListing { started_at: Some(begun), ..listing(0) };
-    worlds.iter_mut().for_each(|world| world.gateway.engines_listed(begun, &[fresh], false));
+    hosts.iter_mut().for_each(|host| host.gateway.engines_listed(begun, &[fresh], false));
     let rate = play.demand * engines as f64 * cores / mean / play.busy as f64;
     let mut out: Vec<VecDeque<(f64, usize, f64)>> = vec![VecDeque::new(); play.gateways];
     let mut costs: Vec<Vec<f64>> = vec![Vec::new(); play.gateways];
@@ -59,26 +61,26 @@
     for tick in 0..200 {
         let now = begun + f64::from(tick) * step;
         if play.restart && tick % 30 == 29 {
-            for (at, world) in worlds.iter_mut().enumerate() {
+            for (at, host) in hosts.iter_mut().enumerate() {
                 if draw(&mut seed) < 0.7 {
-                    *world = World::seeded(
+                    *host = TestHost::seeded(
                         deployment.clone(),
                         engines,
                         play.seed * 1000 + at as u64 + 500 * tick as u64,
                     );
-                    world.now = now;
-                    world.gateway.engines_listed(now, &[fresh], false);
+                    host.now = now;
+                    host.gateway.engines_listed(now, &[fresh], false);
                     (out[at], costs[at]) = Default::default();
                     restarted += 1;
                 }
             }
         }
-        for (at, world) in worlds.iter_mut().enumerate() {
-            world.now = now;
+        for (at, host) in hosts.iter_mut().enumerate() {
+            host.now = now;
             let done: Vec<_> = out[at].iter().copied().filter(|(end, ..)| *end <= now).collect();
             out[at].retain(|(end, ..)| *end > now);
             for (_, request, work) in done {
-                world.tell(request, PACE * work, work, 100.0);
+                host.completed_with_cost(request, PACE * work, work, 100.0);
             }
             let mut left = if at < play.busy { rate * step } else { 0.0 };
             while left > 0.0 && draw(&mut seed) < left {
@@ -87,14 +89,14 @@
                 let work = play.work[class] * (0.5 + draw(&mut seed));
                 let told = play.estimates.then_some(work);
                 let group = (draw(&mut seed) * 300.0) as u64;
-                world.request(class, |taken| (taken.estimated_work, taken.table_group) = (told, group));
+                host.request(class, |taken| (taken.estimated_work, taken.table_group) = (told, group));
                 costs[at].push(work);
             }
-            let before = world.book.wrote.len();
-            world.round();
-            let wrote = world.book.wrote[before..].to_vec();
+            let before = host.recorder.actions.len();
+            host.round();
+            let wrote = host.recorder.actions[before..].to_vec();
             for (_, what) in wrote {
-                if let Wrote::Attempt { request, engine, .. } = what {
+                if let WrittenAction::Attempt { request, engine, .. } = what {
                     let work = costs[at][request];
                     out[at].push_back((now + PACE * work, request, work));
                     if engine == 0 {
@@ -165,7 +167,7 @@
 
 /// A fleet whose estimates no answer corrects, before engines of which six in ten are replaced by cold ones.
 struct Replaced {
-    worlds: Vec<World>,
+    hosts: Vec<TestHost>,
     /// When each request that is out ends, its number and its work, by gateway.
     out: Vec<VecDeque<(f64, usize, f64)>>,
     sent_to_new: f64,
@@ -185,54 +187,54 @@
     const STEP: f64 = 0.05;
 
     fn new(seed: u64) -> Replaced {
-        let mut deployment = plain();
+        let mut deployment = two_class_deployment();
         deployment.gateways = Self::GATEWAYS as f64;
         deployment.engine_kinds = vec![EngineKind { cores: Self::CORES, memory_mb: 32000.0 }];
         deployment.slow_start =
             SlowStart { initial_share: 0.4, duration: 12.0, overload_multiple: 3.0, window: 3.0 };
         let seeds = (0..Self::GATEWAYS as u64).map(|at| 1000 * seed + at);
-        let worlds = seeds.map(|seed| World::seeded(deployment.clone(), Self::ENGINES, seed)).collect();
-        Replaced { worlds, out: vec![VecDeque::new(); Self::GATEWAYS], sent_to_new: 0.0, rejected: 0, seed }
+        let hosts = seeds.map(|seed| TestHost::seeded(deployment.clone(), Self::ENGINES, seed)).collect();
+        Replaced { hosts, out: vec![VecDeque::new(); Self::GATEWAYS], sent_to_new: 0.0, rejected: 0, seed }
     }
 
     /// Old engines 0 to 5 go, and cold ones take their places in the list.
     fn replace(&mut self) {
-        for world in &mut self.worlds {
+        for host in &mut self.hosts {
             let gone = (0..Self::NEW).map(|at| EngineListing { stage: EngineStage::Gone, ..listing(at) });
             let new = (0..Self::NEW)
-                .map(|at| EngineListing { started_at: Some(world.now), ..listing(Self::ENGINES + at) });
-            world.gateway.engines_listed(world.now, &gone.chain(new).collect::<Vec<_>>(), false);
+                .map(|at| EngineListing { started_at: Some(host.now), ..listing(Self::ENGINES + at) });
+            host.gateway.engines_listed(host.now, &gone.chain(new).collect::<Vec<_>>(), false);
         }
     }
 
     /// Light requests for half of what all cores can do.
-    fn pass(&mut self, seconds: f64) {
+    fn advance(&mut self, seconds: f64) {
         const WORK: f64 = 0.1;
         let rate = 0.5 * Self::ENGINES as f64 * Self::CORES / WORK / Self::GATEWAYS as f64;
         for _ in 0..(seconds / Self::STEP) as usize {
-            for (world, out) in self.worlds.iter_mut().zip(&mut self.out) {
-                world.now += Self::STEP;
-                while out.front().is_some_and(|(end, ..)| *end <= world.now) {
+            for (host, out) in self.hosts.iter_mut().zip(&mut self.out) {
+                host.now += Self::STEP;
+                while out.front().is_some_and(|(end, ..)| *end <= host.now) {
                     let (_, request, spent) = out.pop_front().expect("there is one");
-                    world.over(request, AttemptOutcome::Completed, spent);
+                    host.attempt_ended(request, AttemptOutcome::Completed, spent);
                 }
                 let mut left = rate * Self::STEP;
                 while left > 0.0 && draw(&mut self.seed) < left {
                     left -= 1.0;
                     let group = (draw(&mut self.seed) * 300.0) as u64;
-                    world.request(0, |taken| taken.table_group = group);
+                    host.request(0, |taken| taken.table_group = group);
                 }
-                let before = world.book.wrote.len();
-                world.round();
-                for (_, what) in &world.book.wrote[before..] {
+                let before = host.recorder.actions.len();
+                host.round();
+                for (_, what) in &host.recorder.actions[before..] {
                     match *what {
-                        Wrote::Attempt { request, engine, .. } => {
+                        WrittenAction::Attempt { request, engine, .. } => {
                             let new = engine >= Self::ENGINES;
                             self.sent_to_new += if new { WORK } else { 0.0 };
                             let spent = WORK * if new { Self::PACE_NEW } else { Self::PACE_OLD };
-                            out.push_back((world.now + spent, request, spent));
+                            out.push_back((host.now + spent, request, spent));
                         }
-                        Wrote::Reject(_) => self.rejected += 1,
+                        WrittenAction::Reject(_) => self.rejected += 1,
                         _ => {}
                     }
                 }
@@ -246,12 +248,12 @@
 fn new_engines_are_not_left_idle_while_requests_are_rejected() {
     for seed in 1..4 {
         let mut fleet = Replaced::new(seed);
-        fleet.pass(6.0);
+        fleet.advance(6.0);
         assert_eq!(fleet.sent_to_new, 0.0);
         fleet.replace();
         fleet.rejected = 0;
         let seconds = 4.0;
-        fleet.pass(seconds);
+        fleet.advance(seconds);
         // What the new ones can do at the least while they are cold.
         let can = 0.4 * Replaced::NEW as f64 * Replaced::CORES * seconds;
         let used = fleet.sent_to_new / can;
@@ -266,20 +268,20 @@
     const GATEWAYS: usize = 100;
     const ENGINES: usize = 30;
     const HOT_SHARE: f64 = 0.3;
-    let mut deployment = plain();
+    let mut deployment = two_class_deployment();
     deployment.gateways = GATEWAYS as f64;
     deployment.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 32000.0 }];
     let mut seed = 11;
     let mut sent = [0.0; ENGINES];
     for at in 0..GATEWAYS as u64 {
-        let mut world = World::seeded(deployment.clone(), ENGINES, at);
+        let mut host = TestHost::seeded(deployment.clone(), ENGINES, at);
         for _ in 0..60 {
             let hot = draw(&mut seed) < HOT_SHARE;
             let group = if hot { 7 } else { 100 + (draw(&mut seed) * 300.0) as u64 };
-            let request = world.request(0, |taken| taken.table_group = group);
-            world.pass(0.1);
-            sent[*world.engines_of(request).first().expect("there is room")] += 1.0;
-            world.tell(request, 0.1, 0.1, 50.0);
+            let request = host.request(0, |taken| taken.table_group = group);
+            host.advance(0.1);
+            sent[*host.engines_of(request).first().expect("there is room")] += 1.0;
+            host.completed_with_cost(request, 0.1, 0.1, 50.0);
         }
     }
     let mean = sent.iter().sum::<f64>() / ENGINES as f64;
