--- a/crates/announce/src/announcer/mod.rs
+++ b/crates/announce/src/announcer/mod.rs
@@ -1,19 +1,19 @@
 //! The decisions of one instance for all its addresses.
 //!
-//! `aim` says which level an address ought to have, `moves` when it may go there, `drain` withdraws all for good, and
+//! `target` says which level an address ought to have, `moves` when it may go there, `drain` withdraws all for good, and
 //! `routes` is what is announced to peers.
 
-mod aim;
 mod drain;
 mod moves;
 mod routes;
+mod target;
 
 pub use drain::Drain;
 
 use crate::config::AnnouncerConfig;
 use crate::damping::Penalty;
 use crate::health::{CheckState, HealthCheck, Readings};
-use crate::level::{HeldBackBy, Level, Reason};
+use crate::level::{Level, Reason, SuppressedBy};
 use crate::paths::{PathCounts, Paths};
 use ipnet::IpNet;
 use std::collections::VecDeque;
@@ -64,7 +64,7 @@
     /// It has been out since the start.
     started: bool,
     /// What holds a move back, reported once.
-    held_back_by: Option<HeldBackBy>,
+    suppressed_by: Option<SuppressedBy>,
 }
 
 impl Address {
@@ -80,7 +80,7 @@
             alone_since: None,
             healthy_since: None,
             started: false,
-            held_back_by: None,
+            suppressed_by: None,
         }
     }
 }
@@ -99,7 +99,7 @@
     /// All paths of other instances that were seen then.
     pub total_paths: usize,
     /// What held the move back; `None` where the address moved.
-    pub held_back_by: Option<HeldBackBy>,
+    pub suppressed_by: Option<SuppressedBy>,
 }
 
 /// The state of one address, for the operator.
@@ -114,7 +114,7 @@
     /// When it moved there.
     pub since: f64,
     /// What has held a move back since then.
-    pub held_back_by: Option<HeldBackBy>,
+    pub suppressed_by: Option<SuppressedBy>,
 }
 
 /// The decisions of one instance for all its addresses.
@@ -234,7 +234,7 @@
         let address = &mut self.addresses[index];
         (address.level, address.reason, address.since) = (standing.level, standing.reason, now);
         address.started |= standing.level > Level::Withdrawn;
-        (address.pending, address.held_back_by) = (None, None);
+        (address.pending, address.suppressed_by) = (None, None);
         address.changes.push_back(now);
         if address.changes.len() > MAX_CHANGES {
             address.changes.pop_front();
@@ -243,9 +243,9 @@
         self.report(index, others, None);
     }
 
-    fn report(&mut self, index: usize, others: PathCounts, held_back_by: Option<HeldBackBy>) {
+    fn report(&mut self, index: usize, others: PathCounts, suppressed_by: Option<SuppressedBy>) {
         let address = &mut self.addresses[index];
-        address.held_back_by = held_back_by.or(address.held_back_by);
+        address.suppressed_by = suppressed_by.or(address.suppressed_by);
         if self.events.len() < MAX_EVENTS {
             self.events.push_back(AddressEvent {
                 prefix: address.prefix,
@@ -253,7 +253,7 @@
                 reason: address.reason,
                 healthy_paths: others.healthy,
                 total_paths: others.total,
-                held_back_by,
+                suppressed_by,
             });
         }
     }
@@ -270,7 +270,7 @@
             level: address.level,
             reason: address.reason,
             since: address.since,
-            held_back_by: address.held_back_by,
+            suppressed_by: address.suppressed_by,
         })
     }
 
--- a/crates/announce/src/announcer/moves.rs
+++ b/crates/announce/src/announcer/moves.rs
@@ -2,7 +2,7 @@
 
 use super::{Announcer, PendingMove, Standing, MINUTE};
 use crate::health::Effect;
-use crate::level::{HeldBackBy, Level, Reason};
+use crate::level::{Level, Reason, SuppressedBy};
 use crate::paths::{PathCounts, Paths};
 
 impl Announcer {
@@ -10,26 +10,27 @@
     pub(super) fn consider(&mut self, index: usize, now: f64, paths: &Paths) {
         let others = paths.counts(&self.addresses[index].prefix);
         self.observe(index, now, others, paths.has_view);
-        let aim = self.damp(index, self.aim(index, now, paths));
-        if aim.level == self.addresses[index].level {
-            return self.stay(index, aim.reason, others);
+        let target = self.damp(index, self.target(index, now, paths));
+        if target.level == self.addresses[index].level {
+            return self.stay(index, target.reason, others);
         }
         self.forget_old_changes(index, now);
-        if self.is_capped(index, aim) {
+        if self.is_capped(index, target) {
             return self.hold_under_cap(index, others);
         }
-        let due = self.move_due(index, aim, now);
+        let due = self.move_due(index, target, now);
         if now < due {
             self.next_check = self.next_check.min(due);
             return;
         }
-        let down = aim.level < self.addresses[index].level;
-        if down && matches!(aim.reason, Reason::Unhealthy(_) | Reason::Degraded(_) | Reason::NoAlternative(_))
+        let down = target.level < self.addresses[index].level;
+        if down
+            && matches!(target.reason, Reason::Unhealthy(_) | Reason::Degraded(_) | Reason::NoAlternative(_))
         {
             self.addresses[index].penalty.add(now, &self.config.damping);
         }
-        self.damped += u64::from(aim.reason == Reason::Damped);
-        self.set(index, aim, now, others);
+        self.damped += u64::from(target.reason == Reason::Damped);
+        self.set(index, target, now, others);
     }
 
     /// Keeps the times that decisions depend on.
@@ -53,11 +54,11 @@
         match reason {
             Reason::NoAlternative(_) => {
                 self.guarded += 1;
-                self.report(index, others, Some(HeldBackBy::Guard));
+                self.report(index, others, Some(SuppressedBy::Guard));
             }
             Reason::Damped => {
                 self.damped += 1;
-                self.report(index, others, Some(HeldBackBy::Damping));
+                self.report(index, others, Some(SuppressedBy::Damping));
             }
             _ => {}
         }
@@ -72,12 +73,12 @@
 
     /// Moves up keep to half of the cap, so that there is room to go down; and none withdraws for what others may
     /// suffer from too unless there is room to come back: a fleet that all but a few have left is as good as dark.
-    fn is_capped(&self, index: usize, aim: Standing) -> bool {
+    fn is_capped(&self, index: usize, target: Standing) -> bool {
         let address = &self.addresses[index];
-        let down = aim.level < address.level;
+        let down = target.level < address.level;
         let cap = self.config.max_changes.max(2) as usize;
-        let leaves = aim.level == Level::Withdrawn && self.config.guard;
-        let most = match aim.reason {
+        let leaves = target.level == Level::Withdrawn && self.config.guard;
+        let most = match target.reason {
             Reason::Unhealthy(check) if leaves && check.may_be_shared() => cap.div_ceil(2) - 1,
             _ if down => cap,
             _ => cap.div_ceil(2),
@@ -86,8 +87,8 @@
     }
 
     fn hold_under_cap(&mut self, index: usize, others: PathCounts) {
-        let cap = Some(HeldBackBy::ChangeCap);
-        if self.addresses[index].held_back_by != cap {
+        let cap = Some(SuppressedBy::ChangeCap);
+        if self.addresses[index].suppressed_by != cap {
             self.capped += 1;
             self.report(index, others, cap);
         }
@@ -95,21 +96,21 @@
 
     /// When a move is due: at once for what only this instance suffers from or the operator wants, else after a jitter,
     /// so that instances that see the same do not move as one.
-    fn move_due(&mut self, index: usize, aim: Standing, now: f64) -> f64 {
+    fn move_due(&mut self, index: usize, target: Standing, now: f64) -> f64 {
         let address = &self.addresses[index];
-        if let Some(pending) = address.pending.filter(|pending| pending.level == aim.level) {
+        if let Some(pending) = address.pending.filter(|pending| pending.level == target.level) {
             return pending.due;
         }
-        let down = aim.level < address.level;
-        let own = matches!(aim.reason, Reason::Unhealthy(check) if !check.may_be_shared())
-            || aim.reason == Reason::Held;
+        let down = target.level < address.level;
+        let own = matches!(target.reason, Reason::Unhealthy(check) if !check.may_be_shared())
+            || target.reason == Reason::Held;
         let jitter = match (down, own) {
             (true, true) => 0.0,
             (true, false) => self.config.jitter_down,
             (false, _) => self.config.jitter_up,
         };
         let due = now + self.draw(jitter);
-        self.addresses[index].pending = Some(PendingMove { level: aim.level, due });
+        self.addresses[index].pending = Some(PendingMove { level: target.level, due });
         due
     }
 }
--- a/crates/announce/src/announcer/routes.rs
+++ b/crates/announce/src/announcer/routes.rs
@@ -32,7 +32,7 @@
             prepend: preference.prepend,
             local_pref,
             communities,
-            large_communities: vec![self.config.mark.large_community(healthy)],
+            large_communities: vec![self.config.instance_community.large_community(healthy)],
         }
     }
 }
--- a/crates/announce/src/announcer/aim.rs
+++ b/crates/announce/src/announcer/target.rs
@@ -8,19 +8,19 @@
 
 impl Announcer {
     /// The level that the address ought to have, if nothing held it back.
-    pub(super) fn aim(&self, index: usize, now: f64, paths: &Paths) -> Standing {
+    pub(super) fn target(&self, index: usize, now: f64, paths: &Paths) -> Standing {
         let address = &self.addresses[index];
         if self.config.hold == Some(Hold::Withdrawn) {
             return Standing::new(Level::Withdrawn, Reason::Held);
         }
         if let Some(check) = self.first_failing(Effect::Withdraw) {
-            return self.aim_of_unhealthy(address, check, now, paths);
+            return self.target_when_unhealthy(address, check, now, paths);
         }
         if self.config.hold == Some(Hold::Depreferred) {
             return Standing::new(Level::Depreferred, Reason::Held);
         }
         if address.level == Level::Withdrawn {
-            return self.aim_of_returning(address, now, paths);
+            return self.target_when_returning(address, now, paths);
         }
         if let Some(check) = self.first_failing(Effect::Deprefer) {
             return Standing::new(Level::Depreferred, Reason::Degraded(check));
@@ -41,7 +41,13 @@
     }
 
     /// The guard of the last announcer: see the module comment of the crate.
-    fn aim_of_unhealthy(&self, address: &Address, check: HealthCheck, now: f64, paths: &Paths) -> Standing {
+    fn target_when_unhealthy(
+        &self,
+        address: &Address,
+        check: HealthCheck,
+        now: f64,
+        paths: &Paths,
+    ) -> Standing {
         // What only this instance can suffer from is no reason to stay.
         if !check.may_be_shared() || !self.config.guard {
             return Standing::new(Level::Withdrawn, Reason::Unhealthy(check));
@@ -69,7 +75,7 @@
     }
 
     /// A return goes by steps, so that a burst does not meet it cold; but where nobody else is, at once.
-    fn aim_of_returning(&self, address: &Address, now: f64, paths: &Paths) -> Standing {
+    fn target_when_returning(&self, address: &Address, now: f64, paths: &Paths) -> Standing {
         let wait = if address.started { self.config.return_delay } else { self.config.start_delay };
         let ready = address.healthy_since.is_some_and(|since| now >= since + wait);
         let needed = address.started && paths.has_view && paths.total(&address.prefix) == 0;
@@ -82,13 +88,13 @@
 
     /// A damped address stays a last resort: as it can't return soon, to withdraw it would leave its load to the few
     /// that are not damped yet, and to prefer it would bring the next fall.
-    pub(super) fn damp(&self, index: usize, aim: Standing) -> Standing {
+    pub(super) fn damp(&self, index: usize, target: Standing) -> Standing {
         let address = &self.addresses[index];
-        if !address.penalty.suppressed || !address.started || aim.reason == Reason::Held {
-            return aim;
+        if !address.penalty.suppressed || !address.started || target.reason == Reason::Held {
+            return target;
         }
-        let shared = matches!(aim.reason, Reason::Unhealthy(check) if check.may_be_shared());
-        match (address.level, aim.level) {
+        let shared = matches!(target.reason, Reason::Unhealthy(check) if check.may_be_shared());
+        match (address.level, target.level) {
             (Level::LastResort, Level::Withdrawn) if shared && self.config.guard => {
                 Standing::new(Level::LastResort, Reason::Damped)
             }
@@ -96,7 +102,7 @@
                 Standing::new(Level::LastResort, Reason::Damped)
             }
             (Level::Depreferred, Level::Announced) => Standing::new(Level::Depreferred, Reason::Damped),
-            _ => aim,
+            _ => target,
         }
     }
 }
--- a/crates/announce/src/announcer/tests.rs
+++ b/crates/announce/src/announcer/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::config::{Hold, PathPreference};
 use crate::health::{Effect, HealthCheckConfig};
-use crate::paths::{Mark, Paths};
+use crate::paths::{InstanceCommunity, Paths};
 use crate::Damping;
 use cleatgw_bgp::{LearnedRoute, GRACEFUL_SHUTDOWN};
 
@@ -18,7 +18,7 @@
 pub fn terms() -> AnnouncerConfig {
     AnnouncerConfig {
         addresses: vec![net()],
-        mark: Mark { asn: 64_512, healthy: 1, last_resort: 2, instance: 1 },
+        instance_community: InstanceCommunity { asn: 64_512, healthy: 1, last_resort: 2, instance: 1 },
         checks: [
             sign(Effect::Withdraw, 0.0),
             sign(Effect::Withdraw, 0.0),
@@ -66,7 +66,7 @@
 fn others(marks: &[(u32, bool)]) -> Paths {
     let mut paths = Paths::new(true);
     for &(instance, sound) in marks {
-        let large = vec![Mark { instance, ..terms().mark }.large_community(sound)];
+        let large = vec![InstanceCommunity { instance, ..terms().instance_community }.large_community(sound)];
         let seen = LearnedRoute {
             communities: Vec::new(),
             large_communities: large,
@@ -74,7 +74,7 @@
             med: None,
             stale: false,
         };
-        paths.add(&terms().mark, net(), &seen);
+        paths.add(&terms().instance_community, net(), &seen);
     }
     paths
 }
@@ -177,7 +177,7 @@
         );
         assert_eq!((world.announcer.guarded, world.moved.len()), (1, 1));
         let mut notes = std::iter::from_fn(|| world.announcer.next_event());
-        assert!(notes.any(|note| note.held_back_by == Some(HeldBackBy::Guard)));
+        assert!(notes.any(|note| note.suppressed_by == Some(SuppressedBy::Guard)));
         // Well again: announced, without a dark moment.
         world.readings = WELL;
         world.run(5.0);
--- a/crates/announce/src/config.rs
+++ b/crates/announce/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::damping::Damping;
 use crate::health::{HealthCheck, HealthCheckConfig};
-use crate::paths::Mark;
+use crate::paths::InstanceCommunity;
 use ipnet::IpNet;
 
 /// The attributes that make a path better or worse than others.
@@ -33,7 +33,7 @@
     /// The prefixes to announce.
     pub addresses: Vec<IpNet>,
     /// Marks our paths, so that instances know each other's.
-    pub mark: Mark,
+    pub instance_community: InstanceCommunity,
     /// By [`HealthCheck`].
     pub checks: [HealthCheckConfig; HealthCheck::COUNT],
     /// What an announced path carries.
--- a/crates/announce/src/level.rs
+++ b/crates/announce/src/level.rs
@@ -71,7 +71,7 @@
 
 /// What holds a move back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldBackBy {
+pub enum SuppressedBy {
     /// The guard of the last announcer: no healthy path of another instance is seen.
     Guard,
     /// Route flap damping.
@@ -80,12 +80,12 @@
     ChangeCap,
 }
 
-impl fmt::Display for HeldBackBy {
+impl fmt::Display for SuppressedBy {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            HeldBackBy::Guard => "the guard of the last announcer",
-            HeldBackBy::Damping => "damping",
-            HeldBackBy::ChangeCap => "the cap on changes",
+            SuppressedBy::Guard => "the guard of the last announcer",
+            SuppressedBy::Damping => "damping",
+            SuppressedBy::ChangeCap => "the cap on changes",
         })
     }
 }
--- a/crates/announce/src/lib.rs
+++ b/crates/announce/src/lib.rs
@@ -7,7 +7,7 @@
 //! (see [`Paths`]).
 //!
 //! **The guard of the last announcer.** An unhealthy instance first announces that it is unhealthy, with a mark that
-//! others read (see [`Mark`]), and withdraws only if it still sees a healthy path a settling time later. Suppose that the
+//! others read (see [`InstanceCommunity`]), and withdraws only if it still sees a healthy path a settling time later. Suppose that the
 //! last of all instances withdraws at a moment when it sees another one as healthy. That other one announced itself as
 //! unhealthy later than the view was taken, and by the same rule withdraws no sooner than a settling time after. So
 //! long as views are younger than the settling time, it withdraws after the last: a contradiction. So a failure that
@@ -30,5 +30,5 @@
 pub use config::{AnnouncerConfig, Hold, PathPreference};
 pub use damping::Damping;
 pub use health::{Effect, HealthCheck, HealthCheckConfig, InTimeShare, Readings};
-pub use level::{HeldBackBy, Level, Reason};
-pub use paths::{Mark, Paths};
+pub use level::{Level, Reason, SuppressedBy};
+pub use paths::{InstanceCommunity, Paths};
--- a/crates/announce/src/paths.rs
+++ b/crates/announce/src/paths.rs
@@ -7,7 +7,7 @@
 /// The large community (RFC 8092) that every path of ours carries: our AS, whether the instance is healthy, and which
 /// one it is. It tells instances that share an AS apart, and the unhealthy from the healthy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct InstanceCommunity {
     /// The first part: our AS.
     pub asn: u32,
     /// The second part of a healthy path.
@@ -24,7 +24,7 @@
     healthy: bool,
 }
 
-impl Mark {
+impl InstanceCommunity {
     /// The community of our own paths.
     pub fn large_community(&self, healthy: bool) -> [u32; 3] {
         [self.asn, if healthy { self.healthy } else { self.last_resort }, self.instance]
@@ -34,8 +34,10 @@
     fn origin(&self, route: &LearnedRoute) -> Option<Origin> {
         let functions = [self.healthy, self.last_resort];
         let mut communities = route.large_communities.iter();
-        let mark = communities.find(|[asn, function, _]| *asn == self.asn && functions.contains(function));
-        mark.map(|&[_, function, instance]| Origin { instance, healthy: function == self.healthy })
+        let instance_community =
+            communities.find(|[asn, function, _]| *asn == self.asn && functions.contains(function));
+        instance_community
+            .map(|&[_, function, instance]| Origin { instance, healthy: function == self.healthy })
     }
 }
 
@@ -74,14 +76,14 @@
 
     /// Adds a route that one peer shows. Our own path, shown back to us, counts for nothing; a stale one neither: its
     /// peer may be gone. One that is about to go (RFC 8326) or of last resort is counted, and not healthy.
-    pub fn add(&mut self, mark: &Mark, prefix: IpNet, route: &LearnedRoute) {
+    pub fn add(&mut self, instance_community: &InstanceCommunity, prefix: IpNet, route: &LearnedRoute) {
         if route.stale {
             return;
         }
         let leaving = route.communities.contains(&GRACEFUL_SHUTDOWN);
         let announcers = self.by_prefix.entry(prefix).or_default();
-        match mark.origin(route) {
-            Some(origin) if origin.instance == mark.instance => {}
+        match instance_community.origin(route) {
+            Some(origin) if origin.instance == instance_community.instance => {}
             Some(origin) => {
                 announcers.all.insert(origin.instance);
                 if origin.healthy && !leaving {
--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -27,7 +27,7 @@
     let dear = |med| PathPreference { med: Some(med), ..PathPreference::default() };
     AnnouncerConfig {
         addresses: vec![net()],
-        mark: Mark { asn: 64_512, healthy: 1, last_resort: 2, instance },
+        instance_community: InstanceCommunity { asn: 64_512, healthy: 1, last_resort: 2, instance },
         checks: [Effect::Withdraw, Effect::Withdraw, Effect::Ignore, Effect::Withdraw, Effect::Deprefer]
             .map(sign),
         announced: dear(0),
@@ -92,13 +92,13 @@
 
     /// What instance `at` is shown now by peers that pass everything on.
     fn shown(&self, at: usize) -> Paths {
-        let mark = self.instances[at].announcer.config().mark;
+        let instance_community = self.instances[at].announcer.config().instance_community;
         let mut paths = Paths::new(true);
         for other in self.instances.iter() {
             for (net, path) in other.announcer.advertisements() {
                 let Advertisement { communities, large_communities, med, .. } = path;
                 paths.add(
-                    &mark,
+                    &instance_community,
                     net,
                     &LearnedRoute { communities, large_communities, path_length: 1, med, stale: false },
                 );
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -13,7 +13,7 @@
     fn capabilities(&self) -> Capabilities {
         // Where nothing is to be kept, no family is named: the peer then drops at once what it kept.
         let restart_time = self.config.restart_time.filter(|_| self.admin_state == AdminState::Running);
-        let kept_families =
+        let preserved_families =
             self.config.families.map(|spoken| (spoken && restart_time.is_some()).then_some(true));
         Capabilities {
             families: self.config.families,
@@ -24,7 +24,7 @@
                 restart_state: self.restart_state,
                 notification_support: true,
                 restart_time: restart_time.unwrap_or(0),
-                families: kept_families,
+                families: preserved_families,
             }),
             role: self.config.role,
         }
@@ -119,9 +119,9 @@
                 self.adj_rib_in.remove_stale(family);
             }
         }
-        let ours_kept =
+        let own_state_preserved =
             connection.local_capabilities.graceful_restart.is_some_and(|graceful| graceful.keeps_any());
-        if !ours_kept || graceful.is_none() {
+        if !own_state_preserved || graceful.is_none() {
             self.retained_until = f64::NEG_INFINITY;
         }
         let hold_time = connection.hold_time;
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,27 +1,27 @@
-//! What routers tell each other of engines: short digests of what each has seen itself. Nothing that was heard from others
-//! is passed on, so no rumour comes back as evidence; each source counts once for an engine, by its latest word; and what was
-//! said of a former incarnation of an engine does not count.
+//! What routers report to each other of engines: short digests of what each has observed itself. Nothing that came from others
+//! is passed on, so no rumour comes back as evidence; each source counts once for an engine, by its latest digest; and what
+//! was reported of a former incarnation of an engine does not count.
 
 mod rounds;
 
-pub use rounds::Rounds;
+pub use rounds::{DigestRounds, DueDigest};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 /// A digest is no longer than this, in bytes: it rides on heartbeats.
 pub const MAX_DIGEST: usize = 256;
-/// Engines that one digest tells of: as many as fit, with their longest numbers.
+/// Engines that one digest reports on: as many as fit, with their longest numbers.
 pub const MAX_OBSERVATIONS: usize = 12;
 /// An observation is worth nothing after this, in seconds: an engine that was ill then may be well.
-pub const LASTS: f64 = 4.0;
-/// Engines that are kept of one source.
+pub const OBSERVATION_LIFETIME: f64 = 4.0;
+/// Engines of which one source is remembered.
 const MAX_ENGINES_OF_SOURCE: usize = 64;
 /// What one source can weigh at most against an engine, so that a lying or frozen one convinces nobody alone.
 const MAX_WEIGHT_OF_SOURCE: f64 = 1.0;
-/// Attempts are told in quarters.
+/// Attempts are reported in quarters.
 const QUARTERS: f64 = 4.0;
-/// Work is told in milliseconds.
+/// Work is reported in milliseconds.
 const MS_PER_S: f64 = 1e3;
 
 /// An engine in one incarnation.
@@ -33,40 +33,57 @@
     pub incarnation: u32,
 }
 
-/// What a router has met of one engine of late, in its own traffic, as its decisions hold it: faded with age. The order of
-/// the fields is the wire format.
+/// What a router has observed of one engine of late, in its own traffic: faded with age.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct OwnEvidence {
+    /// Attempts that succeeded.
+    pub successes: f64,
+    /// Attempts that failed.
+    pub failures: f64,
+    /// Work that was sent to it during its slow start, in the window in which that counts. Seconds.
+    pub slow_start_work: f64,
+}
+
+/// The same as it is reported. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// The engine.
     pub engine: EngineIncarnation,
-    /// Attempts that went well, in quarters.
-    pub good: u8,
-    /// Attempts that did not, in quarters.
-    pub bad: u8,
-    /// Work that was sent to it during its slow start, in the window in which that counts. Milliseconds.
-    pub sent: u16,
+    /// Attempts that succeeded, in quarters.
+    pub successes: u8,
+    /// Attempts that failed, in quarters.
+    pub failures: u8,
+    /// Work that was sent to it during its slow start. Milliseconds.
+    pub slow_start_work: u16,
 }
 
-/// What is worth telling of what was met: for each engine the good and the bad attempts, and the work sent during its slow
-/// start in seconds. The most trouble comes first, then the most work.
-pub fn observations(met: impl Iterator<Item = (EngineIncarnation, (f64, f64, f64))>) -> Vec<Observation> {
-    let quarters = |attempts: f64| (attempts * QUARTERS).round().clamp(0.0, f64::from(u8::MAX)) as u8;
-    let observation = |(engine, (good, bad, sent)): (EngineIncarnation, (f64, f64, f64))| {
-        let sent = (sent * MS_PER_S).ceil().clamp(0.0, f64::from(u16::MAX)) as u16;
-        Observation { engine, good: quarters(good), bad: quarters(bad), sent }
-    };
-    let worth_telling = |seen: &Observation| seen.good > 0 || seen.bad > 0 || seen.sent > 0;
-    let mut observations: Vec<Observation> = met.map(observation).filter(worth_telling).collect();
-    observations.sort_by_key(|seen| (Reverse((seen.bad, seen.sent)), seen.engine));
+impl Observation {
+    fn new(engine: EngineIncarnation, evidence: &OwnEvidence) -> Observation {
+        let quarters = |attempts: f64| (attempts * QUARTERS).round().clamp(0.0, f64::from(u8::MAX)) as u8;
+        let work = evidence.slow_start_work * MS_PER_S;
+        Observation {
+            engine,
+            successes: quarters(evidence.successes),
+            failures: quarters(evidence.failures),
+            slow_start_work: work.ceil().clamp(0.0, f64::from(u16::MAX)) as u16,
+        }
+    }
+
+    fn is_empty(&self) -> bool {
+        self.successes == 0 && self.failures == 0 && self.slow_start_work == 0
+    }
+}
+
+/// What is reported of what was observed. Engines with the most failures come first, then those with the most work.
+pub fn observations(evidence: impl Iterator<Item = (EngineIncarnation, OwnEvidence)>) -> Vec<Observation> {
+    let observed = evidence.map(|(engine, evidence)| Observation::new(engine, &evidence));
+    let mut observations: Vec<Observation> = observed.filter(|observation| !observation.is_empty()).collect();
+    observations.sort_by_key(|seen| (Reverse((seen.failures, seen.slow_start_work)), seen.engine));
     observations.truncate(MAX_OBSERVATIONS);
     observations
 }
 
-/// The former name of [`observations`], until the test bed uses the new one.
-#[doc(hidden)]
-pub use observations as words;
-
-/// Writes the observations that fit, the first ones first; all of one digest are of one moment.
+/// Writes the observations that fit, the first ones first; all of one digest are of one time.
 pub fn write(observations: &[Observation]) -> Vec<u8> {
     let mut count = observations.len().min(MAX_OBSERVATIONS);
     loop {
@@ -91,78 +108,86 @@
     (observations.len() <= MAX_OBSERVATIONS).then_some(observations)
 }
 
-/// What all sources together say of an engine.
+/// What all sources together report of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerEvidence {
-    /// How many tell of trouble with it.
-    pub ill_by: usize,
-    /// How many tell of none.
-    pub well_by: usize,
+    /// How many report more failures than successes.
+    pub reporting_failures: usize,
+    /// How many report no more failures than successes.
+    pub reporting_successes: usize,
     /// Evidence against it, each source no more than one, faded with age.
-    pub bad: f64,
+    pub failures: f64,
     /// Evidence for it, likewise.
-    pub good: f64,
-    /// What they sent it during its slow start, in seconds of work: whole while it lasts, as it makes shares smaller.
-    pub sent: f64,
+    pub successes: f64,
+    /// What they sent it during its slow start, in seconds of work: it does not fade, as it makes quotas smaller.
+    pub slow_start_work: f64,
 }
 
 impl PeerEvidence {
-    /// Adds what one source has observed, which is worth less with age: `fresh` is 1 for now and 0 for [`LASTS`] ago.
+    /// Adds what one source has observed, which is worth less with age: `fresh` is 1 for now and 0 for [`OBSERVATION_LIFETIME`] ago.
     fn add(&mut self, seen: &Observation, fresh: f64) {
         if fresh <= 0.0 {
             return;
         }
-        self.sent += f64::from(seen.sent) / MS_PER_S;
-        let bad = f64::from(seen.bad) / QUARTERS;
-        let good = f64::from(seen.good) / QUARTERS;
-        let all = bad + good;
+        self.slow_start_work += f64::from(seen.slow_start_work) / MS_PER_S;
+        let failures = f64::from(seen.failures) / QUARTERS;
+        let successes = f64::from(seen.successes) / QUARTERS;
+        let all = failures + successes;
         if all == 0.0 {
             return;
         }
         let weight = fresh * all.min(MAX_WEIGHT_OF_SOURCE);
-        self.bad += weight * bad / all;
-        self.good += weight * good / all;
-        let tells = if bad > good { &mut self.ill_by } else { &mut self.well_by };
-        *tells += 1;
+        self.failures += weight * failures / all;
+        self.successes += weight * successes / all;
+        if failures > successes {
+            self.reporting_failures += 1;
+        } else {
+            self.reporting_successes += 1;
+        }
     }
 }
 
-/// An observation, and when it was heard, in seconds.
+/// An observation, and when it was received, in seconds.
 #[derive(Clone, Copy, Debug)]
-struct HeardObservation {
+struct ReceivedObservation {
     at: f64,
     observation: Observation,
 }
 
-/// The digests that were heard, by source.
+/// The digests that were received, by source.
 #[derive(Debug, Default)]
 pub struct PeerDigests {
-    by_source: BTreeMap<u16, BTreeMap<EngineIncarnation, HeardObservation>>,
+    by_source: BTreeMap<u16, BTreeMap<EngineIncarnation, ReceivedObservation>>,
 }
 
 impl PeerDigests {
     /// Takes a source's digest in place of its former one, engine by engine.
-    pub fn hear(&mut self, source: u16, observations: Vec<Observation>, now: f64) {
-        let kept = self.by_source.entry(source).or_default();
-        kept.retain(|_, heard| now < heard.at + LASTS);
+    pub fn receive(&mut self, source: u16, observations: Vec<Observation>, now: f64) {
+        let engines = self.by_source.entry(source).or_default();
+        engines.retain(|_, received| now < received.at + OBSERVATION_LIFETIME);
         for observation in observations {
-            if kept.len() < MAX_ENGINES_OF_SOURCE || kept.contains_key(&observation.engine) {
-                kept.insert(observation.engine, HeardObservation { at: now, observation });
+            if engines.len() < MAX_ENGINES_OF_SOURCE || engines.contains_key(&observation.engine) {
+                engines.insert(observation.engine, ReceivedObservation { at: now, observation });
             }
         }
     }
 
-    /// Forgets a source that has failed, or speaks from a new incarnation.
+    /// Forgets a source that has failed, or reports from a new incarnation.
     pub fn forget(&mut self, source: u16) {
         self.by_source.remove(&source);
     }
 
-    /// What is said of an engine by those sources that are `trusted`.
-    pub fn of(&self, engine: &EngineIncarnation, now: f64, trusted: impl Fn(u16) -> bool) -> PeerEvidence {
+    /// What those sources that are `trusted` report of an engine.
+    pub fn evidence_on(
+        &self,
+        engine: &EngineIncarnation,
+        now: f64,
+        trusted: impl Fn(u16) -> bool,
+    ) -> PeerEvidence {
         let mut evidence = PeerEvidence::default();
         for (_, engines) in self.by_source.iter().filter(|(source, _)| trusted(**source)) {
-            if let Some(heard) = engines.get(engine) {
-                evidence.add(&heard.observation, 1.0 - (now - heard.at) / LASTS);
+            if let Some(received) = engines.get(engine) {
+                evidence.add(&received.observation, 1.0 - (now - received.at) / OBSERVATION_LIFETIME);
             }
         }
         evidence
--- a/crates/membership/src/digest/rounds.rs
+++ b/crates/membership/src/digest/rounds.rs
@@ -5,16 +5,25 @@
 
 /// Between two rounds, in seconds.
 const ROUND_INTERVAL: f64 = 0.5;
-/// How many others are told in each round.
+/// How many others receive a digest in each round.
 const FANOUT: usize = 2;
-/// Trouble that is worth a message, in quarters of an attempt: each message is paid for.
-const MIN_TROUBLE: u8 = QUARTERS as u8;
+/// Failures that are worth a message, in quarters of an attempt: each message is paid for.
+const MIN_FAILURES: u8 = QUARTERS as u8;
 
-/// Digests among many instances whose host only carries messages, as the simulator does: who is told is drawn by chance, a
-/// few a second, and only while there is trouble to tell of.
+/// A digest that is to be sent.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DueDigest {
+    /// The instances that receive it.
+    pub receivers: Vec<u16>,
+    /// The digest itself.
+    pub bytes: Vec<u8>,
+}
+
+/// Digests among many instances whose host only carries messages, as the simulator does: the receivers are drawn at random, a
+/// few a second, and only while there are failures to report.
 #[derive(Debug)]
-pub struct Rounds {
-    heard: PeerDigests,
+pub struct DigestRounds {
+    received: PeerDigests,
     me: u16,
     instances: u64,
     seed: u64,
@@ -22,40 +31,36 @@
     next_round: f64,
 }
 
-impl Rounds {
+impl DigestRounds {
     /// Instance `me` of so many.
-    pub fn new(me: u16, instances: u64, seed: u64, now: f64) -> Rounds {
-        Rounds { heard: PeerDigests::default(), me, instances, seed, draws: 0, next_round: now }
+    pub fn new(me: u16, instances: u64, seed: u64, now: f64) -> DigestRounds {
+        DigestRounds { received: PeerDigests::default(), me, instances, seed, draws: 0, next_round: now }
     }
 
     /// Takes the digest of another instance; `None` where the bytes are no digest.
-    pub fn hear(&mut self, from: u16, bytes: &[u8], now: f64) -> Option<()> {
-        self.heard.hear(from, read(bytes)?, now);
+    pub fn receive(&mut self, from: u16, bytes: &[u8], now: f64) -> Option<()> {
+        self.received.receive(from, read(bytes)?, now);
         Some(())
     }
 
-    /// What the others say of an engine.
-    pub fn said(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
-        self.heard.of(engine, now, |_| true)
+    /// What the others report of an engine.
+    pub fn evidence_on(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
+        self.received.evidence_on(engine, now, |_| true)
     }
 
-    /// Where a round is due and there is something to tell: the instances to be told, and the digest.
-    pub fn due(
-        &mut self,
-        now: f64,
-        observations: impl FnOnce() -> Vec<Observation>,
-    ) -> Option<(Vec<u16>, Vec<u8>)> {
+    /// The digest that is to be sent now: a round is due, and there is something to report.
+    pub fn due(&mut self, now: f64, observations: impl FnOnce() -> Vec<Observation>) -> Option<DueDigest> {
         if now < self.next_round || self.instances < 2 {
             return None;
         }
         self.next_round = now + ROUND_INTERVAL;
         let mut observations = observations();
-        observations.retain(|observation| observation.bad >= MIN_TROUBLE);
+        observations.retain(|observation| observation.failures >= MIN_FAILURES);
         if observations.is_empty() {
             return None;
         }
         let receivers = (0..FANOUT).map(|_| self.draw_other()).collect();
-        Some((receivers, write(&observations)))
+        Some(DueDigest { receivers, bytes: write(&observations) })
     }
 
     /// Any instance but this one.
--- a/crates/membership/src/leader/tests.rs
+++ b/crates/membership/src/leader/tests.rs
@@ -31,7 +31,7 @@
         assert_eq!(roles.status(nightly, 0, &leases, 3.0), RoleStatus::Unknown, "{standing:?}");
         roles.roles[0].next_request = 3.0;
     }
-    roles.turn(candidate(Standing::Whole), &mut leases, 3.0);
+    roles.turn(candidate(Standing::Complete), &mut leases, 3.0);
     let RoleStatus::Held { epoch: first, remaining } = roles.status(nightly, 0, &leases, 3.0) else {
         panic!("not held")
     };
@@ -39,7 +39,7 @@
     let mut now = 3.0;
     while now < 9.0 {
         now = roles.due();
-        roles.turn(candidate(Standing::Whole), &mut leases, now);
+        roles.turn(candidate(Standing::Complete), &mut leases, now);
         leases.turn(now);
         let RoleStatus::Held { epoch, remaining } = roles.status(nightly, 0, &leases, now) else {
             panic!("lost")
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`swim`] is the failure detector, [`direct_probe`] its complement where many routers fall silent at once.
 //! - [`view`] says what a router may do, by how many of those expected are present.
 //! - [`lease`] grants what only one router may do at a time, [`leader`] requests that for named roles.
-//! - [`digest`] is what routers tell each other of engines.
+//! - [`digest`] is what routers report to each other of engines.
 //! - [`wire`] is the form of the datagrams.
 //!
 //! No I/O: the host hands in bytes, a clock of its own that nobody sets (seconds), and a seed; it sends what
@@ -27,9 +27,3 @@
 pub use member::{Change, Counts, Member, State};
 pub use membership::{cluster_hash, Members, MOST_ROUTERS};
 pub use swim::{Defences, YOUNGEST};
-
-/// Former names in [`leader`], until the test bed uses the new ones.
-#[doc(hidden)]
-pub mod role {
-    pub use crate::leader::role_resource as thing;
-}
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -36,9 +36,9 @@
     roles: LeaderRoles,
     probes: DirectProbes,
     /// What others said of engines.
-    heard: PeerDigests,
+    digests: PeerDigests,
     /// What this router says of engines.
-    telling: Vec<Observation>,
+    observations: Vec<Observation>,
     outgoing: Vec<(u16, Vec<u8>)>,
     changes: Vec<Change>,
     counts: Counts,
@@ -101,8 +101,8 @@
             leases: Leases::new(me as u16, routers, born, now),
             roles: LeaderRoles::default(),
             probes: DirectProbes::default(),
-            heard: PeerDigests::default(),
-            telling: Vec::new(),
+            digests: PeerDigests::default(),
+            observations: Vec::new(),
             outgoing: Vec::new(),
             changes: Vec::new(),
             counts: Counts::default(),
@@ -219,16 +219,16 @@
     }
 
     /// Sets what this router has seen of engines, for the next digests; the first of them matter most.
-    pub fn tell(&mut self, observations: Vec<Observation>) {
-        self.telling = observations;
+    pub fn set_observations(&mut self, observations: Vec<Observation>) {
+        self.observations = observations;
     }
 
-    /// What others say of an engine: those that are present in this router's view.
-    pub fn said(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
-        if !self.allowed().hears_of_engines {
+    /// What others report of an engine: those that are present in this router's view.
+    pub fn evidence_on(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
+        if !self.allowed().uses_peer_evidence {
             return PeerEvidence::default();
         }
-        self.heard.of(engine, now, |source| self.members[usize::from(source)].state.counts())
+        self.digests.evidence_on(engine, now, |source| self.members[usize::from(source)].state.counts())
     }
 
     /// The datagrams to send, each with its receiver.
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -81,7 +81,7 @@
         self.swim.heard(now);
         let member = &mut self.members[from];
         if member.born < envelope.born {
-            self.heard.forget(from as u16);
+            self.digests.forget(from as u16);
         }
         member.heard_at = now;
         member.leaving = envelope.leaving;
@@ -149,7 +149,7 @@
 
     fn take_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
         let observations = digest::read(body).ok_or(Dropped::Body)?;
-        self.heard.hear(from as u16, observations, now);
+        self.digests.receive(from as u16, observations, now);
         Ok(())
     }
 
--- a/crates/membership/src/membership/send.rs
+++ b/crates/membership/src/membership/send.rs
@@ -23,9 +23,9 @@
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
         for _ in 0..HEARTBEAT_FANOUT {
             let Some(to) = self.next_of_round() else { break };
-            let tells = self.allowed().tells_of_engines;
-            let telling = if tells { digest::write(&self.telling) } else { Vec::new() };
-            self.send(to, Kind::Heartbeat, &telling, now);
+            let shares = self.allowed().shares_observations;
+            let digest = if shares { digest::write(&self.observations) } else { Vec::new() };
+            self.send(to, Kind::Heartbeat, &digest, now);
         }
     }
 
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -85,7 +85,7 @@
 impl Swim {
     /// The detector of the router with this incarnation, among so many.
     pub fn new(me: Incarnation, routers: usize, pace: &Pace, seed: u64, now: f64) -> Swim {
-        let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.own_ears, now)));
+        let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.own_observations, now)));
         let contradicted = Rc::new(RefCell::new(0));
         let codec =
             EvidenceCodec { contacts: contacts.clone(), me: me.router, contradicted: contradicted.clone() };
--- a/crates/membership/src/swim/settings.rs
+++ b/crates/membership/src/swim/settings.rs
@@ -31,7 +31,7 @@
     /// A router that finds itself slow stretches its timers (Lifeguard's local health).
     pub local_health: bool,
     /// What a router hears directly outweighs the word of others that its sender is down.
-    pub own_ears: bool,
+    pub own_observations: bool,
     /// A router that a probe did not reach is suspected first. Without, it is down at once.
     pub suspicion: bool,
     /// A router that others know in a younger incarnation than its own takes one that is younger still.
@@ -40,7 +40,12 @@
 
 impl Default for Defences {
     fn default() -> Defences {
-        Defences { local_health: true, own_ears: true, suspicion: true, adopt_younger_incarnation: true }
+        Defences {
+            local_health: true,
+            own_observations: true,
+            suspicion: true,
+            adopt_younger_incarnation: true,
+        }
     }
 }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -46,7 +46,7 @@
     /// More than half are present.
     Majority,
     /// All are present.
-    Whole,
+    Complete,
 }
 
 /// How long what a router knew before a pause, and what it is told at its start, is worth nothing, in seconds: by then each
@@ -66,7 +66,7 @@
         Standing::Half,
         Standing::Disagreeing,
         Standing::Majority,
-        Standing::Whole,
+        Standing::Complete,
     ];
 
     /// The words for logs and status.
@@ -82,7 +82,7 @@
             Standing::Half => "half",
             Standing::Disagreeing => "disagreeing",
             Standing::Majority => "majority",
-            Standing::Whole => "whole",
+            Standing::Complete => "whole",
         }
     }
 }
@@ -106,7 +106,7 @@
         () if !enough => Standing::Half,
         () if count.disagreeing > 0 => Standing::Disagreeing,
         () if count.present < count.expected => Standing::Majority,
-        () => Standing::Whole,
+        () => Standing::Complete,
     }
 }
 
@@ -122,10 +122,10 @@
     pub takes_over: bool,
     /// Shares that another released to this router by name may be used.
     pub uses_released_shares: bool,
-    /// What it says of engines is passed on to others.
-    pub tells_of_engines: bool,
-    /// What others say of engines counts.
-    pub hears_of_engines: bool,
+    /// What it has observed of engines is reported to others.
+    pub shares_observations: bool,
+    /// What others report of engines counts.
+    pub uses_peer_evidence: bool,
     /// An operator should look.
     pub warns: bool,
 }
@@ -137,26 +137,26 @@
         grants_leases: true,
         takes_over: true,
         uses_released_shares: true,
-        tells_of_engines: true,
-        hears_of_engines: true,
+        shares_observations: true,
+        uses_peer_evidence: true,
         warns: false,
     };
     let few = Allowed { requests_leases: false, takes_over: false, uses_released_shares: false, ..all };
     match standing {
-        Standing::Whole | Standing::Majority => all,
+        Standing::Complete | Standing::Majority => all,
         // Leases are safe whatever the views are; but who is gone is not known well enough to take over from.
         Standing::Disagreeing => Allowed { takes_over: false, warns: true, ..all },
         // They can grant to one of the others' side that asks, but have no majority for themselves.
         Standing::Half | Standing::Minority | Standing::Alone => Allowed { warns: true, ..few },
         Standing::NeverFormed => Allowed { warns: true, ..few },
         // What it has forgotten, or missed while paused, must expire first. What it saw of engines is old.
-        Standing::JustStarted => Allowed { grants_leases: false, tells_of_engines: false, ..few },
-        Standing::JustResumed => Allowed { tells_of_engines: false, hears_of_engines: false, ..few },
-        Standing::Leaving => Allowed { tells_of_engines: false, ..few },
+        Standing::JustStarted => Allowed { grants_leases: false, shares_observations: false, ..few },
+        Standing::JustResumed => Allowed { shares_observations: false, uses_peer_evidence: false, ..few },
+        Standing::Leaving => Allowed { shares_observations: false, ..few },
         Standing::NameConflict => Allowed {
             grants_leases: false,
-            tells_of_engines: false,
-            hears_of_engines: false,
+            shares_observations: false,
+            uses_peer_evidence: false,
             warns: true,
             ..few
         },
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -16,8 +16,8 @@
 #[test]
 fn reaches_every_row_of_the_table() {
     let rows = [
-        (count(9, 9), Standing::Whole),
-        (count(1, 1), Standing::Whole),
+        (count(9, 9), Standing::Complete),
+        (count(1, 1), Standing::Complete),
         (count(9, 5), Standing::Majority),
         (count(10, 6), Standing::Majority),
         (count(10, 5), Standing::Half),
@@ -68,12 +68,12 @@
     assert!(!row(Standing::JustStarted).grants_leases);
     assert!(!row(Standing::NameConflict).grants_leases);
     for old in [Standing::JustStarted, Standing::JustResumed, Standing::Leaving, Standing::NameConflict] {
-        assert!(!row(old).tells_of_engines, "{old:?}");
+        assert!(!row(old).shares_observations, "{old:?}");
     }
-    for quiet in [Standing::Whole, Standing::Majority, Standing::Leaving, Standing::JustStarted] {
+    for quiet in [Standing::Complete, Standing::Majority, Standing::Leaving, Standing::JustStarted] {
         assert!(!row(quiet).warns, "{quiet:?}");
     }
     for loud in [Standing::Half, Standing::Minority, Standing::Alone, Standing::NeverFormed] {
-        assert!(row(loud).warns && row(loud).hears_of_engines, "{loud:?}");
+        assert!(row(loud).warns && row(loud).uses_peer_evidence, "{loud:?}");
     }
 }
--- a/crates/membership/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -76,7 +76,7 @@
 }
 
 fn agree(world: &World) -> bool {
-    (0..ROUTERS).all(|router| world.members(router).is_some_and(|one| one.standing() == Standing::Whole))
+    (0..ROUTERS).all(|router| world.members(router).is_some_and(|one| one.standing() == Standing::Complete))
 }
 
 impl Model for Views {
--- a/crates/membership/tests/golden_bytes.rs
+++ b/crates/membership/tests/golden_bytes.rs
@@ -1,7 +1,7 @@
 //! Golden bytes: what routers send each other, written by the version before the code was reshaped. Two versions may run in
 //! one cluster, so the same values have to give the same bytes, and the bytes the same values.
 
-use cleatgw_membership::digest::{self, EngineIncarnation, Observation, Rounds};
+use cleatgw_membership::digest::{self, DigestRounds, EngineIncarnation, Observation};
 use cleatgw_membership::lease::Message;
 use cleatgw_membership::swim::Pace;
 use cleatgw_membership::wire::{self, Envelope, Kind, LastHeard};
@@ -75,9 +75,9 @@
             name: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             incarnation: number as u32 * 977,
         },
-        good: (number * 40) as u8,
-        bad: (number * 3) as u8,
-        sent: (number * 5000) as u16,
+        successes: (number * 40) as u8,
+        failures: (number * 3) as u8,
+        slow_start_work: (number * 5000) as u16,
     };
     let observations: Vec<Observation> = (0..12).map(observation).collect();
     let bytes = digest::write(&observations);
@@ -100,11 +100,11 @@
         let now = f64::from(step) * 0.01;
         if step == 300 {
             members[1].request_lease(9, now);
-            members[2].tell(vec![Observation {
+            members[2].set_observations(vec![Observation {
                 engine: EngineIncarnation { name: 5, incarnation: 6 },
-                good: 1,
-                bad: 8,
-                sent: 250,
+                successes: 1,
+                failures: 8,
+                slow_start_work: 250,
             }]);
             members[3].set_store_epoch(17);
         }
@@ -134,18 +134,18 @@
 
 #[test]
 fn rounds_of_simulated_instances_send_the_same_digests_as_the_former_version() {
-    let mut rounds = Rounds::new(1, 3, 7, 0.0);
+    let mut rounds = DigestRounds::new(1, 3, 7, 0.0);
     let mut text = String::new();
     for step in 0..80 {
         let now = f64::from(step) * 0.05;
         let seen = vec![Observation {
             engine: EngineIncarnation { name: 9, incarnation: 1 },
-            good: 2,
-            bad: step as u8,
-            sent: 0,
+            successes: 2,
+            failures: step as u8,
+            slow_start_work: 0,
         }];
-        if let Some((peers, bytes)) = rounds.due(now, || seen) {
-            text += &format!("{step} {peers:?} {}\n", hex(&bytes));
+        if let Some(due) = rounds.due(now, || seen) {
+            text += &format!("{step} {:?} {}\n", due.receivers, hex(&due.bytes));
         }
     }
     assert!(!text.is_empty());
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -17,7 +17,7 @@
     world.run_until(8.0);
     for router in 0..routers {
         let standing = world.members(router).unwrap().standing();
-        assert_eq!(standing, Standing::Whole, "router {router}, seed {seed}");
+        assert_eq!(standing, Standing::Complete, "router {router}, seed {seed}");
     }
     world
 }
@@ -67,12 +67,12 @@
         world.at(15.0, Act::Wake(2));
         world.run_until(15.01);
         assert_eq!(standing(&world, 2), Standing::JustResumed);
-        assert!(!world.members(2).unwrap().allowed().tells_of_engines);
+        assert!(!world.members(2).unwrap().allowed().shares_observations);
         world.run_until(25.0);
         sound(&world, 3500);
         agreed_in(&world, 3500);
         assert!(failed(&world, 2).is_empty(), "seed {seed}");
-        assert_eq!(standing(&world, 2), Standing::Whole);
+        assert_eq!(standing(&world, 2), Standing::Complete);
     }
 }
 
@@ -85,7 +85,7 @@
     assert!(one.allowed().takes_over);
     let _ = one.datagram(0, b"whatever waited", woken);
     assert_eq!(one.standing(), Standing::JustResumed);
-    assert!(!one.allowed().takes_over && !one.allowed().hears_of_engines);
+    assert!(!one.allowed().takes_over && !one.allowed().uses_peer_evidence);
 }
 
 #[test]
@@ -96,7 +96,7 @@
     world.run_until(20.0);
     sound(&world, 0);
     assert!(world.members(0).unwrap().members()[5].born > before);
-    assert_eq!(standing(&world, 5), Standing::Whole);
+    assert_eq!(standing(&world, 5), Standing::Complete);
 }
 
 /// One router hears the other and is not heard: neither is held failed, and the lost direction shows in both views.
@@ -110,7 +110,7 @@
         assert_eq!(state(&world, 1, 0), State::SeenByOthers, "seed {seed}");
         let hears_us = world.now - world.members(0).unwrap().members()[1].hears_us_at;
         assert!(hears_us > 10.0, "it tells that it does not hear us: {hears_us}");
-        assert_eq!((standing(&world, 0), standing(&world, 1)), (Standing::Whole, Standing::Whole));
+        assert_eq!((standing(&world, 0), standing(&world, 1)), (Standing::Complete, Standing::Complete));
     }
 }
 
@@ -137,7 +137,7 @@
         }
         world.run_until(32.0);
         agreed_in(&world, 3000);
-        (0..10).for_each(|router| assert_eq!(standing(&world, router), Standing::Whole));
+        (0..10).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
     }
 }
 
@@ -165,7 +165,7 @@
     }
     world.run_until(40.0);
     agreed_in(&world, 3000);
-    (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Whole));
+    (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
 #[test]
@@ -229,7 +229,7 @@
         assert!(missed == 0 && times.max() < 7000, "{missed} missed, {} ms", times.max());
         (3..10).for_each(|router| world.at(22.0, Act::Start(router)));
         world.run_until(32.0);
-        (0..10).for_each(|router| assert_eq!(standing(&world, router), Standing::Whole));
+        (0..10).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
     }
 }
 
@@ -242,7 +242,7 @@
     }
     world.run_until(20.0);
     agreed_in(&world, 3000);
-    (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Whole));
+    (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
 /// Hard case: a second process goes under a router's name, from another place: its datagrams come from an address that
@@ -274,7 +274,7 @@
         world.plan(&vec![(10.0, Act::Kill(1)), (15.0, Act::Start(1))]);
         world.run_until(25.0);
         agreed_in(&world, 3000);
-        assert_eq!(standing(&world, 1), Standing::Whole, "{hour}");
+        assert_eq!(standing(&world, 1), Standing::Complete, "{hour}");
         assert_eq!(state(&world, 0, 1), State::Present);
     }
 }
@@ -304,7 +304,7 @@
         "{counts:?}"
     );
     assert_eq!(world.members(0).unwrap().members()[3].born, born);
-    assert_eq!(standing(&world, 0), Standing::Whole);
+    assert_eq!(standing(&world, 0), Standing::Complete);
 }
 
 /// Two clusters by one wrong address, and noise from it as fast as it comes.
@@ -330,7 +330,7 @@
     let dropped = |why| counts.dropped.get(&why).copied().unwrap_or(0);
     assert!(dropped(Dropped::OtherCluster) > 0 && dropped(Dropped::Noise) >= 1900, "{counts:?}");
     assert_eq!(dropped(Dropped::TooLong), 2000);
-    assert_eq!(standing(&world, 0), Standing::Whole);
+    assert_eq!(standing(&world, 0), Standing::Complete);
     assert_eq!(world.record.false_failures(), []);
 }
 
@@ -359,7 +359,7 @@
     assert_eq!(state(&world, 0, 6), State::Failed, "nobody was told");
     world.run_until(25.0);
     agreed_in(&world, 3000);
-    assert_eq!(standing(&world, 6), Standing::Whole);
+    assert_eq!(standing(&world, 6), Standing::Complete);
 }
 
 #[test]
@@ -368,7 +368,7 @@
     world.at(10.0, Act::Stall(1, 5.0));
     world.run_until(18.0);
     assert!(world.weather.stalled > 10);
-    (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Whole));
+    (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
 /// The same code at the size of the fleet: one in fifteen is killed at once.
@@ -376,7 +376,7 @@
 fn three_hundred_routers_detect_failures_within_eight_seconds() {
     let mut world = World::started(300, Pace::default(), 17);
     world.run_until(12.0);
-    assert_eq!(standing(&world, 0), Standing::Whole);
+    assert_eq!(standing(&world, 0), Standing::Complete);
     (0..20).for_each(|router| world.at(12.0, Act::Kill(router * 15)));
     world.run_until(24.0);
     let (times, missed) = world.record.detections();
--- a/crates/operator-config/src/service.rs
+++ b/crates/operator-config/src/service.rs
@@ -2,7 +2,9 @@
 
 use crate::bgp::{seconds, BgpPart};
 use crate::{invalid, read_checked, schema_text, OperatorFile, OperatorFileError};
-use cleatgw_announce::{AnnouncerConfig, Damping, Effect, HealthCheckConfig, Hold, Mark, PathPreference};
+use cleatgw_announce::{
+    AnnouncerConfig, Damping, Effect, HealthCheckConfig, Hold, InstanceCommunity, PathPreference,
+};
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -383,7 +385,7 @@
         let SignsPart { listening, deciding, board, engines, in_time } = &self.signs;
         AnnouncerConfig {
             addresses: self.addresses.clone(),
-            mark: Mark {
+            instance_community: InstanceCommunity {
                 asn: self.bgp.asn,
                 healthy: self.mark_functions.0,
                 last_resort: self.mark_functions.1,
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -8,7 +8,7 @@
     let file = read_service(GOOD).unwrap();
     assert_eq!((file.bgp.peers.len(), file.addresses.len()), (2, 2));
     let terms = file.terms();
-    assert_eq!((terms.mark.instance, terms.max_changes), (u32::from(file.bgp.identifier), 6));
+    assert_eq!((terms.instance_community.instance, terms.max_changes), (u32::from(file.bgp.identifier), 6));
     let peer = file.bgp.peers[0].terms(&file.bgp, &file.addresses);
     assert_eq!((peer.families, peer.hold_time), ([true, true], 9));
     let checked_in = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/service.schema.json");
--- a/crates/router/src/protocol/engine.rs
+++ b/crates/router/src/protocol/engine.rs
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum AnswerKind {
     Done,
     Wait,
     Broke,
@@ -102,7 +102,7 @@
 #[derive(Debug, PartialEq)]
 pub struct Answer<'a> {
     pub id: &'a str,
-    pub word: Word,
+    pub kind: AnswerKind,
     /// Milliseconds of work and megabytes of memory that the request needed.
     pub work: Option<f64>,
     pub peak: Option<f64>,
@@ -122,14 +122,14 @@
     let text = std::str::from_utf8(&head[..end]).map_err(|_| Malformed("a line that is no text"))?;
     let words: Vec<&str> = text.split(' ').collect();
     let [id, word, fields, length] = words[..] else { return Err(Malformed("a line not of four words")) };
-    let word = match word {
-        "DONE" => Word::Done,
-        "WAIT" => Word::Wait,
-        "BROKE" => Word::Broke,
-        "PAST" => Word::Past,
-        "MORE" => Word::More,
-        "FIT" => Word::Fit,
-        _ => Word::Other,
+    let kind = match word {
+        "DONE" => AnswerKind::Done,
+        "WAIT" => AnswerKind::Wait,
+        "BROKE" => AnswerKind::Broke,
+        "PAST" => AnswerKind::Past,
+        "MORE" => AnswerKind::More,
+        "FIT" => AnswerKind::Fit,
+        _ => AnswerKind::Other,
     };
     let length: usize = length.parse().map_err(|_| Malformed("a length that is no number"))?;
     if length > LONGEST_BODY {
@@ -148,7 +148,7 @@
     };
     Ok(Some(Answer {
         id,
-        word,
+        kind,
         work: amount("work"),
         peak: amount("peak"),
         pages: count("parts")?,
@@ -214,7 +214,7 @@
     }
 
     /// All rows, once the last page is there.
-    pub fn whole(&mut self) -> Option<Vec<u8>> {
+    pub fn take_complete(&mut self) -> Option<Vec<u8>> {
         (self.missing == 0).then(|| self.pages.iter_mut().filter_map(Option::take).flatten().collect())
     }
 }
--- a/crates/router/src/protocol/engine/tests.rs
+++ b/crates/router/src/protocol/engine/tests.rs
@@ -36,14 +36,14 @@
 fn answers_are_read_wherever_they_are_split_and_however_they_are_joined() {
     let joined = b"a1 DONE work=1.5,peak=20,parts=2 6\r\nx\ty\tz\n\r\na2 WAIT - 0\r\n\r\n";
     let first = answer(joined).unwrap().unwrap();
-    assert_eq!((first.id, first.word, first.body), ("a1", Word::Done, &b"x\ty\tz\n"[..]));
+    assert_eq!((first.id, first.kind, first.body), ("a1", AnswerKind::Done, &b"x\ty\tz\n"[..]));
     assert_eq!((first.work, first.peak, first.pages, first.page), (Some(1.5), Some(20.0), Some(2), None));
     for end in 0..first.taken {
         assert_eq!(answer(&joined[..end]), Ok(None), "{end} bytes");
     }
     let second = answer(&joined[first.taken..]).unwrap().unwrap();
-    assert_eq!(answer(b"a1 SHRUG x=1 0\r\n\r\n").unwrap().unwrap().word, Word::Other);
-    assert_eq!((second.id, second.word, second.taken), ("a2", Word::Wait, joined.len() - first.taken));
+    assert_eq!(answer(b"a1 SHRUG x=1 0\r\n\r\n").unwrap().unwrap().kind, AnswerKind::Other);
+    assert_eq!((second.id, second.kind, second.taken), ("a2", AnswerKind::Wait, joined.len() - first.taken));
 }
 
 #[test]
@@ -69,13 +69,13 @@
     let mut pages = Pages::new(3, b"1\t1\t1\n").unwrap();
     assert_eq!(pages.others(), 1..3);
     pages.add(2, b"3\t3\t3\n").unwrap();
-    assert_eq!(pages.whole(), None);
+    assert_eq!(pages.take_complete(), None);
     pages.add(1, b"2\t2\t2\n").unwrap();
-    let whole = pages.whole().unwrap();
+    let whole = pages.take_complete().unwrap();
     assert_eq!(whole, b"1\t1\t1\n2\t2\t2\n3\t3\t3\n");
     let read: Vec<Vec<&[u8]>> = rows(&whole).map(|row| columns(row).collect()).collect();
     assert_eq!(read[2], [b"3", b"3", b"3"]);
-    assert_eq!(Pages::new(1, b"").unwrap().whole(), Some(Vec::new()));
+    assert_eq!(Pages::new(1, b"").unwrap().take_complete(), Some(Vec::new()));
 }
 
 #[test]
@@ -85,7 +85,7 @@
     assert!(Pages::new(1, b"a\tb\tc").is_err(), "half a row");
     assert!(Pages::new(1, b"a\tb\tc\n\n").is_err(), "an empty row");
     let mut pages = Pages::new(2, b"").unwrap();
-    assert!(pages.add(0, b"a\tb\tc\n").is_ok() && pages.whole().is_none(), "a page twice adds nothing");
+    assert!(pages.add(0, b"a\tb\tc\n").is_ok() && pages.take_complete().is_none(), "a page twice adds nothing");
     assert!(pages.add(2, b"").is_err(), "a page beyond the last");
     let long = [vec![b'x'; LONGEST_RESULT], b"\t\t\n".to_vec()].concat();
     assert!(pages.add(1, &long).is_err(), "too long");
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -34,7 +34,7 @@
     pub id: String,
     pub class: String,
     /// How long the client waits, in seconds.
-    pub patience: f64,
+    pub time_to_live: f64,
     pub tenant: Option<String>,
     pub idempotency_key: Option<String>,
     pub work: Option<f64>,
@@ -190,15 +190,15 @@
     let fields = Fields(fields);
     let id = fields.required("call", "16 hex digits", is_id)?;
     let class = fields.required("op", "a category", is_plain)?;
-    let patience_ms = fields.number("ttl", "milliseconds", LONGEST_MS)?;
-    let patience_ms = patience_ms.ok_or_else(|| fields.error("ttl", "milliseconds"))?;
+    let time_to_live_ms = fields.number("ttl", "milliseconds", LONGEST_MS)?;
+    let time_to_live_ms = time_to_live_ms.ok_or_else(|| fields.error("ttl", "milliseconds"))?;
     let tenant = fields.optional("org", "a tenant", is_plain)?;
     let idempotency_key = fields.optional("dedupe", "a mark against repeats", is_plain)?;
     let work_ms = fields.number("work", "milliseconds", LONGEST_MS)?;
     Ok(ParsedStatement {
         id: id.to_string(),
         class: class.to_string(),
-        patience: patience_ms / MS_PER_S,
+        time_to_live: time_to_live_ms / MS_PER_S,
         tenant: tenant.map(str::to_string),
         idempotency_key: idempotency_key.map(str::to_string),
         work: work_ms.map(|ms| ms / MS_PER_S),
@@ -211,7 +211,7 @@
 /// A piece of a statement; comments and blanks are none.
 #[derive(Debug, PartialEq)]
 enum Token<'a> {
-    Word(&'a str),
+    AnswerKind(&'a str),
     /// A name in back quotes.
     Quoted(&'a str),
     Text(&'a str),
@@ -221,14 +221,14 @@
 impl<'a> Token<'a> {
     fn word(&self) -> &'a str {
         match self {
-            Token::Word(word) => word,
+            Token::AnswerKind(word) => word,
             _ => "",
         }
     }
 
     fn name(&self) -> Option<&'a str> {
         match self {
-            Token::Word(name) | Token::Quoted(name) => Some(name),
+            Token::AnswerKind(name) | Token::Quoted(name) => Some(name),
             _ => None,
         }
     }
@@ -287,7 +287,7 @@
             }
             _ if in_word(byte) => {
                 let end = at + text[at..].iter().take_while(|&&byte| in_word(byte)).count();
-                tokens.push(Token::Word(part(at, end)));
+                tokens.push(Token::AnswerKind(part(at, end)));
                 end
             }
             sign => {
--- a/crates/router/src/protocol/statement/tests.rs
+++ b/crates/router/src/protocol/statement/tests.rs
@@ -15,7 +15,7 @@
     let request = request(&format!("/* {FIELDS},org=acme,rep=1,dedupe=5c0f,work=820.0,mb=96 */ {rest}"));
     assert_eq!(request.text, rest.as_bytes());
     assert_eq!((request.id.as_str(), request.class.as_str()), ("9b1f03aa5c7e2d41", "report"));
-    assert_eq!((request.patience, request.idempotency_key.as_deref()), (1.5, Some("5c0f")));
+    assert_eq!((request.time_to_live, request.idempotency_key.as_deref()), (1.5, Some("5c0f")));
     assert_eq!((request.work, request.memory_mb, request.table_group), (Some(0.82), Some(96.0), Some(17)));
 }
 
--- a/crates/router/src/routing/history.rs
+++ b/crates/router/src/routing/history.rs
@@ -5,7 +5,7 @@
 use super::Routing;
 use cleatgw::{EngineEvidence, Idempotency, SlowStartWork};
 use cleatgw_deployment_config::engine_incarnation;
-use cleatgw_membership::digest::{self, EngineIncarnation, Observation, PeerEvidence};
+use cleatgw_membership::digest::{self, EngineIncarnation, Observation, OwnEvidence, PeerEvidence};
 use cleatgw_recovery::{
     AgedWork, LookBack, SentWork, Snapshot, SnapshotTime, ValidHistory, MAX_UNPERSISTED_RETRIES,
 };
@@ -88,16 +88,18 @@
         let seen = |engine: &RegisteredEngine| {
             let evidence = self.gateway.evidence(engine.listing.engine, self.state.now)?;
             let EngineEvidence { successes, failures, slow_start_work } = evidence;
-            Some((engine_incarnation(&engine.listing), (successes, failures, slow_start_work)))
+            let own = OwnEvidence { successes, failures, slow_start_work };
+            Some((engine_incarnation(&engine.listing), own))
         };
         digest::observations(self.state.engines.iter().filter_map(seen))
     }
 
-    /// Hands the decisions what other routers say of each engine.
-    pub fn hear_peers(&mut self, said: impl Fn(&EngineIncarnation) -> PeerEvidence) {
+    /// Hands the decisions what other routers report of each engine.
+    pub fn set_peer_evidence(&mut self, evidence_on: impl Fn(&EngineIncarnation) -> PeerEvidence) {
         for engine in self.state.engines.iter() {
-            let PeerEvidence { good, bad, sent, .. } = said(&engine_incarnation(&engine.listing));
-            let evidence = EngineEvidence { successes: good, failures: bad, slow_start_work: sent };
+            let reported = evidence_on(&engine_incarnation(&engine.listing));
+            let PeerEvidence { successes, failures, slow_start_work, .. } = reported;
+            let evidence = EngineEvidence { successes, failures, slow_start_work };
             self.gateway.peer_evidence_received(engine.listing.engine, evidence);
         }
     }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -191,7 +191,7 @@
         let asked_at = received_since.unwrap_or(now);
         let configured = &self.state.deployment.classes[class];
         // No client is to wait for longer, whatever it says: what is learned of usual ones would be upset.
-        let gives_up_at = asked_at + statement.patience.min(configured.max_wait);
+        let gives_up_at = asked_at + statement.time_to_live.min(configured.max_wait);
         let objective_at = asked_at + configured.objective_for(statement.work.unwrap_or(0.0));
         let incoming = IncomingRequest {
             class,
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -78,7 +78,7 @@
     ParsedStatement {
         id: format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed)),
         class: class.to_string(),
-        patience: 2.0,
+        time_to_live: 2.0,
         work: Some(0.05),
         memory_mb: Some(10.0),
         text: b"SELECT 1".to_vec(),
@@ -210,7 +210,7 @@
 #[test]
 fn no_other_attempt_goes_out_before_the_end_of_one_that_was_given_up() {
     let mut host = Host::new();
-    host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
+    host.ask(4, ParsedStatement { time_to_live: 20.0, ..parsed("look") });
     while host.peers.given_up.is_empty() {
         host.now += 0.1;
         host.turn(TurnInput::default());
@@ -231,7 +231,7 @@
 #[test]
 fn an_answer_that_crosses_its_giving_up_is_completed_while_its_request_is_open() {
     let mut host = Host::new();
-    host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
+    host.ask(4, ParsedStatement { time_to_live: 20.0, ..parsed("look") });
     while host.peers.given_up.is_empty() {
         host.now += 0.1;
         host.turn(TurnInput::default());
@@ -257,7 +257,7 @@
 #[test]
 fn an_unanswered_request_is_given_up_and_answered_at_its_deadline() {
     let mut host = Host::new();
-    host.ask(4, ParsedStatement { patience: 0.5, ..parsed("look") });
+    host.ask(4, ParsedStatement { time_to_live: 0.5, ..parsed("look") });
     for _ in 0..20 {
         let wake = host.turn(TurnInput::default());
         host.now = wake.min(host.now + 0.1);
@@ -291,7 +291,7 @@
 fn an_attempt_given_up_before_it_left_is_told_as_one_that_never_ran() {
     let mut host = Host::new();
     host.peers.how_far = Some(DeliveryFailure::NeverSent);
-    host.ask(4, ParsedStatement { patience: 0.5, ..parsed("look") });
+    host.ask(4, ParsedStatement { time_to_live: 0.5, ..parsed("look") });
     host.now = 100.5;
     host.turn(TurnInput::default());
     host.turn(TurnInput::default());
@@ -336,8 +336,8 @@
 #[test]
 fn a_client_that_says_it_waits_for_a_day_makes_others_no_later() {
     let mut host = Host::new();
-    host.ask(4, ParsedStatement { patience: 80_000.0, ..parsed("look") });
-    host.ask(5, ParsedStatement { patience: 28.0, work: Some(2.0), ..parsed("look") });
+    host.ask(4, ParsedStatement { time_to_live: 80_000.0, ..parsed("look") });
+    host.ask(5, ParsedStatement { time_to_live: 28.0, work: Some(2.0), ..parsed("look") });
     host.now += 0.01;
     // Were all of its class measured by that day, this one would be long past its time.
     host.turn(TurnInput::default());
@@ -372,9 +372,9 @@
 #[test]
 fn after_a_stop_every_request_has_its_answer_in_time() {
     let mut host = Host::new();
-    host.ask(4, ParsedStatement { patience: 20.0, ..parsed("look") });
+    host.ask(4, ParsedStatement { time_to_live: 20.0, ..parsed("look") });
     host.routing.stop_at(103.0);
-    host.ask(5, ParsedStatement { patience: 20.0, ..parsed("look") });
+    host.ask(5, ParsedStatement { time_to_live: 20.0, ..parsed("look") });
     for _ in 0..32 {
         host.now += 0.1;
         host.turn(TurnInput::default());
--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -224,10 +224,10 @@
     fn paths(&self) -> Paths {
         let is_up = |peer: &BgpPeer| peer.session.state() == State::Established;
         let mut paths = Paths::new(self.peers.iter().any(is_up));
-        let mark = self.announcer.config().mark;
+        let instance_community = self.announcer.config().instance_community;
         for peer in &self.peers {
             for (prefix, route) in peer.session.adj_rib_in.iter() {
-                paths.add(&mark, prefix, route);
+                paths.add(&instance_community, prefix, route);
             }
         }
         paths
@@ -426,8 +426,8 @@
 }
 
 fn address_row(status: AddressStatus, paths: &Paths, now: f64) -> StatusRow {
-    let AddressStatus { prefix, level, reason, since, held_back_by } = status;
-    let waits = held_back_by.map_or(String::new(), |what| format!("; a move waits for {what}"));
+    let AddressStatus { prefix, level, reason, since, suppressed_by } = status;
+    let waits = suppressed_by.map_or(String::new(), |what| format!("; a move waits for {what}"));
     let (healthy, total) = (paths.healthy(&prefix), paths.total(&prefix));
     let others = format!("{healthy} sound of {total} others seen");
     let detail = format!("{reason}, for {:.1} s; {others}{waits}", now - since);
@@ -467,11 +467,11 @@
 
 /// One line for each change of how an address stands.
 fn log_event(event: &AddressEvent) {
-    let AddressEvent { prefix, level, reason, healthy_paths, total_paths, held_back_by } = event;
+    let AddressEvent { prefix, level, reason, healthy_paths, total_paths, suppressed_by } = event;
     let is_planned = matches!(reason, Reason::Draining | Reason::Drained | Reason::Starting);
     let is_bad = *level < Level::Depreferred && !is_planned;
     let log_level = if is_bad { log::Level::Warn } else { log::Level::Info };
-    match held_back_by {
+    match suppressed_by {
         None => log::log!(
             log_level, address:% = prefix, level:% = level, sound = *healthy_paths, seen = *total_paths;
             "announce {prefix} {level}: {reason}"
--- a/crates/router/src/transport/buffer.rs
+++ b/crates/router/src/transport/buffer.rs
@@ -5,7 +5,7 @@
 
 const CHUNK: usize = 4096;
 /// An empty buffer larger than this is given back.
-const KEPT: usize = 4 * CHUNK;
+const RETAINED_CAPACITY: usize = 4 * CHUNK;
 
 #[derive(Default)]
 pub struct Buffer {
@@ -42,7 +42,7 @@
     fn release(&mut self) {
         if self.input.0 == self.input.1 && self.unsent() == 0 {
             (self.input, self.output) = Default::default();
-            if self.bytes.len() > KEPT {
+            if self.bytes.len() > RETAINED_CAPACITY {
                 self.bytes = Vec::new();
             }
         }
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -25,7 +25,7 @@
 /// So many connections are accepted in one turn.
 const MAX_ACCEPTED: usize = 64;
 /// So many sessions are looked at for one to close for others.
-const MAX_EVICTION_LOOKS: usize = 8;
+const MAX_EVICTION_CANDIDATES: usize = 8;
 /// At the end of the router, clients have this long to read their last answer and close, in seconds: longer than a request may
 /// cross a close and be asked elsewhere.
 const GOODBYE_TIMEOUT: f64 = 0.1;
@@ -205,7 +205,7 @@
 
     /// Closes the session that loses least by it; false where none may be closed.
     fn make_room(&mut self, now: f64) -> bool {
-        for _ in 0..MAX_EVICTION_LOOKS {
+        for _ in 0..MAX_EVICTION_CANDIDATES {
             let closable = self.sessions.iter_mut().filter(|(_, session)| session.can_be_closed());
             let least =
                 closable.min_by(|(_, a), (_, b)| a.eviction_rank(now).total_cmp(&b.eviction_rank(now)));
@@ -324,7 +324,7 @@
         }
         // Its time runs from its last byte, also where that came long before its turn.
         let waited = session.lay_unread_for(input.received_since.unwrap_or(now));
-        statement.patience = (statement.patience - waited).max(0.0);
+        statement.time_to_live = (statement.time_to_live - waited).max(0.0);
         input.statements.push(SessionStatement { session: id, statement });
     }
 
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -306,14 +306,14 @@
     /// Sets what this router has seen of engines, for others; nothing where the file says so.
     pub fn set_observations(&mut self, observations: Vec<Observation>) {
         if self.joined.file.tell_of_engines {
-            self.members.tell(observations);
+            self.members.set_observations(observations);
         }
     }
 
-    /// What others say of an engine.
+    /// What others report of an engine.
     pub fn peer_evidence(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
         if self.joined.file.tell_of_engines {
-            self.members.said(engine, now)
+            self.members.evidence_on(engine, now)
         } else {
             PeerEvidence::default()
         }
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -2,7 +2,7 @@
 
 use super::buffer::{Buffer, Reached};
 use super::sockets::{is_connected, RegisteredStream};
-use crate::protocol::engine::{self, EncodedRequest, Malformed, Pages, Word};
+use crate::protocol::engine::{self, AnswerKind, EncodedRequest, Malformed, Pages};
 use crate::routing::{AttemptId, DeliveryFailure, Dispatch, EndedAttempt, Reply};
 use calloop::RegistrationToken;
 use cleatgw::MeasuredCost;
@@ -411,14 +411,14 @@
         while let Some(answer) = engine::answer(self.buffer.input())? {
             let taken = answer.taken;
             let mut requests = Vec::new();
-            match answer.word {
+            match answer.kind {
                 // A sign of life, which `read` has noted.
-                Word::Fit => {
+                AnswerKind::Fit => {
                     if let Some(Cancelled { attempt, failure, .. }) = self.cancelled.remove(answer.id) {
                         ended.push(EndedAttempt { attempt, result: Err(failure) });
                     }
                 }
-                Word::Other => {}
+                AnswerKind::Other => {}
                 _ => match self.exchanges.get_mut(answer.id) {
                     None => self.answers_dropped += 1,
                     Some(exchange) => {
@@ -475,22 +475,22 @@
     answer: &engine::Answer,
     requests: &mut Vec<u8>,
 ) -> Result<Option<Reply>, Malformed> {
-    match (answer.word, &mut exchange.pages) {
-        (Word::Done, None) => take_first_page(exchange, answer, requests),
+    match (answer.kind, &mut exchange.pages) {
+        (AnswerKind::Done, None) => take_first_page(exchange, answer, requests),
         // A second copy, whose pages are under way.
-        (Word::Done, Some(_)) => Ok(None),
-        (Word::More, None) => Err(Malformed("a page before the first")),
-        (Word::More, Some(pages)) => {
+        (AnswerKind::Done, Some(_)) => Ok(None),
+        (AnswerKind::More, None) => Err(Malformed("a page before the first")),
+        (AnswerKind::More, Some(pages)) => {
             pages.add(answer.page.unwrap_or(0), answer.body)?;
-            let rows = pages.whole();
+            let rows = pages.take_complete();
             if rows.is_some() {
                 engine::close(requests, answer.id);
             }
             Ok(rows.map(|rows| Reply::Completed { rows, measured: pages.measured }))
         }
-        (Word::Broke, _) => Ok(Some(Reply::EngineError)),
-        (Word::Wait, None) => Ok(Some(Reply::EngineFull)),
-        (Word::Past, None) => Ok(Some(Reply::DeadlinePassed)),
+        (AnswerKind::Broke, _) => Ok(Some(Reply::EngineError)),
+        (AnswerKind::Wait, None) => Ok(Some(Reply::EngineFull)),
+        (AnswerKind::Past, None) => Ok(Some(Reply::DeadlinePassed)),
         _ => Err(Malformed("an answer out of place")),
     }
 }
@@ -507,6 +507,6 @@
     for number in pages.others() {
         engine::page(requests, answer.id, number);
     }
-    let rows = pages.whole();
+    let rows = pages.take_complete();
     Ok(rows.map(|rows| Reply::Completed { rows, measured: pages.measured }))
 }
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -104,7 +104,7 @@
     unfinished: Vec<EventSource>,
     clock: WallClock,
     /// When the last turn began.
-    turned_at: f64,
+    last_turn_at: f64,
     /// When this turn was due, if nothing became ready before.
     wake_at: f64,
     sweep_at: f64,
@@ -167,7 +167,7 @@
             input,
             unfinished: Vec::new(),
             clock,
-            turned_at: now,
+            last_turn_at: now,
             wake_at: f64::INFINITY,
             sweep_at: now,
             is_serving: false,
@@ -201,9 +201,9 @@
 
     /// What has come in while there was no turn came after the last one, and its time runs from then.
     fn begin_turn(&mut self, now: f64) {
-        let paused = now - self.turned_at > PAUSE_INTERVALS * TURN_INTERVAL;
-        self.input.received_since = paused.then_some(self.turned_at);
-        self.turned_at = now;
+        let paused = now - self.last_turn_at > PAUSE_INTERVALS * TURN_INTERVAL;
+        self.input.received_since = paused.then_some(self.last_turn_at);
+        self.last_turn_at = now;
         self.connections.now = now;
     }
 
@@ -338,7 +338,7 @@
     }
 
     fn count_turn(&mut self, overslept: f64) {
-        let spent = self.clock.read() - self.turned_at;
+        let spent = self.clock.read() - self.last_turn_at;
         let counters = self.routing.counters();
         counters.turns += 1;
         counters.longest_turn_us = counters.longest_turn_us.max((spent * MICROSECONDS) as u64);
--- a/crates/router/src/transport/store_writer.rs
+++ b/crates/router/src/transport/store_writer.rs
@@ -8,7 +8,7 @@
 use cleatgw_recovery::{
     LookBack, Phase, Pieces, Recovery, SnapshotTime, Step, WriteSchedule, MAX_UNPERSISTED_RETRIES,
 };
-use cleatgw_snapshot_store::{Found, Store, StoreError};
+use cleatgw_snapshot_store::{quarantine_path, LoadOutcome, Store, StoreError};
 use rustix::time::{clock_gettime, ClockId};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, Sender, TryRecvError};
@@ -77,8 +77,8 @@
 fn run_store(path: &Path, owner: u64, mailbox: &SharedMailbox, events: &Sender<StoreEvent>) {
     let Some(mut store) = open_store(path, owner, events) else { return };
     while let Some((snapshot, epoch_after)) = mailbox.wait() {
-        store.comes_after(epoch_after);
-        let written = store.put(&snapshot.pieces, snapshot.taken_at);
+        store.continue_after(epoch_after);
+        let written = store.save(&snapshot.pieces, snapshot.taken_at);
         let has_failed = written.is_err();
         let event = match written {
             Ok(epoch) => StoreEvent::Written(epoch),
@@ -99,7 +99,7 @@
 /// Opens the store, as often as it takes; none where nobody listens any more.
 fn open_store(path: &Path, owner: u64, events: &Sender<StoreEvent>) -> Option<Store> {
     loop {
-        match Store::at(path, owner) {
+        match Store::open_file(path, owner) {
             Ok((store, found)) => {
                 report_found(found, events);
                 return Some(store);
@@ -113,11 +113,11 @@
 }
 
 /// Nobody listens where a send fails: the router has ended.
-fn report_found(found: Found, events: &Sender<StoreEvent>) {
+fn report_found(found: LoadOutcome, events: &Sender<StoreEvent>) {
     let found = match found {
-        Found::Whole(put) => Some((put.epoch, put.pieces)),
-        Found::Nothing => None,
-        Found::Aside(reason) => {
+        LoadOutcome::Complete(put) => Some((put.epoch, put.pieces)),
+        LoadOutcome::Empty => None,
+        LoadOutcome::Quarantined(reason) => {
             let _ = events.send(StoreEvent::SetAside(reason.to_string()));
             None
         }
@@ -215,7 +215,7 @@
                 self.recovery.store_read(found, now);
             }
             StoreEvent::SetAside(reason) => {
-                let aside = cleatgw_snapshot_store::aside(&self.path);
+                let aside = quarantine_path(&self.path);
                 log::warn!("store: what was there is set aside as {}: {reason}", aside.display());
             }
             StoreEvent::Failed(error) => {
--- a/crates/router/src/transport/subsystems.rs
+++ b/crates/router/src/transport/subsystems.rs
@@ -96,7 +96,7 @@
         if now >= self.next_gossip_at {
             self.next_gossip_at = now + GOSSIP_INTERVAL;
             cluster.set_observations(routing.observations());
-            routing.hear_peers(|engine| cluster.peer_evidence(engine, monotonic));
+            routing.set_peer_evidence(|engine| cluster.peer_evidence(engine, monotonic));
         }
         cluster.turn(monotonic);
     }
--- a/crates/simulator-adapter/src/engine_list.rs
+++ b/crates/simulator-adapter/src/engine_list.rs
@@ -47,8 +47,8 @@
 
     /// `SHEET`: begins a list.
     pub fn begin(&mut self, fields: &mut Fields) -> Result<(), WireError> {
-        let number = fields.whole("ref")?;
-        let missing = fields.whole("members-list")?;
+        let number = fields.integer("ref")?;
+        let missing = fields.integer("members-list")?;
         self.lists.insert(number, Vec::new());
         self.open = (missing > 0).then_some(OpenList { number, missing });
         Ok(())
@@ -80,7 +80,7 @@
         "Gone" => EngineStage::Gone,
         other => return Err(fields.error("stage-state", "Ready, Terminating or Gone", other)),
     };
-    let cell = fields.optional_whole("group")?.unwrap_or(0);
+    let cell = fields.optional_integer("group")?.unwrap_or(0);
     fields.number("heft")?;
     Ok(EngineEntry { address, zone, kind, stage, cell, started_at })
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -68,12 +68,12 @@
         }
     }
 
-    pub fn whole(&mut self, field: &'static str) -> Result<u64, WireError> {
+    pub fn integer(&mut self, field: &'static str) -> Result<u64, WireError> {
         let text = self.required(field, "a whole number")?;
         text.parse().map_err(|_| self.error(field, "a whole number", text))
     }
 
-    pub fn optional_whole(&mut self, field: &'static str) -> Result<Option<u64>, WireError> {
+    pub fn optional_integer(&mut self, field: &'static str) -> Result<Option<u64>, WireError> {
         self.optional(field, "a whole number")
     }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -82,8 +82,8 @@
     }
 
     fn begin_batch(&mut self, fields: &mut Fields) -> Result<(), WireError> {
-        self.now = seconds(fields.whole("now")?);
-        self.batch = fields.whole("batch number")?;
+        self.now = seconds(fields.integer("now")?);
+        self.batch = fields.integer("batch number")?;
         self.in_batch = true;
         Ok(())
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -15,7 +15,7 @@
 use cleatgw_operator_config::{TeamNames, TeamsFile};
 
 /// The bit of a call's states that says that its cost is told.
-const COST_IS_TOLD: u64 = 1;
+const COST_IS_STATED: u64 = 1;
 /// A measured cost is one number: whole milliseconds above, units of memory below.
 const MEASURED_MEMORY_UNITS: u64 = 4096;
 const MB_PER_MEMORY_UNIT: f64 = 4.0;
@@ -38,7 +38,7 @@
         teams: Option<&TeamsFile>,
         sends_digests: bool,
     ) -> Result<Instance, WireError> {
-        let seed = fields.whole("entropy")?;
+        let seed = fields.integer("entropy")?;
         let settings = Settings::from_words(fields.remainder());
         let NamedDeployment { deployment, names } = read_deployment(&settings)?;
         let mut gateway = Gateway::new(deployment, seed, now);
@@ -75,7 +75,7 @@
         });
         let mut writer = ReplyWriter { instance: name, identities: &mut self.identities, reply };
         if let Some(digest) = due {
-            for peer in digest.peers {
+            for peer in digest.receivers {
                 writer.send_to_peers(Some(usize::from(peer)), &digest.bytes);
             }
         }
@@ -90,7 +90,7 @@
     ) -> Result<(), WireError> {
         let number = fields.optional::<u64>("ref", "a sheet's number")?;
         let how = fields.required("how", "diff, snapshot, disk or error")?;
-        fields.optional_whole("revision")?;
+        fields.optional_integer("revision")?;
         let is_complete = match how {
             "diff" => false,
             "snapshot" | "disk" => true,
@@ -125,26 +125,26 @@
     }
 
     fn request_received(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
-        let id = fields.whole("req")?;
-        let cost = fields.optional_whole("plan-cost-us")?;
+        let id = fields.integer("req")?;
+        let cost = fields.optional_integer("plan-cost-us")?;
         let tenant = fields.text();
         let tenant = self.tenants.as_ref().map_or(0, |tenants| tenants.of(tenant));
         let key = read_key(fields)?;
         let class = fields.required("tier-class", "a class")?;
         let memory = fields.number("mem-mb")?;
         let table_group = fields.number("schema-no")?.unwrap_or(0.0);
-        let states = fields.optional_whole("state-bits")?.unwrap_or(0);
-        let deadline = seconds(fields.whole("valid-until-us")?);
+        let states = fields.optional_integer("state-bits")?.unwrap_or(0);
+        let deadline = seconds(fields.integer("valid-until-us")?);
         let Some(class) = self.names.classes.iter().position(|name| name == class) else {
             return Err(fields.error("tier-class", "a class named at the start", class));
         };
         let request = self.identities.add_request(id);
-        let is_told = states & COST_IS_TOLD != 0;
+        let is_stated = states & COST_IS_STATED != 0;
         let incoming = IncomingRequest {
             class,
             key,
             table_group: table_group.to_bits(),
-            estimated_work: cost.filter(|&cost| is_told && cost > 0).map(seconds),
+            estimated_work: cost.filter(|&cost| is_stated && cost > 0).map(seconds),
             estimated_memory_mb: memory.filter(|&memory| memory > 0.0),
             deadline,
             tenant,
@@ -155,13 +155,13 @@
     }
 
     fn attempt_ended(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
-        let id = fields.whole("req")?;
-        let cost = fields.optional_whole("true-cost")?.filter(|&cost| cost > 0);
-        fields.whole("hop")?;
+        let id = fields.integer("req")?;
+        let cost = fields.optional_integer("true-cost")?.filter(|&cost| cost > 0);
+        fields.integer("hop")?;
         let engine = self.identities.engine(fields.required("engine", "an address")?);
         let outcome = read_outcome(fields)?;
         let request_done = fields.flag("no-more")?;
-        let elapsed = seconds(fields.whole("spent-us")?);
+        let elapsed = seconds(fields.integer("spent-us")?);
         let load = self.read_load(fields)?;
         let Some(request) = self.identities.request(id) else { return Ok(()) };
         self.identities.attempt_ended(request, request_done);
@@ -173,7 +173,7 @@
     }
 
     fn request_withdrawn(&mut self, fields: &mut Fields) -> Result<(), WireError> {
-        if let Some(request) = self.identities.request(fields.whole("req")?) {
+        if let Some(request) = self.identities.request(fields.integer("req")?) {
             self.gateway.request_withdrawn(request);
             self.identities.answered(request);
         }
@@ -181,10 +181,10 @@
     }
 
     fn attempt_noted(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
-        let id = fields.whole("req")?;
-        fields.whole("hop")?;
+        let id = fields.integer("req")?;
+        fields.integer("hop")?;
         fields.required("engine", "an address")?;
-        let kind = fields.whole("kind")?;
+        let kind = fields.integer("kind")?;
         let value = fields.number("x")?.unwrap_or(0.0);
         let note = match kind {
             1 => AttemptNote::Progress(value),
@@ -203,12 +203,12 @@
     fn probe_answered(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         fields.required("engine", "an address")?;
         read_outcome(fields)?;
-        fields.whole("spent-us")?;
+        fields.integer("spent-us")?;
         self.read_load(fields).map(drop)
     }
 
     fn digest_received(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
-        let sender = u16::try_from(fields.whole("author")?).unwrap_or(u16::MAX);
+        let sender = u16::try_from(fields.integer("author")?).unwrap_or(u16::MAX);
         let content = fields.text().unwrap_or("");
         let bytes = PeerDigests::decode(content).ok_or_else(|| fields.error("content", "base64", content))?;
         if let Some(digests) = &mut self.digests {
@@ -238,10 +238,10 @@
 }
 
 fn connection_opened(fields: &mut Fields) -> Result<(), WireError> {
-    fields.whole("req")?;
+    fields.integer("req")?;
     fields.required("engine", "an address")?;
-    fields.whole("spent-us")?;
-    fields.whole("hop").map(drop)
+    fields.integer("spent-us")?;
+    fields.integer("hop").map(drop)
 }
 
 fn read_key(fields: &mut Fields) -> Result<Option<u64>, WireError> {
--- a/crates/simulator-adapter/src/peer_digests.rs
+++ b/crates/simulator-adapter/src/peer_digests.rs
@@ -1,22 +1,16 @@
-//! What instances tell each other of engines, where the deployment allows that.
+//! What instances report to each other of engines, where the deployment allows that.
 
 use base64::{engine::general_purpose::STANDARD, Engine as _};
 use cleatgw::{EngineEvidence, EngineListing, Gateway};
 use cleatgw_deployment_config::{engine_incarnation, PeerInstance};
-use cleatgw_membership::digest::{self, EngineIncarnation, PeerEvidence, Rounds};
+use cleatgw_membership::digest::{self, DigestRounds, DueDigest, EngineIncarnation, OwnEvidence};
 
-/// What peers say of engines is handed to the decisions so often, in seconds.
+/// What peers report of engines is handed to the decisions so often, in seconds.
 const DELIVERY_INTERVAL: f64 = 0.25;
 
-/// A digest that is to be sent now.
-pub struct DueDigest {
-    pub peers: Vec<u16>,
-    pub bytes: Vec<u8>,
-}
-
 /// The digests of one instance.
 pub struct PeerDigests {
-    rounds: Rounds,
+    rounds: DigestRounds,
     /// Which incarnation each engine is in.
     incarnations: Vec<EngineIncarnation>,
     next_delivery: f64,
@@ -24,7 +18,7 @@
 
 impl PeerDigests {
     pub fn new(peer: PeerInstance, seed: u64, now: f64) -> PeerDigests {
-        let rounds = Rounds::new(peer.index, peer.instances, seed, now);
+        let rounds = DigestRounds::new(peer.index, peer.instances, seed, now);
         PeerDigests { rounds, incarnations: Vec::new(), next_delivery: 0.0 }
     }
 
@@ -44,18 +38,22 @@
 
     /// What is malformed is dropped.
     pub fn received(&mut self, sender: u16, bytes: &[u8], now: f64) {
-        let _ = self.rounds.hear(sender, bytes, now);
+        let _ = self.rounds.receive(sender, bytes, now);
     }
 
-    /// Hands the decisions what peers say of each engine, when that is due.
+    /// Hands the decisions what peers report of each engine, when that is due.
     pub fn deliver(&mut self, now: f64, gateway: &mut Gateway) {
         if now < self.next_delivery {
             return;
         }
         self.next_delivery = now + DELIVERY_INTERVAL;
         for (engine, incarnation) in self.incarnations.iter().enumerate() {
-            let PeerEvidence { good, bad, sent, .. } = self.rounds.said(incarnation, now);
-            let evidence = EngineEvidence { successes: good, failures: bad, slow_start_work: sent };
+            let reported = self.rounds.evidence_on(incarnation, now);
+            let evidence = EngineEvidence {
+                successes: reported.successes,
+                failures: reported.failures,
+                slow_start_work: reported.slow_start_work,
+            };
             gateway.peer_evidence_received(engine, evidence);
         }
     }
@@ -65,9 +63,13 @@
         let incarnations = self.incarnations.iter().enumerate();
         let observed = incarnations.filter_map(|(engine, incarnation)| {
             let evidence = gateway.evidence(engine, now)?;
-            Some((*incarnation, (evidence.successes, evidence.failures, evidence.slow_start_work)))
+            let own = OwnEvidence {
+                successes: evidence.successes,
+                failures: evidence.failures,
+                slow_start_work: evidence.slow_start_work,
+            };
+            Some((*incarnation, own))
         });
-        let (peers, bytes) = self.rounds.due(now, || digest::observations(observed))?;
-        Some(DueDigest { peers, bytes })
+        self.rounds.due(now, || digest::observations(observed))
     }
 }
--- a/crates/snapshot-store/src/format.rs
+++ b/crates/snapshot-store/src/format.rs
@@ -1,7 +1,8 @@
-//! The form of the bytes that the engine keeps: each piece sealed with a checksum over its owner, its number and its put, and
-//! a head that tells which pieces a put has.
+//! The form of the bytes that the engine stores: each piece sealed with a checksum over its owner, its number and its snapshot, and
+//! a head that tells which pieces a snapshot has.
 
-use crate::{AsideReason, Pieces, FORMAT, HEAD, MAX_PIECES};
+use crate::error::QuarantineReason;
+use crate::snapshot::{StoredSnapshot, FORMAT, HEAD, MAX_PIECES};
 
 /// The bytes of a checksum.
 const CHECKSUM: usize = 4;
@@ -41,42 +42,45 @@
     right.then(|| Unsealed { epoch: u64::from_le_bytes(*epoch), body })
 }
 
-/// What a put tells of itself.
+/// What a snapshot tells of itself.
 pub(crate) struct Head {
     pub(crate) owner: u64,
     /// Unix time in seconds.
-    pub(crate) at: f64,
+    pub(crate) taken_at: f64,
     /// The numbers of its pieces.
     pub(crate) numbers: Vec<u32>,
 }
 
-/// Writes the head of a put: format, owner, time, and which pieces it has.
-pub(crate) fn write_head(owner: u64, at: f64, pieces: &Pieces) -> Vec<u8> {
+/// Writes the head of a snapshot: format, owner, time, and which pieces it has.
+pub(crate) fn write_head(owner: u64, snapshot: &StoredSnapshot) -> Vec<u8> {
     let mut bytes = FORMAT.to_le_bytes().to_vec();
     bytes.extend(owner.to_le_bytes());
-    bytes.extend(at.to_le_bytes());
-    pieces.keys().for_each(|number| bytes.extend(number.to_le_bytes()));
+    bytes.extend(snapshot.taken_at.to_le_bytes());
+    for number in snapshot.pieces.keys() {
+        bytes.extend(number.to_le_bytes());
+    }
     bytes
 }
 
-/// Reads the head of a put.
+/// Reads the head of a snapshot.
 ///
 /// # Errors
 /// It is of a newer version, or damaged.
-pub(crate) fn read_head(bytes: &[u8]) -> Result<Head, AsideReason> {
-    let damaged = AsideReason::Damaged(HEAD);
+pub(crate) fn read_head(bytes: &[u8]) -> Result<Head, QuarantineReason> {
+    let damaged = QuarantineReason::Damaged(HEAD);
     let (format, rest) = bytes.split_first_chunk().ok_or(damaged.clone())?;
     let format = u32::from_le_bytes(*format);
     if format > FORMAT {
-        return Err(AsideReason::Newer(format));
+        return Err(QuarantineReason::NewerFormat(format));
     }
     let (owner, rest) = rest.split_first_chunk().ok_or(damaged.clone())?;
     let (at, numbers) = rest.split_first_chunk().ok_or(damaged.clone())?;
-    let (owner, at) = (u64::from_le_bytes(*owner), f64::from_le_bytes(*at));
-    let (numbers, odd) = (numbers.chunks_exact(4), numbers.len() % 4);
-    if odd != 0 || numbers.len() > MAX_PIECES || !at.is_finite() || format == 0 {
+    let taken_at = f64::from_le_bytes(*at);
+    let numbers = numbers.chunks_exact(size_of::<u32>());
+    let is_odd = !numbers.remainder().is_empty();
+    if is_odd || numbers.len() > MAX_PIECES || !taken_at.is_finite() || format == 0 {
         return Err(damaged);
     }
-    let numbers = numbers.map(|four| u32::from_le_bytes(four.try_into().expect("four bytes")));
-    Ok(Head { owner, at, numbers: numbers.collect() })
+    let numbers = numbers.filter_map(|number| number.try_into().ok()).map(u32::from_le_bytes);
+    Ok(Head { owner: u64::from_le_bytes(*owner), taken_at, numbers: numbers.collect() })
 }
--- a/crates/snapshot-store/src/tests.rs
+++ b/crates/snapshot-store/src/tests.rs
@@ -1,8 +1,11 @@
 //! Storage that lies, in every way that we could think of: what is read back is one whole put, or set aside.
 
+use super::format::{read_head, seal};
+use super::transaction::TABLE;
 use super::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
 
@@ -92,18 +95,20 @@
 }
 
 /// It is one of these puts, whole.
-fn is_a_put(put: &Put) -> bool {
+fn is_a_put(put: &StoredSnapshot) -> bool {
     let first = put.pieces.get(&0).and_then(|body| body[..8].try_into().ok()).map(u64::from_le_bytes);
-    first.is_some_and(|number| put.pieces == pieces(number) && put.epoch == number && put.at == number as f64)
+    first.is_some_and(|number| {
+        put.pieces == pieces(number) && put.epoch == number && put.taken_at == number as f64
+    })
 }
 
 fn put_some(store: &mut Store, from: u64, to: u64) {
     for number in from..=to {
-        assert_eq!(store.put(&pieces(number), number as f64), Ok(number));
+        assert_eq!(store.save(&pieces(number), number as f64).unwrap(), number);
     }
 }
 
-fn found_in(bytes: Vec<u8>) -> Found {
+fn found_in(bytes: Vec<u8>) -> LoadOutcome {
     Store::open(Disk::holding(bytes), OWNER).1
 }
 
@@ -125,17 +130,17 @@
 fn finds_the_last_put_and_continues_epochs_over_restarts() {
     let disk = Disk::default();
     let (mut store, found) = Store::open(disk.clone(), OWNER);
-    assert_eq!(found, Found::Nothing);
+    assert_eq!(found, LoadOutcome::Empty);
     put_some(&mut store, 1, 5);
     drop(store);
     let (mut store, found) = Store::open(Disk::holding(disk.bytes()), OWNER);
-    assert_eq!(found, Found::Whole(Put { epoch: 5, at: 5.0, pieces: pieces(5) }));
-    store.comes_after(90);
-    assert_eq!(store.put(&pieces(91), 91.0), Ok(91));
+    assert_eq!(found, LoadOutcome::Complete(StoredSnapshot { epoch: 5, taken_at: 5.0, pieces: pieces(5) }));
+    store.continue_after(90);
+    assert_eq!(store.save(&pieces(91), 91.0).unwrap(), 91);
     // A piece that is no longer put is gone.
     let one: Pieces = [(0, vec![1])].into();
-    assert_eq!(store.put(&one, 92.0), Ok(92));
-    assert_eq!(store.put(&[(0, vec![0; MAX_PIECE + 1])].into(), 93.0), Err(StoreError::TooMuch));
+    assert_eq!(store.save(&one, 92.0).unwrap(), 92);
+    assert!(matches!(store.save(&[(0, vec![0; MAX_PIECE + 1])].into(), 93.0), Err(StoreError::TooLarge)));
 }
 
 /// Hard case: killed at every write, with what came after the last sync lost, kept in part, or in another order.
@@ -161,7 +166,7 @@
                 let mut bytes = before.clone();
                 ops[..last].iter().chain(loose).for_each(|op| apply(&mut bytes, op));
                 match found_in(bytes) {
-                    Found::Whole(put) => {
+                    LoadOutcome::Complete(put) => {
                         assert!(is_a_put(&put), "{put:?} after {upto}");
                         // What was acknowledged on an honest disk is never lost.
                         assert!(put.epoch >= least, "{} after {least}, {upto} operations", put.epoch);
@@ -170,8 +175,8 @@
                             least = least.max(put.epoch);
                         }
                     }
-                    Found::Nothing => assert_eq!(least, 0),
-                    Found::Aside(_) => {}
+                    LoadOutcome::Empty => assert_eq!(least, 0),
+                    LoadOutcome::Quarantined(_) => {}
                 }
             }
         }
@@ -205,12 +210,12 @@
                 }
             }
             match found_in(bytes) {
-                Found::Whole(put) => {
+                LoadOutcome::Complete(put) => {
                     assert!(is_a_put(&put), "{put:?}");
                     whole += 1;
                 }
-                Found::Nothing => {}
-                Found::Aside(_) => aside += 1,
+                LoadOutcome::Empty => {}
+                LoadOutcome::Quarantined(_) => aside += 1,
             }
         }
         println!("{kills} kills: {whole} whole, {aside} aside");
@@ -227,7 +232,7 @@
         put_some(&mut store, 1, 3);
         drop(store);
         let bytes = disk.bytes();
-        let sound = |found: &Found| !matches!(found, Found::Whole(put) if !is_a_put(put));
+        let sound = |found: &LoadOutcome| !matches!(found, LoadOutcome::Complete(put) if !is_a_put(put));
         let mut rng = SmallRng::seed_from_u64(5);
         for _ in 0..300 {
             let cut = rng.random_range(0..bytes.len());
@@ -247,7 +252,7 @@
             damaged[at] ^= 1 << rng.random_range(0..8);
             let found = found_in(damaged);
             assert!(sound(&found), "byte {at}: {found:?}");
-            noticed += usize::from(matches!(found, Found::Aside(_)));
+            noticed += usize::from(matches!(found, LoadOutcome::Quarantined(_)));
         }
         // Most flips hit what is free or is repaired from the copy beside it.
         assert!(noticed > 0, "{noticed}");
@@ -261,11 +266,11 @@
     put_some(&mut store, 1, 2);
     drop(store);
     let other = Store::open(Disk::holding(disk.bytes()), OWNER + 1).1;
-    assert_eq!(other, Found::Aside(AsideReason::OtherOwner));
+    assert_eq!(other, LoadOutcome::Quarantined(QuarantineReason::OtherOwner));
     let mut newer = (FORMAT + 1).to_le_bytes().to_vec();
     newer.extend([0; 16]);
-    assert_eq!(read_head(&newer).err(), Some(AsideReason::Newer(FORMAT + 1)));
-    assert!(AsideReason::Newer(2).to_string().contains("newer"));
+    assert_eq!(read_head(&newer).err(), Some(QuarantineReason::NewerFormat(FORMAT + 1)));
+    assert!(QuarantineReason::NewerFormat(2).to_string().contains("newer"));
 }
 
 /// Pieces of two puts beside each other, each whole by itself, are no put.
@@ -282,7 +287,7 @@
     }
     writing.commit().unwrap();
     drop(store);
-    assert_eq!(found_in(disk.bytes()), Found::Aside(AsideReason::Damaged(1)));
+    assert_eq!(found_in(disk.bytes()), LoadOutcome::Quarantined(QuarantineReason::Damaged(1)));
 }
 
 #[test]
@@ -292,11 +297,11 @@
         let (mut store, _) = Store::open(disk.clone(), OWNER);
         put_some(&mut store, 1, 2);
         disk.0.lock().unwrap().fails = Some("no space left on device");
-        let Err(StoreError::Disk(why)) = store.put(&pieces(3), 3.0) else { panic!("it was put") };
-        assert!(!why.is_empty());
+        let Err(error) = store.save(&pieces(3), 3.0) else { panic!("it was written") };
+        assert!(matches!(error, StoreError::Engine(_)) && !error.to_string().is_empty(), "{error:?}");
         assert_eq!(store.epoch(), 2);
         drop(store);
-        let Found::Whole(put) = found_in(disk.bytes()) else { panic!("nothing whole") };
+        let LoadOutcome::Complete(put) = found_in(disk.bytes()) else { panic!("nothing whole") };
         assert!(is_a_put(&put) && put.epoch == 2);
     });
 }
@@ -308,13 +313,15 @@
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("kept");
         std::fs::write(&path, b"this is no store of ours, and longer than nothing").unwrap();
-        let (mut store, found) = Store::at(&path, OWNER).unwrap();
-        assert!(matches!(found, Found::Aside(AsideReason::Unreadable(_))), "{found:?}");
-        assert!(aside(&path).exists());
+        let (mut store, found) = Store::open_file(&path, OWNER).unwrap();
+        assert!(matches!(found, LoadOutcome::Quarantined(QuarantineReason::Unreadable(_))), "{found:?}");
+        assert!(quarantine_path(&path).exists());
         put_some(&mut store, 1, 2);
         drop(store);
-        assert!(matches!(Store::at(&path, OWNER), Ok((_, Found::Whole(put))) if put.epoch == 2));
-        assert!(Store::at(&folder.join("missing").join("kept"), OWNER).is_err());
+        assert!(
+            matches!(Store::open_file(&path, OWNER), Ok((_, LoadOutcome::Complete(put))) if put.epoch == 2)
+        );
+        assert!(Store::open_file(&folder.join("missing").join("kept"), OWNER).is_err());
         std::fs::remove_dir_all(&folder).unwrap();
     });
 }
--- a/crates/snapshot-store/tests/golden_file.rs
+++ b/crates/snapshot-store/tests/golden_file.rs
@@ -1,7 +1,7 @@
 //! A golden file: a store that the version before the code was reshaped (1b8dd66) has written by two puts of three pieces each,
 //! compacted. It is read whole, and the next put follows its epoch.
 
-use cleatgw_snapshot_store::{Found, Pieces, Put, Store};
+use cleatgw_snapshot_store::{LoadOutcome, Pieces, Store, StoredSnapshot};
 use std::path::{Path, PathBuf};
 
 const OWNER: u64 = 0x5eed_0b0e;
@@ -21,20 +21,26 @@
 #[test]
 fn a_file_of_the_former_version_is_read_whole_and_written_on() {
     let path = copy("whole");
-    let (mut store, found) = Store::at(&path, OWNER).expect("it opens");
-    assert_eq!(found, Found::Whole(Put { epoch: 2, at: 1_800_000_002.0, pieces: pieces(2) }));
-    assert_eq!(store.put(&pieces(3), 1_800_000_003.0), Ok(3));
+    let (mut store, found) = Store::open_file(&path, OWNER).expect("it opens");
+    assert_eq!(
+        found,
+        LoadOutcome::Complete(StoredSnapshot { epoch: 2, taken_at: 1_800_000_002.0, pieces: pieces(2) })
+    );
+    assert_eq!(store.save(&pieces(3), 1_800_000_003.0).expect("it is written"), 3);
     drop(store);
-    let (_, found) = Store::at(&path, OWNER).expect("it opens again");
-    assert_eq!(found, Found::Whole(Put { epoch: 3, at: 1_800_000_003.0, pieces: pieces(3) }));
+    let (_, found) = Store::open_file(&path, OWNER).expect("it opens again");
+    assert_eq!(
+        found,
+        LoadOutcome::Complete(StoredSnapshot { epoch: 3, taken_at: 1_800_000_003.0, pieces: pieces(3) })
+    );
     std::fs::remove_file(path).expect("it is ours");
 }
 
 #[test]
 fn a_file_of_the_former_version_is_set_aside_for_another_owner() {
     let path = copy("owner");
-    let (_, found) = Store::at(&path, OWNER + 1).expect("it opens");
-    assert!(matches!(found, Found::Aside(_)), "{found:?}");
-    std::fs::remove_file(cleatgw_snapshot_store::aside(&path)).expect("it was set aside");
+    let (_, found) = Store::open_file(&path, OWNER + 1).expect("it opens");
+    assert!(matches!(found, LoadOutcome::Quarantined(_)), "{found:?}");
+    std::fs::remove_file(cleatgw_snapshot_store::quarantine_path(&path)).expect("it was set aside");
     let _ = std::fs::remove_file(path);
 }
--- a/crates/testbed/src/capacity/fleet.rs
+++ b/crates/testbed/src/capacity/fleet.rs
@@ -9,9 +9,10 @@
     AttemptEnd, AttemptOutcome, Deployment, EngineEvidence, EngineKind, EngineListing, Idempotency,
     LoadReport, MeasuredCost, RequestClass, RetryBudget, SlowStart,
 };
-use cleatgw_membership::digest::{self, EngineIncarnation, LASTS};
+use cleatgw_membership::digest::{self, EngineIncarnation, OwnEvidence, OBSERVATION_LIFETIME};
+use cleatgw_membership::leader::role_resource;
 use cleatgw_membership::swim::Pace;
-use cleatgw_membership::{role, Members};
+use cleatgw_membership::Members;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -672,7 +673,7 @@
     fn look_at_holder(&mut self, at: usize) {
         let holds = |router: usize| {
             let members = self.routers[router].members.as_ref();
-            members.is_some_and(|members| members.holds(role::thing(ROLE), self.now).is_some())
+            members.is_some_and(|members| members.holds(role_resource(ROLE), self.now).is_some())
         };
         if self.holder == Some(at) || !holds(at) {
             return;
@@ -692,24 +693,33 @@
         let began = Instant::now();
         let met = |listing: &EngineListing| {
             let met = gateway.evidence(listing.engine, now)?;
-            Some((incarnation_of(listing), (met.successes, met.failures, met.slow_start_work)))
+            let own = OwnEvidence {
+                successes: met.successes,
+                failures: met.failures,
+                slow_start_work: met.slow_start_work,
+            };
+            Some((incarnation_of(listing), own))
         };
-        let words = digest::words(router.listings.iter().filter_map(met));
-        members.tell(words.clone());
+        let words = digest::observations(router.listings.iter().filter_map(met));
+        members.set_observations(words.clone());
         self.spent.members += began.elapsed();
         for word in words {
             self.spoken_of[self.names[&word.engine.name]] = now;
         }
         let began = Instant::now();
         // A word may be on its way, and stands in hellos until the next are made.
-        let lasts = LASTS + 4.0 * WORDS;
+        let lasts = OBSERVATION_LIFETIME + 4.0 * WORDS;
         let spoken_of = &self.spoken_of;
         let hears = |listing: &&EngineListing| all || now < spoken_of[listing.engine] + lasts;
         for listing in router.listings.iter().filter(hears) {
-            let said = members.said(&incarnation_of(listing), now);
+            let said = members.evidence_on(&incarnation_of(listing), now);
             gateway.peer_evidence_received(
                 listing.engine,
-                EngineEvidence { successes: said.good, failures: said.bad, slow_start_work: said.sent },
+                EngineEvidence {
+                    successes: said.successes,
+                    failures: said.failures,
+                    slow_start_work: said.slow_start_work,
+                },
             );
         }
         if at.is_multiple_of(self.play.routers.div_ceil(12)) {
@@ -975,7 +985,7 @@
         let mut gateway = Gateway::new(self.deployment(), own, now);
         let born = 1_700_000_000_000 + (now * 1e3) as u64;
         let mut members = Members::new(CLUSTER, routers, at, born, &Pace::default(), own, now);
-        members.take_on(&[role::thing(ROLE)], now);
+        members.take_on(&[role_resource(ROLE)], now);
         if again {
             // Nothing is kept here from one incarnation to the next.
             gateway.assume_lost_history(now);
--- a/crates/testbed/src/capacity/members.rs
+++ b/crates/testbed/src/capacity/members.rs
@@ -47,7 +47,7 @@
 fn settled(routers: usize, seed: u64, absent: &[usize], until: f64) -> World {
     let mut world = World::new(routers, Pace::default(), seed);
     world.weather.place((0..routers).map(|router| router % target::ZONES).collect(), three_regions());
-    world.role = Some(cleatgw_membership::role::thing("one"));
+    world.role = Some(cleatgw_membership::leader::role_resource("one"));
     let drift = cleatgw_membership::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
     for router in (0..routers).filter(|router| !absent.contains(router)) {
--- a/crates/testbed/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -179,7 +179,7 @@
 /// often two held it.
 fn role(routers: usize, seed: u64) -> (f64, usize) {
     let mut world = World::started(routers, Pace::default(), seed);
-    let thing = cleatgw_membership::role::thing("one");
+    let thing = cleatgw_membership::leader::role_resource("one");
     world.role = Some(thing);
     let holder = |world: &World| {
         let holds = |at: &usize| world.members(*at).is_some_and(|one| one.holds(thing, world.now).is_some());
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -59,7 +59,7 @@
     let damping = Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 300.0 };
     AnnouncerConfig {
         addresses: vec![net()],
-        mark: Mark { asn: 64_512, healthy: 1, last_resort: 2, instance },
+        instance_community: InstanceCommunity { asn: 64_512, healthy: 1, last_resort: 2, instance },
         checks: [
             sign(Effect::Withdraw, 0.0),
             sign(Effect::Deprefer, 10.0),
@@ -113,11 +113,11 @@
     }
 
     fn sees(&self, best: &Best) -> Paths {
-        let mark = self.announcer.config().mark;
+        let community = self.announcer.config().instance_community;
         let mut paths = Paths::new(true);
         for (level, instance) in best.iter().filter(|one| one.1 != self.number).take(SHOWN) {
-            let large =
-                vec![Mark { instance: *instance, ..mark }.large_community(*level > Level::LastResort)];
+            let large = vec![InstanceCommunity { instance: *instance, ..community }
+                .large_community(*level > Level::LastResort)];
             let seen = LearnedRoute {
                 communities: Vec::new(),
                 large_communities: large,
@@ -125,7 +125,7 @@
                 med: None,
                 stale: false,
             };
-            paths.add(&mark, net(), &seen);
+            paths.add(&community, net(), &seen);
         }
         paths
     }
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -149,7 +149,7 @@
 pub fn measure_virtual(routers: usize, seed: u64, seconds: f64, plot: Option<&Path>) -> Value {
     let mut world = World::new(routers, Pace::default(), seed);
     // One leader role, and clocks as far apart as leases allow for.
-    world.role = Some(cleatgw_membership::role::thing("one"));
+    world.role = Some(cleatgw_membership::leader::role_resource("one"));
     let drift = cleatgw_membership::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
     (0..routers).for_each(|router| world.at(router as f64 / routers as f64, Act::Start(router)));
@@ -188,7 +188,7 @@
     let kinds = [
         ("all", all),
         ("no local health", Defences { local_health: false, ..all }),
-        ("no own ears", Defences { own_ears: false, ..all }),
+        ("no own ears", Defences { own_observations: false, ..all }),
         ("no suspicion", Defences { suspicion: false, ..all }),
     ];
     let losses = [0.0, 0.1, 0.2, 0.3, 0.4, 0.5];
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -17,7 +17,7 @@
 const PRESSURE_PACES: f64 = 2.5;
 const PRESSURE_GRANTED: f64 = 0.98;
 /// The largest pace that is taken as evidence of a crowd.
-const MAX_CROWD_PACE: f64 = 8.0;
+const MAX_PEER_LOAD_PACE: f64 = 8.0;
 /// The largest weight of one answer whose work was only estimated.
 const MAX_ESTIMATE_WEIGHT: f64 = 3.0;
 /// The least work that a pace is taken of.
@@ -36,7 +36,7 @@
     /// Time for each second of work a thread.
     pace: f64,
     /// The same as evidence of a crowd, where it is any.
-    crowd_pace: Option<f64>,
+    peer_load_pace: Option<f64>,
     /// No answer of the class measures work, and gateways are few.
     is_uncorrected: bool,
     /// This gateway had no turn for a while, and can't tell when the answer came.
@@ -96,7 +96,7 @@
         let is_uncorrected =
             model.work_fit.is_unmeasured() && has_estimate && self.deployment.gateways <= cores;
         let is_evidence = end.outcome == AttemptOutcome::Completed && !at_quarter && !is_stalled;
-        let crowd_pace = match (is_uncorrected, is_evidence) {
+        let peer_load_pace = match (is_uncorrected, is_evidence) {
             (true, true) => model.pace_against_least(pace, work),
             (true, false) => None,
             (false, _) => Some(pace),
@@ -110,7 +110,7 @@
             memory,
             threads,
             pace,
-            crowd_pace,
+            peer_load_pace,
             is_uncorrected,
             is_stalled,
         })
@@ -128,11 +128,12 @@
             end.outcome,
             AttemptOutcome::Completed | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
         );
-        let shows_crowd = ran && !sample.at_quarter && !sample.is_stalled && self.deployment.gateways > 1.0;
+        let shows_peer_load =
+            ran && !sample.at_quarter && !sample.is_stalled && self.deployment.gateways > 1.0;
         let estimated = sample
-            .crowd_pace
-            .filter(|_| shows_crowd)
-            .map(|pace| USUAL_THREADS * pace.min(MAX_CROWD_PACE) * engine.cores - engine.threads);
+            .peer_load_pace
+            .filter(|_| shows_peer_load)
+            .map(|pace| USUAL_THREADS * pace.min(MAX_PEER_LOAD_PACE) * engine.cores - engine.threads);
         engine.concurrency.reports_load |= reported.is_some();
         self.load.note_pace(sample.pace);
         if let Some(threads) = reported.or(estimated) {
@@ -150,7 +151,7 @@
         engine.failures.add(sample.class, evidence);
         let is_success = evidence.success > 0.0;
         if is_success {
-            engine.note_success(sample.crowd_pace, sample.pace, sample.work, now);
+            engine.note_success(sample.peer_load_pace, sample.pace, sample.work, now);
         }
         let best = engine.best_pace.filter(|_| is_success);
         let is_slowed = best.is_some_and(|best| engine.pace.mean_or(1.0) > PRESSURE_PACES * best);
