--- a/crates/router/src/protocol/tests.rs
+++ b/crates/router/src/protocol/tests.rs
@@ -32,7 +32,7 @@
         let mut rest = &bytes[..];
         while let Ok(Some(answer)) = engine::answer(rest) {
             if let Ok(mut pages) = engine::Pages::new(answer.pages.unwrap_or(1), answer.body) {
-                let _ = (pages.add(answer.page.unwrap_or(1), answer.body), pages.whole());
+                let _ = (pages.add(answer.page.unwrap_or(1), answer.body), pages.take_complete());
             }
             rest = &rest[answer.taken..];
         }
