--- a/crates/router/src/protocol/engine/tests.rs
+++ b/crates/router/src/protocol/engine/tests.rs
@@ -85,7 +85,10 @@
     assert!(Pages::new(1, b"a\tb\tc").is_err(), "half a row");
     assert!(Pages::new(1, b"a\tb\tc\n\n").is_err(), "an empty row");
     let mut pages = Pages::new(2, b"").unwrap();
-    assert!(pages.add(0, b"a\tb\tc\n").is_ok() && pages.take_complete().is_none(), "a page twice adds nothing");
+    assert!(
+        pages.add(0, b"a\tb\tc\n").is_ok() && pages.take_complete().is_none(),
+        "a page twice adds nothing"
+    );
     assert!(pages.add(2, b"").is_err(), "a page beyond the last");
     let long = [vec![b'x'; LONGEST_RESULT], b"\t\t\n".to_vec()].concat();
     assert!(pages.add(1, &long).is_err(), "too long");
