--- /dev/null
+++ b/crates/operator-config/src/service/checks.rs
@@ -0,0 +1,126 @@
+//! What the values of a service file must be.
+
+use super::{community, DampingPart, DearPart, ServiceFile, SignPart, SignsPart};
+use crate::bgp::seconds;
+use crate::{invalid, OperatorFile, OperatorFileError};
+use std::collections::BTreeSet;
+
+const MOST_ADDRESSES: usize = 256;
+const MOST_COMMUNITIES: usize = 16;
+
+impl DearPart {
+    fn check(&self, path: &str) -> Result<(), OperatorFileError> {
+        if self.prepend > 16 {
+            return invalid(format!("{path}.prepend"), "0 to 16", self.prepend);
+        }
+        if self.communities.len() > MOST_COMMUNITIES {
+            return invalid(format!("{path}.communities"), "at most 16", self.communities.len());
+        }
+        for (at, text) in self.communities.iter().enumerate() {
+            if community(text).is_none() {
+                return invalid(
+                    format!("{path}.communities[{at}]"),
+                    "two numbers such as 64512:666",
+                    format!("{text:?}"),
+                );
+            }
+        }
+        Ok(())
+    }
+}
+
+impl SignPart {
+    fn check(&self, name: &str, most: f64) -> Result<(), OperatorFileError> {
+        let path = |field: &str| format!("signs.{name}.{field}");
+        if !(0.0..=most).contains(&self.bound) {
+            return invalid(path("bound"), &format!("0 to {most}"), self.bound);
+        }
+        for (field, count) in [("rise", self.rise), ("fall", self.fall)] {
+            if !(1..=1000).contains(&count) {
+                return invalid(path(field), "1 to 1000", count);
+            }
+        }
+        seconds(&path("least_good_s"), self.least_good_s, 0.0, 3600.0)?;
+        seconds(&path("least_bad_s"), self.least_bad_s, 0.0, 3600.0)
+    }
+}
+
+impl DampingPart {
+    fn check(&self) -> Result<(), OperatorFileError> {
+        let DampingPart { half_life_s, suppress, reuse, longest_s } = *self;
+        seconds("damping.half_life_s", half_life_s, 1.0, 3600.0)?;
+        seconds("damping.longest_s", longest_s, half_life_s, 86_400.0)?;
+        if !(0.1..=1e3).contains(&reuse) {
+            return invalid("damping.reuse", "0.1 to 1000", reuse);
+        }
+        if suppress.is_nan() || suppress <= reuse {
+            return invalid("damping.suppress", &format!("more than damping.reuse, {reuse}"), suppress);
+        }
+        // RFC 2439 section 4.2: a ceiling under the bound would never hold anything back.
+        if reuse * (longest_s / half_life_s).exp2() < suppress {
+            let expected = "long enough for a penalty of damping.suppress to fade";
+            return invalid("damping.longest_s", expected, longest_s);
+        }
+        Ok(())
+    }
+}
+
+impl OperatorFile for ServiceFile {
+    fn check(&self) -> Result<(), OperatorFileError> {
+        self.bgp.check()?;
+        self.check_addresses()?;
+        self.check_signs()?;
+        self.announced.check("announced")?;
+        self.depreferred.check("depreferred")?;
+        self.last_resort.check("last_resort")?;
+        if self.mark_functions.0 == self.mark_functions.1 {
+            return invalid("mark_functions", "two numbers that differ", self.mark_functions.0);
+        }
+        self.check_times()?;
+        if !(2..=60).contains(&self.most_changes_a_minute) {
+            return invalid("most_changes_a_minute", "2 to 60", self.most_changes_a_minute);
+        }
+        self.damping.check()
+    }
+}
+
+impl ServiceFile {
+    fn check_addresses(&self) -> Result<(), OperatorFileError> {
+        if !(1..=MOST_ADDRESSES).contains(&self.addresses.len()) {
+            return invalid("addresses", "1 to 256 prefixes", self.addresses.len());
+        }
+        let mut seen = BTreeSet::new();
+        for (index, prefix) in self.addresses.iter().enumerate() {
+            let field = format!("addresses[{index}]");
+            if prefix.trunc() != *prefix {
+                return invalid(field, &format!("{} without host bits", prefix.trunc()), prefix);
+            }
+            if prefix.prefix_len() == 0 || prefix.addr().is_multicast() || prefix.addr().is_loopback() {
+                return invalid(field, "a unicast prefix", prefix);
+            }
+            if !seen.insert(prefix) {
+                return invalid(field, "each prefix once", prefix);
+            }
+        }
+        Ok(())
+    }
+
+    fn check_signs(&self) -> Result<(), OperatorFileError> {
+        let SignsPart { listening, deciding, board, engines, in_time } = &self.signs;
+        listening.check("listening", 0.0)?;
+        deciding.check("deciding", 3600.0)?;
+        board.check("board", 3600.0)?;
+        engines.check("engines", 1e6)?;
+        in_time.check("in_time", 1.0)
+    }
+
+    fn check_times(&self) -> Result<(), OperatorFileError> {
+        seconds("start_after_s", self.start_after_s, 0.0, 3600.0)?;
+        seconds("return_after_s", self.return_after_s, 0.0, 3600.0)?;
+        seconds("stage_s", self.stage_s, 0.0, 3600.0)?;
+        seconds("jitter_down_s", self.jitter_down_s, 0.0, 600.0)?;
+        seconds("jitter_up_s", self.jitter_up_s, 0.0, 600.0)?;
+        seconds("settle_s", self.settle_s, 0.0, 3600.0)?;
+        seconds("shutdown_lead_s", self.shutdown_lead_s, 0.0, 0.8)
+    }
+}
--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -1,14 +1,15 @@
 //! The BGP speaker: connections to routing peers, around the sessions of `cleatgw-bgp` and the decisions of
 //! `cleatgw-announce`. It decides nothing itself: it reads, hands over, and writes what came of it.
 
+mod status;
+
 use super::bgp_connection::{BgpConnectionError, BgpPeer};
 use super::event_source::{watch, EventSource, LoopHandle};
 use super::panic_guard::catch_panic;
 use crate::routing::Counters;
-use crate::status_row::StatusRow;
 use calloop::Readiness;
-use cleatgw_announce::{AddressEvent, AddressStatus, Announcer, Level, Paths, Readings, Reason};
-use cleatgw_bgp::{Action, Advertisement, CeaseSubcode, Direction, Importance, LogEntry, Peer, State};
+use cleatgw_announce::{AddressEvent, Announcer, Level, Paths, Readings, Reason};
+use cleatgw_bgp::{Action, Advertisement, CeaseSubcode, Direction, Importance, LogEntry, State};
 use cleatgw_operator_config::{PeerPart, ServiceFile};
 use ipnet::IpNet;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -285,7 +286,7 @@
                 for token in peer.tokens() {
                     handle.remove(token);
                 }
-                add_counters(counters, &peer.session);
+                status::add_counters(counters, &peer.session);
             }
             !is_over
         });
@@ -374,40 +375,6 @@
         let is_over = self.peers.iter().all(|peer| peer.session.is_finished());
         is_over || self.goodbye_at.is_some_and(|at| now >= at + GOODBYE_TIMEOUT)
     }
-
-    pub fn counters(&self) -> Counters {
-        let mut counters = self.counters.clone();
-        for peer in &self.peers {
-            add_counters(&mut counters, &peer.session);
-        }
-        counters.announce_changes = self.announcer.changes;
-        counters.announce_guarded = self.announcer.guarded;
-        counters.announce_damped = self.announcer.damped;
-        counters.announce_capped = self.announcer.capped;
-        counters
-    }
-
-    /// How the drain, the addresses, the health checks and the peers stand.
-    pub fn status(&self, now: f64) -> Vec<StatusRow> {
-        let mut rows = Vec::new();
-        rows.extend(self.drain_row(now));
-        let paths = self.paths();
-        let statuses = self.announcer.statuses();
-        rows.extend(statuses.map(|status| address_row(status, &paths, now)));
-        for check in self.announcer.failing_checks() {
-            rows.push(StatusRow::new("sign", "bad", check.to_string()));
-        }
-        rows.extend(self.peers.iter().map(peer_row));
-        rows
-    }
-
-    fn drain_row(&self, now: f64) -> Option<StatusRow> {
-        let drain = self.announcer.draining()?;
-        let left = drain.new_work_ends - now;
-        let work =
-            if left > 0.0 { format!("new work for {left:.2} s more") } else { "no new work".to_string() };
-        Some(StatusRow::new("drain", format!("since {:.2} s", now - drain.began), work))
-    }
 }
 
 /// Other addresses are told on the session that is up; what else is new in a peer's part ends it.
@@ -425,46 +392,6 @@
     peer.is_leaving = true;
 }
 
-fn address_row(status: AddressStatus, paths: &Paths, now: f64) -> StatusRow {
-    let AddressStatus { prefix, level, reason, since, suppressed_by } = status;
-    let waits = suppressed_by.map_or(String::new(), |what| format!("; a move waits for {what}"));
-    let (healthy, total) = (paths.healthy(&prefix), paths.total(&prefix));
-    let others = format!("{healthy} sound of {total} others seen");
-    let detail = format!("{reason}, for {:.1} s; {others}{waits}", now - since);
-    StatusRow::new(format!("address {prefix}"), level.to_string(), detail)
-}
-
-fn peer_row(peer: &BgpPeer) -> StatusRow {
-    let BgpPeer { part, session, is_leaving, .. } = peer;
-    let counts = &session.counters;
-    let announced: Vec<String> = session.adj_rib_out().map(|(prefix, _)| prefix.to_string()).collect();
-    let last = session.last_error.as_deref();
-    let last = last.map_or(String::new(), |error| format!("; last error: {error}"));
-    let leaving = if *is_leaving { ", leaving" } else { "" };
-    let detail = format!(
-        "out {} [{}], seen {}, sessions {} lost {}{leaving}{last}",
-        announced.len(),
-        announced.join(" "),
-        session.adj_rib_in.len(),
-        counts.established,
-        counts.lost
-    );
-    StatusRow::new(format!("peer {} {}", part.name, part.address), format!("{:?}", session.state()), detail)
-}
-
-fn add_counters(counters: &mut Counters, session: &Peer) {
-    let counts = &session.counters;
-    counters.bgp_established += counts.established;
-    counters.bgp_lost += counts.lost;
-    counters.bgp_updates_out += counts.updates_out;
-    counters.bgp_updates_in += counts.updates_in;
-    counters.bgp_notifications_out += counts.notifications_out;
-    counters.bgp_notifications_in += counts.notifications_in;
-    counters.bgp_treated_as_withdrawn += counts.treated_as_withdrawn;
-    counters.bgp_passed_over += session.adj_rib_in.ignored;
-    counters.bgp_left_out += session.adj_rib_in.over_limit;
-}
-
 /// One line for each change of how an address stands.
 fn log_event(event: &AddressEvent) {
     let AddressEvent { prefix, level, reason, healthy_paths, total_paths, suppressed_by } = event;
--- /dev/null
+++ b/crates/router/src/transport/client_listener.rs
@@ -0,0 +1,49 @@
+//! Where clients connect to.
+
+use super::event_source::{watch, EventSource, LoopHandle};
+use calloop::RegistrationToken;
+use socket2::{Domain, Protocol, Socket, Type};
+use std::io::{self, ErrorKind};
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// Connections that the system lets wait to be accepted.
+const BACKLOG: i32 = 1024;
+/// How long an address is waited for that a former process may still hold.
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
+const BIND_RETRIES: u32 = 100;
+
+pub struct Listener {
+    pub socket: Rc<TcpListener>,
+    pub token: RegistrationToken,
+}
+
+impl Listener {
+    /// Listens on an address.
+    ///
+    /// # Errors
+    /// The address can't be had.
+    pub fn open(handle: &LoopHandle, listen: SocketAddr) -> io::Result<Listener> {
+        let socket = Rc::new(bind(listen)?);
+        log::info!("listens on {listen}");
+        let token = watch(handle, socket.clone(), EventSource::ClientListener)?;
+        Ok(Listener { socket, token })
+    }
+}
+
+/// Binds an address, which a former process may still hold for a while.
+fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(listen), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_nonblocking(true)?;
+    socket.set_reuse_address(true)?;
+    let began = Instant::now();
+    while let Err(error) = socket.bind(&listen.into()) {
+        if error.kind() != ErrorKind::AddrInUse || began.elapsed() > BIND_TIMEOUT {
+            return Err(error);
+        }
+        std::thread::sleep(BIND_TIMEOUT / BIND_RETRIES);
+    }
+    socket.listen(BACKLOG)?;
+    Ok(TcpListener::from(socket))
+}
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -1,5 +1,8 @@
 //! All client sessions: the listener, how many there may be, and what each of them asks.
 
+mod questions;
+
+use super::client_listener::Listener;
 use super::client_session::{ClientSession, SessionEvent};
 use super::event_source::{watch, EventSource, LoopHandle};
 use super::panic_guard::catch_panic;
@@ -7,21 +10,13 @@
 use crate::protocol::mysql;
 use crate::protocol::statement::{ParsedStatement, Question, StatementError};
 use crate::routing::{Answer, Counters, SessionId, SessionStatement, TurnInput};
-use crate::status_row::StatusRow;
-use calloop::{Readiness, RegistrationToken};
-use socket2::{Domain, Protocol, Socket, Type};
+use calloop::Readiness;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 use std::io::{self, ErrorKind};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use std::time::{Duration, Instant};
 
-/// Connections that the system lets wait to be accepted.
-const BACKLOG: i32 = 1024;
-/// How long an address is waited for that a former process may still hold.
-const BIND_TIMEOUT: Duration = Duration::from_secs(5);
-const BIND_RETRIES: u32 = 100;
 /// So many connections are accepted in one turn.
 const MAX_ACCEPTED: usize = 64;
 /// So many sessions are looked at for one to close for others.
@@ -36,11 +31,6 @@
 const DESCRIPTOR_PART: usize = 2;
 const MEMORY_PART: usize = 4;
 
-struct Listener {
-    socket: Rc<TcpListener>,
-    token: RegistrationToken,
-}
-
 /// A session asks for another one to be killed.
 struct Kill {
     asked_by: SessionId,
@@ -80,22 +70,6 @@
     counters: Counters,
 }
 
-/// Binds an address, which a former process may still hold for a while.
-fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(listen), Type::STREAM, Some(Protocol::TCP))?;
-    socket.set_nonblocking(true)?;
-    socket.set_reuse_address(true)?;
-    let began = Instant::now();
-    while let Err(error) = socket.bind(&listen.into()) {
-        if error.kind() != ErrorKind::AddrInUse || began.elapsed() > BIND_TIMEOUT {
-            return Err(error);
-        }
-        std::thread::sleep(BIND_TIMEOUT / BIND_RETRIES);
-    }
-    socket.listen(BACKLOG)?;
-    Ok(TcpListener::from(socket))
-}
-
 impl ClientSessions {
     /// Listens on an address, with these bounds of the whole router.
     ///
@@ -107,14 +81,12 @@
         descriptors: usize,
         memory: usize,
     ) -> io::Result<ClientSessions> {
-        let socket = Rc::new(bind(listen)?);
-        log::info!("listens on {listen}");
-        let token = watch(handle, socket.clone(), EventSource::ClientListener)?;
+        let listener = Listener::open(handle, listen)?;
         let max_sessions = (descriptors / DESCRIPTOR_PART).max(1);
         let max_packet = (memory / MEMORY_PART / max_sessions).clamp(MIN_MAX_PACKET, MAX_MAX_PACKET);
         Ok(ClientSessions {
             handle: handle.clone(),
-            listener: Some(Listener { socket, token }),
+            listener: Some(listener),
             sessions: HashMap::new(),
             max_sessions,
             max_packet,
@@ -392,50 +364,6 @@
         }
     }
 
-    pub fn has_asked_for_counters(&self) -> bool {
-        !self.asked_for_counters.is_empty()
-    }
-
-    /// Answers those that asked for the counters, in the form that drivers take apart.
-    pub fn answer_counters(&mut self, counters: &Counters, now: f64) {
-        let counters = counters.to_string().replace(' ', "  ").replace('=', ": ");
-        for id in std::mem::take(&mut self.asked_for_counters) {
-            if let Some(session) = self.sessions.get_mut(&id) {
-                session.active_at = now;
-                session.text(&counters);
-                self.unfinished.push(id);
-            }
-        }
-    }
-
-    /// What was asked in this turn, each question once.
-    pub fn questions(&self) -> Vec<Question> {
-        let mut questions: Vec<Question> = Vec::new();
-        for asked in &self.questions {
-            if !questions.contains(&asked.question) {
-                questions.push(asked.question);
-            }
-        }
-        questions
-    }
-
-    /// Answers those that asked this; none where there is nothing of the kind.
-    pub fn answer_status(&mut self, question: Question, rows: Option<&[StatusRow]>, now: f64) {
-        let (asked, others) =
-            std::mem::take(&mut self.questions).into_iter().partition(|asked| asked.question == question);
-        self.questions = others;
-        let asked: Vec<AskedQuestion> = asked;
-        for AskedQuestion { asked_by, .. } in asked {
-            let Some(session) = self.sessions.get_mut(&asked_by) else { continue };
-            session.active_at = now;
-            match rows {
-                Some(rows) => session.table(rows),
-                None => session.error(mysql::NOT_UNDERSTOOD, "there is nothing of the kind here"),
-            }
-            self.unfinished.push(asked_by);
-        }
-    }
-
     /// Connections that wait to be accepted find room.
     pub fn has_room(&self) -> bool {
         !self.may_accept || self.accepts_more()
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -1,11 +1,11 @@
 //! A connection to an engine: many attempts on it, and how far each of them came.
 
 use super::buffer::{Buffer, Reached};
+use super::engine_exchange::Exchange;
 use super::sockets::{is_connected, RegisteredStream};
-use crate::protocol::engine::{self, AnswerKind, EncodedRequest, Malformed, Pages};
+use crate::protocol::engine::{self, AnswerKind, EncodedRequest, Malformed};
 use crate::routing::{AttemptId, DeliveryFailure, Dispatch, EndedAttempt, Reply};
 use calloop::RegistrationToken;
-use cleatgw::MeasuredCost;
 use cleatgw_deployment_config::ConnectionLimits;
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -29,15 +29,6 @@
 const ANSWER_TIMEOUT: f64 = 0.5;
 /// The part of its idle time-out for which an idle connection is used: after that its engine may be closing it.
 const IDLE_PART: f64 = 0.9;
-const MS_PER_S: f64 = 1e3;
-
-/// An attempt that has left.
-struct Exchange {
-    attempt: AttemptId,
-    /// Where its request ends in all that was put on the connection.
-    ends_at: u64,
-    pages: Option<Pages>,
-}
 
 /// An attempt that waits for the connection to come up.
 struct QueuedAttempt {
@@ -422,7 +413,7 @@
                 _ => match self.exchanges.get_mut(answer.id) {
                     None => self.answers_dropped += 1,
                     Some(exchange) => {
-                        let reply = take_reply(exchange, &answer, &mut requests)?;
+                        let reply = exchange.take_reply(&answer, &mut requests)?;
                         let attempt = exchange.attempt;
                         if let Some(reply) = reply {
                             self.exchanges.remove(answer.id);
@@ -468,45 +459,3 @@
 fn never_sent(attempt: AttemptId) -> EndedAttempt {
     EndedAttempt { attempt, result: Err(DeliveryFailure::NeverSent) }
 }
-
-/// Takes one answer to an exchange; the reply, if that is complete. Requests for more pages go into `requests`.
-fn take_reply(
-    exchange: &mut Exchange,
-    answer: &engine::Answer,
-    requests: &mut Vec<u8>,
-) -> Result<Option<Reply>, Malformed> {
-    match (answer.kind, &mut exchange.pages) {
-        (AnswerKind::Done, None) => take_first_page(exchange, answer, requests),
-        // A second copy, whose pages are under way.
-        (AnswerKind::Done, Some(_)) => Ok(None),
-        (AnswerKind::More, None) => Err(Malformed("a page before the first")),
-        (AnswerKind::More, Some(pages)) => {
-            pages.add(answer.page.unwrap_or(0), answer.body)?;
-            let rows = pages.take_complete();
-            if rows.is_some() {
-                engine::close(requests, answer.id);
-            }
-            Ok(rows.map(|rows| Reply::Completed { rows, measured: pages.measured }))
-        }
-        (AnswerKind::Broke, _) => Ok(Some(Reply::EngineError)),
-        (AnswerKind::Wait, None) => Ok(Some(Reply::EngineFull)),
-        (AnswerKind::Past, None) => Ok(Some(Reply::DeadlinePassed)),
-        _ => Err(Malformed("an answer out of place")),
-    }
-}
-
-/// The first page of a result: the others are asked for.
-fn take_first_page(
-    exchange: &mut Exchange,
-    answer: &engine::Answer,
-    requests: &mut Vec<u8>,
-) -> Result<Option<Reply>, Malformed> {
-    let pages = exchange.pages.insert(Pages::new(answer.pages.unwrap_or(1), answer.body)?);
-    let measured = answer.work.zip(answer.peak);
-    pages.measured = measured.map(|(ms, memory_mb)| MeasuredCost { work: ms / MS_PER_S, memory_mb });
-    for number in pages.others() {
-        engine::page(requests, answer.id, number);
-    }
-    let rows = pages.take_complete();
-    Ok(rows.map(|rows| Reply::Completed { rows, measured: pages.measured }))
-}
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -3,14 +3,17 @@
 mod bgp_connection;
 mod bgp_speaker;
 mod buffer;
+mod client_listener;
 mod client_session;
 mod client_sessions;
+mod clients_and_engines;
 mod clock;
 mod cluster_socket;
 mod connection_index;
 mod connection_pool;
 mod discovery_client;
 mod engine_connection;
+mod engine_exchange;
 mod event_loop;
 mod event_source;
 mod health;
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -1,6 +1,7 @@
 //! The server: one turn reads all that is ready, hands it to routing in one go, and writes what came of it.
 
 use super::client_sessions::ClientSessions;
+use super::clients_and_engines::ClientsAndEngines;
 use super::clock::WallClock;
 use super::connection_pool::ConnectionPool;
 use super::discovery_client::DiscoveryClient;
@@ -13,9 +14,7 @@
 use super::sockets::begin_connect;
 use super::subsystems::{SubsystemSettings, Subsystems};
 use crate::protocol::statement::Question;
-use crate::routing::{
-    Answer, AttemptId, Connections, Counters, Dispatch, RefusedStatement, Routing, SessionId, TurnInput,
-};
+use crate::routing::{Counters, RefusedStatement, Routing, TurnInput};
 use calloop::signals::Signal;
 use calloop::{EventLoop, Readiness};
 use cleatgw_deployment_config::ConnectionLimits;
@@ -49,46 +48,6 @@
     pub longest_request: Option<f64>,
 }
 
-/// The connections that routing's actions are carried out on.
-struct ClientsAndEngines {
-    sessions: ClientSessions,
-    pool: ConnectionPool,
-    now: f64,
-}
-
-impl Connections for ClientsAndEngines {
-    fn answer(&mut self, session: SessionId, answer: Answer) {
-        let ClientsAndEngines { sessions, now, .. } = self;
-        if catch_panic("an answer", || sessions.answer(session, answer, *now)).is_none() {
-            sessions.drop_failed(session);
-        }
-    }
-
-    fn dispatch(&mut self, dispatch: Dispatch) {
-        let ClientsAndEngines { pool, now, .. } = self;
-        let attempt = dispatch.attempt;
-        if catch_panic("an attempt", || pool.dispatch(dispatch, *now)).is_none() {
-            pool.drop_failed(attempt, *now);
-        }
-    }
-
-    fn change_lane(&mut self, attempt: AttemptId, lane: u8) {
-        self.pool.change_lane(attempt, lane, self.now);
-    }
-
-    fn cancel(&mut self, attempt: AttemptId) {
-        self.pool.cancel(attempt, self.now);
-    }
-
-    fn close_idle(&mut self, engine: u64) {
-        self.pool.close_idle(engine, self.now);
-    }
-
-    fn withdraw_unsent(&mut self, engine: u64) {
-        self.pool.withdraw_unsent(engine);
-    }
-}
-
 /// Everything that a running router holds.
 pub(super) struct Server {
     pub(super) handle: LoopHandle,
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -6,13 +6,12 @@
 use super::load_shedding::LoadShedding;
 use super::peer_load::LoadEstimates;
 use super::retry::RetryHistory;
-use super::{slow_start, TICK};
+use super::TICK;
 use crate::engine_index::ClassIndex;
 use crate::request_state::{DueEvent, RequestState, RequestTable};
-use crate::statistics::{open_fraction, RandomDraws};
+use crate::statistics::RandomDraws;
 use crate::{
     ActionWriter, AttemptNote, Deployment, EngineEvidence, EngineListing, EngineStage, IncomingRequest,
-    SlowStartWork,
 };
 use cleatgw_tenant_queue::TenantQueue;
 
@@ -28,8 +27,6 @@
 const INITIAL_WORK: f64 = 1.0;
 /// The least work that a density is taken of.
 const MIN_WORK: f64 = 1e-3;
-/// Retries are remembered for this long at least, in seconds.
-const MIN_RETRY_MEMORY: f64 = 1.0;
 
 /// What concerns this instance as a whole.
 pub(super) struct Lifecycle {
@@ -228,38 +225,6 @@
         })
     }
 
-    /// This instance begins without knowing what it sent before: the worst that rules 4 and 7 can mean, for as long as they
-    /// look back.
-    pub fn assume_lost_history(&mut self, now: f64) {
-        self.lifecycle.history_lost_at = now;
-        let retries = self.retry_budget().base.ceil() as usize;
-        self.retries.made_at.extend(std::iter::repeat_n(now, retries));
-    }
-
-    /// It does know: retries by their times, and work that went to engines in slow start.
-    pub fn restore_history(&mut self, retries: &[f64], slow_start_work: &[SlowStartWork]) {
-        let assumed_at = std::mem::take(&mut self.lifecycle.history_lost_at);
-        let made_at = &mut self.retries.made_at;
-        made_at.retain(|&at| at != assumed_at);
-        made_at.extend(retries);
-        made_at.make_contiguous().sort_by(f64::total_cmp);
-        for sent in slow_start_work {
-            if let Some(engine) = self.engines.states.get_mut(sent.engine) {
-                engine.slow_start_work.add(sent.sent_at, sent.work, f64::INFINITY);
-            }
-        }
-    }
-
-    /// The retries of late, by their times, the oldest first.
-    pub fn retries(&self) -> impl Iterator<Item = f64> + '_ {
-        self.retries.made_at.iter().copied()
-    }
-
-    /// So many more retries may follow, where what is persisted of them lags behind.
-    pub fn limit_unpersisted_retries(&mut self, allowance: u32) {
-        self.retries.unpersisted_allowance = Some(allowance);
-    }
-
     /// This instance drains: no request that is received from the returned time on is attempted.
     pub fn drain(&mut self, now: f64) -> f64 {
         let accepts_until = &mut self.lifecycle.accepts_until;
@@ -359,59 +324,6 @@
         }
     }
 
-    /// The periodic work.
-    pub(super) fn tick(&mut self, now: f64) {
-        if self.threshold.review(now) {
-            let GrantThreshold { theta, last_wait, last_total, .. } = self.threshold;
-            self.log.push(format!(
-                "grant threshold moved: θ {theta:.6}, waits {last_wait:.3} of the work, with runs {last_total:.3}"
-            ));
-        }
-        self.tick_load();
-        for index in 0..self.engines.states.len() {
-            self.tick_engine(index, now);
-        }
-        self.engines.changed = (0..self.engines.states.len()).collect();
-        self.requests.forget_idle_keys(now);
-        let retry_memory = self.retry_budget().window.max(MIN_RETRY_MEMORY);
-        self.retries.forget_before(now - retry_memory);
-        if self.shedding.ends(now) {
-            self.log.push(format!("load shedding stopped: {} queued", self.queue.len()));
-        }
-    }
-
-    fn tick_load(&mut self) {
-        let threads: f64 = self.engines.ready().map(|engine| engine.threads).sum();
-        let cores: f64 = self.engines.ready().map(|engine| engine.cores).sum();
-        let usable = |engine: &super::EngineState| if engine.failures.ejected { 0.0 } else { engine.cores };
-        self.load.usable_cores = self.engines.ready().map(usable).sum();
-        self.load.tick(self.deployment.gateways, threads / cores.max(1.0));
-    }
-
-    fn tick_engine(&mut self, index: usize, now: f64) {
-        let chance = open_fraction(self.random.next());
-        let engine = &mut self.engines.states[index];
-        engine.ledger.tick(now);
-        self.load.note_own_threads(engine.threads, f64::from(engine.attempts));
-        engine.failures.fade();
-        engine.failures.draw(chance);
-        let used = engine.threads / engine.cores.max(1.0) + self.load.peer_threads_on(engine);
-        engine.fade_pace();
-        let pace = engine.pace.mean_with_prior(self.load.median_or_least(), 1.0);
-        engine.concurrency.tick(pace, used);
-        if engine.failures.review() {
-            let mode = if engine.failures.ejected { "ejected" } else { "readmitted" };
-            let (good, of) = (engine.failures.own.sum, engine.failures.own.weight);
-            self.log.push(format!("engine {index} {mode}: {good:.1} of {of:.1} attempts good"));
-        }
-        let started_at = engine.listing.started_at;
-        let in_slow_start = slow_start::progress(&self.deployment.slow_start, started_at, now) < 1.0;
-        if std::mem::replace(&mut engine.in_slow_start, in_slow_start) != in_slow_start {
-            let mode = if in_slow_start { "in slow start" } else { "warmed up" };
-            self.log.push(format!("engine {index} {mode}: started {:.1}", started_at.unwrap_or(0.0)));
-        }
-    }
-
     /// Tries what is queued: tenants in their turns, within a tenant the most value for its work first.
     fn dispatch_queued(&mut self, now: f64, out: &mut dyn ActionWriter) {
         for id in std::mem::take(&mut self.round.ended) {
