--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -1,7 +1,7 @@
 //! A host for one peer in virtual time, with the far end of the test bed behind it.
 
 use cleatgw_bgp::{Action, Advertisement, Capabilities, Direction, GracefulRestart, Open, Peer, PeerConfig};
-use cleatgw_testbed::far::Far;
+use cleatgw_testbed::routers::bgp_peer::Far;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -6,7 +6,7 @@
 use cleatgw_bgp::message::{self, frame};
 use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
 use cleatgw_bgp::*;
-use cleatgw_testbed::far::Saw;
+use cleatgw_testbed::routers::bgp_peer::Saw;
 use host::*;
 
 /// Announcements that the far end saw.
--- a/crates/membership/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -4,8 +4,8 @@
 use cleatgw_membership::leader::role_resource;
 use cleatgw_membership::swim::{Defences, Pace};
 use cleatgw_membership::view::Standing;
-use cleatgw_testbed::virtual_members::World;
-use cleatgw_testbed::weather::Act;
+use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::scenarios::virtual_membership::World;
 use stateright::{Checker, Model, Property};
 
 const ROUTERS: usize = 3;
--- a/crates/membership/tests/growth.rs
+++ b/crates/membership/tests/growth.rs
@@ -1,8 +1,8 @@
 //! What routers send each other as they become more: counted in virtual time, so that every machine gives the same verdict.
 
 use cleatgw_membership::swim::Pace;
-use cleatgw_testbed::virtual_members::World;
-use cleatgw_testbed::weather::{three_regions, Act};
+use cleatgw_testbed::faults::schedule::{three_regions, Act};
+use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// Datagrams and bytes that one router sends in ten idle seconds on average, once the news of all the starts is spread.
 fn idle_traffic(routers: usize, far: bool) -> (f64, f64) {
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -3,8 +3,8 @@
 
 use cleatgw_membership::leader::role_resource;
 use cleatgw_membership::swim::Pace;
-use cleatgw_testbed::virtual_members::World;
-use cleatgw_testbed::weather::Act;
+use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// A lease ends by itself after two seconds: a router that is told of its release need not wait for that. Seconds.
 const SOON: f64 = 1.3;
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -4,8 +4,8 @@
 use cleatgw_membership::view::Standing;
 use cleatgw_membership::wire::Dropped;
 use cleatgw_membership::{cluster_hash, Members, State};
-use cleatgw_testbed::virtual_members::World;
-use cleatgw_testbed::weather::Act;
+use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// All started and whole.
 fn whole(routers: usize, seed: u64) -> World {
--- a/crates/router/src/transport/client_sessions/tests.rs
+++ b/crates/router/src/transport/client_sessions/tests.rs
@@ -1,7 +1,7 @@
 use super::super::event_source::ReadyEvents;
 use super::*;
 use calloop::EventLoop;
-use cleatgw_testbed::standins::{login, packet, query, request};
+use cleatgw_testbed::stand_ins::{login, packet, query, request};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -1,7 +1,7 @@
 //! Sizes that the operators name, on the real program: lists of 1,024, memory and descriptors by need, input past a bound
 //! refused by its name, and few descriptors under idle clients.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/router/tests/capacity.rs
+++ b/crates/router/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! Scale tests leave no process behind, whatever ends them.
 
 use cleatgw_testbed::capacity::{measure, Ask};
-use cleatgw_testbed::standins::GENEROUS;
+use cleatgw_testbed::stand_ins::GENEROUS;
 use rustix::process::{kill_process, Pid, Signal};
 use std::os::unix::process::{CommandExt, ExitStatusExt};
 use std::process::{Child, Command, Stdio};
--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -1,7 +1,7 @@
 //! What a change of configuration costs a router must not grow with what it knows: counts, not clocks, so that every
 //! machine gives the same verdict. Engines are known by the hundred and few are there.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
--- a/crates/router/tests/capacity_lists.rs
+++ b/crates/router/tests/capacity_lists.rs
@@ -2,7 +2,7 @@
 //! lines, by the discovery service that tells it.
 
 use cleatgw_testbed::capacity::lists::{lines_by_engine, watching, HollowDiscovery};
-use cleatgw_testbed::standins::{Client, Router};
+use cleatgw_testbed::stand_ins::{Client, Router};
 use rustix::process::Signal;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -1,13 +1,13 @@
 //! Several processes of the program that know each other, with faults between them: one story for each. What each said of
 //! the others is judged by the laboratory, which shares no code with them.
 
-use cleatgw_testbed::cluster::{cluster_file, Cluster, Plan, Watch};
-use cleatgw_testbed::judge::Record;
-use cleatgw_testbed::load::Load;
-use cleatgw_testbed::shim::Shims;
-use cleatgw_testbed::standins::*;
-use cleatgw_testbed::streams::Fault;
-use cleatgw_testbed::weather::{Act, Target};
+use cleatgw_testbed::checkers::failure_detection::Record;
+use cleatgw_testbed::clients::load::Load;
+use cleatgw_testbed::faults::interposed_library::Shims;
+use cleatgw_testbed::faults::schedule::{Act, Target};
+use cleatgw_testbed::faults::stream_relays::Fault;
+use cleatgw_testbed::routers::cluster::{cluster_file, Cluster, Plan, Watch};
+use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
 use std::net::UdpSocket;
 use std::path::Path;
@@ -158,7 +158,7 @@
     let cluster = whole(3, 8);
     let names: Vec<String> = (0..3).map(|at| format!("r{at}")).collect();
     let mut addresses = cluster.relays.listens.clone();
-    addresses[2] = cleatgw_testbed::relays::vacant_udp();
+    addresses[2] = cleatgw_testbed::faults::datagram_relays::vacant_udp();
     let file = std::env::temp_dir().join(format!("cleatgw-twin-{}.json", std::process::id()));
     std::fs::write(&file, cluster_file("lab", &names, &addresses)).unwrap();
     let name = |text: String| text.replace(r#""name":"n1""#, r#""name":"r2""#);
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -1,12 +1,12 @@
 //! Several processes of the program that are killed and come back, with stores that are whole, lost, old, damaged, exchanged or
 //! on a disk that hangs, fails or lies: one story for each.
 
-use cleatgw_testbed::cluster::{Cluster, Plan};
-use cleatgw_testbed::load::{outcome, Load};
-use cleatgw_testbed::shim::Shims;
-use cleatgw_testbed::standins::*;
-use cleatgw_testbed::verdict::{Outcome, Stated};
-use cleatgw_testbed::weather::Act;
+use cleatgw_testbed::checkers::request_rules::{Outcome, Stated};
+use cleatgw_testbed::clients::load::{outcome, Load};
+use cleatgw_testbed::faults::interposed_library::Shims;
+use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::routers::cluster::{Cluster, Plan};
+use cleatgw_testbed::stand_ins::*;
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Rare moments, each forced: a client that leaves, a kill, a signal or a close that comes between two things that the
 //! router does. The real program between stand-ins that hold what crosses until it is due.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use std::io::{Read, Write};
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -1,7 +1,7 @@
 //! Each request that the router has read gets its one final answer in time: whatever becomes of its connection's moment, of
 //! its server, or of other clients. The real program between stand-ins.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use std::collections::VecDeque;
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/router/tests/golden_status.rs
+++ b/crates/router/tests/golden_status.rs
@@ -1,7 +1,7 @@
 //! Golden tables: what `SHOW` answers, each number replaced by `#`, as the version before the code was reshaped wrote it.
 //! Operators' programs read these tables.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use expect_test::expect_file;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
--- a/crates/router/tests/run_form.rs
+++ b/crates/router/tests/run_form.rs
@@ -1,6 +1,6 @@
 //! The program as `run` in the deploy file starts it: what its platform refuses, it never opens.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
 use std::fs;
 use std::os::unix::net::UnixStream;
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -1,9 +1,9 @@
 //! The real program between stand-ins, with routing peers: service addresses follow it.
 
 use cleatgw_bgp::{CeaseSubcode, MessageType, Notification, GRACEFUL_SHUTDOWN};
-use cleatgw_testbed::far::Saw;
-use cleatgw_testbed::peering::*;
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::routers::bgp_peer::Saw;
+use cleatgw_testbed::routers::routing_peer::*;
+use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -1,7 +1,7 @@
 //! The operators' stricter terms on requests, each forced on the real program between stand-ins: nothing begins for a client
 //! that has left, no server is promised more time than the client has, and no trouble elsewhere costs a request its answer.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -1,7 +1,7 @@
 //! The real program with tenants, between stand-ins.
 
-use cleatgw_testbed::shared::Shared;
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::engines::shared_engine::Shared;
+use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -1,6 +1,6 @@
 //! The real program between small stand-ins, one story for each thing that must hold.
 
-use cleatgw_testbed::standins::*;
+use cleatgw_testbed::stand_ins::*;
 use std::io::{Read, Write};
 use std::net::Shutdown;
 use std::process::Command;
--- a/crates/testbed/src/bin/cleatgw-lab.rs
+++ b/crates/testbed/src/bin/cleatgw-lab.rs
@@ -1,8 +1,7 @@
 //! The former name of `cleatgw-testbed`, kept for one release.
 
-#[path = "../main.rs"]
-mod testbed;
+use std::process::ExitCode;
 
-fn main() {
-    testbed::main();
+fn main() -> ExitCode {
+    cleatgw_testbed::command_line::run()
 }
--- a/crates/testbed/src/capacity/clients.rs
+++ b/crates/testbed/src/capacity/clients.rs
@@ -5,7 +5,7 @@
 
 use super::hollow::{self, Guarded};
 use super::{report, target, Ask, Need, Range, Row};
-use crate::standins::{
+use crate::stand_ins::{
     configuration, counter, login, query, request, vacant, Answered, Client, Discovery, Engine,
 };
 use rustix::event::epoll;
--- a/crates/testbed/src/capacity/configuration.rs
+++ b/crates/testbed/src/capacity/configuration.rs
@@ -2,10 +2,10 @@
 //! routers, each with files of its own; in force is what a router's log or its deeds say.
 
 use super::{report, target, Ask, Need, Row};
-use crate::cluster::cluster_file;
-use crate::peering::service_file;
-use crate::relays::vacant_udp;
-use crate::standins::{request, Answered, Client, Discovery, Engine, Router};
+use crate::faults::datagram_relays::vacant_udp;
+use crate::routers::cluster::cluster_file;
+use crate::routers::routing_peer::service_file;
+use crate::stand_ins::{request, Answered, Client, Discovery, Engine, Router};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -273,7 +273,7 @@
     let change = in_configuration(r#""balancers":1"#, r#""balancers":2"#);
     plays("configuration: settings (all categories, limits, gateways)", &fixed("settings"), &change, &none);
     let listen = router.address.to_string();
-    let elsewhere = text.replacen(&listen, &crate::standins::vacant().to_string(), 1);
+    let elsewhere = text.replacen(&listen, &crate::stand_ins::vacant().to_string(), 1);
     let change = || router.reload(&elsewhere);
     plays("configuration: listen", &fixed("listen"), &change, &none);
     let change = in_configuration("8c1f30d27a5be964", "8c1f30d27a5be965");
--- a/crates/testbed/src/capacity/hollow.rs
+++ b/crates/testbed/src/capacity/hollow.rs
@@ -1,7 +1,7 @@
 //! What scale tests share to start real processes, none of which outlives the laboratory, whatever ends that; and an
 //! engine that answers the protocol and does no work.
 
-use crate::standins::{configuration, Discovery, Engine, Seen};
+use crate::stand_ins::{configuration, Discovery, Engine, RecordedLines};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -27,7 +27,7 @@
     held: Option<ChildStdin>,
     /// The process's own id.
     pub process: u32,
-    pub log: Seen,
+    pub log: RecordedLines,
 }
 
 impl Guarded {
@@ -56,7 +56,7 @@
         let mut supervisor = command.spawn().map_err(failed)?;
         let held = supervisor.stdin.take();
         let (output, errors) = (supervisor.stdout.take(), supervisor.stderr.take());
-        let mut guarded = Guarded { supervisor, held, process: 0, log: Seen::default() };
+        let mut guarded = Guarded { supervisor, held, process: 0, log: RecordedLines::default() };
         let mut line = String::new();
         output
             .into_iter()
--- a/crates/testbed/src/capacity/links.rs
+++ b/crates/testbed/src/capacity/links.rs
@@ -2,7 +2,7 @@
 //! come anew after a restart. The real program, before hollow engines on one thread of this process.
 
 use super::{report, target, Ask, Need, Row};
-use crate::standins::{counter, request, Answered, Client, Discovery, Router};
+use crate::stand_ins::{counter, request, Answered, Client, Discovery, Router};
 use rustix::event::epoll;
 use serde_json::{json, Value};
 use std::collections::HashMap;
--- a/crates/testbed/src/capacity/lists.rs
+++ b/crates/testbed/src/capacity/lists.rs
@@ -3,7 +3,7 @@
 //! watcher finds its lines' ends, numbers and whether they are whole lists, and does not take entries apart.
 
 use super::{report, target, Ask, Need, Range, Row};
-use crate::standins::{counter, Client, Discovery, Router};
+use crate::stand_ins::{counter, Client, Discovery, Router};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -525,7 +525,7 @@
     let info = [("RUST_LOG".to_string(), "info".to_string())];
     let none = Discovery::start();
     let router = Router::spawned(
-        crate::standins::vacant(),
+        crate::stand_ins::vacant(),
         program,
         (discovery.address, &none),
         512,
--- a/crates/testbed/src/capacity/members.rs
+++ b/crates/testbed/src/capacity/members.rs
@@ -3,8 +3,8 @@
 //! that a router may need: the laboratory's own notes are in them. System calls are not.
 
 use super::{report, target, Ask, Need, Row};
-use crate::virtual_members::World;
-use crate::weather::{three_regions, Act, REGION_OF_ZONE};
+use crate::faults::schedule::{three_regions, Act, REGION_OF_ZONE};
+use crate::scenarios::virtual_membership::World;
 use cleatgw_membership::swim::Pace;
 use cleatgw_membership::MOST_ROUTERS;
 use rand::rngs::SmallRng;
--- a/crates/testbed/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -3,11 +3,11 @@
 //! Counted from the last good answer of the one that is lost.
 
 use super::{report, target, Ask, Need, Row};
-use crate::cluster::{Cluster, Plan, Watch};
-use crate::load::{Load, Tally};
-use crate::verdict::{Asked, Outcome, Ran};
-use crate::virtual_members::World;
-use crate::weather::Act;
+use crate::checkers::request_rules::{Asked, Outcome, Ran};
+use crate::clients::load::{Load, Tally};
+use crate::faults::schedule::Act;
+use crate::routers::cluster::{Cluster, Plan, Watch};
+use crate::scenarios::virtual_membership::World;
 use cleatgw_membership::swim::Pace;
 use serde_json::{json, Value};
 use std::collections::{HashMap, HashSet};
--- /dev/null
+++ b/crates/testbed/src/clients.rs
@@ -0,0 +1,4 @@
+//! Clients of routers.
+
+pub mod client;
+pub mod load;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/clients/load.rs
@@ -1,8 +1,8 @@
 //! Clients that ask routers for one request after another, and a record of what each of them saw.
 
-use crate::cluster::Cluster;
-use crate::standins::{Answered, Client};
-use crate::verdict::{Asked, Outcome};
+use crate::checkers::request_rules::{Asked, Outcome};
+use crate::routers::cluster::Cluster;
+use crate::stand_ins::{Answered, Client};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/testbed/src/shared.rs
+++ b/crates/testbed/src/engines/shared_engine.rs
@@ -1,8 +1,8 @@
 //! An engine that shares its cores among what it runs: each request's statement says how much work it is (`work MS`). It can
 //! fall silent: then it goes on working and answers nothing until it speaks again.
 
-use crate::standins::Seen;
-use crate::verdict::Ran;
+use crate::checkers::request_rules::Ran;
+use crate::stand_ins::RecordedLines;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -41,7 +41,7 @@
     pub uid: String,
     cores: f64,
     inner: Arc<Mutex<Inner>>,
-    pub seen: Seen,
+    pub seen: RecordedLines,
     number: usize,
     began: Instant,
 }
@@ -57,7 +57,7 @@
     pub fn numbered(uid: &str, cores: f64, number: usize, began: Instant) -> Shared {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (inner, seen) = (Arc::default(), Seen::default());
+        let (inner, seen) = (Arc::default(), RecordedLines::default());
         let engine = Shared { address, uid: uid.to_string(), cores, inner, seen, number, began };
         let worker = engine.clone();
         std::thread::spawn(move || worker.work());
--- a/crates/testbed/src/relays.rs
+++ b/crates/testbed/src/faults/datagram_relays.rs
@@ -1,7 +1,7 @@
 //! Relays on loopback between the routers of a cluster: each directed link runs through one, which loses, delays,
 //! duplicates, damages, reorders, stalls or cuts as the weather says.
 
-use crate::weather::Weather;
+use crate::faults::schedule::Weather;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/testbed/src/shim.rs
+++ b/crates/testbed/src/faults/interposed_library.rs
@@ -1,5 +1,5 @@
 //! A router whose Unix clock can be set while it runs, without setting the machine's, and whose disk hangs, fails or
-//! lies: a small library of ours (`shim_source.rs`) is built once and loaded ahead of the process.
+//! lies: a small library of ours (`interposed_source.rs`) is built once and loaded ahead of the process.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -12,7 +12,7 @@
         let folder = std::env::temp_dir().join(format!("cleatgw-shim-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let (source, library) = (folder.join("shim_source.rs"), folder.join("libshim.so"));
-        std::fs::write(&source, include_str!("shim_source.rs")).expect("a file");
+        std::fs::write(&source, include_str!("interposed_source.rs")).expect("a file");
         let compiler = std::env::var_os("RUSTC").unwrap_or_else(|| "rustc".into());
         let built = Command::new(compiler)
             .args(["--edition", "2021", "--crate-type", "cdylib", "-O", "-C", "panic=abort", "-o"])
--- a/crates/testbed/src/weather.rs
+++ b/crates/testbed/src/faults/schedule.rs
@@ -1,7 +1,7 @@
 //! What links between routers do to datagrams, and when: one seeded schedule, played by relays on loopback and in virtual
 //! time alike.
 
-use crate::streams::Fault;
+use crate::faults::stream_relays::Fault;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,27 +1,16 @@
 //! Stand-ins for what the router talks to, shared by tests and tools. Everything stays on loopback or in virtual time.
 
 pub mod capacity;
-pub mod cluster;
-pub mod comeback;
-pub mod drain;
-pub mod far;
-pub mod flap;
-pub mod fleet;
-pub mod judge;
-pub mod line;
-pub mod load;
-pub mod members;
-pub mod peering;
-pub mod relays;
-pub mod shared;
-pub mod shim;
-pub mod standins;
-pub mod streams;
-pub mod tenants;
-pub mod verdict;
-pub mod virtual_comeback;
-pub mod virtual_members;
-pub mod weather;
+pub mod checkers;
+pub mod clients;
+pub mod command_line;
+pub mod discovery;
+pub mod engines;
+pub mod faults;
+pub mod recorded_lines;
+pub mod routers;
+pub mod scenarios;
+pub mod stand_ins;
 
 /// The Unix time in seconds.
 pub fn unix_time() -> f64 {
--- /dev/null
+++ b/crates/testbed/src/routers.rs
@@ -0,0 +1,6 @@
+//! Real routers, and the routing peers beside them.
+
+pub mod bgp_peer;
+pub mod cluster;
+pub mod process;
+pub mod routing_peer;
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/routers/cluster.rs
@@ -2,14 +2,14 @@
 //! engines and a discovery service for each behind relays as well, and clients; processes are killed, frozen, woken and started again
 //! under their names.
 
-use crate::judge::{Record, Said, Truth};
-use crate::load::Tally;
-use crate::relays::Relays;
-use crate::shared::Shared;
-use crate::standins::{Answered, Client, Discovery, Router, Seen};
-use crate::streams::Stream;
-use crate::verdict::{judge, two_holders, Claim, Facts, Stated, Verdict};
-use crate::weather::{Act, Schedule, Target};
+use crate::checkers::failure_detection::{Record, Said, Truth};
+use crate::checkers::request_rules::{judge, two_holders, Claim, Facts, Stated, Verdict};
+use crate::clients::load::Tally;
+use crate::engines::shared_engine::Shared;
+use crate::faults::datagram_relays::Relays;
+use crate::faults::schedule::{Act, Schedule, Target};
+use crate::faults::stream_relays::Stream;
+use crate::stand_ins::{Answered, Client, Discovery, RecordedLines, Router};
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -144,7 +144,7 @@
             let store = format!(r#"{{"path":"{}/kept-{at}.redb"}}"#, folder.display());
             std::fs::write(folder.join(format!("store-{at}.json")), store).expect("a file");
             Slot {
-                address: crate::standins::vacant(),
+                address: crate::stand_ins::vacant(),
                 file,
                 router: None,
                 frozen: false,
@@ -546,7 +546,7 @@
 }
 
 /// Notes what a router says of the others, as it says it.
-fn follow(log: &Seen, by: usize, began: Instant, said: Arc<Mutex<Vec<Said>>>) {
+fn follow(log: &RecordedLines, by: usize, began: Instant, said: Arc<Mutex<Vec<Said>>>) {
     log.follow(move |line| {
         if let Some((of, state)) = read_line(line) {
             let at = began.elapsed().as_secs_f64();
@@ -616,19 +616,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    #[test]
-    fn a_router_s_word_on_another_is_read_from_its_log() {
-        let line =
-            "12.3 [INFO  cleatgw::transport::cluster] router r3 is seen by others, was present router=r3";
-        assert_eq!(super::read_line(line), Some((3, "seen by others")));
-        assert_eq!(super::read_line("engine 3 is e3"), None);
-    }
-
-    #[test]
-    fn a_claim_is_read_from_its_row() {
-        let row = "duty nightly,ours,epoch 77 at 1700000000.250000 for 1.500 s";
-        assert_eq!(super::read_claim(row), Some((77, 1700000000.25, 1700000001.75)));
-        assert_eq!(super::read_claim("duty nightly,held by r3,by this router's own grant"), None);
-    }
-}
+mod tests;
--- a/crates/testbed/src/peering.rs
+++ b/crates/testbed/src/routers/routing_peer.rs
@@ -1,7 +1,7 @@
-//! A routing peer on loopback: the far end of a session ([`crate::far`]) on sockets, with faults on demand. It keeps
+//! A routing peer on loopback: the far end of a session ([`crate::routers::bgp_peer`]) on sockets, with faults on demand. It keeps
 //! its table from session to session, and notes each change with its time.
 
-use crate::far::{Far, Saw};
+use crate::routers::bgp_peer::{Far, Saw};
 use cleatgw_bgp::message;
 use cleatgw_bgp::update::{self, AsPathSegment, UpdateContext};
 use cleatgw_bgp::{Capabilities, CeaseSubcode, Family, GracefulRestart, Notification, Open, PathAttributes};
@@ -256,7 +256,7 @@
     /// # Panics
     /// If it does not for very long.
     pub fn wait(&self, what: &str, holds: impl Fn(&Peering) -> bool) {
-        let end = Instant::now() + crate::standins::GENEROUS;
+        let end = Instant::now() + crate::stand_ins::GENEROUS;
         while !holds(self) {
             assert!(Instant::now() < end, "{what}: {:?}", self.noted());
             std::thread::sleep(Duration::from_millis(1));
--- a/crates/testbed/src/drain.rs
+++ b/crates/testbed/src/scenarios/drain.rs
@@ -1,8 +1,8 @@
 //! Real routers between stand-ins are stopped by SIGTERM in every state of their BGP session, under load.
 
-use crate::far::Saw;
-use crate::peering::{open, service, service_file, Mode, Peering};
-use crate::standins::{request, Answered, Client, Discovery, Engine, Router};
+use crate::routers::bgp_peer::Saw;
+use crate::routers::routing_peer::{open, service, service_file, Mode, Peering};
+use crate::stand_ins::{request, Answered, Client, Discovery, Engine, Router};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/testbed/src/flap.rs
+++ b/crates/testbed/src/scenarios/flap.rs
@@ -1,8 +1,8 @@
 //! The same load on two routers at once, one of them with a routing peer whose session ends again and again.
 
-use crate::far::Saw;
-use crate::peering::{open, service_file, Peering};
-use crate::standins::{counter, request, Answered, Client, Discovery, Engine, Router};
+use crate::routers::bgp_peer::Saw;
+use crate::routers::routing_peer::{open, service_file, Peering};
+use crate::stand_ins::{counter, request, Answered, Client, Discovery, Engine, Router};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/scenarios/membership.rs
@@ -1,10 +1,10 @@
 //! How well routers know each other under faults: real processes through relays, or the same code in virtual time.
 
-use crate::cluster::{Cluster, Plan, Watch};
-use crate::load::Load;
-use crate::standins::{counter, Client, Router};
-use crate::virtual_members::World;
-use crate::weather::{mixed, Act};
+use crate::clients::load::Load;
+use crate::faults::schedule::{mixed, Act};
+use crate::routers::cluster::{Cluster, Plan, Watch};
+use crate::scenarios::virtual_membership::World;
+use crate::stand_ins::{counter, Client, Router};
 use cleatgw_membership::swim::{Defences, Pace};
 use plotters::prelude::*;
 use serde_json::{json, Value};
--- a/crates/testbed/src/comeback.rs
+++ b/crates/testbed/src/scenarios/recovery.rs
@@ -1,10 +1,10 @@
 //! How routers that were killed together come back: real processes under load, with stores that are kept, lost, old or
 //! torn, an engine that was replaced and one that was drained meanwhile.
 
-use crate::cluster::{Cluster, Plan};
-use crate::load::{Load, Tally};
-use crate::verdict::{Asked, Outcome, Stated};
-use crate::weather::{Act, Target};
+use crate::checkers::request_rules::{Asked, Outcome, Stated};
+use crate::clients::load::{Load, Tally};
+use crate::faults::schedule::{Act, Target};
+use crate::routers::cluster::{Cluster, Plan};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use std::path::Path;
@@ -142,7 +142,7 @@
     let counted = std::thread::spawn(move || {
         let mut all = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            let sum: usize = open.iter().map(crate::shared::Shared::connections).sum();
+            let sum: usize = open.iter().map(crate::engines::shared_engine::Shared::connections).sum();
             all.push((began.elapsed().as_secs_f64(), sum));
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/crates/testbed/src/tenants.rs
+++ b/crates/testbed/src/scenarios/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants that share engines through one real router: what each waits, against what it would wait with its share alone.
 
-use crate::shared::Shared;
-use crate::standins::{counter, Answered, Client, Discovery, Router};
+use crate::engines::shared_engine::Shared;
+use crate::stand_ins::{counter, Answered, Client, Discovery, Router};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use rand::rngs::SmallRng;
--- a/crates/testbed/src/virtual_members.rs
+++ b/crates/testbed/src/scenarios/virtual_membership.rs
@@ -1,7 +1,7 @@
 //! Many routers' memberships in virtual time: the real code, under the schedules that the relays play on loopback.
 
-use crate::judge::{Record, Said, Truth};
-use crate::weather::{Act, Schedule, Weather};
+use crate::checkers::failure_detection::{Record, Said, Truth};
+use crate::faults::schedule::{Act, Schedule, Weather};
 use cleatgw_membership::lease::Thing;
 use cleatgw_membership::swim::Pace;
 use cleatgw_membership::Members;
