--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -131,7 +131,7 @@
     }
 }
 
-cleatgw_testbed::told_by_digest!(At);
+cleatgw_testbed::identify_by_digest!(At);
 
 impl fmt::Debug for At {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
--- a/crates/membership/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -4,7 +4,7 @@
 use cleatgw_membership::leader::role_resource;
 use cleatgw_membership::swim::{Defences, Pace};
 use cleatgw_membership::view::Standing;
-use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::scenarios::virtual_membership::World;
 use stateright::{Checker, Model, Property};
 
@@ -35,7 +35,7 @@
         let mut world = World::new(ROUTERS, Pace { defences: self.defences, ..Pace::default() }, 5);
         world.role = Some(role_resource("one"));
         world.rates = vec![0.99, 1.01, 1.0];
-        (0..ROUTERS).for_each(|router| world.at(0.0, Act::Start(router)));
+        (0..ROUTERS).for_each(|router| world.at(0.0, FaultAction::Start(router)));
         let mut at = 6.0;
         world.run_until(at);
         let mut frozen = [false; ROUTERS];
@@ -46,29 +46,29 @@
                     frozen[router] = false;
                     // The first one's Unix clock is set back by an hour each time.
                     world.clocks[router] -= if router == 0 { 3_600_000 } else { 0 };
-                    vec![Act::Kill(router), Act::Start(router)]
+                    vec![FaultAction::Kill(router), FaultAction::Start(router)]
                 }
                 Fault::Freeze(router) => {
                     frozen[router] = true;
-                    vec![Act::Freeze(router)]
+                    vec![FaultAction::Freeze(router)]
                 }
                 Fault::Wake(router) => {
                     frozen[router] = false;
-                    vec![Act::Wake(router)]
+                    vec![FaultAction::Wake(router)]
                 }
                 Fault::CutOff(router) => {
-                    vec![Act::Part((0..ROUTERS).map(|other| usize::from(other == router)).collect())]
+                    vec![FaultAction::Part((0..ROUTERS).map(|other| usize::from(other == router)).collect())]
                 }
-                Fault::OneWay(from, to) => vec![Act::CutOneWay(from, to)],
-                Fault::Heal => vec![Act::Heal],
+                Fault::OneWay(from, to) => vec![FaultAction::CutOneWay(from, to)],
+                Fault::Heal => vec![FaultAction::Heal],
             };
             acts.into_iter().for_each(|act| world.at(at, act));
             world.run_until(at);
         }
         // The last fault ends, and no other follows.
-        world.at(at + GAPS[0], Act::Heal);
+        world.at(at + GAPS[0], FaultAction::Heal);
         for router in (0..ROUTERS).filter(|router| frozen[*router]) {
-            world.at(at + GAPS[0], Act::Wake(router));
+            world.at(at + GAPS[0], FaultAction::Wake(router));
         }
         world.run_until(at + GAPS[0] + 7.0);
         world
--- a/crates/membership/tests/growth.rs
+++ b/crates/membership/tests/growth.rs
@@ -1,14 +1,14 @@
 //! What routers send each other as they become more: counted in virtual time, so that every machine gives the same verdict.
 
 use cleatgw_membership::swim::Pace;
-use cleatgw_testbed::faults::schedule::{three_regions, Act};
+use cleatgw_testbed::faults::schedule::{three_regions, FaultAction};
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// Datagrams and bytes that one router sends in ten idle seconds on average, once the news of all the starts is spread.
 fn idle_traffic(routers: usize, far: bool) -> (f64, f64) {
     let mut world = World::started(routers, Pace::default(), 37);
     if far {
-        world.weather.place((0..routers).map(|router| router % 10).collect(), three_regions());
+        world.link_conditions.place((0..routers).map(|router| router % 10).collect(), three_regions());
     }
     world.run_until(25.0);
     let sum = |world: &World| {
@@ -41,10 +41,10 @@
 fn traffic_of_a_router_after_losing_a_zone_does_not_grow_with_the_cluster() {
     let peak = |routers: usize| {
         let mut world = World::started(routers, Pace::default(), 38);
-        world.weather.place((0..routers).map(|router| router % 10).collect(), three_regions());
+        world.link_conditions.place((0..routers).map(|router| router % 10).collect(), three_regions());
         world.run_until(12.0);
         let lost: Vec<usize> = (0..routers).step_by(10).collect();
-        world.plan(&lost.iter().map(|router| (12.0, Act::Kill(*router))).collect());
+        world.plan(&lost.iter().map(|router| (12.0, FaultAction::Kill(*router))).collect());
         let before = world.sent_bytes;
         world.run_until(20.0);
         let (times, missed) = world.record.detections();
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -3,7 +3,7 @@
 
 use cleatgw_membership::leader::role_resource;
 use cleatgw_membership::swim::Pace;
-use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// A lease ends by itself after two seconds: a router that is told of its release need not wait for that. Seconds.
@@ -24,11 +24,11 @@
     for moment in 0..moments {
         let mut world = World::new(5, Pace::default(), seed);
         world.role = Some(role_resource("nightly"));
-        world.weather.all(|link| link.delay = delay);
-        (0..5).for_each(|router| world.at(0.0, Act::Start(router)));
+        world.link_conditions.all(|link| link.delay = delay);
+        (0..5).for_each(|router| world.at(0.0, FaultAction::Start(router)));
         world.run_until(8.0 + moment as f64 * step);
         let (left, at) = (holder(&world).expect("one holds it"), world.now);
-        world.at(at, Act::Leave(left));
+        world.at(at, FaultAction::Leave(left));
         while holder(&world).is_none_or(|now| now == left) {
             world.run_until(world.now + 0.005);
             again += usize::from(world.now > at && holder(&world) == Some(left));
--- a/crates/membership/tests/lease_model.rs
+++ b/crates/membership/tests/lease_model.rs
@@ -2,7 +2,7 @@
 //! restarts grantors without their memory, and runs the clocks apart as far as the bound allows.
 
 use cleatgw_membership::lease::{Epoch, InjectedFault, Leases, Message, DRIFT, MAX_TERM, MAX_USE_DELAY};
-use cleatgw_testbed::told_by_digest;
+use cleatgw_testbed::identify_by_digest;
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::fmt;
 
@@ -66,7 +66,7 @@
     }
 }
 
-told_by_digest!(At);
+identify_by_digest!(At);
 
 impl Eq for At {}
 
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -4,7 +4,7 @@
 use cleatgw_membership::view::Standing;
 use cleatgw_membership::wire::Dropped;
 use cleatgw_membership::{cluster_hash, Members, State};
-use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// All started and whole.
@@ -51,7 +51,7 @@
 fn detects_a_killed_router_everywhere_within_three_and_a_half_seconds() {
     for seed in 0..10 {
         let mut world = whole(9, seed);
-        world.at(10.0, Act::Kill(4));
+        world.at(10.0, FaultAction::Kill(4));
         world.run_until(20.0);
         sound(&world, 3500);
         assert_eq!(world.record.detections().0.len(), 8);
@@ -63,8 +63,8 @@
 fn resumed_router_with_old_view_and_full_buffers_fails_nobody() {
     for seed in 0..10 {
         let mut world = whole(9, seed);
-        world.at(10.0, Act::Freeze(2));
-        world.at(15.0, Act::Wake(2));
+        world.at(10.0, FaultAction::Freeze(2));
+        world.at(15.0, FaultAction::Wake(2));
         world.run_until(15.01);
         assert_eq!(standing(&world, 2), Standing::JustResumed);
         assert!(!world.members(2).unwrap().allowed().shares_observations);
@@ -92,7 +92,7 @@
 fn router_restarted_before_detection_is_present_in_its_new_incarnation() {
     let mut world = whole(9, 3);
     let before = world.members(0).unwrap().members()[5].born;
-    world.plan(&vec![(10.0, Act::Kill(5)), (10.2, Act::Start(5))]);
+    world.plan(&vec![(10.0, FaultAction::Kill(5)), (10.2, FaultAction::Start(5))]);
     world.run_until(20.0);
     sound(&world, 0);
     assert!(world.members(0).unwrap().members()[5].born > before);
@@ -104,7 +104,7 @@
 fn one_way_cut_fails_neither_end() {
     for seed in 0..10 {
         let mut world = whole(9, seed);
-        world.at(10.0, Act::CutOneWay(0, 1));
+        world.at(10.0, FaultAction::CutOneWay(0, 1));
         world.run_until(30.0);
         sound(&world, 0);
         assert_eq!(state(&world, 1, 0), State::SeenByOthers, "seed {seed}");
@@ -117,7 +117,7 @@
 #[test]
 fn routers_cut_from_each_other_alone_are_seen_by_others() {
     let mut world = whole(9, 4);
-    world.at(10.0, Act::Cut(0, 1));
+    world.at(10.0, FaultAction::Cut(0, 1));
     world.run_until(30.0);
     assert_eq!(world.record.false_failures(), []);
     assert_eq!((state(&world, 0, 1), state(&world, 1, 0)), (State::SeenByOthers, State::SeenByOthers));
@@ -129,7 +129,7 @@
     for seed in 0..5 {
         let mut world = whole(10, seed);
         let parts = (0..10).map(|router| router % 2).collect();
-        world.plan(&vec![(10.0, Act::Part(parts)), (20.0, Act::Heal)]);
+        world.plan(&vec![(10.0, FaultAction::Part(parts)), (20.0, FaultAction::Heal)]);
         world.run_until(19.9);
         for router in 0..10 {
             assert_eq!(standing(&world, router), Standing::Half, "router {router}, seed {seed}");
@@ -146,7 +146,7 @@
     for seed in 0..10 {
         let mut world = whole(9, seed);
         let parts = (0..9).map(|router| router % 3).collect();
-        world.plan(&vec![(10.0, Act::Part(parts)), (16.0, Act::Heal)]);
+        world.plan(&vec![(10.0, FaultAction::Part(parts)), (16.0, FaultAction::Heal)]);
         world.run_until(15.9);
         (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Minority));
         world.run_until(28.0);
@@ -160,8 +160,8 @@
     let parts: Vec<usize> = (0..9).map(|router| usize::from(router < 4)).collect();
     for round in 0..10 {
         let at = 10.0 + f64::from(round) * 1.5;
-        world.at(at, Act::Part(parts.clone()));
-        world.at(at + 1.3, Act::Heal);
+        world.at(at, FaultAction::Part(parts.clone()));
+        world.at(at + 1.3, FaultAction::Heal);
     }
     world.run_until(40.0);
     agreed_in(&world, 3000);
@@ -172,10 +172,10 @@
 fn thirty_percent_loss_causes_no_false_failures_and_detects_real_ones() {
     for seed in 0..5 {
         let mut world = whole(9, seed);
-        world.at(9.0, Act::Loss(0.3));
-        world.at(40.0, Act::Kill(8));
+        world.at(9.0, FaultAction::Loss(0.3));
+        world.at(40.0, FaultAction::Kill(8));
         world.run_until(60.0);
-        assert!(world.weather.lost > 1000);
+        assert!(world.link_conditions.lost > 1000);
         assert_eq!(world.record.false_failures(), [], "seed {seed}");
         assert_eq!(world.record.detections().1, 0);
     }
@@ -186,7 +186,7 @@
 fn false_suspicions_of_an_overloaded_router_are_not_believed() {
     let once = |defences: Defences, seed: u64| {
         let mut world = whole_with(9, Pace { defences, ..Pace::default() }, seed);
-        (0..9).for_each(|from| world.weather.link(from, 3).loss = 0.5);
+        (0..9).for_each(|from| world.link_conditions.link(from, 3).loss = 0.5);
         world.slow[3] = 0.3;
         world.run_until(60.0);
         let others = || (0..9).filter(|at| *at != 3).map(|at| world.members(at).unwrap().counts());
@@ -219,7 +219,7 @@
 fn survivors_of_a_lost_majority_stand_as_minority() {
     for seed in 0..5 {
         let mut world = whole(10, seed);
-        (3..10).for_each(|router| world.at(10.0, Act::Kill(router)));
+        (3..10).for_each(|router| world.at(10.0, FaultAction::Kill(router)));
         world.run_until(22.0);
         (0..3).for_each(|router| {
             assert_eq!(standing(&world, router), Standing::Minority);
@@ -227,7 +227,7 @@
         });
         let (times, missed) = world.record.detections();
         assert!(missed == 0 && times.max() < 7000, "{missed} missed, {} ms", times.max());
-        (3..10).for_each(|router| world.at(22.0, Act::Start(router)));
+        (3..10).for_each(|router| world.at(22.0, FaultAction::Start(router)));
         world.run_until(32.0);
         (0..10).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
     }
@@ -237,8 +237,8 @@
 fn routers_restarted_within_one_second_find_each_other() {
     let mut world = whole(9, 9);
     for router in 0..9 {
-        world.at(10.0 + router as f64 * 0.1, Act::Kill(router));
-        world.at(10.05 + router as f64 * 0.1, Act::Start(router));
+        world.at(10.0 + router as f64 * 0.1, FaultAction::Kill(router));
+        world.at(10.05 + router as f64 * 0.1, FaultAction::Start(router));
     }
     world.run_until(20.0);
     agreed_in(&world, 3000);
@@ -271,7 +271,7 @@
     for hour in [-3_600_000, 3_600_000] {
         let mut world = whole(5, 11);
         world.clocks[1] = hour;
-        world.plan(&vec![(10.0, Act::Kill(1)), (15.0, Act::Start(1))]);
+        world.plan(&vec![(10.0, FaultAction::Kill(1)), (15.0, FaultAction::Start(1))]);
         world.run_until(25.0);
         agreed_in(&world, 3000);
         assert_eq!(standing(&world, 1), Standing::Complete, "{hour}");
@@ -293,7 +293,7 @@
             .collect()
     };
     assert!(old.len() > 8);
-    world.plan(&vec![(10.0, Act::Kill(3)), (10.5, Act::Start(3))]);
+    world.plan(&vec![(10.0, FaultAction::Kill(3)), (10.5, FaultAction::Start(3))]);
     world.run_until(16.0);
     let born = world.members(0).unwrap().members()[3].born;
     old.into_iter().for_each(|(to, bytes)| world.inject(3, to.into(), bytes));
@@ -337,7 +337,7 @@
 #[test]
 fn planned_leave_is_not_a_failure() {
     let mut world = whole(9, 14);
-    world.at(10.0, Act::Leave(6));
+    world.at(10.0, FaultAction::Leave(6));
     world.run_until(20.0);
     for router in (0..9).filter(|router| *router != 6) {
         assert_eq!(state(&world, router, 6), State::Left, "router {router}");
@@ -350,10 +350,10 @@
     let mut world = whole(9, 15);
     let parts = (0..9).map(|router| usize::from(router == 6)).collect();
     world.plan(&vec![
-        (10.0, Act::Part(parts)),
-        (11.0, Act::Leave(6)),
-        (15.0, Act::Heal),
-        (16.0, Act::Start(6)),
+        (10.0, FaultAction::Part(parts)),
+        (11.0, FaultAction::Leave(6)),
+        (15.0, FaultAction::Heal),
+        (16.0, FaultAction::Start(6)),
     ]);
     world.run_until(14.9);
     assert_eq!(state(&world, 0, 6), State::Failed, "nobody was told");
@@ -365,9 +365,9 @@
 #[test]
 fn burst_after_a_stall_changes_no_standing() {
     let mut world = whole(9, 16);
-    world.at(10.0, Act::Stall(1, 5.0));
+    world.at(10.0, FaultAction::Stall(1, 5.0));
     world.run_until(18.0);
-    assert!(world.weather.stalled > 10);
+    assert!(world.link_conditions.stalled > 10);
     (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
@@ -377,7 +377,7 @@
     let mut world = World::started(300, Pace::default(), 17);
     world.run_until(12.0);
     assert_eq!(standing(&world, 0), Standing::Complete);
-    (0..20).for_each(|router| world.at(12.0, Act::Kill(router * 15)));
+    (0..20).for_each(|router| world.at(12.0, FaultAction::Kill(router * 15)));
     world.run_until(24.0);
     let (times, missed) = world.record.detections();
     assert_eq!((times.len(), missed), (20 * 280, 0));
@@ -395,7 +395,7 @@
         let mut world = World::new(7, Pace::default(), seed);
         world.role = Some(cleatgw_membership::leader::role_resource("nightly"));
         world.rates = [0.99, 1.01, 1.0, 1.01, 0.99, 1.0, 1.01].into();
-        (0..7).for_each(|router| world.at(0.0, Act::Start(router)));
+        (0..7).for_each(|router| world.at(0.0, FaultAction::Start(router)));
         world.run_until(8.0);
         for round in 0..12 {
             let at = world.now;
@@ -406,10 +406,10 @@
             let holder = holder.unwrap_or_else(|| panic!("nobody holds the role at {at}, seed {seed}"));
             let alone = (0..7).map(|router| usize::from(router == holder)).collect();
             let (act, back) = match round % 4 {
-                0 => (Act::Freeze(holder), Act::Wake(holder)),
-                1 => (Act::Part(alone), Act::Heal),
-                2 => (Act::Kill(holder), Act::Start(holder)),
-                _ => (Act::Loss(0.4), Act::Loss(0.0)),
+                0 => (FaultAction::Freeze(holder), FaultAction::Wake(holder)),
+                1 => (FaultAction::Part(alone), FaultAction::Heal),
+                2 => (FaultAction::Kill(holder), FaultAction::Start(holder)),
+                _ => (FaultAction::Loss(0.4), FaultAction::Loss(0.0)),
             };
             world.plan(&vec![(at, act), (at + 2.5, back)]);
             world.run_until(at + 8.0);
@@ -427,14 +427,14 @@
     world.members_mut(0).unwrap().set_store_epoch(40);
     world.run_until(14.0);
     let parts = vec![0, 0, 1, 1];
-    world.plan(&vec![(14.0, Act::Part(parts))]);
+    world.plan(&vec![(14.0, FaultAction::Part(parts))]);
     for router in 0..2 {
-        world.plan(&vec![(14.1, Act::Kill(router)), (14.4, Act::Start(router))]);
+        world.plan(&vec![(14.1, FaultAction::Kill(router)), (14.4, FaultAction::Start(router))]);
     }
     world.run_until(18.0);
     assert_eq!(state(&world, 0, 1), State::Present, "they hear each other");
     assert_eq!(world.members(0).unwrap().store_epoch_shown(), None);
-    world.plan(&vec![(18.0, Act::Heal)]);
+    world.plan(&vec![(18.0, FaultAction::Heal)]);
     world.run_until(22.0);
     assert_eq!(world.members(0).unwrap().store_epoch_shown(), Some(40));
 }
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -5,14 +5,14 @@
     InjectedFault, LookBack, Phase, Pieces, Recovery, Snapshot, SnapshotTime, Step, WriteSchedule,
     MAX_UNPERSISTED_RETRIES,
 };
-use cleatgw_testbed::told_by_digest;
+use cleatgw_testbed::identify_by_digest;
 use stateright::{Checker, Model, Property};
 
 const SPARE: usize = 4;
 const LOOK_BACK: LookBack = LookBack { retries: 10.0, slow_start: 2.0, deduplication: 12.0 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum FaultAction {
     /// A retry, if it is allowed.
     Attempt,
     /// The disk takes what is asked of it: for good, or only as it says.
@@ -53,7 +53,7 @@
     }
 }
 
-told_by_digest!(State);
+identify_by_digest!(State);
 impl Eq for State {}
 
 fn time(now: f64) -> SnapshotTime {
@@ -129,7 +129,7 @@
 
 impl Model for Restarts {
     type State = State;
-    type Action = Act;
+    type Action = FaultAction;
 
     fn init_states(&self) -> Vec<State> {
         let now = 100.0;
@@ -168,7 +168,7 @@
         vec![state, busy]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Act>) {
+    fn actions(&self, state: &State, actions: &mut Vec<FaultAction>) {
         if state.acts >= self.most {
             return;
         }
@@ -177,52 +177,52 @@
         let ahead =
             state.schedule.retry_allowance(state.counted.iter().copied(), LOOK_BACK.retries, state.now) > 0;
         if window && ahead {
-            actions.push(Act::Attempt);
+            actions.push(FaultAction::Attempt);
         }
         if state.pending.is_some() {
-            actions.push(Act::Put { lost: false });
+            actions.push(FaultAction::Put { lost: false });
             if self.lies == Lies::Loses && state.lies == 0 {
-                actions.push(Act::Put { lost: true });
+                actions.push(FaultAction::Put { lost: true });
             }
         }
         if state.shown < state.epoch && state.pending.is_none() {
-            actions.push(Act::Shown);
+            actions.push(FaultAction::Shown);
         }
-        actions.push(Act::Kill);
+        actions.push(FaultAction::Kill);
         let shown = state.file.as_ref().is_some_and(|(epoch, _)| *epoch == state.shown);
         if self.lies == Lies::PutsBack && state.lies == 0 && shown {
-            actions.push(Act::KillAndPutBack);
+            actions.push(FaultAction::KillAndPutBack);
         }
-        actions.extend([Act::Wait(1), Act::Wait(4)]);
+        actions.extend([FaultAction::Wait(1), FaultAction::Wait(4)]);
     }
 
-    fn next_state(&self, state: &State, act: Act) -> Option<State> {
+    fn next_state(&self, state: &State, act: FaultAction) -> Option<State> {
         let mut state = state.clone();
         state.acts += 1;
         match act {
-            Act::Attempt => {
+            FaultAction::Attempt => {
                 state.made.push(state.now);
                 state.counted.push(state.now);
                 state.schedule.changed();
             }
-            Act::Put { lost } => {
+            FaultAction::Put { lost } => {
                 let put = state.pending.take();
                 state.lies += u32::from(lost);
                 state.file = if lost { state.file.take() } else { put };
                 state.schedule.finished(true);
             }
-            Act::Shown => state.shown = state.epoch,
-            Act::Kill => {
+            FaultAction::Shown => state.shown = state.epoch,
+            FaultAction::Kill => {
                 state.now += 0.1;
                 self.start(&mut state);
             }
-            Act::KillAndPutBack => {
+            FaultAction::KillAndPutBack => {
                 state.lies += 1;
                 state.now += 0.1;
                 state.file = state.first.clone();
                 self.start(&mut state);
             }
-            Act::Wait(seconds) => state.now += f64::from(seconds),
+            FaultAction::Wait(seconds) => state.now += f64::from(seconds),
         }
         self.turn(&mut state);
         state.made.retain(|at| state.now - at < LOOK_BACK.retries);
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -1,10 +1,10 @@
 //! Several processes of the program that know each other, with faults between them: one story for each. What each said of
-//! the others is judged by the laboratory, which shares no code with them.
+//! the others is judged by the test bed, which shares no code with them.
 
 use cleatgw_testbed::checkers::failure_detection::Record;
 use cleatgw_testbed::clients::load::Load;
-use cleatgw_testbed::faults::interposed_library::Shims;
-use cleatgw_testbed::faults::schedule::{Act, Target};
+use cleatgw_testbed::faults::interposed_library::InterposedLibrary;
+use cleatgw_testbed::faults::schedule::{FaultAction, Target};
 use cleatgw_testbed::faults::stream_relays::Fault;
 use cleatgw_testbed::routers::cluster::{cluster_file, Cluster, Plan, Watch};
 use cleatgw_testbed::stand_ins::*;
@@ -36,15 +36,15 @@
     let tally = load.tally(cluster);
     assert!(tally.answered > least, "{} jobs", tally.answered);
     assert_eq!(tally.unanswered, 0);
-    let verdict = cluster.verdict(&tally, false);
-    assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
+    let check_result = cluster.check_result(&tally, false);
+    assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
 }
 
 #[test]
 fn one_that_is_killed_is_found_and_one_that_is_started_again_is_back() {
     let mut cluster = whole(5, 1);
     let load = Load::start(&cluster, 50.0);
-    cluster.play(&vec![(0.0, Act::Kill(2)), (5.0, Act::Start(2))], 5.0);
+    cluster.play(&vec![(0.0, FaultAction::Kill(2)), (5.0, FaultAction::Start(2))], 5.0);
     served(&cluster, load, 100);
     let record = cluster.record();
     judged(&record, 4000);
@@ -55,7 +55,7 @@
 #[test]
 fn one_that_is_frozen_for_five_seconds_wakes_and_accuses_nobody() {
     let mut cluster = whole(5, 2);
-    cluster.play(&vec![(0.0, Act::Freeze(1)), (5.0, Act::Wake(1))], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Freeze(1)), (5.0, FaultAction::Wake(1))], 6.0);
     judged(&cluster.record(), 4000);
     cluster.stands(1, "whole");
     assert!(cluster.router(1).log.all().iter().any(|line| line.contains("cluster: just woken")));
@@ -64,9 +64,9 @@
 #[test]
 fn a_link_that_is_cut_one_way_fails_neither_end_and_can_be_seen() {
     let mut cluster = whole(5, 3);
-    cluster.play(&vec![(0.0, Act::CutOneWay(0, 1))], 10.0);
+    cluster.play(&vec![(0.0, FaultAction::CutOneWay(0, 1))], 10.0);
     let record = cluster.record();
-    assert!(cluster.relays.weather.lock().unwrap().cut > 10);
+    assert!(cluster.relays.link_conditions.lock().unwrap().cut > 10);
     assert_eq!(record.false_failures(), []);
     let table = cluster.table(1).join("\n");
     assert!(table.contains("router r0,seen by others"), "{table}");
@@ -76,9 +76,9 @@
 fn two_halves_stand_as_halves_serve_their_requests_and_agree_once_healed() {
     let mut cluster = whole(4, 4);
     let load = Load::start(&cluster, 50.0);
-    cluster.play(&vec![(0.0, Act::Part(vec![0, 0, 1, 1]))], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Part(vec![0, 0, 1, 1]))], 6.0);
     (0..4).for_each(|router| cluster.stands(router, "half"));
-    cluster.play(&vec![(0.0, Act::Heal)], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Heal)], 6.0);
     (0..4).for_each(|router| cluster.stands(router, "whole"));
     served(&cluster, load, 100);
     judged(&cluster.record(), 4000);
@@ -87,11 +87,16 @@
 #[test]
 fn with_three_in_ten_lost_doubled_damaged_and_out_of_order_nobody_is_called_failed() {
     let mut cluster = whole(5, 5);
-    let acts = [Act::Loss(0.3), Act::Twice(0.2), Act::Damage(0.05), Act::Spread(0.05)];
+    let acts = [
+        FaultAction::Loss(0.3),
+        FaultAction::Twice(0.2),
+        FaultAction::Damage(0.05),
+        FaultAction::Spread(0.05),
+    ];
     cluster.play(&acts.map(|act| (0.0, act)).into(), 10.0);
     let (lost, damaged, twice) = {
-        let weather = cluster.relays.weather.lock().unwrap();
-        (weather.lost, weather.damaged, weather.twice)
+        let link_conditions = cluster.relays.link_conditions.lock().unwrap();
+        (link_conditions.lost, link_conditions.damaged, link_conditions.twice)
     };
     assert!(lost > 100 && damaged > 20 && twice > 50, "{lost} {damaged} {twice}");
     assert_eq!(cluster.record().false_failures(), []);
@@ -102,7 +107,7 @@
 #[test]
 fn one_that_is_stopped_by_plan_is_gone_and_not_failed() {
     let mut cluster = whole(4, 6);
-    cluster.play(&vec![(0.0, Act::Leave(3))], 4.0);
+    cluster.play(&vec![(0.0, FaultAction::Leave(3))], 4.0);
     for router in 0..3 {
         let table = cluster.table(router).join("\n");
         assert!(table.contains("router r3,left"), "{table}");
@@ -209,9 +214,9 @@
 fn seven_of_ten_killed_at_once_leave_three_that_serve_and_know_that_they_are_few() {
     let mut cluster = whole(10, 11);
     let load = Load::start(&cluster, 20.0);
-    cluster.play(&(3..10).map(|router| (0.0, Act::Kill(router))).collect(), 9.0);
+    cluster.play(&(3..10).map(|router| (0.0, FaultAction::Kill(router))).collect(), 9.0);
     (0..3).for_each(|router| cluster.stands(router, "minority"));
-    cluster.play(&(3..10).map(|router| (0.0, Act::Start(router))).collect(), 6.0);
+    cluster.play(&(3..10).map(|router| (0.0, FaultAction::Start(router))).collect(), 6.0);
     (0..10).for_each(|router| cluster.stands(router, "whole"));
     served(&cluster, load, 50);
     let record = cluster.record();
@@ -225,7 +230,7 @@
     let load = Load::start(&cluster, 20.0);
     let acts = (0..6).flat_map(|router| {
         let at = router as f64 * 0.15;
-        [(at, Act::Kill(router)), (at + 0.05, Act::Start(router))]
+        [(at, FaultAction::Kill(router)), (at + 0.05, FaultAction::Start(router))]
     });
     let mut acts: Vec<_> = acts.collect();
     acts.sort_by(|one, other| one.0.total_cmp(&other.0));
@@ -239,9 +244,9 @@
 fn three_parts_are_minorities_that_serve_and_agree_once_healed() {
     let mut cluster = whole(6, 13);
     let load = Load::start(&cluster, 20.0);
-    cluster.play(&vec![(0.0, Act::Part(vec![0, 0, 1, 1, 2, 2]))], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Part(vec![0, 0, 1, 1, 2, 2]))], 6.0);
     (0..6).for_each(|router| cluster.stands(router, "minority"));
-    cluster.play(&vec![(0.0, Act::Heal)], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Heal)], 6.0);
     (0..6).for_each(|router| cluster.stands(router, "whole"));
     served(&cluster, load, 60);
     judged(&cluster.record(), 4000);
@@ -253,10 +258,10 @@
     let parts = vec![0, 0, 1, 1, 1];
     let acts = (0..10).flat_map(|round| {
         let at = f64::from(round) * 1.2;
-        [(at, Act::Part(parts.clone())), (at + 1.0, Act::Heal)]
+        [(at, FaultAction::Part(parts.clone())), (at + 1.0, FaultAction::Heal)]
     });
     cluster.play(&acts.collect(), 7.0);
-    assert!(cluster.relays.weather.lock().unwrap().cut > 50);
+    assert!(cluster.relays.link_conditions.lock().unwrap().cut > 50);
     (0..5).for_each(|router| cluster.stands(router, "whole"));
     let agreed = cluster.record().agreed_after();
     assert!(agreed.is_some_and(|agreed| agreed <= 4000), "{agreed:?}");
@@ -266,10 +271,10 @@
 /// past of its former incarnation.
 #[test]
 fn a_clock_that_jumps_by_an_hour_fails_nobody_and_keeps_nobody_out() {
-    let environment = Shims::environment();
+    let environment = InterposedLibrary::environment();
     let plan = Plan { routers: 4, seed: 15, environment, ..Plan::default() };
     let mut cluster = Cluster::planned(Path::new(PROGRAM), plan);
-    let clocks = Shims::of(&cluster.folder);
+    let clocks = InterposedLibrary::of(&cluster.folder);
     (0..4).for_each(|router| cluster.stands(router, "whole"));
     let load = Load::some(&cluster, &[0, 3], 20.0);
     clocks.set(1, 3600.0);
@@ -283,11 +288,11 @@
         row.split("life ").nth(1).unwrap().parse().unwrap()
     };
     let before = incarnation(&cluster);
-    cluster.play(&vec![(0.0, Act::Kill(1)), (0.3, Act::Start(1))], 5.0);
+    cluster.play(&vec![(0.0, FaultAction::Kill(1)), (0.3, FaultAction::Start(1))], 5.0);
     let ahead = incarnation(&cluster);
     assert!(ahead > before + 3_000_000, "its clock was moved: {before}, {ahead}");
     clocks.set(1, 0.0);
-    cluster.play(&vec![(0.0, Act::Kill(1)), (4.5, Act::Start(1))], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Kill(1)), (4.5, FaultAction::Start(1))], 6.0);
     assert!(incarnation(&cluster) > ahead);
     (0..4).for_each(|router| cluster.stands(router, "whole"));
     served(&cluster, load, 50);
@@ -300,7 +305,7 @@
     let mut cluster = whole(4, 16);
     let old = cluster.relays.passed(3);
     assert!(old.len() > 10);
-    cluster.play(&vec![(0.0, Act::Kill(3)), (0.3, Act::Start(3))], 5.0);
+    cluster.play(&vec![(0.0, FaultAction::Kill(3)), (0.3, FaultAction::Start(3))], 5.0);
     (0..4).for_each(|router| cluster.stands(router, "whole"));
     cluster.relays.send_again(old);
     std::thread::sleep(Duration::from_secs(2));
@@ -314,11 +319,11 @@
 #[test]
 fn one_that_leaves_while_it_is_cut_off_is_found_failed_and_is_back_after_its_start() {
     let mut cluster = whole(4, 17);
-    let alone = Act::Part(vec![0, 0, 0, 1]);
-    cluster.play(&vec![(0.0, alone), (1.0, Act::Leave(3))], 4.5);
+    let alone = FaultAction::Part(vec![0, 0, 0, 1]);
+    cluster.play(&vec![(0.0, alone), (1.0, FaultAction::Leave(3))], 4.5);
     let table = cluster.table(0).join("\n");
     assert!(table.contains("router r3,failed"), "nobody was told: {table}");
-    cluster.play(&vec![(0.0, Act::Heal), (0.1, Act::Start(3))], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Heal), (0.1, FaultAction::Start(3))], 6.0);
     (0..4).for_each(|router| cluster.stands(router, "whole"));
     let agreed = cluster.record().agreed_after();
     assert!(agreed.is_some_and(|agreed| agreed <= 4000), "{agreed:?}");
@@ -329,21 +334,21 @@
 fn an_overloaded_router_that_accuses_everyone_convinces_nobody() {
     let mut cluster = whole(5, 18);
     let load = Load::some(&cluster, &[0, 1, 2, 3], 20.0);
-    cluster.act(&Act::LossTo(4, 0.6));
+    cluster.act(&FaultAction::LossTo(4, 0.6));
     let end = Instant::now() + Duration::from_secs(12);
     while Instant::now() < end {
         // Its record stays one of a router that runs: it does, badly.
         cluster.router(4).stop_for(Duration::from_millis(400), || ());
         std::thread::sleep(Duration::from_millis(40));
     }
-    cluster.play(&vec![(0.0, Act::LossTo(4, 0.0))], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::LossTo(4, 0.0))], 6.0);
     (0..5).for_each(|router| cluster.stands(router, "whole"));
     let record = cluster.record();
     let believed: Vec<_> =
         record.false_failures().into_iter().filter(|(_, by, of)| *by != 4 && *of != 4).collect();
     assert_eq!(believed, []);
     // It did hear little and late, and did accuse.
-    assert!(cluster.relays.weather.lock().unwrap().lost > 20);
+    assert!(cluster.relays.link_conditions.lock().unwrap().lost > 20);
     let counts = Client::at(cluster.address(4)).unwrap().counters_now();
     assert!(counter(&counts, "cluster_accusations") > 0, "{counts}");
     served(&cluster, load, 100);
@@ -396,20 +401,20 @@
     let not = Command::new(PROGRAM).args(["holds", &other, "nightly"]).output().unwrap();
     assert!(!not.status.success());
 
-    cluster.play(&vec![(0.0, Act::Freeze(first))], 1.0);
+    cluster.play(&vec![(0.0, FaultAction::Freeze(first))], 1.0);
     let second = holder(&cluster, Some(first));
-    cluster.play(&vec![(0.0, Act::Wake(first))], 4.0);
+    cluster.play(&vec![(0.0, FaultAction::Wake(first))], 4.0);
     let alone = (0..5).map(|router| usize::from(router == second)).collect();
-    cluster.play(&vec![(0.0, Act::Part(alone))], 1.0);
+    cluster.play(&vec![(0.0, FaultAction::Part(alone))], 1.0);
     let third = holder(&cluster, Some(second));
     assert_ne!(third, second);
-    cluster.play(&vec![(0.0, Act::Heal)], 5.0);
+    cluster.play(&vec![(0.0, FaultAction::Heal)], 5.0);
     let now = holder(&cluster, None);
-    cluster.play(&vec![(0.0, Act::Kill(now)), (0.3, Act::Start(now))], 6.0);
+    cluster.play(&vec![(0.0, FaultAction::Kill(now)), (0.3, FaultAction::Start(now))], 6.0);
     let now = holder(&cluster, None);
     // One that leaves by plan gives it up at once.
     let asked = Instant::now();
-    cluster.play(&vec![(0.0, Act::Leave(now))], 0.1);
+    cluster.play(&vec![(0.0, FaultAction::Leave(now))], 0.1);
     holder(&cluster, Some(now));
     assert!(asked.elapsed() < Duration::from_millis(1500), "{:?}", asked.elapsed());
     let claims = watch.end();
@@ -424,7 +429,7 @@
 fn faults_on_the_ways_to_engines_and_boards_break_no_rule() {
     let mut cluster = whole(3, 22);
     let load = Load::start(&cluster, 60.0);
-    let way = |target, fault| Act::Way(None, target, fault);
+    let way = |target, fault| FaultAction::Way(None, target, fault);
     cluster.play(
         &vec![
             (0.0, way(Target::Engine(0), Fault::Back(1.5))),
@@ -433,7 +438,7 @@
             (3.5, way(Target::Engine(1), Fault::Sound)),
             (4.0, way(Target::Engine(2), Fault::Delay(0.2))),
             (5.5, way(Target::Engine(2), Fault::Sound)),
-            (6.0, Act::Way(Some(0), Target::Engine(0), Fault::There(2.0))),
+            (6.0, FaultAction::Way(Some(0), Target::Engine(0), Fault::There(2.0))),
             (6.0, way(Target::Discovery, Fault::Both(4.0))),
         ],
         1.0,
@@ -456,7 +461,7 @@
 #[test]
 fn two_that_can_not_hear_each_other_but_both_hear_the_others_are_not_failed() {
     let mut cluster = whole(5, 23);
-    cluster.play(&vec![(0.0, Act::Cut(0, 1))], 10.0);
+    cluster.play(&vec![(0.0, FaultAction::Cut(0, 1))], 10.0);
     assert_eq!(cluster.record().false_failures(), []);
     for (by, of) in [(0, "r1"), (1, "r0")] {
         let table = cluster.table(by).join("\n");
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -3,8 +3,8 @@
 
 use cleatgw_testbed::checkers::request_rules::{Outcome, Stated};
 use cleatgw_testbed::clients::load::{outcome, Load};
-use cleatgw_testbed::faults::interposed_library::Shims;
-use cleatgw_testbed::faults::schedule::Act;
+use cleatgw_testbed::faults::interposed_library::InterposedLibrary;
+use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::routers::cluster::{Cluster, Plan};
 use cleatgw_testbed::stand_ins::*;
 use std::path::Path;
@@ -44,14 +44,14 @@
         let clients = [(0, cluster.address(0)); 16];
         let load = Load::at(&clients, 20.0, 2.0, cluster.relays.began);
         std::thread::sleep(Duration::from_secs(4));
-        cluster.play(&vec![(0.0, Act::Kill(0)), (0.1, Act::Start(0))], 4.0);
+        cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 4.0);
         let tally = load.tally(&cluster);
         // Judged as if kept in either case.
-        let verdict = cluster.verdict(&tally, true);
-        let over = verdict.attempts_over_budget;
+        let check_result = cluster.check_result(&tally, true);
+        let over = check_result.attempts_over_budget;
         match keeps {
             true => {
-                assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
+                assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
                 assert!(says(&cluster, 0, "still count"));
             }
             false => assert!(over == 0 && !says(&cluster, 0, "recovery"), "judged by each life alone"),
@@ -87,7 +87,7 @@
     // What was dispatched is kept by then.
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(ran(&cluster), 1);
-    cluster.play(&vec![(0.0, Act::Kill(0)), (0.1, Act::Start(0))], 0.0);
+    cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 0.0);
     cluster.engines.iter().for_each(|engine| engine.silent(false));
     full(&cluster, 0);
     std::thread::sleep(Duration::from_secs(1));
@@ -117,10 +117,10 @@
     let load = Load::start(&cluster, 50.0);
     std::thread::sleep(Duration::from_secs(1));
     let restart = |cluster: &mut Cluster, meanwhile: &dyn Fn(&Path)| {
-        cluster.act(&Act::Kill(0));
+        cluster.act(&FaultAction::Kill(0));
         std::thread::sleep(Duration::from_millis(100));
         meanwhile(&cluster.store(0));
-        cluster.act(&Act::Start(0));
+        cluster.act(&FaultAction::Start(0));
     };
     restart(&mut cluster, &|path| std::fs::remove_file(path).unwrap());
     settled(&cluster, 0);
@@ -141,9 +141,9 @@
     cluster.router(0).log.wait("it is another router's", 1);
     settled(&cluster, 0);
     let tally = load.tally(&cluster);
-    let verdict = cluster.verdict(&tally, true);
+    let check_result = cluster.check_result(&tally, true);
     assert!(tally.answered > 30 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
-    assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
+    assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
 }
 
 /// Hard case: yesterday's copy of the whole file is put back. Peers were shown a later epoch.
@@ -154,27 +154,27 @@
     full(&cluster, 0);
     let copy = cluster.folder.join("copy");
     std::thread::sleep(Duration::from_millis(500));
-    cluster.act(&Act::Kill(0));
+    cluster.act(&FaultAction::Kill(0));
     std::thread::sleep(Duration::from_millis(200));
     std::fs::copy(cluster.store(0), &copy).unwrap();
-    cluster.act(&Act::Start(0));
+    cluster.act(&FaultAction::Start(0));
     full(&cluster, 0);
     assert!(says(&cluster, 0, "still count"), "the last one is taken up");
     cluster.stands(0, "whole");
     std::thread::sleep(Duration::from_secs(1));
-    cluster.act(&Act::Kill(0));
+    cluster.act(&FaultAction::Kill(0));
     std::thread::sleep(Duration::from_millis(200));
     std::fs::copy(&copy, cluster.store(0)).unwrap();
-    cluster.act(&Act::Start(0));
+    cluster.act(&FaultAction::Start(0));
     cluster.router(0).log.wait("without what was kept: peers were shown a later one", 1);
 }
 
 /// Hard cases: the disk hangs from the first second, or later, fails, or is full. The loop does not wait for it.
 #[test]
 fn a_disk_that_hangs_or_fails_costs_no_request_its_answer_and_no_turn_its_time() {
-    let environment = Shims::environment();
+    let environment = InterposedLibrary::environment();
     let mut cluster = start(Plan { knows: false, environment, ..tight(2, 5, true) });
-    let shims = Shims::of(&cluster.folder);
+    let shims = InterposedLibrary::of(&cluster.folder);
     full(&cluster, 0);
     full(&cluster, 1);
     let load = Load::start(&cluster, 50.0);
@@ -189,12 +189,12 @@
     cluster.router(0).log.wait("the disk answers again", 1);
     // And from the first second on.
     shims.disk(0, b'h');
-    cluster.play(&vec![(0.0, Act::Kill(0)), (0.1, Act::Start(0))], 2.0);
+    cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 2.0);
     cluster.router(0).log.wait("the store did not say in time", 1);
     let tally = load.tally(&cluster);
-    let verdict = cluster.verdict(&tally, true);
+    let check_result = cluster.check_result(&tally, true);
     assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
-    assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
+    assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
     for router in 0..2 {
         let longest =
             counter(&Client::at(cluster.address(router)).unwrap().counters_now(), "longest_turn_us");
@@ -216,13 +216,13 @@
         std::thread::sleep(Duration::from_secs(2));
         for round in 0..10 {
             let lives = 0.05 + 0.2 * f64::from(round % 5);
-            cluster.play(&vec![(0.0, Act::Kill(0)), (0.05, Act::Start(0))], lives);
+            cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.05, FaultAction::Start(0))], lives);
         }
         std::thread::sleep(Duration::from_secs(2));
         cluster.engines[0].silent(false);
         let tally = load.tally(&cluster);
-        let verdict = cluster.verdict(&tally, true);
-        assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
+        let check_result = cluster.check_result(&tally, true);
+        assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
         assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
         cluster.retries(&tally, 0, 10.0)
     };
@@ -238,14 +238,14 @@
     cluster.engines[0].silent(true);
     let load = Load::start(&cluster, 30.0);
     std::thread::sleep(Duration::from_secs(2));
-    let acts = (3..10).map(|router| (0.0, Act::Kill(router)));
-    let acts: Vec<_> = acts.chain((3..10).map(|router| (0.3, Act::Start(router)))).collect();
+    let acts = (3..10).map(|router| (0.0, FaultAction::Kill(router)));
+    let acts: Vec<_> = acts.chain((3..10).map(|router| (0.3, FaultAction::Start(router)))).collect();
     cluster.play(&acts, 4.0);
     (3..10).for_each(|router| full(&cluster, router));
     (0..10).for_each(|router| cluster.stands(router, "whole"));
     cluster.engines[0].silent(false);
     let tally = load.tally(&cluster);
-    let verdict = cluster.verdict(&tally, true);
-    assert_eq!(verdict.breaks(), 0, "{:#?}", verdict.finds);
+    let check_result = cluster.check_result(&tally, true);
+    assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
     assert!(tally.answered > 100 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
 }
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -95,7 +95,7 @@
     world.router.fail();
     world.router.log.wait("drain begins", 1);
     let began = Instant::now();
-    // How soon is for the laboratory to measure.
+    // How soon is for the test bed to measure.
     peering.wait("withdrawn", |peering| !has_route(peering));
     std::thread::sleep(Duration::from_secs(1).saturating_sub(began.elapsed()));
     let late = Client::new(&world.router).ask(&request("look", 5000, "x"));
--- a/crates/testbed/src/capacity/clients.rs
+++ b/crates/testbed/src/capacity/clients.rs
@@ -56,7 +56,7 @@
 }
 
 /// Many sessions with one router.
-struct Crowd {
+struct ClientGroup {
     epoll: OwnedFd,
     address: SocketAddr,
     sessions: Vec<Option<Session>>,
@@ -75,9 +75,9 @@
     longest_wait: f64,
 }
 
-impl Crowd {
-    fn new(address: SocketAddr) -> std::io::Result<Crowd> {
-        Ok(Crowd {
+impl ClientGroup {
+    fn new(address: SocketAddr) -> std::io::Result<ClientGroup> {
+        Ok(ClientGroup {
             epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
             address,
             sessions: Vec::new(),
@@ -312,13 +312,13 @@
     let stage = Stage::set(ask, engines, descriptors_of(size as f64))?;
     let router = &stage.router;
     let (empty_mb, cpu) = (router.resident(), router.cpu());
-    let mut crowd = Crowd::new(stage.address).map_err(|error| error.to_string())?;
-    let seconds = crowd.open(size, AT_ONCE)?;
+    let mut client_group = ClientGroup::new(stage.address).map_err(|error| error.to_string())?;
+    let seconds = client_group.open(size, AT_ONCE)?;
     let login_us = (router.cpu() - cpu) * 1e6 / size as f64;
-    if crowd.logged_in < size {
+    if client_group.logged_in < size {
         return Err(format!(
             "{} of {size} sessions came in, {} were refused",
-            crowd.logged_in, crowd.refused
+            client_group.logged_in, client_group.refused
         ));
     }
     let (cpu, begun) = (router.cpu(), Instant::now());
@@ -326,9 +326,9 @@
     let idle = (router.cpu() - cpu) / begun.elapsed().as_secs_f64();
     let memory_mb = router.resident();
     let (cpu, begun) = (router.cpu(), Instant::now());
-    crowd.busy(ask.seed as usize * 7919 + number, || begun.elapsed() >= BUSY)?;
-    let statement_us = (router.cpu() - cpu) * 1e6 / crowd.answered.max(1) as f64;
-    stage.stand(size - crowd.lost)?;
+    client_group.busy(ask.seed as usize * 7919 + number, || begun.elapsed() >= BUSY)?;
+    let statement_us = (router.cpu() - cpu) * 1e6 / client_group.answered.max(1) as f64;
+    stage.stand(size - client_group.lost)?;
     Ok(Play {
         memory_mb,
         session_kib: (memory_mb - empty_mb) * 1024.0 / size as f64,
@@ -337,9 +337,9 @@
         login_us,
         statement_us,
         missed: [
-            crowd.lost as u64,
-            crowd.errors + (crowd.asked - crowd.answered - crowd.errors),
-            crowd.skipped,
+            client_group.lost as u64,
+            client_group.errors + (client_group.asked - client_group.answered - client_group.errors),
+            client_group.skipped,
         ],
     })
 }
@@ -371,8 +371,8 @@
 
 fn comes_back(ask: &Ask, engines: &[Engine], standing: usize, returning: usize) -> Result<Return, String> {
     let stage = Stage::set(ask, engines, descriptors_of((standing + returning) as f64))?;
-    let crowd = || Crowd::new(stage.address).map_err(|error| error.to_string());
-    let (mut there, mut back) = (crowd()?, crowd()?);
+    let client_group = || ClientGroup::new(stage.address).map_err(|error| error.to_string());
+    let (mut there, mut back) = (client_group()?, client_group()?);
     there.open(standing, AT_ONCE)?;
     let begun = Instant::now();
     there.busy(ask.seed as usize, || begun.elapsed() >= BESIDE)?;
--- a/crates/testbed/src/capacity/fleet.rs
+++ b/crates/testbed/src/capacity/fleet.rs
@@ -216,11 +216,11 @@
     Arrives(usize, Work),
     Dropped(usize, Work),
     Done(usize, u32, Work),
-    Do(Act),
+    Do(FaultAction),
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum FaultAction {
     Start(usize),
     Kill(usize),
     Drain(usize),
@@ -415,7 +415,7 @@
             measured: [None; 2],
         };
         for router in 0..play.routers {
-            world.at(router as f64 / play.routers as f64, Event::Do(Act::Start(router)));
+            world.at(router as f64 / play.routers as f64, Event::Do(FaultAction::Start(router)));
         }
         world.plan();
         world
@@ -475,20 +475,22 @@
                 let victim = victims[usize::from(engine)].pop().unwrap_or(0);
                 let acts = match kind {
                     "engine failed" => self.engine_lost(victim, 0.0),
-                    "router failed" => vec![(0.0, Act::Kill(victim)), (6.0, Act::Start(victim))],
+                    "router failed" => {
+                        vec![(0.0, FaultAction::Kill(victim)), (6.0, FaultAction::Start(victim))]
+                    }
                     "engine restarted" => vec![
-                        (0.0, Act::List(victim, EngineStage::Draining)),
-                        (5.0, Act::List(victim, EngineStage::Gone)),
-                        (5.2, Act::EngineDown(victim)),
-                        (6.0, Act::EngineUp(victim)),
+                        (0.0, FaultAction::List(victim, EngineStage::Draining)),
+                        (5.0, FaultAction::List(victim, EngineStage::Gone)),
+                        (5.2, FaultAction::EngineDown(victim)),
+                        (6.0, FaultAction::EngineUp(victim)),
                     ],
                     "router restarted" => vec![
-                        (0.0, Act::Drain(victim)),
-                        (LONGEST + 1.5, Act::Kill(victim)),
-                        (LONGEST + 2.0, Act::Start(victim)),
+                        (0.0, FaultAction::Drain(victim)),
+                        (LONGEST + 1.5, FaultAction::Kill(victim)),
+                        (LONGEST + 2.0, FaultAction::Start(victim)),
                     ],
-                    "engine hung" => vec![(0.0, Act::Hang(victim, 4.0))],
-                    _ => vec![(0.0, Act::KillHolder)],
+                    "engine hung" => vec![(0.0, FaultAction::Hang(victim, 4.0))],
+                    _ => vec![(0.0, FaultAction::KillHolder)],
                 };
                 self.trouble(kind, at, acts);
             }
@@ -500,27 +502,27 @@
             let lost = self.rng.random_range(0..ZONES);
             let there = |of: usize| (0..of).filter(move |at| zone(*at, of) == lost);
             let some = |of: usize| there(of).count().div_ceil(part);
-            let mut acts: Vec<(f64, Act)> =
+            let mut acts: Vec<(f64, FaultAction)> =
                 there(engines).take(some(engines)).flat_map(|engine| self.engine_lost(engine, 0.0)).collect();
             for router in there(routers).take(some(routers)) {
-                acts.extend([(0.0, Act::Kill(router)), (6.0, Act::Start(router))]);
+                acts.extend([(0.0, FaultAction::Kill(router)), (6.0, FaultAction::Start(router))]);
             }
             let first = there(engines).next();
-            acts.extend(first.map(|engine| (0.0, Act::Lost(kind, engine))));
+            acts.extend(first.map(|engine| (0.0, FaultAction::Lost(kind, engine))));
             self.trouble(kind, at, acts);
         }
     }
 
     /// Its end, found out by who lists it, and another cold one under its name.
-    fn engine_lost(&self, engine: usize, after: f64) -> Vec<(f64, Act)> {
+    fn engine_lost(&self, engine: usize, after: f64) -> Vec<(f64, FaultAction)> {
         vec![
-            (after, Act::EngineDown(engine)),
-            (after + 1.5, Act::List(engine, EngineStage::Gone)),
-            (after + 6.0, Act::EngineUp(engine)),
+            (after, FaultAction::EngineDown(engine)),
+            (after + 1.5, FaultAction::List(engine, EngineStage::Gone)),
+            (after + 6.0, FaultAction::EngineUp(engine)),
         ]
     }
 
-    fn trouble(&mut self, kind: &'static str, at: f64, acts: Vec<(f64, Act)>) {
+    fn trouble(&mut self, kind: &'static str, at: f64, acts: Vec<(f64, FaultAction)>) {
         self.troubles.entry(kind).or_default();
         acts.into_iter().for_each(|(after, act)| self.at(at + after, Event::Do(act)));
     }
@@ -923,10 +925,11 @@
             let Some(work) = engine.queue.pop_front() else { return };
             engine.running.push(work);
             let age = engine.since.map_or(f64::INFINITY, |since| now - since);
-            let warmth = (COLD.initial_share + (1.0 - COLD.initial_share) * age / COLD.duration).min(1.0);
+            let slow_start_progress =
+                (COLD.initial_share + (1.0 - COLD.initial_share) * age / COLD.duration).min(1.0);
             let incarnation = engine.incarnation;
             self.checker.begun(work.id, now);
-            self.at(now + work.work / warmth, Event::Done(at, incarnation, work));
+            self.at(now + work.work / slow_start_progress, Event::Done(at, incarnation, work));
         }
     }
 
@@ -1022,17 +1025,17 @@
         lived
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: FaultAction) {
         let now = self.now;
         match act {
-            Act::Start(at) if self.routers[at].gateway.is_none() => self.start(at),
-            Act::Kill(at) => {
+            FaultAction::Start(at) if self.routers[at].gateway.is_none() => self.start(at),
+            FaultAction::Kill(at) => {
                 if self.kill(at) {
                     let drained = std::mem::take(&mut self.routers[at].drains);
                     self.took_effect(if drained { "router restarted" } else { "router failed" });
                 }
             }
-            Act::Drain(at) => {
+            FaultAction::Drain(at) => {
                 let router = &mut self.routers[at];
                 let (Some(gateway), Some(members)) = (&mut router.gateway, &mut router.members) else {
                     return;
@@ -1042,16 +1045,16 @@
                 router.drains = true;
                 self.serve(at);
             }
-            Act::KillHolder => {
+            FaultAction::KillHolder => {
                 let Some(holder) = self.holder.filter(|at| self.routers[*at].members.is_some()) else {
                     return;
                 };
                 self.kill(holder);
                 self.holder_lost_at = Some(now);
                 self.took_effect("change of primary");
-                self.at(now + 6.0, Event::Do(Act::Start(holder)));
+                self.at(now + 6.0, Event::Do(FaultAction::Start(holder)));
             }
-            Act::EngineDown(at) => {
+            FaultAction::EngineDown(at) => {
                 let engine = &mut self.engines[at];
                 if std::mem::replace(&mut engine.up, false) {
                     let lost: Vec<Work> = engine.running.drain(..).chain(engine.queue.drain(..)).collect();
@@ -1060,31 +1063,31 @@
                     self.took_effect(if planned { "engine restarted" } else { "engine failed" });
                 }
             }
-            Act::EngineUp(at) if !self.engines[at].up => {
+            FaultAction::EngineUp(at) if !self.engines[at].up => {
                 let incarnation = self.engines[at].incarnation + 1;
                 self.engines[at] = Engine { up: true, incarnation, since: Some(now), ..Engine::default() };
                 self.checker.started(at, now);
                 (self.discovery[at].stage, self.discovery[at].started_at) = (EngineStage::Ready, Some(now));
                 self.publish(at);
             }
-            Act::Hang(at, seconds) => {
+            FaultAction::Hang(at, seconds) => {
                 if self.engines[at].up {
                     self.engines[at].hangs_until = now + seconds;
-                    self.at(now + seconds, Event::Do(Act::Wakes(at)));
+                    self.at(now + seconds, Event::Do(FaultAction::Wakes(at)));
                     self.took_effect("engine hung");
                 }
             }
-            Act::Wakes(at) => self.runs(at),
-            Act::Lost(kind, engine) => {
+            FaultAction::Wakes(at) => self.runs(at),
+            FaultAction::Lost(kind, engine) => {
                 if !self.engines[engine].up {
                     self.took_effect(kind);
                 }
             }
-            Act::List(at, stage) => {
+            FaultAction::List(at, stage) => {
                 self.discovery[at].stage = stage;
                 self.publish(at);
             }
-            Act::Start(_) | Act::EngineUp(_) => {}
+            FaultAction::Start(_) | FaultAction::EngineUp(_) => {}
         }
     }
 
--- a/crates/testbed/src/capacity/hollow.rs
+++ b/crates/testbed/src/capacity/hollow.rs
@@ -1,4 +1,4 @@
-//! What scale tests share to start real processes, none of which outlives the laboratory, whatever ends that; and an
+//! What scale tests share to start real processes, none of which outlives the test bed, whatever ends that; and an
 //! engine that answers the protocol and does no work.
 
 use crate::stand_ins::{configuration, Discovery, Engine, RecordedLines};
@@ -11,7 +11,7 @@
 
 /// A process is up within this, or has failed.
 const STARTS: Duration = Duration::from_secs(20);
-/// Waits on the pipe that the laboratory holds: it ends with the laboratory, also where that is killed, and then the
+/// Waits on the pipe that the test bed holds: it ends with the test bed, also where that is killed, and then the
 /// process is killed. The first line of its output is the process's id.
 const SUPERVISES: &str = r#"ulimit -n "$0" || exit 2
 "$@" > /dev/null &
@@ -21,7 +21,7 @@
 wait
 rm -f "$BALANCER_CONFIG""#;
 
-/// A process that ends with this, or with the laboratory.
+/// A process that ends with this, or with the test bed.
 pub struct Guarded {
     supervisor: Child,
     held: Option<ChildStdin>,
@@ -51,7 +51,7 @@
         command.args(["-c", SUPERVISES, &descriptors.to_string()]).arg(program).args(arguments);
         command.env("BALANCER_CONFIG", file).env("RUST_LOG", "info");
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-        // Out of the terminal's reach: Ctrl-C ends the laboratory, and the pipe's end tells of it.
+        // Out of the terminal's reach: Ctrl-C ends the test bed, and the pipe's end tells of it.
         std::os::unix::process::CommandExt::process_group(&mut command, 0);
         let mut supervisor = command.spawn().map_err(failed)?;
         let held = supervisor.stdin.take();
--- a/crates/testbed/src/capacity/lists.rs
+++ b/crates/testbed/src/capacity/lists.rs
@@ -18,7 +18,7 @@
 
 /// Events that a hollow discovery service still has; who asks from further back is told the whole list.
 const HELD: usize = 64;
-const BEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT: Duration = Duration::from_secs(1);
 /// Longer than anything here takes.
 const GENEROUS: Duration = Duration::from_secs(20);
 const BOARDS: usize = 4;
@@ -114,7 +114,7 @@
     lost: AtomicBool,
     /// Of events; the numbers of each second stand apart.
     bytes: AtomicU64,
-    beat_bytes: AtomicU64,
+    heartbeat_bytes: AtomicU64,
     calls: AtomicU64,
     rejected_unseen: AtomicU64,
 }
@@ -268,7 +268,7 @@
 }
 
 fn serve(listener: &TcpListener, mut woken: UnixStream, told: &Told) {
-    let (mut open, mut beat): (Vec<Caller>, Instant) = (Vec::new(), Instant::now() + BEAT);
+    let (mut open, mut heartbeat): (Vec<Caller>, Instant) = (Vec::new(), Instant::now() + HEARTBEAT);
     while !told.over.load(Relaxed) {
         let flags = |caller: &Caller| {
             if caller.out.is_empty() {
@@ -279,14 +279,14 @@
         };
         let mut fds = vec![PollFd::new(&woken, PollFlags::IN), PollFd::new(listener, PollFlags::IN)];
         fds.extend(open.iter().map(|caller| PollFd::new(&caller.stream, flags(caller))));
-        let ready = ready(fds, beat.saturating_duration_since(Instant::now()));
+        let ready = ready(fds, heartbeat.saturating_duration_since(Instant::now()));
         while ready[0] && woken.read(&mut [0; 256]).is_ok_and(|length| length > 0) {}
         let lost = told.lost.load(Relaxed);
         if lost {
             open.clear();
         }
-        let beats = Instant::now() >= beat;
-        beat = if beats { Instant::now() + BEAT } else { beat };
+        let beats = Instant::now() >= heartbeat;
+        heartbeat = if beats { Instant::now() + HEARTBEAT } else { heartbeat };
         let mut at = 2;
         open.retain_mut(|caller| {
             let asked = caller.told;
@@ -302,7 +302,7 @@
             drop(state);
             told.calls.fetch_add(u64::from(asked.is_none()), Relaxed);
             told.bytes.fetch_add(news.iter().map(|line| line.len() as u64).sum(), Relaxed);
-            told.beat_bytes.fetch_add(number.iter().map(|line| line.len() as u64).sum(), Relaxed);
+            told.heartbeat_bytes.fetch_add(number.iter().map(|line| line.len() as u64).sum(), Relaxed);
             let quiet = caller.out.is_empty();
             caller.out.extend(news.into_iter().chain(number));
             if quiet && !caller.out.is_empty() {
--- a/crates/testbed/src/capacity/members.rs
+++ b/crates/testbed/src/capacity/members.rs
@@ -1,9 +1,9 @@
 //! What it takes routers to know one another, by their number: the real crate in virtual time, in three regions of ten
 //! zones. Processor time is that of the thread that plays, memory what the process came to hold, so both are the most
-//! that a router may need: the laboratory's own notes are in them. System calls are not.
+//! that a router may need: the test bed's own notes are in them. System calls are not.
 
 use super::{report, target, Ask, Need, Row};
-use crate::faults::schedule::{three_regions, Act, REGION_OF_ZONE};
+use crate::faults::schedule::{three_regions, FaultAction, REGION_OF_ZONE};
 use crate::scenarios::virtual_membership::World;
 use cleatgw_membership::swim::Pace;
 use cleatgw_membership::MOST_ROUTERS;
@@ -26,7 +26,7 @@
 const HEADERS: u64 = 28;
 /// Plays side by side.
 const THREADS: usize = 4;
-/// Bytes that the laboratory and the routers hold for each ordered pair of routers, at most.
+/// Bytes that the test bed and the routers hold for each ordered pair of routers, at most.
 const BYTES_A_PAIR: f64 = 1500.0;
 
 /// What one play gave.
@@ -46,12 +46,12 @@
 /// Places routers evenly in ten zones, on clocks as far apart as leases allow for, with one leader role; lets them meet.
 fn settled(routers: usize, seed: u64, absent: &[usize], until: f64) -> World {
     let mut world = World::new(routers, Pace::default(), seed);
-    world.weather.place((0..routers).map(|router| router % target::ZONES).collect(), three_regions());
+    world.link_conditions.place((0..routers).map(|router| router % target::ZONES).collect(), three_regions());
     world.role = Some(cleatgw_membership::leader::role_resource("one"));
     let drift = cleatgw_membership::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
     for router in (0..routers).filter(|router| !absent.contains(router)) {
-        world.at(router as f64 / routers as f64, Act::Start(router));
+        world.at(router as f64 / routers as f64, FaultAction::Start(router));
     }
     // What was true while they started is of no interest, and long.
     for step in 1..=20 {
@@ -113,8 +113,9 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let first = rng.random_range(0..world.routers());
     let dead = (0..3).map(|number| (first + number * (world.routers() / 3)) % world.routers());
-    let plan = dead.enumerate().map(|(number, dead)| (world.now + number as f64 * 0.7, Act::Kill(dead)));
-    let plan: Vec<(f64, Act)> = plan.collect();
+    let plan =
+        dead.enumerate().map(|(number, dead)| (world.now + number as f64 * 0.7, FaultAction::Kill(dead)));
+    let plan: Vec<(f64, FaultAction)> = plan.collect();
     world.plan(&plan);
     world.run_until(world.now + 1.4 + AFTER);
     let (times, missed) = world.record.detections();
@@ -190,12 +191,12 @@
         "unheld_s_longest": (seen.longest_unheld_s * 10.0).round() / 10.0,
         "holders_most": seen.holders,
         "two_holders": world.two_holders,
-        "datagrams_cut": world.weather.cut,
+        "datagrams_cut": world.link_conditions.cut,
     })
 }
 
 fn zone_of(world: &World, router: usize) -> usize {
-    world.weather.zones()[router]
+    world.link_conditions.zones()[router]
 }
 
 /// The holder's zone is lost, all of it at once.
@@ -203,7 +204,8 @@
     let mut world = settled(routers, seed, &[], SETTLES);
     let zone = world.holders().first().map_or(0, |holder| zone_of(&world, *holder));
     let lost: Vec<usize> = (0..routers).filter(|router| zone_of(&world, *router) == zone).collect();
-    let plan: Vec<(f64, Act)> = lost.iter().map(|router| (world.now, Act::Kill(*router))).collect();
+    let plan: Vec<(f64, FaultAction)> =
+        lost.iter().map(|router| (world.now, FaultAction::Kill(*router))).collect();
     world.plan(&plan);
     let seen = watch(&mut world, 15.0);
     let mut report = told(&world, &seen);
@@ -217,7 +219,7 @@
     let region = |router: usize| REGION_OF_ZONE[zone_of(&world, router)];
     let cut_off = world.holders().first().map_or(1, |holder| region(*holder));
     let parts: Vec<usize> = (0..routers).map(|router| usize::from(region(router) == cut_off)).collect();
-    world.plan(&vec![(world.now, Act::Part(parts.clone()))]);
+    world.plan(&vec![(world.now, FaultAction::Part(parts.clone()))]);
     let cut = watch(&mut world, CUT_FOR);
     // Who calls whom failed: by side of the one that does, and of the other.
     let mut called = [[0usize; 2]; 2];
@@ -227,7 +229,7 @@
         }
     }
     let held_by_rest = world.holders().iter().filter(|holder| parts[**holder] == 0).count();
-    world.plan(&vec![(world.now, Act::Heal)]);
+    world.plan(&vec![(world.now, FaultAction::Heal)]);
     let healed = watch(&mut world, 30.0);
     let size = |part: usize| parts.iter().filter(|other| **other == part).count();
     let mut report = told(&world, &healed);
@@ -260,11 +262,11 @@
         let router = round as usize * routers / rounds as usize + 2;
         // Another machine, whose clock shows another time.
         world.clocks[router] = rng.random_range(0..500);
-        plan.extend([(at, Act::Kill(router)), (at + 5.0, Act::Start(router))]);
+        plan.extend([(at, FaultAction::Kill(router)), (at + 5.0, FaultAction::Start(router))]);
         let other = round as usize / 2;
         let come_or_go = match round % 2 {
-            0 => Act::Start(added[other]),
-            _ => Act::Leave(other * routers / 5 + 3),
+            0 => FaultAction::Start(added[other]),
+            _ => FaultAction::Leave(other * routers / 5 + 3),
         };
         plan.push((at + 6.0, come_or_go));
     }
@@ -298,8 +300,8 @@
         let started = (((world.now - from) / takes * routers as f64) as usize).min(routers);
         for router in next..started {
             world.lists[router] = list;
-            world.at(world.now, Act::Kill(router));
-            world.at(world.now + 1.0, Act::Start(router));
+            world.at(world.now, FaultAction::Kill(router));
+            world.at(world.now + 1.0, FaultAction::Start(router));
         }
         next = started;
         world.run_until(world.now + step);
--- a/crates/testbed/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -5,7 +5,7 @@
 use super::{report, target, Ask, Need, Row};
 use crate::checkers::request_rules::{Asked, Outcome, Ran};
 use crate::clients::load::{Load, Tally};
-use crate::faults::schedule::Act;
+use crate::faults::schedule::FaultAction;
 use crate::routers::cluster::{Cluster, Plan, Watch};
 use crate::scenarios::virtual_membership::World;
 use cleatgw_membership::swim::Pace;
@@ -48,7 +48,7 @@
 }
 
 /// The share of good answers of what was sent to these groups, window by window.
-fn judge(asked: &[(usize, &Asked)], ran: &[Ran], lost: usize, at: f64, end: f64) -> Option<Loss> {
+fn check_requests(asked: &[(usize, &Asked)], ran: &[Ran], lost: usize, at: f64, end: f64) -> Option<Loss> {
     let by_call: HashMap<&str, usize> =
         asked.iter().map(|(group, request)| (request.call.as_str(), *group)).collect();
     let there = |from: f64, to: f64| {
@@ -159,19 +159,19 @@
     wait(BEFORE + 0.5);
     let second = busiest(&cluster, cluster.now() - BEFORE, Some(first));
     let hung = cluster.now();
-    cluster.play(&vec![(0.0, Act::Silent(second, true))], AFTER);
+    cluster.play(&vec![(0.0, FaultAction::Silent(second, true))], AFTER);
     let end = cluster.now();
     let tally = load.tally(&cluster);
-    let verdict = cluster.verdict(&tally, false);
+    let check_result = cluster.check_result(&tally, false);
     let ran: Vec<Ran> = cluster.engines.iter().flat_map(|engine| engine.ran()).collect();
     let requests = grouped(&tally);
     let no_request = || format!("{count} engines: no job came to the engine that was lost");
     Ok(Engines {
-        announced: judge(&requests, &ran, first, drained, hung).ok_or_else(no_request)?,
-        silent: judge(&requests, &ran, second, hung, end).ok_or_else(no_request)?,
-        breaks: verdict.breaks(),
+        announced: check_requests(&requests, &ran, first, drained, hung).ok_or_else(no_request)?,
+        silent: check_requests(&requests, &ran, second, hung, end).ok_or_else(no_request)?,
+        breaks: check_result.breaks(),
         unanswered: tally.unanswered,
-        finds: verdict.finds,
+        finds: check_result.finds,
     })
 }
 
@@ -192,7 +192,7 @@
         match (lost, holder(&world)) {
             (None, Some(one)) if world.now > 12.0 => {
                 (lost, at) = (Some(one), world.now);
-                world.at(world.now, Act::Kill(one));
+                world.at(world.now, FaultAction::Kill(one));
             }
             (Some(old), Some(one)) if one != old => return (world.now - at, world.two_holders),
             _ => {}
@@ -202,7 +202,7 @@
 }
 
 /// What is done to a router of this number.
-type ToLose = fn(usize) -> Act;
+type ToLose = fn(usize) -> FaultAction;
 
 /// Real routers: from a holder's last claim to another's first, by what they say when asked.
 fn role_of_processes(ask: &Ask, routers: usize, act: ToLose) -> Result<(f64, usize), String> {
@@ -278,7 +278,8 @@
         by_routers.push((routers, roles(routers)?));
     }
     let at_target = roles(target::ROUTERS as f64)?;
-    let acts: [(&str, ToLose); 3] = [("killed", Act::Kill), ("frozen", Act::Freeze), ("leaves", Act::Leave)];
+    let acts: [(&str, ToLose); 3] =
+        [("killed", FaultAction::Kill), ("frozen", FaultAction::Freeze), ("leaves", FaultAction::Leave)];
     let mut real = Vec::new();
     for routers in [3, 9] {
         let played = beside(acts.len(), |at| role_of_processes(ask, routers, acts[at].1))?;
--- a/crates/testbed/src/checkers/request_rules.rs
+++ b/crates/testbed/src/checkers/request_rules.rs
@@ -13,7 +13,7 @@
     Failed,
 }
 
-/// What a client saw of one request. Times are seconds of the laboratory's clock.
+/// What a client saw of one request. Times are seconds of the test bed's clock.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub router: usize,
@@ -23,7 +23,7 @@
     pub idempotency_key: String,
     pub sent: f64,
     /// How long its client waits.
-    pub patience: f64,
+    pub time_to_live: f64,
     /// When the whole answer was in, and what it was; none where the connection ended or time was over.
     pub answered: Option<(f64, Outcome)>,
     /// When its client stopped waiting, for whatever reason.
@@ -44,7 +44,7 @@
     pub done: bool,
 }
 
-/// What the deployment of the laboratory states.
+/// What the deployment of the test bed states.
 #[derive(Clone, Debug)]
 pub struct Stated {
     /// How long an idempotency key is known.
@@ -70,7 +70,7 @@
 
 /// What was broken, with a sentence for each find; counts are what a report shows.
 #[derive(Debug, Default)]
-pub struct Verdict {
+pub struct CheckResult {
     pub two_answers: usize,
     /// Non-idempotent requests that came to engines twice, and deduplicated ones again after their window.
     pub ran_twice: usize,
@@ -83,7 +83,7 @@
     pub finds: Vec<String>,
 }
 
-impl Verdict {
+impl CheckResult {
     pub fn breaks(&self) -> usize {
         self.two_answers
             + self.ran_twice
@@ -128,61 +128,61 @@
     pub kept: bool,
 }
 
-pub fn judge(asked: &[Asked], ran: &[Ran], facts: &Facts) -> Verdict {
-    let mut verdict = Verdict::default();
+pub fn check_requests(asked: &[Asked], ran: &[Ran], facts: &Facts) -> CheckResult {
+    let mut check_result = CheckResult::default();
     let mut runs: HashMap<&str, Vec<&Ran>> = HashMap::new();
     ran.iter().for_each(|run| runs.entry(&run.call).or_default().push(run));
     runs.values_mut().for_each(|runs| runs.sort_by(|one, other| one.got.total_cmp(&other.got)));
     let none = Vec::new();
     for request in asked {
         let runs = runs.get(request.call.as_str()).unwrap_or(&none);
-        one_request(request, runs, facts, &mut verdict);
+        one_request(request, runs, facts, &mut check_result);
     }
-    receipts(asked, ran, facts, &mut verdict);
-    budgets(asked, &runs, facts, &mut verdict);
+    receipts(asked, ran, facts, &mut check_result);
+    budgets(asked, &runs, facts, &mut check_result);
     for run in ran {
         if facts.drained.get(run.engine).copied().flatten().is_some_and(|at| run.got > at + 1.0) {
-            verdict.to_draining += 1;
-            verdict.find(format!("{} came to engine {} after its drain", run.call, run.engine));
+            check_result.to_draining += 1;
+            check_result.find(format!("{} came to engine {} after its drain", run.call, run.engine));
         }
     }
-    verdict
+    check_result
 }
 
-fn one_request(request: &Asked, runs: &[&Ran], facts: &Facts, verdict: &mut Verdict) {
+fn one_request(request: &Asked, runs: &[&Ran], facts: &Facts, check_result: &mut CheckResult) {
     let Asked { call, class, router, .. } = request;
     if request.twice {
-        verdict.two_answers += 1;
-        verdict.find(format!("{call} was answered twice"));
+        check_result.two_answers += 1;
+        check_result.find(format!("{call} was answered twice"));
     }
     if *class == facts.stated.non_idempotent && runs.len() > 1 {
-        verdict.ran_twice += 1;
-        verdict.find(format!("{class} {call} came to engines {} times", runs.len()));
+        check_result.ran_twice += 1;
+        check_result.find(format!("{class} {call} came to engines {} times", runs.len()));
     }
     let rejected = matches!(request.answered, Some((_, Outcome::Rejected)));
     if rejected && *class == facts.stated.non_idempotent && !runs.is_empty() {
-        verdict.rejected_after_run += 1;
-        verdict.find(format!("{class} {call} was turned back after a push"));
+        check_result.rejected_after_run += 1;
+        check_result.find(format!("{class} {call} was turned back after a push"));
     }
-    if request.answered.is_some_and(|(at, _)| at > request.sent + request.patience + SLACK) {
-        verdict.late += 1;
-        verdict.find(format!(
+    if request.answered.is_some_and(|(at, _)| at > request.sent + request.time_to_live + SLACK) {
+        check_result.late += 1;
+        check_result.find(format!(
             "{call} was answered {:.2} s after its time",
-            request.over - request.sent - request.patience
+            request.over - request.sent - request.time_to_live
         ));
     }
     for pair in runs.windows(2) {
         let (first, second) = (pair[0], pair[1]);
         let rough = (facts.rough)(*router, first.engine, first.got, second.got);
         if first.over > second.got + SLACK && !rough {
-            verdict.two_out += 1;
-            verdict.find(format!("{call} was out at engines {} and {}", first.engine, second.engine));
+            check_result.two_out += 1;
+            check_result.find(format!("{call} was out at engines {} and {}", first.engine, second.engine));
         }
     }
 }
 
 /// A deduplicated request runs again only within its window, whoever sends it and under whatever call.
-fn receipts(asked: &[Asked], ran: &[Ran], facts: &Facts, verdict: &mut Verdict) {
+fn receipts(asked: &[Asked], ran: &[Ran], facts: &Facts, check_result: &mut CheckResult) {
     let deduplicated = asked.iter().filter(|request| request.class == facts.stated.deduplicated);
     let known: std::collections::HashSet<&str> =
         deduplicated.map(|request| request.idempotency_key.as_str()).collect();
@@ -196,14 +196,14 @@
             .get(run.idempotency_key.as_str())
             .is_some_and(|first| run.got > first + facts.stated.window + SLACK)
         {
-            verdict.ran_twice += 1;
-            verdict.find(format!("{} ran again after its window", run.idempotency_key));
+            check_result.ran_twice += 1;
+            check_result.find(format!("{} ran again after its window", run.idempotency_key));
         }
     }
 }
 
 /// Retries of each router, over every window that ends with one.
-fn budgets(asked: &[Asked], runs: &HashMap<&str, Vec<&Ran>>, facts: &Facts, verdict: &mut Verdict) {
+fn budgets(asked: &[Asked], runs: &HashMap<&str, Vec<&Ran>>, facts: &Facts, check_result: &mut CheckResult) {
     let routers = asked.iter().map(|request| request.router + 1).max().unwrap_or(0);
     let mut taken = vec![Vec::new(); routers];
     let mut further = vec![Vec::new(); routers];
@@ -229,8 +229,8 @@
             let requests = between(&taken[router], from - SLACK, *at) as f64;
             // What engines see may be closer together than what was sent, by what is on the way.
             if repeats > (spare + share * requests) * 1.15 + 1.0 {
-                verdict.attempts_over_budget += 1;
-                verdict
+                check_result.attempts_over_budget += 1;
+                check_result
                     .find(format!("router {router}: {repeats} further pushes, {requests} jobs by {at:.2}"));
             }
         }
--- a/crates/testbed/src/checkers/request_rules/tests.rs
+++ b/crates/testbed/src/checkers/request_rules/tests.rs
@@ -7,7 +7,7 @@
         class,
         idempotency_key: format!("d{call}"),
         sent,
-        patience: 3.0,
+        time_to_live: 3.0,
         answered,
         over: answered.map_or(sent + 3.0, |(at, _)| at),
         twice: false,
@@ -37,17 +37,21 @@
     ];
     let runs =
         [run("a", 0, 10.1, 10.4), run("b", 0, 10.1, 10.2), run("b", 1, 10.3, 10.4), run("c", 0, 10.1, 10.4)];
-    let verdict = judge(&kept, &runs, &facts(&sound));
-    assert_eq!(verdict.breaks(), 0, "{verdict:?}");
+    let check_result = check_requests(&kept, &runs, &facts(&sound));
+    assert_eq!(check_result.breaks(), 0, "{check_result:?}");
 
-    let count = |asked: &[Asked], ran: &[Ran]| judge(asked, ran, &facts(&sound));
+    let count = |asked: &[Asked], ran: &[Ran]| check_requests(asked, ran, &facts(&sound));
     let twice = [run("a", 0, 10.1, 10.2), run("a", 1, 10.3, 10.4)];
     assert_eq!(count(&kept, &twice).ran_twice, 1);
     let later = [run("b", 0, 10.1, 10.2), run("b", 1, 23.0, 23.1)];
     assert_eq!(count(&kept, &later).ran_twice, 1);
     let both = [run("c", 0, 10.1, 11.0), run("c", 2, 10.3, 10.4)];
     assert_eq!(count(&kept, &both).two_out, 1);
-    assert_eq!(judge(&kept, &both, &facts(&|_, engine, _, _| engine == 0)).two_out, 0, "the way was rough");
+    assert_eq!(
+        check_requests(&kept, &both, &facts(&|_, engine, _, _| engine == 0)).two_out,
+        0,
+        "the way was rough"
+    );
     let turned = [request("a", "once", 10.0, Some((11.0, Outcome::Rejected)))];
     assert_eq!(count(&turned, &twice[..1]).rejected_after_run, 1);
     let late = [request("c", "look", 10.0, Some((13.5, Outcome::Failed)))];
@@ -68,11 +72,11 @@
         };
         (0..most).flat_map(two).collect()
     };
-    assert_eq!(judge(&asked, &again(15), &facts(&sound)).breaks(), 0);
-    assert!(judge(&asked, &again(40), &facts(&sound)).attempts_over_budget > 0);
+    assert_eq!(check_requests(&asked, &again(15), &facts(&sound)).breaks(), 0);
+    assert!(check_requests(&asked, &again(40), &facts(&sound)).attempts_over_budget > 0);
     let halfway = Facts { started: vec![vec![0.0, 11.15]], ..facts(&sound) };
-    assert_eq!(judge(&asked, &again(26), &halfway).breaks(), 0, "anew at the start");
-    assert!(judge(&asked, &again(26), &Facts { kept: true, ..halfway }).attempts_over_budget > 0);
+    assert_eq!(check_requests(&asked, &again(26), &halfway).breaks(), 0, "anew at the start");
+    assert!(check_requests(&asked, &again(26), &Facts { kept: true, ..halfway }).attempts_over_budget > 0);
 }
 
 #[test]
--- a/crates/testbed/src/clients/load.rs
+++ b/crates/testbed/src/clients/load.rs
@@ -12,7 +12,7 @@
 /// What clients ask for, in turn: mostly what may be repeated, some with idempotency keys, few that must not run twice.
 const MIXED: [&str; 10] = ["look", "look", "load", "look", "look", "once", "look", "look", "load", "look"];
 /// How long a client waits for a request, in seconds.
-const PATIENCE: f64 = 3.0;
+const TIME_TO_LIVE: f64 = 3.0;
 /// A client that is still not answered reads on for so long: more than any pause that the schedules make.
 const READS_ON: Duration = Duration::from_secs(12);
 
@@ -127,7 +127,7 @@
                 let class = MIXED[all.len() % MIXED.len()];
                 // Far from what other clients of the tests use.
                 let (call, idempotency_key) = (format!("{:016x}", number | 1 << 40), format!("k{number}"));
-                let (ttl, work, group) = (PATIENCE * 1e3, self.work, all.len() % 16);
+                let (ttl, work, group) = (TIME_TO_LIVE * 1e3, self.work, all.len() % 16);
                 let text = format!(
                     "/* op={class},call={call},ttl={ttl},dedupe={idempotency_key},work={work},mb=10 */ \
                      work {work} FROM sales_{group}.t"
@@ -140,14 +140,14 @@
                 let over = self.now();
                 let twice = answer.is_some() && more_has_come(&client);
                 let answered = answer.as_ref().map(|answer| (over, outcome(answer)));
-                let (router, patience) = (self.router, PATIENCE);
+                let (router, time_to_live) = (self.router, TIME_TO_LIVE);
                 all.push(Asked {
                     router,
                     call,
                     class,
                     idempotency_key,
                     sent,
-                    patience,
+                    time_to_live,
                     answered,
                     over,
                     twice,
--- a/crates/testbed/src/faults/datagram_relays.rs
+++ b/crates/testbed/src/faults/datagram_relays.rs
@@ -1,7 +1,7 @@
 //! Relays on loopback between the routers of a cluster: each directed link runs through one, which loses, delays,
-//! duplicates, damages, reorders, stalls or cuts as the weather says.
+//! duplicates, damages, reorders, stalls or cuts as the conditions of links says.
 
-use crate::faults::schedule::Weather;
+use crate::faults::schedule::LinkConditions;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, UdpSocket};
@@ -26,7 +26,7 @@
     pub listens: Vec<SocketAddr>,
     /// By router, then other: where the first sends what is for the other.
     pub addresses: Vec<Vec<SocketAddr>>,
-    pub weather: Arc<Mutex<Weather>>,
+    pub link_conditions: Arc<Mutex<LinkConditions>>,
     pub began: Instant,
     kept: Arc<Mutex<Kept>>,
     over: Arc<AtomicBool>,
@@ -37,7 +37,7 @@
 pub type Passed = (usize, usize, Vec<u8>);
 
 /// So many of the latest datagrams are kept.
-const MOST_KEPT: usize = 500;
+const MAX_DELAYED: usize = 500;
 
 /// What has passed of late, and what is to be sent once more.
 #[derive(Default)]
@@ -64,20 +64,20 @@
                 sockets.push(Some(socket));
             }
         }
-        let weather = Arc::new(Mutex::new(Weather::new(routers, seed)));
+        let link_conditions = Arc::new(Mutex::new(LinkConditions::new(routers, seed)));
         let (over, began) = (Arc::new(AtomicBool::new(false)), Instant::now());
         let kept = Arc::new(Mutex::new(Kept::default()));
         let work = Work {
             routers,
             sockets,
             listens: listens.clone(),
-            weather: weather.clone(),
+            link_conditions: link_conditions.clone(),
             began,
             kept: kept.clone(),
         };
         let seen = over.clone();
         let thread = std::thread::spawn(move || work.run(&seen));
-        Relays { listens, addresses, weather, began, kept, over, thread: Some(thread) }
+        Relays { listens, addresses, link_conditions, began, kept, over, thread: Some(thread) }
     }
 
     pub fn now(&self) -> f64 {
@@ -108,7 +108,7 @@
     /// By sender, then receiver.
     sockets: Vec<Option<UdpSocket>>,
     listens: Vec<SocketAddr>,
-    weather: Arc<Mutex<Weather>>,
+    link_conditions: Arc<Mutex<LinkConditions>>,
     began: Instant,
     kept: Arc<Mutex<Kept>>,
 }
@@ -130,7 +130,7 @@
                 let (from, to, bytes) = entry.remove();
                 let mut kept = self.kept.lock().expect("what is kept");
                 kept.passed.push_back((from, to, bytes.clone()));
-                if kept.passed.len() > MOST_KEPT {
+                if kept.passed.len() > MAX_DELAYED {
                     kept.passed.pop_front();
                 }
                 drop(kept);
@@ -159,16 +159,16 @@
                 .map(|(_, (at, _))| *at)
                 .collect();
             let now = self.began.elapsed().as_secs_f64();
-            let mut weather = self.weather.lock().expect("the weather");
+            let mut link_conditions = self.link_conditions.lock().expect("the weather");
             for at in ready {
                 let (from, to) = (at / self.routers, at % self.routers);
                 let socket = self.sockets[at].as_ref().expect("it was polled");
                 for _ in 0..64 {
                     let Ok((length, _)) = socket.recv_from(&mut bytes) else { break };
-                    for (delay, damaged) in weather.fate(from, to, now) {
+                    for (delay, damaged) in link_conditions.fate(from, to, now) {
                         let mut copy = bytes[..length].to_vec();
                         if damaged {
-                            weather.spoil(&mut copy);
+                            link_conditions.spoil(&mut copy);
                         }
                         numbered += 1;
                         waiting.insert(((now + delay).to_bits(), numbered), (from, to, copy));
--- a/crates/testbed/src/faults/interposed_library.rs
+++ b/crates/testbed/src/faults/interposed_library.rs
@@ -25,9 +25,9 @@
 }
 
 /// What is done to the clocks and disks of a cluster's routers, by files in its folder.
-pub struct Shims(PathBuf);
+pub struct InterposedLibrary(PathBuf);
 
-impl Shims {
+impl InterposedLibrary {
     /// Variables for the environment of each router, whose number stands for `{at}`.
     pub fn environment() -> Vec<(String, String)> {
         let library = library().to_string_lossy().into_owned();
@@ -40,8 +40,8 @@
         .into()
     }
 
-    pub fn of(folder: &Path) -> Shims {
-        Shims(folder.to_path_buf())
+    pub fn of(folder: &Path) -> InterposedLibrary {
+        InterposedLibrary(folder.to_path_buf())
     }
 
     /// From now on this router's writes are done (0), hang (`h`), fail (`f`), or are acknowledged and lost (`l`).
--- a/crates/testbed/src/faults/interposed_source.rs
+++ b/crates/testbed/src/faults/interposed_source.rs
@@ -1,5 +1,5 @@
 //! Loaded ahead of a process of the program: moves its Unix clock by what a file says, in nanoseconds, and does to its
-//! writes what another file says: `h` hangs, `f` fails, `l` lies. Built by the laboratory with the compiler that builds
+//! writes what another file says: `h` hangs, `f` fails, `l` lies. Built by the test bed with the compiler that builds
 //! the program (`shim.rs`), and no part of any crate.
 
 use std::ffi::{c_char, c_int, c_long, c_void, CStr};
--- a/crates/testbed/src/faults/schedule.rs
+++ b/crates/testbed/src/faults/schedule.rs
@@ -55,7 +55,7 @@
 pub type Copies = Vec<(f64, bool)>;
 
 /// All directed links, and counts of what was done to datagrams, so that a fault that never took effect is seen.
-pub struct Weather {
+pub struct LinkConditions {
     routers: usize,
     links: Vec<Link>,
     /// The zone that each router is in, and the seconds that a way between zones takes beside its link's own delay;
@@ -71,9 +71,9 @@
     pub damaged: u64,
 }
 
-impl Weather {
-    pub fn new(routers: usize, seed: u64) -> Weather {
-        Weather {
+impl LinkConditions {
+    pub fn new(routers: usize, seed: u64) -> LinkConditions {
+        LinkConditions {
             routers,
             links: vec![Link::default(); routers * routers],
             zones: Vec::new(),
@@ -167,7 +167,7 @@
 
 /// What is done to routers and links.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum FaultAction {
     Kill(usize),
     /// Started again under its name.
     Start(usize),
@@ -204,7 +204,7 @@
 }
 
 /// A schedule: acts at times, in order.
-pub type Schedule = Vec<(f64, Act)>;
+pub type Schedule = Vec<(f64, FaultAction)>;
 
 /// A seeded schedule of mixed faults with a quiet spell after each, from `from` on for `seconds`.
 pub fn mixed(routers: usize, from: f64, seconds: f64, seed: u64) -> Schedule {
@@ -217,46 +217,50 @@
         let other = (one + rng.random_range(1..routers)) % routers;
         let lasts = match kind % 9 {
             0 => {
-                acts.extend([(at, Act::Kill(one)), (at + 5.0, Act::Start(one))]);
+                acts.extend([(at, FaultAction::Kill(one)), (at + 5.0, FaultAction::Start(one))]);
                 5.0
             }
             1 => {
-                acts.extend([(at, Act::Freeze(one)), (at + 5.0, Act::Wake(one))]);
+                acts.extend([(at, FaultAction::Freeze(one)), (at + 5.0, FaultAction::Wake(one))]);
                 5.0
             }
             2 => {
                 let parts = (0..routers).map(|router| usize::from(router >= routers / 2)).collect();
-                acts.extend([(at, Act::Part(parts)), (at + 6.0, Act::Heal)]);
+                acts.extend([(at, FaultAction::Part(parts)), (at + 6.0, FaultAction::Heal)]);
                 6.0
             }
             3 => {
-                acts.extend([(at, Act::CutOneWay(one, other)), (at + 5.0, Act::Heal)]);
+                acts.extend([(at, FaultAction::CutOneWay(one, other)), (at + 5.0, FaultAction::Heal)]);
                 5.0
             }
             4 => {
-                acts.extend([(at, Act::Loss(0.3)), (at + 6.0, Act::Loss(0.0))]);
+                acts.extend([(at, FaultAction::Loss(0.3)), (at + 6.0, FaultAction::Loss(0.0))]);
                 6.0
             }
             5 => {
                 // Faster than it can be found failed.
-                acts.extend([(at, Act::Kill(one)), (at + 0.3, Act::Start(one))]);
+                acts.extend([(at, FaultAction::Kill(one)), (at + 0.3, FaultAction::Start(one))]);
                 1.0
             }
             6 => {
                 let parts = (0..routers).map(|router| router % 3).collect();
-                acts.extend([(at, Act::Part(parts)), (at + 5.0, Act::Heal)]);
+                acts.extend([(at, FaultAction::Part(parts)), (at + 5.0, FaultAction::Heal)]);
                 5.0
             }
             7 => {
-                acts.extend([(at, Act::Cut(one, other)), (at + 5.0, Act::Heal)]);
+                acts.extend([(at, FaultAction::Cut(one, other)), (at + 5.0, FaultAction::Heal)]);
                 5.0
             }
             _ => {
-                acts.extend([(at, Act::Twice(0.2)), (at, Act::Damage(0.05)), (at, Act::Spread(0.05))]);
                 acts.extend([
-                    (at + 5.0, Act::Twice(0.0)),
-                    (at + 5.0, Act::Damage(0.0)),
-                    (at + 5.0, Act::Spread(0.0003)),
+                    (at, FaultAction::Twice(0.2)),
+                    (at, FaultAction::Damage(0.05)),
+                    (at, FaultAction::Spread(0.05)),
+                ]);
+                acts.extend([
+                    (at + 5.0, FaultAction::Twice(0.0)),
+                    (at + 5.0, FaultAction::Damage(0.0)),
+                    (at + 5.0, FaultAction::Spread(0.0003)),
                 ]);
                 5.0
             }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// A state of a model that is told from others by its `digest`, all that what follows depends on.
 #[macro_export]
-macro_rules! told_by_digest {
+macro_rules! identify_by_digest {
     ($state:ty) => {
         impl std::hash::Hash for $state {
             fn hash<H: std::hash::Hasher>(&self, hasher: &mut H) {
--- a/crates/testbed/src/routers/cluster.rs
+++ b/crates/testbed/src/routers/cluster.rs
@@ -3,11 +3,11 @@
 //! under their names.
 
 use crate::checkers::failure_detection::{Record, Said, Truth};
-use crate::checkers::request_rules::{judge, two_holders, Claim, Facts, Stated, Verdict};
+use crate::checkers::request_rules::{check_requests, two_holders, CheckResult, Claim, Facts, Stated};
 use crate::clients::load::Tally;
 use crate::engines::shared_engine::Shared;
 use crate::faults::datagram_relays::Relays;
-use crate::faults::schedule::{Act, Schedule, Target};
+use crate::faults::schedule::{FaultAction, Schedule, Target};
 use crate::faults::stream_relays::Stream;
 use crate::stand_ins::{Answered, Client, Discovery, RecordedLines, Router};
 use rustix::process::Signal;
@@ -181,7 +181,7 @@
         };
         let all: Vec<usize> = (0..cluster.engines.len()).collect();
         (0..routers).for_each(|router| cluster.tell(router, true, &all));
-        cluster.act_all(&(0..routers).map(Act::Start).collect::<Vec<_>>());
+        cluster.act_all(&(0..routers).map(FaultAction::Start).collect::<Vec<_>>());
         cluster
     }
 
@@ -319,20 +319,20 @@
         (slot.router, slot.frozen, slot.leaving) = (Some(router), false, false);
     }
 
-    pub fn act(&mut self, act: &Act) {
+    pub fn act(&mut self, act: &FaultAction) {
         self.act_all(std::slice::from_ref(act));
     }
 
     /// All of these at once: processes that are started come up beside each other.
-    pub fn act_all(&mut self, acts: &[Act]) {
+    pub fn act_all(&mut self, acts: &[FaultAction]) {
         let (mut started, now) = (Vec::new(), self.now());
         for act in acts {
             match act {
-                Act::Start(at) => {
+                FaultAction::Start(at) => {
                     self.spawn(*at);
                     started.push(*at);
                 }
-                Act::Kill(at) => {
+                FaultAction::Kill(at) => {
                     self.slots[*at].ended.push(now);
                     if let Some(router) = self.slots[*at].router.take() {
                         // Its end is waited for apart, so that many end at once.
@@ -340,35 +340,35 @@
                         std::thread::spawn(move || drop(router));
                     }
                 }
-                Act::Freeze(at) => {
+                FaultAction::Freeze(at) => {
                     self.router(*at).signal(Signal::STOP);
                     self.slots[*at].frozen = true;
                 }
-                Act::Wake(at) => {
+                FaultAction::Wake(at) => {
                     self.router(*at).signal(Signal::CONT);
                     self.slots[*at].frozen = false;
                 }
-                Act::Leave(at) => {
+                FaultAction::Leave(at) => {
                     self.slots[*at].ended.push(now);
                     self.router(*at).fail();
                     self.slots[*at].leaving = true;
                 }
-                Act::Way(router, target, fault) => {
+                FaultAction::Way(router, target, fault) => {
                     let routers =
                         router.map_or_else(|| (0..self.slots.len()).collect(), |router| vec![router]);
                     routers.into_iter().for_each(|router| self.way(router, *target).does(*fault));
                 }
-                Act::Silent(engine, silent) => self.engines[*engine].silent(*silent),
-                _ => self.weather(act),
+                FaultAction::Silent(engine, silent) => self.engines[*engine].silent(*silent),
+                _ => self.link_conditions(act),
             }
         }
         for at in started {
             self.router(at).log.wait("listens on", 1);
         }
         let (cuts, rough) = {
-            let weather = self.relays.weather.lock().expect("the weather");
-            let row = |from| (0..self.slots.len()).map(|to| weather.is_cut(from, to)).collect();
-            ((0..self.slots.len()).map(row).collect(), weather.rough())
+            let link_conditions = self.relays.link_conditions.lock().expect("the weather");
+            let row = |from| (0..self.slots.len()).map(|to| link_conditions.is_cut(from, to)).collect();
+            ((0..self.slots.len()).map(row).collect(), link_conditions.rough())
         };
         let up = |slot: &Slot| slot.router.is_some() && !slot.frozen && !slot.leaving;
         // What is said while processes come up is said after this.
@@ -381,26 +381,27 @@
         });
     }
 
-    fn weather(&self, act: &Act) {
+    fn link_conditions(&self, act: &FaultAction) {
         let now = self.now();
-        let mut weather = self.relays.weather.lock().expect("the weather");
+        let mut link_conditions = self.relays.link_conditions.lock().expect("the weather");
         match act {
-            Act::Cut(one, other) => {
-                weather.link(*one, *other).cut = true;
-                weather.link(*other, *one).cut = true;
+            FaultAction::Cut(one, other) => {
+                link_conditions.link(*one, *other).cut = true;
+                link_conditions.link(*other, *one).cut = true;
             }
-            Act::CutOneWay(from, to) => weather.link(*from, *to).cut = true,
-            Act::Part(parts) => weather.part(parts),
-            Act::Heal => weather.all(|link| link.cut = false),
-            Act::Loss(loss) => weather.all(|link| link.loss = *loss),
-            Act::LossTo(to, loss) => {
-                (0..self.slots.len()).for_each(|from| weather.link(from, *to).loss = *loss);
+            FaultAction::CutOneWay(from, to) => link_conditions.link(*from, *to).cut = true,
+            FaultAction::Part(parts) => link_conditions.part(parts),
+            FaultAction::Heal => link_conditions.all(|link| link.cut = false),
+            FaultAction::Loss(loss) => link_conditions.all(|link| link.loss = *loss),
+            FaultAction::LossTo(to, loss) => {
+                (0..self.slots.len()).for_each(|from| link_conditions.link(from, *to).loss = *loss);
             }
-            Act::Spread(spread) => weather.all(|link| link.spread = *spread),
-            Act::Twice(twice) => weather.all(|link| link.twice = *twice),
-            Act::Damage(damage) => weather.all(|link| link.damage = *damage),
-            Act::Stall(from, seconds) => {
-                (0..self.slots.len()).for_each(|to| weather.link(*from, to).stalled_until = now + seconds);
+            FaultAction::Spread(spread) => link_conditions.all(|link| link.spread = *spread),
+            FaultAction::Twice(twice) => link_conditions.all(|link| link.twice = *twice),
+            FaultAction::Damage(damage) => link_conditions.all(|link| link.damage = *damage),
+            FaultAction::Stall(from, seconds) => {
+                (0..self.slots.len())
+                    .for_each(|to| link_conditions.link(*from, to).stalled_until = now + seconds);
             }
             _ => {}
         }
@@ -415,7 +416,7 @@
         for acts in schedule.chunk_by(|one, other| one.0 == other.0) {
             last = acts[0].0;
             std::thread::sleep(Duration::from_secs_f64((began + last - self.now()).max(0.0)));
-            let acts: Vec<Act> = acts.iter().map(|(_, act)| act.clone()).collect();
+            let acts: Vec<FaultAction> = acts.iter().map(|(_, act)| act.clone()).collect();
             self.act_all(&acts);
         }
         std::thread::sleep(Duration::from_secs_f64((began + last + after - self.now()).max(0.0)));
@@ -471,7 +472,7 @@
     }
 
     /// What clients and engines saw, judged against the rules; `kept` where retries are kept over a start.
-    pub fn verdict(&self, tally: &Tally, kept: bool) -> Verdict {
+    pub fn check_result(&self, tally: &Tally, kept: bool) -> CheckResult {
         let rough = |router: usize, engine: usize, from: f64, to: f64| {
             self.ways[router][engine].was_rough(from, to, 1.0) || !self.was_up(router, from, to)
         };
@@ -489,8 +490,8 @@
         asked
             .iter_mut()
             .filter(|request| gone(request.router, request.sent, request.over))
-            .for_each(|request| request.patience = 1e9);
-        judge(&asked, &ran, &facts)
+            .for_each(|request| request.time_to_live = 1e9);
+        check_requests(&asked, &ran, &facts)
     }
 
     /// The most retries of a router within so many seconds, over all its incarnations, by what engines were given.
@@ -514,7 +515,7 @@
     /// How often two routers held one leader role at once, by what they said when asked.
     pub fn two_holders(&self, claims: &[Claim]) -> (usize, Vec<String>) {
         let ended = |claim: &Claim| {
-            // What it was told by the laboratory's clock, on the Unix clock of the claim.
+            // What it was told by the test bed's clock, on the Unix clock of the claim.
             let unix = crate::unix_time() - self.now();
             let mut ends = self.slots[claim.router].ended.iter().map(|at| at + unix);
             ends.find(|at| *at >= claim.at)
--- a/crates/testbed/src/scenarios/membership.rs
+++ b/crates/testbed/src/scenarios/membership.rs
@@ -1,7 +1,7 @@
 //! How well routers know each other under faults: real processes through relays, or the same code in virtual time.
 
 use crate::clients::load::Load;
-use crate::faults::schedule::{mixed, Act};
+use crate::faults::schedule::{mixed, FaultAction};
 use crate::routers::cluster::{Cluster, Plan, Watch};
 use crate::scenarios::virtual_membership::World;
 use crate::stand_ins::{counter, Client, Router};
@@ -32,23 +32,23 @@
     let (load, watch) = (Load::start(&cluster, 20.0), Watch::start(&cluster));
     cluster.play(&mixed(routers, 1.0, seconds, seed), 8.0);
     let (tally, claims) = (load.tally(&cluster), watch.end());
-    let verdict = cluster.verdict(&tally, false);
+    let check_result = cluster.check_result(&tally, false);
     let (two_holders, held_by) = cluster.two_holders(&claims);
     let mut report = cluster.record().report();
-    let weather = cluster.relays.weather.lock().expect("the weather");
+    let link_conditions = cluster.relays.link_conditions.lock().expect("the weather");
     let more = json!({
         "two_holders": two_holders,
         "held_by": held_by,
         "claims": claims.len(),
         "jobs": tally.answered,
         "unanswered": tally.unanswered,
-        "rule_breaks": verdict.breaks(),
-        "broken": verdict.finds,
+        "rule_breaks": check_result.breaks(),
+        "broken": check_result.finds,
         "bytes_per_second_per_router": (bytes as f64 / calm / routers as f64).round(),
-        "datagrams_lost": weather.lost,
-        "datagrams_cut": weather.cut,
-        "datagrams_damaged": weather.damaged,
-        "datagrams_twice": weather.twice,
+        "datagrams_lost": link_conditions.lost,
+        "datagrams_cut": link_conditions.cut,
+        "datagrams_damaged": link_conditions.damaged,
+        "datagrams_twice": link_conditions.twice,
         "seed": seed,
     });
     report.as_object_mut().expect("a report").extend(more.as_object().expect("more").clone());
@@ -152,7 +152,7 @@
     world.role = Some(cleatgw_membership::leader::role_resource("one"));
     let drift = cleatgw_membership::lease::DRIFT;
     world.rates = (0..routers).map(|router| 1.0 + drift * (router % 3) as f64 - drift).collect();
-    (0..routers).for_each(|router| world.at(router as f64 / routers as f64, Act::Start(router)));
+    (0..routers).for_each(|router| world.at(router as f64 / routers as f64, FaultAction::Start(router)));
     // Large clusters take longer to have met all.
     let settled = 10.0;
     world.run_until(settled);
@@ -170,9 +170,9 @@
         "duty_changed_hands": world.changed_hands,
         "bytes_per_second_per_router": bytes.round(),
         "cpu_us_per_second_per_router": (cpu * 1e6).round(),
-        "datagrams_lost": world.weather.lost,
-        "datagrams_cut": world.weather.cut,
-        "datagrams_damaged": world.weather.damaged,
+        "datagrams_lost": world.link_conditions.lost,
+        "datagrams_cut": world.link_conditions.cut,
+        "datagrams_damaged": world.link_conditions.damaged,
         "seed": seed,
     });
     report.as_object_mut().expect("a report").extend(more.as_object().expect("more").clone());
@@ -197,8 +197,10 @@
         for loss in losses {
             let mut world = World::started(30, Pace { defences, ..Pace::default() }, seed);
             world.run_until(10.0);
-            world.at(10.0, Act::Loss(loss));
-            (0..3).for_each(|router| world.at(20.0 + f64::from(router) * 15.0, Act::Kill(router as usize)));
+            world.at(10.0, FaultAction::Loss(loss));
+            (0..3).for_each(|router| {
+                world.at(20.0 + f64::from(router) * 15.0, FaultAction::Kill(router as usize))
+            });
             world.run_until(65.0);
             let (times, missed) = world.record.detections();
             let false_failures = world.record.false_failures().len();
--- a/crates/testbed/src/scenarios/recovery.rs
+++ b/crates/testbed/src/scenarios/recovery.rs
@@ -3,7 +3,7 @@
 
 use crate::checkers::request_rules::{Asked, Outcome, Stated};
 use crate::clients::load::{Load, Tally};
-use crate::faults::schedule::{Act, Target};
+use crate::faults::schedule::{FaultAction, Target};
 use crate::routers::cluster::{Cluster, Plan};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
@@ -100,10 +100,10 @@
 }
 
 /// Windows in which an engine that was started then got more than it stands, by the rule on cold ones.
-fn over_cold(given: &[(f64, f64)], started: f64) -> usize {
+fn over_slow_start_budget(given: &[(f64, f64)], started: f64) -> usize {
     let over = |at: f64| {
-        let warmth = (COLD_FROM + (1.0 - COLD_FROM) * (at - started) / WARM_AFTER).min(1.0);
-        let stands = CORES * warmth * COLD_WINDOW / (WORK_MS / 1e3);
+        let slow_start_progress = (COLD_FROM + (1.0 - COLD_FROM) * (at - started) / WARM_AFTER).min(1.0);
+        let stands = CORES * slow_start_progress * COLD_WINDOW / (WORK_MS / 1e3);
         let got =
             given.iter().filter(|(when, _)| *when <= at && *when > at - COLD_WINDOW && *when >= started);
         got.map(|(_, work)| work / (WORK_MS / 1e3)).sum::<f64>() > stands + 3.0 * stands.sqrt() + 3.0
@@ -159,7 +159,7 @@
     }
     std::thread::sleep(Duration::from_secs(2));
     let killed_at = cluster.now();
-    cluster.act_all(&victims.iter().map(|router| Act::Kill(*router)).collect::<Vec<_>>());
+    cluster.act_all(&victims.iter().map(|router| FaultAction::Kill(*router)).collect::<Vec<_>>());
     std::thread::sleep(Duration::from_millis(200));
     victims.iter().filter(|_| keeps).for_each(|router| spoil(&cluster, *router, state));
     // During the outage one engine is drained and another one's place is taken by a cold one.
@@ -168,14 +168,14 @@
     cluster.engine_is_replaced(2, &all);
     let replaced_at = cluster.now();
     let started_at = cluster.now();
-    cluster.act_all(&victims.iter().map(|router| Act::Start(*router)).collect::<Vec<_>>());
+    cluster.act_all(&victims.iter().map(|router| FaultAction::Start(*router)).collect::<Vec<_>>());
     std::thread::sleep(Duration::from_secs(4));
     cluster.engines[0].silent(false);
     std::thread::sleep(Duration::from_secs(8));
     let end = cluster.now();
     over.store(true, Ordering::Relaxed);
     let (tally, open) = (load.tally(&cluster), counted.join().expect("a counter"));
-    let verdict = cluster.verdict(&tally, true);
+    let check_result = cluster.check_result(&tally, true);
     let mut full = Histogram::<u64>::new(3).expect("a histogram");
     let mut never = 0;
     for router in &victims {
@@ -193,7 +193,7 @@
         targets.flat_map(|(router, target)| cluster.way(router, target).came()).collect()
     };
     let (links, discoveries) = (came(Target::Engine, ENGINES), came(|_| Target::Discovery, 1));
-    let cold = over_cold(&cluster.engines[2].work_given(), replaced_at);
+    let cold = over_slow_start_budget(&cluster.engines[2].work_given(), replaced_at);
     json!({
         "routers": routers,
         "killed": gone,
@@ -206,15 +206,15 @@
         "new_connections_peak_per_s": peak(&links, started_at, end),
         "board_calls_peak_per_s": peak(&discoveries, started_at, end),
         "cold_over_budget": cold,
-        "pushes_over_budget": verdict.attempts_over_budget,
+        "pushes_over_budget": check_result.attempts_over_budget,
         "further_pushes_most": victims.iter().map(|at| cluster.retries(&tally, *at, 10.0)).max(),
-        "stale_decisions": verdict.to_draining,
-        "ran_twice": verdict.ran_twice,
-        "two_answers": verdict.two_answers,
-        "two_out": verdict.two_out,
+        "stale_decisions": check_result.to_draining,
+        "ran_twice": check_result.ran_twice,
+        "two_answers": check_result.two_answers,
+        "two_out": check_result.two_out,
         "jobs": tally.answered,
         "unanswered": tally.unanswered,
-        "broken": verdict.finds,
+        "broken": check_result.finds,
         "seed": seed,
     })
 }
--- a/crates/testbed/src/scenarios/tenants.rs
+++ b/crates/testbed/src/scenarios/tenants.rs
@@ -36,7 +36,7 @@
 /// Connections a tenant.
 const CLIENTS: usize = 80;
 /// How long a client waits, in milliseconds.
-const PATIENCE: u64 = 4000;
+const TIME_TO_LIVE: u64 = 4000;
 pub const SCENARIOS: [&str; 6] = ["greedy", "silent", "greedy+silent", "return", "heavy-light", "overload"];
 
 /// Capacity is 16 cores: 16,000 ms of work a second.
@@ -115,7 +115,7 @@
         // Alike requests that share an engine would all end at once.
         let work = tenant.work_ms * chance.random_range(0.3..1.7);
         let text = format!(
-            "/* op=look,call={call},ttl={PATIENCE},org={},work={work:.1},mb=10 */ work {work:.1} FROM sales_{}.t",
+            "/* op=look,call={call},ttl={TIME_TO_LIVE},org={},work={work:.1},mb=10 */ work {work:.1} FROM sales_{}.t",
             tenant.name,
             chance.random_range(1..20)
         );
--- a/crates/testbed/src/scenarios/virtual_membership.rs
+++ b/crates/testbed/src/scenarios/virtual_membership.rs
@@ -1,7 +1,7 @@
 //! Many routers' memberships in virtual time: the real code, under the schedules that the relays play on loopback.
 
 use crate::checkers::failure_detection::{Record, Said, Truth};
-use crate::faults::schedule::{Act, Schedule, Weather};
+use crate::faults::schedule::{FaultAction, LinkConditions, Schedule};
 use cleatgw_membership::lease::Thing;
 use cleatgw_membership::swim::Pace;
 use cleatgw_membership::Members;
@@ -10,7 +10,7 @@
 enum Event {
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
     Turn(usize),
-    Do(Act),
+    Do(FaultAction),
 }
 
 struct Router {
@@ -33,7 +33,7 @@
 
 pub struct World {
     pub now: f64,
-    pub weather: Weather,
+    pub link_conditions: LinkConditions,
     pub record: Record,
     pub pace: Pace,
     /// The Unix clock that each router's incarnation begins from, in milliseconds beside the true one.
@@ -77,7 +77,7 @@
         };
         World {
             now: 0.0,
-            weather: Weather::new(routers, seed),
+            link_conditions: LinkConditions::new(routers, seed),
             record: Record::new(truth),
             pace,
             clocks: vec![0; routers],
@@ -100,7 +100,7 @@
     pub fn started(routers: usize, pace: Pace, seed: u64) -> World {
         let mut world = World::new(routers, pace, seed);
         for router in 0..routers {
-            world.at(router as f64 / routers as f64, Act::Start(router));
+            world.at(router as f64 / routers as f64, FaultAction::Start(router));
         }
         world
     }
@@ -114,7 +114,7 @@
         self.queue.insert((at.max(0.0).to_bits(), self.numbered), event);
     }
 
-    pub fn at(&mut self, at: f64, act: Act) {
+    pub fn at(&mut self, at: f64, act: FaultAction) {
         self.push(at, Event::Do(act));
     }
 
@@ -239,20 +239,20 @@
         for (to, bytes) in out {
             let to = usize::from(to);
             self.sent_bytes += bytes.len() as u64;
-            for (delay, damaged) in self.weather.fate(at, to, now) {
+            for (delay, damaged) in self.link_conditions.fate(at, to, now) {
                 let mut bytes = bytes.clone();
                 if damaged {
-                    self.weather.spoil(&mut bytes);
+                    self.link_conditions.spoil(&mut bytes);
                 }
                 self.push(now + delay, Event::Datagram { from: at, to, bytes });
             }
         }
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: FaultAction) {
         let count = self.routers.len();
         match act {
-            Act::Start(at) => {
+            FaultAction::Start(at) => {
                 let starts = self.routers[at].starts + 1;
                 // Unix milliseconds at the start, by this router's clock.
                 let born = 1_700_000_000_000 + (self.now * 1e3) as i64 + self.clocks[at];
@@ -271,14 +271,14 @@
                 }
                 self.push(self.now, Event::Turn(at));
             }
-            Act::Kill(at) => self.routers[at].members = None,
-            Act::Freeze(at) => self.routers[at].frozen = true,
-            Act::Wake(at) => {
+            FaultAction::Kill(at) => self.routers[at].members = None,
+            FaultAction::Freeze(at) => self.routers[at].frozen = true,
+            FaultAction::Wake(at) => {
                 self.routers[at].frozen = false;
                 self.routers[at].turn_at = self.now;
                 self.push(self.now, Event::Turn(at));
             }
-            Act::Leave(at) => {
+            FaultAction::Leave(at) => {
                 let (now, clock) = (self.now, self.clock(at));
                 if let Some(members) = &mut self.routers[at].members {
                     members.leave(clock);
@@ -286,34 +286,36 @@
                 }
                 self.serve(at);
             }
-            Act::Cut(one, other) => {
-                self.weather.link(one, other).cut = true;
-                self.weather.link(other, one).cut = true;
+            FaultAction::Cut(one, other) => {
+                self.link_conditions.link(one, other).cut = true;
+                self.link_conditions.link(other, one).cut = true;
             }
-            Act::CutOneWay(from, to) => self.weather.link(from, to).cut = true,
-            Act::Part(parts) => self.weather.part(&parts),
-            Act::Heal => self.weather.all(|link| link.cut = false),
-            Act::Loss(loss) => self.weather.all(|link| link.loss = loss),
-            Act::Spread(spread) => self.weather.all(|link| link.spread = spread),
-            Act::Twice(twice) => self.weather.all(|link| link.twice = twice),
-            Act::Damage(damage) => self.weather.all(|link| link.damage = damage),
-            Act::LossTo(to, loss) => (0..count).for_each(|from| self.weather.link(from, to).loss = loss),
-            Act::Stall(from, seconds) => {
+            FaultAction::CutOneWay(from, to) => self.link_conditions.link(from, to).cut = true,
+            FaultAction::Part(parts) => self.link_conditions.part(&parts),
+            FaultAction::Heal => self.link_conditions.all(|link| link.cut = false),
+            FaultAction::Loss(loss) => self.link_conditions.all(|link| link.loss = loss),
+            FaultAction::Spread(spread) => self.link_conditions.all(|link| link.spread = spread),
+            FaultAction::Twice(twice) => self.link_conditions.all(|link| link.twice = twice),
+            FaultAction::Damage(damage) => self.link_conditions.all(|link| link.damage = damage),
+            FaultAction::LossTo(to, loss) => {
+                (0..count).for_each(|from| self.link_conditions.link(from, to).loss = loss)
+            }
+            FaultAction::Stall(from, seconds) => {
                 let until = self.now + seconds;
-                (0..count).for_each(|to| self.weather.link(from, to).stalled_until = until);
+                (0..count).for_each(|to| self.link_conditions.link(from, to).stalled_until = until);
             }
             // Nothing here has engines.
-            Act::Way(..) | Act::Silent(..) => {}
+            FaultAction::Way(..) | FaultAction::Silent(..) => {}
         }
         let up = |router: &Router| router.members.is_some() && !router.frozen && router.leaves_at.is_none();
         let truth = Truth {
             at: self.now,
             up: self.routers.iter().map(up).collect(),
             cut: (0..count)
-                .map(|from| (0..count).map(|to| self.weather.is_cut(from, to)).collect())
+                .map(|from| (0..count).map(|to| self.link_conditions.is_cut(from, to)).collect())
                 .collect(),
             incarnation: self.routers.iter().map(|router| router.starts).collect(),
-            rough: self.weather.rough(),
+            rough: self.link_conditions.rough(),
         };
         let same = |last: &Truth| {
             (&last.up, &last.cut, &last.incarnation, last.rough)
--- a/crates/testbed/src/scenarios/virtual_recovery.rs
+++ b/crates/testbed/src/scenarios/virtual_recovery.rs
@@ -24,7 +24,7 @@
 const WORK: f64 = 0.03;
 const RATE: f64 = 10.0;
 const EXPECTED: f64 = 1.0;
-const PATIENCE: f64 = 3.0;
+const TIME_TO_LIVE: f64 = 3.0;
 const KILLED_AT: f64 = 12.0;
 const BACK_AT: f64 = 12.3;
 const ENDS: f64 = 30.0;
@@ -36,7 +36,7 @@
         value: 1.0,
         late_value_share: 0.0,
         latency_objective: EXPECTED,
-        max_wait: PATIENCE,
+        max_wait: TIME_TO_LIVE,
         objective_stretch: 0.0,
         threads: 1.0,
         idempotency: Idempotency::Idempotent,
@@ -298,7 +298,7 @@
         let (now, router) = (self.now, &mut self.routers[at]);
         let Some(gateway) = &mut router.gateway else { return };
         router.next += 1;
-        let deadline = now + PATIENCE;
+        let deadline = now + TIME_TO_LIVE;
         let cost = Some(work);
         let taken = IncomingRequest {
             table_group: group,
@@ -518,7 +518,8 @@
         };
         let slow_start =
             self.engines.iter().filter_map(|engine| Some((engine.listing.started_at?, &engine.given)));
-        let over_cold: usize = slow_start.map(|(since, given)| self.over_cold(since, given)).sum();
+        let over_slow_start_budget: usize =
+            slow_start.map(|(since, given)| self.over_slow_start_budget(since, given)).sum();
         let over_budget =
             self.routers.iter().filter(|router| most_within(&router.further, 10.0) > 4 + 10).count();
         json!({
@@ -529,20 +530,21 @@
             "full_service_s": full,
             "new_connections_peak_per_s": peak(KILLED_AT, ENDS - 1.0),
             "connections_open_before": self.open_before,
-            "cold_over_budget": over_cold,
+            "cold_over_budget": over_slow_start_budget,
             "routers_over_push_budget": over_budget,
         })
     }
 
     /// Windows in which a cold engine got more than it stands, by the rule on cold ones.
-    fn over_cold(&self, since: f64, given: &[(f64, f64)]) -> usize {
+    fn over_slow_start_budget(&self, since: f64, given: &[(f64, f64)]) -> usize {
         let slow_start = deployment(1).slow_start;
         let mut over = 0;
         for (at, _) in given.iter().filter(|(at, _)| *at >= since && *at < since + slow_start.duration) {
-            let warmth = (slow_start.initial_share
+            let slow_start_progress = (slow_start.initial_share
                 + (1.0 - slow_start.initial_share) * (at - since) / slow_start.duration)
                 .min(1.0);
-            let stands = slow_start.overload_multiple * CORES * warmth * slow_start.window / WORK;
+            let stands =
+                slow_start.overload_multiple * CORES * slow_start_progress * slow_start.window / WORK;
             let got = given
                 .iter()
                 .filter(|(when, _)| *when <= *at && *when > at - slow_start.window && *when >= since);
