--- a/crates/bgp/src/adj_rib_in.rs
+++ b/crates/bgp/src/adj_rib_in.rs
@@ -96,7 +96,9 @@
     /// until then at the latest; those of others are removed.
     pub fn mark_stale(&mut self, families: [bool; 2], until: f64) {
         self.routes.retain(|prefix, _| families[Family::of_prefix(&prefix) as usize]);
-        self.routes.values_mut().for_each(|route| route.stale = true);
+        for route in self.routes.values_mut() {
+            route.stale = true;
+        }
         self.stale_until = if self.routes.is_empty() { f64::INFINITY } else { until };
     }
 
--- a/crates/bgp/src/update/decode.rs
+++ b/crates/bgp/src/update/decode.rs
@@ -41,7 +41,8 @@
 impl<'a> RawAttribute<'a> {
     /// The next one; none where it is longer than what is left.
     fn next(bytes: &mut Bytes<'a>) -> Option<RawAttribute<'a>> {
-        let (flags, code) = (bytes.u8()?, bytes.u8()?);
+        let flags = bytes.u8()?;
+        let code = bytes.u8()?;
         let length = match flags & flag::EXTENDED_LENGTH {
             0 => usize::from(bytes.u8()?),
             _ => usize::from(bytes.u16()?),
@@ -251,7 +252,8 @@
     fn mp_reach(&mut self, value: &[u8]) -> Result<(), MessageError> {
         let malformed = || MessageError::new(UpdateError::OptionalAttribute, "malformed MP_REACH_NLRI");
         let mut bytes = Bytes(value);
-        let (afi, safi) = (bytes.u16().ok_or_else(malformed)?, bytes.u8().ok_or_else(malformed)?);
+        let afi = bytes.u16().ok_or_else(malformed)?;
+        let safi = bytes.u8().ok_or_else(malformed)?;
         let hop = bytes.part().ok_or_else(malformed)?;
         let _reserved = bytes.u8().ok_or_else(malformed)?;
         let Some(family) = Family::of(afi, safi) else { return Ok(()) };
@@ -272,7 +274,8 @@
     fn mp_unreach(&mut self, value: &[u8]) -> Result<(), MessageError> {
         let malformed = || MessageError::new(UpdateError::OptionalAttribute, "malformed MP_UNREACH_NLRI");
         let mut bytes = Bytes(value);
-        let (afi, safi) = (bytes.u16().ok_or_else(malformed)?, bytes.u8().ok_or_else(malformed)?);
+        let afi = bytes.u16().ok_or_else(malformed)?;
+        let safi = bytes.u8().ok_or_else(malformed)?;
         let Some(family) = Family::of(afi, safi) else { return Ok(()) };
         let mut prefixes = Vec::new();
         prefixes::decode(bytes.0, family, &mut prefixes).ok_or_else(malformed)?;
--- a/crates/deployment-config/src/contradictions.rs
+++ b/crates/deployment-config/src/contradictions.rs
@@ -41,7 +41,8 @@
     }
 
     fn index_out_of_range(&self) -> Result<Option<Contradiction>, SettingError> {
-        let (index, instances) = (self.number("self-index", 0.0)?, self.number("balancers", 1.0)?);
+        let index = self.number("self-index", 0.0)?;
+        let instances = self.number("balancers", 1.0)?;
         Ok((index >= instances.max(1.0)).then(|| Contradiction {
             setting: "self-index".to_string(),
             expected: format!("less than balancers ({instances})"),
@@ -51,7 +52,8 @@
 
     /// Lists that have a value for each of something else.
     fn unequal_lengths(&self) -> Result<Vec<Contradiction>, SettingError> {
-        let (classes, kinds) = (self.count("categories")?, self.list("shapes").len());
+        let classes = self.count("categories")?;
+        let kinds = self.list("shapes").len();
         let lists = [
             ("parallelism", classes, "categories"),
             ("is-load", classes, "categories"),
--- a/crates/deployment-config/src/settings.rs
+++ b/crates/deployment-config/src/settings.rs
@@ -119,7 +119,8 @@
     /// A number that can't be read.
     pub fn peer_instance(&self) -> Result<Option<PeerInstance>, SettingError> {
         let number = |path| Ok::<f64, SettingError>(self.number(path, 0.0)?.clamp(0.0, f64::from(u16::MAX)));
-        let (index, instances) = (number("self-index")?, number("balancers")?);
+        let index = number("self-index")?;
+        let instances = number("balancers")?;
         let instance = PeerInstance { index: index as u16, instances: instances as u64 };
         Ok(self.flag("limits.peers").then_some(instance))
     }
--- a/crates/membership/src/lease/requester.rs
+++ b/crates/membership/src/lease/requester.rs
@@ -42,7 +42,8 @@
         holder: Option<u16>,
         now: f64,
     ) {
-        let (majority, me) = (self.majority(), self.me);
+        let majority = self.majority();
+        let me = self.me;
         let Some(Attempt::Preparing { epoch, promises, .. }) = self.attempts.get_mut(&resource) else {
             return;
         };
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -67,7 +67,9 @@
 pub fn cluster_hash<'a>(name: &str, routers: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
-    routers.into_iter().for_each(|router| router.hash(&mut hasher));
+    for router in routers {
+        router.hash(&mut hasher);
+    }
     hasher.finish()
 }
 
--- a/crates/membership/src/membership/observe.rs
+++ b/crates/membership/src/membership/observe.rs
@@ -54,7 +54,9 @@
         let view = ViewDigest { present: present as u16, hash: hasher.finish() as u32 };
         if view != self.view {
             self.view = view;
-            self.members.iter_mut().for_each(|member| member.view_differs_since = None);
+            for member in &mut self.members {
+                member.view_differs_since = None;
+            }
         }
     }
 
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -188,7 +188,8 @@
 
     /// The suspicion of this member: the one that is noted, or a new one.
     fn suspicion_of(&self, member: &Member<Incarnation>, now: f64) -> Suspicion {
-        let (incarnation, swim_incarnation) = (*member.id(), member.incarnation());
+        let incarnation = *member.id();
+        let swim_incarnation = member.incarnation();
         let same = |noted: &&Suspicion| {
             noted.incarnation == incarnation && noted.swim_incarnation == swim_incarnation
         };
@@ -244,7 +245,9 @@
 
     /// This router had no turn for so many seconds: nobody is to be blamed for what was not heard meanwhile.
     pub fn paused(&mut self, seconds: f64) {
-        self.suspicions.values_mut().for_each(|suspicion| suspicion.since += seconds);
+        for suspicion in self.suspicions.values_mut() {
+            suspicion.since += seconds;
+        }
         self.runtime.postpone(seconds);
         self.runtime.health.worsen();
     }
--- a/crates/operator-config/src/bgp.rs
+++ b/crates/operator-config/src/bgp.rs
@@ -137,7 +137,8 @@
         if self.peers.len() > MOST_PEERS {
             return invalid("bgp.peers", "at most 16 peers", self.peers.len());
         }
-        let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
+        let mut names = BTreeSet::new();
+        let mut addresses = BTreeSet::new();
         for (at, peer) in self.peers.iter().enumerate() {
             let path = |field: &str| format!("bgp.peers[{at}].{field}");
             peer.check(&path)?;
@@ -165,8 +166,8 @@
         if self.address.ip().is_unspecified() || self.address.port() == 0 {
             return invalid(path("address"), "an address and a port", self.address);
         }
-        if self.from.is_some_and(|from| from.is_ipv4() != self.address.is_ipv4()) {
-            return invalid(path("from"), "an address of the peer's family", self.from.expect("just seen"));
+        if let Some(from) = self.from.filter(|from| from.is_ipv4() != self.address.is_ipv4()) {
+            return invalid(path("from"), "an address of the peer's family", from);
         }
         if self.asn == 0 {
             return invalid(path("asn"), "1 to 4294967295", 0);
--- a/crates/operator-config/src/cluster.rs
+++ b/crates/operator-config/src/cluster.rs
@@ -105,7 +105,8 @@
         if !(1..=64).contains(&self.networks.len()) {
             return invalid("networks", "1 to 64 networks", self.networks.len());
         }
-        let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
+        let mut names = BTreeSet::new();
+        let mut addresses = BTreeSet::new();
         for (at, router) in self.routers.iter().enumerate() {
             let field = |field: &str| format!("routers[{at}].{field}");
             name(&field("name"), &router.name)?;
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -45,6 +45,8 @@
     expected: &str,
     got: impl Display,
 ) -> Result<T, OperatorFileError> {
-    let (path, expected, got) = (path.to_string(), expected.to_string(), got.to_string());
+    let path = path.to_string();
+    let expected = expected.to_string();
+    let got = got.to_string();
     Err(OperatorFileError::Value { path, expected, got })
 }
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -29,8 +29,12 @@
 
 /// All commands with their options.
 pub fn options() -> OptionParser<Command> {
-    let (serve, check, schema) = (serve(), check(), schema());
-    let (status, lease_holder, version) = (status(), lease_holder(), version());
+    let serve = serve();
+    let check = check();
+    let schema = schema();
+    let status = status();
+    let lease_holder = lease_holder();
+    let version = version();
     let none = pure(Command::Serve { config: None, files: OperatorFiles::default(), form: Form::Text });
     construct!([serve, check, schema, status, lease_holder, version, none])
         .to_options()
--- a/crates/router/src/commands/serve.rs
+++ b/crates/router/src/commands/serve.rs
@@ -59,7 +59,8 @@
 ) -> Result<Reloaders, FileError> {
     // What can't change while the router runs is compared with the file as it was at the start.
     let at_start = load_config(&config_path)?;
-    let (name, seed) = (config.name.clone(), config.seed);
+    let name = config.name.clone();
+    let seed = config.seed;
     let cluster = files.cluster.clone().map(|path| {
         let reload: Reload<_> = Box::new(move || join_cluster(&path, &name, seed));
         reload
--- a/crates/router/src/protocol/mysql.rs
+++ b/crates/router/src/protocol/mysql.rs
@@ -86,6 +86,14 @@
         Ok(taken)
     }
 
+    fn take_array<const LENGTH: usize>(&mut self) -> Result<[u8; LENGTH], Bad> {
+        let Some((taken, rest)) = self.0.split_first_chunk() else {
+            return bad(MALFORMED, "the packet ends too early");
+        };
+        self.0 = rest;
+        Ok(*taken)
+    }
+
     fn until_zero(&mut self) -> Result<&'a [u8], Bad> {
         let Some(end) = self.0.iter().position(|&byte| byte == 0) else {
             return bad(MALFORMED, "a text in the packet has no end");
@@ -98,7 +106,7 @@
     fn counted(&mut self) -> Result<&'a [u8], Bad> {
         let first = self.take(1)?[0];
         let length = match first {
-            0xfc => u16::from_le_bytes(self.take(2)?.try_into().expect("two bytes")).into(),
+            0xfc => u16::from_le_bytes(self.take_array()?).into(),
             0xfb | 0xfd.. => return bad(MALFORMED, "a length in the packet is out of range"),
             short => usize::from(short),
         };
@@ -109,7 +117,7 @@
 /// A client's HandshakeResponse41.
 pub fn login(body: &[u8]) -> Result<Login, Bad> {
     let mut reader = Reader(body);
-    let flags = u32::from_le_bytes(reader.take(4)?.try_into().expect("four bytes"));
+    let flags = u32::from_le_bytes(reader.take_array()?);
     if flags & PROTOCOL_41 == 0 {
         return bad(MALFORMED, "protocol 4.1 is needed");
     }
@@ -250,13 +258,19 @@
         put(out, sequence, |out| {
             put_counted(out, b"def");
             let names = [&b""[..], b"", b"", column.as_bytes(), column.as_bytes()];
-            names.into_iter().for_each(|text| put_counted(out, text));
+            for name in names {
+                put_counted(out, name);
+            }
             out.extend([0x0c, UTF8MB4, 0, 0xff, 0xff, 0, 0, 0xfd, 0, 0, 0, 0, 0]);
         });
     }
     eof(out, sequence);
     for row in rows {
-        put(out, sequence, |out| row.for_each(|value| put_counted(out, value)));
+        put(out, sequence, |out| {
+            for value in row {
+                put_counted(out, value);
+            }
+        });
     }
     eof(out, sequence);
 }
--- a/crates/router/src/routing/engine_registry.rs
+++ b/crates/router/src/routing/engine_registry.rs
@@ -104,7 +104,8 @@
         }
         new.push(index);
         self.last_number += 1;
-        let (number, address) = (self.last_number, entry.address);
+        let number = self.last_number;
+        let address = entry.address;
         let engine = RegisteredEngine { uid: entry.uid, number, address, listing };
         match self.engines.get_mut(index) {
             Some(gone) => *gone = engine,
--- a/crates/router/src/routing/tenants.rs
+++ b/crates/router/src/routing/tenants.rs
@@ -54,7 +54,8 @@
     /// What the estimates of waits have been worth.
     fn estimates_row(&self) -> StatusRow {
         let waits = &self.gateway.queue.waits;
-        let (compared, unknown) = (waits.compared, waits.unknown);
+        let compared = waits.compared;
+        let unknown = waits.unknown;
         let share = waits.within_a_fifth as f64 / (compared as f64).max(1.0);
         StatusRow::new(
             "estimates",
--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -279,7 +279,8 @@
     }
 
     fn drop_finished_peers(&mut self) {
-        let (handle, counters) = (&self.handle, &mut self.counters);
+        let handle = &self.handle;
+        let counters = &mut self.counters;
         self.peers.retain(|peer| {
             let is_over = peer.is_leaving && peer.session.is_finished();
             if is_over {
--- a/crates/router/src/transport/bgp_speaker/status.rs
+++ b/crates/router/src/transport/bgp_speaker/status.rs
@@ -46,7 +46,8 @@
 fn address_row(status: AddressStatus, paths: &Paths, now: f64) -> StatusRow {
     let AddressStatus { prefix, level, reason, since, suppressed_by } = status;
     let waits = suppressed_by.map_or(String::new(), |what| format!("; a move waits for {what}"));
-    let (healthy, total) = (paths.healthy(&prefix), paths.total(&prefix));
+    let healthy = paths.healthy(&prefix);
+    let total = paths.total(&prefix);
     let others = format!("{healthy} sound of {total} others seen");
     let detail = format!("{reason}, for {:.1} s; {others}{waits}", now - since);
     StatusRow::new(format!("address {prefix}"), level.to_string(), detail)
--- a/crates/router/src/transport/buffer.rs
+++ b/crates/router/src/transport/buffer.rs
@@ -50,7 +50,8 @@
 
     /// Moves the input to the front and the output so far behind it, with room for more behind that.
     fn compact(&mut self, gap: usize, tail: usize) {
-        let (read, unsent) = (self.input.1 - self.input.0, self.unsent());
+        let read = self.input.1 - self.input.0;
+        let unsent = self.unsent();
         self.bytes.copy_within(self.input.0..self.input.1, 0);
         let needed = read + gap + unsent + tail;
         if self.bytes.len() < needed {
--- a/crates/router/src/transport/client_session.rs
+++ b/crates/router/src/transport/client_session.rs
@@ -261,7 +261,8 @@
             }
             match mysql::packet(self.buffer.input(), self.max_packet) {
                 Ok(Some(packet)) => {
-                    let (sequence, body) = (packet.sequence, packet.body.to_vec());
+                    let sequence = packet.sequence;
+                    let body = packet.body.to_vec();
                     if !is_serving && self.is_ping(&body) {
                         self.leave_ping_unanswered();
                         return Ok(None);
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -112,7 +112,8 @@
     pub fn open(handle: &LoopHandle, joined: JoinedCluster, now: f64) -> io::Result<ClusterSocket> {
         let address = joined.address();
         let (token, socket) = bind(handle, address)?;
-        let (name, routers) = (joined.file.name.as_str(), joined.file.routers.len());
+        let name = joined.file.name.as_str();
+        let routers = joined.file.routers.len();
         log::info!(
             cluster = name, routers = routers, address:% = address;
             "cluster {name}: one of {routers} routers, hears on {address}"
@@ -218,7 +219,8 @@
     fn log_member_changes(&mut self) {
         for change in self.members.changes() {
             let name = self.joined.file.routers[change.router].name.as_str();
-            let (from, to) = (change.from.word(), change.to.word());
+            let from = change.from.word();
+            let to = change.to.word();
             log::info!(
                 router = name, from = from, to = to, born = change.born, heard_ago = change.heard_ago;
                 "router {name} is {to}, was {from}"
@@ -232,7 +234,9 @@
             return;
         }
         let count = self.members.count(now);
-        let (word, present, expected) = (standing.word(), count.present, count.expected);
+        let word = standing.word();
+        let present = count.present;
+        let expected = count.expected;
         let level = if self.members.allowed().warns { log::Level::Warn } else { log::Level::Info };
         log::log!(
             level, standing = word, present = present, expected = expected;
--- a/crates/router/src/transport/connection_index.rs
+++ b/crates/router/src/transport/connection_index.rs
@@ -137,7 +137,8 @@
         self.count_look();
         let Indexed { connection, keys } = self.connections.get_mut(&id)?;
         let done = change(connection);
-        let (from, to) = (*keys, Keys::of(id, connection, self.idle_after));
+        let from = *keys;
+        let to = Keys::of(id, connection, self.idle_after);
         self.reindex(id, from, to);
         Some(done)
     }
--- a/crates/router/src/transport/connection_pool.rs
+++ b/crates/router/src/transport/connection_pool.rs
@@ -158,7 +158,9 @@
     /// A connection has failed.
     fn fail(&mut self, id: u64, error: ConnectionError, now: f64) {
         let Some(connection) = self.connections.get(id) else { return };
-        let (engine, address, was_up) = (connection.engine, connection.address, connection.is_up());
+        let engine = connection.engine;
+        let address = connection.address;
+        let was_up = connection.is_up();
         let load = connection.load();
         let level = self.count_failure(&error, was_up, load);
         log::log!(level, "connection to {address}: {error}, with {load} attempts");
@@ -265,7 +267,8 @@
     }
 
     fn run_due_of(&mut self, id: u64, now: f64) {
-        let (ended, idle_after) = (&mut self.ended, self.limits.idle_after);
+        let ended = &mut self.ended;
+        let idle_after = self.limits.idle_after;
         let is_stale = self.connections.change(id, |connection| {
             connection.run_due(now, ended)?;
             Ok(now >= connection.due(idle_after))
--- a/crates/router/src/transport/connection_pool/liveness.rs
+++ b/crates/router/src/transport/connection_pool/liveness.rs
@@ -29,7 +29,9 @@
     /// A connection gives no sign of life: another one is tried, if none is tried already.
     fn found_mute(&mut self, id: u64, now: f64) {
         let Some(connection) = self.connections.get(id) else { return };
-        let (engine, address, load) = (connection.engine, connection.address, connection.load());
+        let engine = connection.engine;
+        let address = connection.address;
+        let load = connection.load();
         log::info!("connection to {address}: gives no sign, with {load} attempts");
         self.connections.change(id, |connection| connection.known_mute = true);
         let is_tried = |connection: &EngineConnection| {
--- a/crates/router/src/transport/health.rs
+++ b/crates/router/src/transport/health.rs
@@ -24,7 +24,8 @@
     ) -> Readings {
         let counters = routing.counters();
         let answered = counters.completed + counters.rejected + counters.failed;
-        let (in_time, panics) = (counters.in_time, counters.module_panics);
+        let in_time = counters.in_time;
+        let panics = counters.module_panics;
         if panics > self.panics {
             self.panics = panics;
             self.last_panic_at = Some(now);
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -199,7 +199,8 @@
     }
 
     fn read_discovery(&mut self, readable: bool, now: f64) {
-        let (discovery, events) = (&mut self.discovery, &mut self.input.list_events);
+        let discovery = &mut self.discovery;
+        let events = &mut self.input.list_events;
         let worked = catch_panic("the notice board's link", || discovery.work(readable, now, events));
         let lost = match worked {
             Some(Ok(())) => None,
--- a/crates/router/src/transport/store_writer.rs
+++ b/crates/router/src/transport/store_writer.rs
@@ -164,7 +164,8 @@
     ) -> std::io::Result<StoreWriter> {
         let (sender, events) = channel();
         let mailbox = Arc::<SharedMailbox>::default();
-        let (path, shared) = (file.path.clone(), mailbox.clone());
+        let path = file.path.clone();
+        let shared = mailbox.clone();
         let thread = std::thread::Builder::new().name("store".to_string());
         thread.spawn(move || run_store(&path, owner, &shared, &sender))?;
         // Where it can't be told which boot this is, only the Unix clock counts.
@@ -293,7 +294,8 @@
         match step {
             Step::AssumeLostHistory => routing.assume_lost_history(unix),
             Step::RestoreHistory(history) => {
-                let (retries, records) = (history.retries.len(), history.idempotency_records.len());
+                let retries = history.retries.len();
+                let records = history.idempotency_records.len();
                 log::info!(
                     retries = retries, records = records, slow_start = history.slow_start.len();
                     "recovery: {retries} retries and {records} idempotency keys of before still count"
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -106,7 +106,8 @@
         let Some(instance) = self.instances.get_mut(name) else {
             return Err(fields.error("i", "an instance that has begun", name));
         };
-        let (now, lists) = (self.now, &self.lists);
+        let now = self.now;
+        let lists = &self.lists;
         match catch_unwind(AssertUnwindSafe(|| instance.event(now, lists, fields))) {
             Ok(result) => {
                 result?;
--- a/crates/tenant-queue/src/estimates.rs
+++ b/crates/tenant-queue/src/estimates.rs
@@ -51,7 +51,8 @@
     fn work_ahead(&self, queued: &QueuedRequest) -> f64 {
         let node = &self.nodes[queued.tenant];
         let earlier = node.queue.range(..queued.rank(&node.config)).take(MAX_AHEAD);
-        let (mut count, mut work) = (0, 0.0);
+        let mut count = 0;
+        let mut work = 0.0;
         for ahead in earlier.filter_map(|rank| self.waiting.get(&rank.request)) {
             count += 1;
             work += ahead.work;
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -77,7 +77,8 @@
         let attempt = &mut request.attempts[number];
         attempt.in_flight = false;
         attempt.never_ran = end.outcome.never_ran();
-        let (sent_at, at_quarter) = (attempt.sent_at, attempt.at_quarter);
+        let sent_at = attempt.sent_at;
+        let at_quarter = attempt.at_quarter;
 
         let class = request.incoming.class;
         let threads = self.deployment.classes[class].threads;
@@ -173,7 +174,8 @@
             model.note_work(work, 1.0);
         }
         if end.measured.is_some() {
-            let (estimated_work, estimated_memory) = (incoming.estimated_work, incoming.estimated_memory_mb);
+            let estimated_work = incoming.estimated_work;
+            let estimated_memory = incoming.estimated_memory_mb;
             model.note_measured(estimated_work, estimated_memory, work, memory);
         }
     }
--- a/src/decision/memory_grant.rs
+++ b/src/decision/memory_grant.rs
@@ -55,7 +55,8 @@
             let missing = (1.0 - grant / request.memory.max(1e-9)).max(0.0) / (1.0 - QUARTER);
             request.work * (1.0 + (spill_factor - 1.0) * missing)
         };
-        let (fast, slow) = (run_time(full), run_time(quarter));
+        let fast = run_time(full);
+        let slow = run_time(quarter);
         let extra_consumption = fast * full - slow * quarter;
         if extra_consumption <= 0.0 || full <= quarter {
             let preferred = MemoryGrant { memory: full, at_quarter: false };
--- a/src/decision/periodic.rs
+++ b/src/decision/periodic.rs
@@ -52,7 +52,8 @@
         engine.concurrency.tick(pace, used);
         if engine.failures.review() {
             let mode = if engine.failures.ejected { "ejected" } else { "readmitted" };
-            let (good, of) = (engine.failures.own.sum, engine.failures.own.weight);
+            let good = engine.failures.own.sum;
+            let of = engine.failures.own.weight;
             self.log.push(format!("engine {index} {mode}: {good:.1} of {of:.1} attempts good"));
         }
         let started_at = engine.listing.started_at;
--- a/src/engine_index.rs
+++ b/src/engine_index.rs
@@ -108,7 +108,8 @@
             }
             return;
         }
-        let (left, right) = (2 * node, 2 * node + 1);
+        let left = 2 * node;
+        let right = 2 * node + 1;
         let right_first = self.nodes[right] > self.nodes[left];
         let (first, second) = if right_first { (right, left) } else { (left, right) };
         self.search(first, best, passes);
