--- a/crates/bgp/src/adj_rib_in.rs
+++ b/crates/bgp/src/adj_rib_in.rs
@@ -1,7 +1,7 @@
 //! Routes learned from one peer (Adj-RIB-In, RFC 4271 section 3.2), kept only where they lead to our own service
 //! prefixes: who else announces them. Bounded by count whatever a peer sends.
 
-use crate::open::Family;
+use crate::family::Family;
 use crate::update::PathAttributes;
 use ipnet::IpNet;
 use prefix_trie::joint::{JointPrefixMap, JointPrefixSet};
--- /dev/null
+++ b/crates/bgp/src/family.rs
@@ -0,0 +1,42 @@
+//! The address families that are spoken.
+
+use ipnet::IpNet;
+
+/// SAFI of unicast routes, the only one that is spoken (RFC 4760).
+pub(crate) const SAFI_UNICAST: u8 = 1;
+
+/// The address families that are spoken, both unicast (RFC 4760).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum Family {
+    /// IPv4 unicast.
+    Ipv4,
+    /// IPv6 unicast.
+    Ipv6,
+}
+
+impl Family {
+    /// All families, in the order in which arrays by family hold them.
+    pub const ALL: [Family; 2] = [Family::Ipv4, Family::Ipv6];
+
+    /// The family with this AFI and SAFI; `None` where it is not spoken.
+    pub fn of(afi: u16, safi: u8) -> Option<Family> {
+        match (afi, safi) {
+            (1, SAFI_UNICAST) => Some(Family::Ipv4),
+            (2, SAFI_UNICAST) => Some(Family::Ipv6),
+            _ => None,
+        }
+    }
+
+    /// The family of a prefix.
+    pub fn of_prefix(prefix: &IpNet) -> Family {
+        match prefix {
+            IpNet::V4(_) => Family::Ipv4,
+            IpNet::V6(_) => Family::Ipv6,
+        }
+    }
+
+    /// Its address family identifier.
+    pub fn afi(self) -> u16 {
+        self as u16 + 1
+    }
+}
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -8,6 +8,7 @@
 
 pub mod adj_rib_in;
 pub mod error;
+pub mod family;
 pub mod message;
 pub mod notification;
 pub mod open;
@@ -16,9 +17,10 @@
 
 pub use adj_rib_in::{AdjRibIn, LearnedRoute};
 pub use error::{CeaseSubcode, ErrorKind, MessageError};
+pub use family::Family;
 pub use message::{frame, Frame, MessageType, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 pub use notification::Notification;
-pub use open::{Capabilities, Family, GracefulRestart, Open, Role};
+pub use open::{Capabilities, GracefulRestart, Open, Role};
 pub use session::{
     Action, Advertisement, Direction, Importance, LogEntry, Peer, PeerConfig, Received, SessionCounters,
     State,
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -1,7 +1,7 @@
 //! Message framing (RFC 4271 section 4.1), KEEPALIVE, and ROUTE-REFRESH (RFC 2918, RFC 7313).
 
 use crate::error::{HeaderError, MessageError};
-use crate::open::Family;
+use crate::family::{Family, SAFI_UNICAST};
 
 /// Octets of the fixed header: marker, length and type.
 pub const HEADER_LENGTH: usize = 19;
@@ -11,9 +11,6 @@
 
 /// The marker that every message begins with.
 const MARKER: [u8; 16] = [0xff; 16];
-/// SAFI of unicast routes, the only one that is spoken (RFC 4760).
-pub(crate) const SAFI_UNICAST: u8 = 1;
-
 /// The message types (RFC 4271 section 4.1; RFC 2918 for ROUTE-REFRESH).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageType {
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -1,9 +1,9 @@
 //! OPEN (RFC 4271 section 4.2) and capabilities (RFC 5492).
 
 use crate::error::{MessageError, OpenError};
-use crate::message::{self, MessageType, SAFI_UNICAST};
+use crate::family::{Family, SAFI_UNICAST};
+use crate::message::{self, MessageType};
 use crate::Bytes;
-use ipnet::IpNet;
 use std::net::Ipv4Addr;
 
 /// Stands for an AS number that two octets can't hold (RFC 6793).
@@ -40,42 +40,6 @@
 /// The flag of one family in it (RFC 4724 section 3).
 const FORWARDING_STATE_BIT: u8 = 0x80;
 
-/// The address families that are spoken, both unicast (RFC 4760).
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Family {
-    /// IPv4 unicast.
-    Ipv4,
-    /// IPv6 unicast.
-    Ipv6,
-}
-
-impl Family {
-    /// All families, in the order in which arrays by family hold them.
-    pub const ALL: [Family; 2] = [Family::Ipv4, Family::Ipv6];
-
-    /// The family with this AFI and SAFI; `None` where it is not spoken.
-    pub fn of(afi: u16, safi: u8) -> Option<Family> {
-        match (afi, safi) {
-            (1, SAFI_UNICAST) => Some(Family::Ipv4),
-            (2, SAFI_UNICAST) => Some(Family::Ipv6),
-            _ => None,
-        }
-    }
-
-    /// The family of a prefix.
-    pub fn of_prefix(prefix: &IpNet) -> Family {
-        match prefix {
-            IpNet::V4(_) => Family::Ipv4,
-            IpNet::V6(_) => Family::Ipv6,
-        }
-    }
-
-    /// Its address family identifier.
-    pub fn afi(self) -> u16 {
-        self as u16 + 1
-    }
-}
-
 /// What a speaker is to its peer (RFC 9234 section 3), in the order of the codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
--- a/crates/bgp/src/session/connection.rs
+++ b/crates/bgp/src/session/connection.rs
@@ -1,7 +1,8 @@
 //! One TCP connection of a peer, from its attempt to its last message, with the Adj-RIB-Out that was sent on it.
 
 use super::Advertisement;
-use crate::open::{Capabilities, Family, GracefulRestart, Open};
+use crate::family::Family;
+use crate::open::{Capabilities, GracefulRestart, Open};
 use crate::update::UpdateContext;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -1,7 +1,7 @@
 //! How sessions end: the drain, NOTIFICATIONs of ours, and what is kept and when the next attempt begins after a loss.
 
 use super::connection::{Connection, Phase};
-use super::timers::DRAIN_STEP_TIMEOUT;
+use super::loss::{Loss, DRAIN_STEP_TIMEOUT};
 use super::{Action, AdminState, Advertisement, Direction, Importance, Peer, RetryTimer};
 use crate::error::{CeaseSubcode, MessageError};
 use crate::notification::Notification;
@@ -13,26 +13,6 @@
 /// Seconds between attempts to reach a peer that may keep routes of ours past a drain.
 const DRAIN_RETRY_TIME: f64 = 0.05;
 
-/// How a session was lost, as far as kept routes go.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Loss {
-    /// The connection broke off.
-    Connection,
-    /// One direction sent a NOTIFICATION.
-    Notification,
-    /// For good: a hard reset (RFC 8538), or no session that could keep anything.
-    HardReset,
-}
-
-impl Loss {
-    pub fn of(notification: &Notification) -> Loss {
-        match notification.hard_reset {
-            true => Loss::HardReset,
-            false => Loss::Notification,
-        }
-    }
-}
-
 impl Peer {
     /// Withdraws all routes for good, except those of `lead` that are announced on the established session: they change
     /// once more, and are withdrawn by the next call or go with the session. A peer that may keep routes of a lost
--- a/crates/bgp/src/session/inbound.rs
+++ b/crates/bgp/src/session/inbound.rs
@@ -1,7 +1,7 @@
 //! What the peer sends: messages by state, and the routes of its UPDATEs.
 
 use super::connection::Phase;
-use super::ending::Loss;
+use super::loss::Loss;
 use super::{Direction, Importance, Peer};
 use crate::error::{FsmError, MessageError};
 use crate::message::{self, MessageType, RouteRefresh};
--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -13,6 +13,7 @@
 mod connection;
 mod ending;
 mod inbound;
+mod loss;
 mod opening;
 mod outbound;
 mod timers;
@@ -23,8 +24,8 @@
 pub use transport::Received;
 
 use crate::adj_rib_in::AdjRibIn;
+use crate::family::Family;
 use crate::message::{self, RouteRefresh};
-use crate::open::Family;
 use connection::{Connection, Phase};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -1,13 +1,13 @@
 //! From a TCP connection to Established: OPEN, what is negotiated, and collisions of two connections.
 
 use super::connection::{Connection, Phase};
-use super::ending::Loss;
-use super::timers::DRAIN_STEP_TIMEOUT;
+use super::loss::{Loss, DRAIN_STEP_TIMEOUT};
 use super::{AdminState, Direction, Importance, Peer, PeerConfig, State};
 use crate::error::{CeaseSubcode, MessageError, OpenError};
+use crate::family::Family;
 use crate::message;
 use crate::notification::Notification;
-use crate::open::{Capabilities, Family, GracefulRestart, Open};
+use crate::open::{Capabilities, GracefulRestart, Open};
 
 impl Peer {
     fn capabilities(&self) -> Capabilities {
--- a/crates/bgp/src/session/outbound.rs
+++ b/crates/bgp/src/session/outbound.rs
@@ -2,8 +2,9 @@
 
 use super::connection::{Connection, RefreshState};
 use super::{AdminState, Advertisement, Peer};
+use crate::family::Family;
 use crate::message::{self, RouteRefresh};
-use crate::open::{Family, Role};
+use crate::open::Role;
 use crate::update::{self, AsPathSegment, Origin, PathAttributes};
 use ipnet::IpNet;
 use std::collections::BTreeMap;
--- a/crates/bgp/src/session/timers.rs
+++ b/crates/bgp/src/session/timers.rs
@@ -1,16 +1,12 @@
 //! The timers of a session: when the next one is due, and what happens when it expires.
 
 use super::connection::{Connection, Phase};
-use super::ending::Loss;
+use super::loss::{Loss, DRAIN_STEP_TIMEOUT};
 use super::{Action, AdminState, Direction, Peer};
 use crate::error::ErrorKind;
 use crate::message;
 use crate::notification::Notification;
 
-/// While draining, seconds that each step towards a session may take: a peer that keeps routes of ours must be reached
-/// within the drain or not at all.
-pub(super) const DRAIN_STEP_TIMEOUT: f64 = 0.3;
-
 impl Peer {
     /// When [`Peer::run_timers`] is to be called at the latest.
     pub fn due(&self) -> f64 {
--- a/crates/bgp/src/session/transport.rs
+++ b/crates/bgp/src/session/transport.rs
@@ -1,7 +1,7 @@
 //! What the host tells of the connections: that one came up or is gone, what was read, what was written.
 
 use super::connection::{Connection, Phase};
-use super::ending::Loss;
+use super::loss::Loss;
 use super::{AdminState, Direction, Peer, RetryTimer};
 use crate::message::frame;
 
--- a/crates/bgp/src/update/decode.rs
+++ b/crates/bgp/src/update/decode.rs
@@ -4,7 +4,7 @@
 use super::attributes::flag;
 use super::{as_path, prefixes, AsPathSegment, AttributeType, Origin, RouteError, Update, UpdateContext};
 use crate::error::{MessageError, UpdateError};
-use crate::open::Family;
+use crate::family::Family;
 use crate::Bytes;
 use ipnet::IpNet;
 use std::net::{IpAddr, Ipv4Addr};
--- a/crates/bgp/src/update/encode.rs
+++ b/crates/bgp/src/update/encode.rs
@@ -2,8 +2,8 @@
 
 use super::attributes::{flag, AttributeType};
 use super::{as_path, prefixes, PathAttributes, UpdateContext};
+use crate::family::Family;
 use crate::message::{self, MessageType, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
-use crate::open::Family;
 use ipnet::IpNet;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
--- a/crates/bgp/src/update/mod.rs
+++ b/crates/bgp/src/update/mod.rs
@@ -13,7 +13,7 @@
 pub use attributes::{AsPathSegment, AttributeType, Origin, PathAttributes, RouteError, SegmentType};
 pub use encode::{announce, end_of_rib, withdraw};
 
-use crate::open::Family;
+use crate::family::Family;
 use ipnet::IpNet;
 
 /// What the form of an UPDATE depends on, settled by the OPENs of both sides.
--- a/crates/bgp/src/update/prefixes.rs
+++ b/crates/bgp/src/update/prefixes.rs
@@ -1,7 +1,7 @@
 //! Prefixes on the wire: withdrawn routes and NLRI, each a length in bits and as many octets as it needs (RFC 4271
 //! section 4.3).
 
-use crate::open::Family;
+use crate::family::Family;
 use crate::Bytes;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -36,7 +36,7 @@
     let tally = load.tally(cluster);
     assert!(tally.answered > least, "{} jobs", tally.answered);
     assert_eq!(tally.unanswered, 0);
-    let check_result = cluster.check_result(&tally, false);
+    let check_result = cluster.check_result(&tally.asked, false);
     assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
 }
 
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -47,7 +47,7 @@
         cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 4.0);
         let tally = load.tally(&cluster);
         // Judged as if kept in either case.
-        let check_result = cluster.check_result(&tally, true);
+        let check_result = cluster.check_result(&tally.asked, true);
         let over = check_result.attempts_over_budget;
         match keeps {
             true => {
@@ -56,7 +56,7 @@
             }
             false => assert!(over == 0 && !says(&cluster, 0, "recovery"), "judged by each life alone"),
         }
-        let without = cluster.retries(&tally, 0, 10.0);
+        let without = cluster.retries(&tally.asked, 0, 10.0);
         assert_eq!(without > 4, !keeps, "{without} in ten seconds");
     }
 }
@@ -141,7 +141,7 @@
     cluster.router(0).log.wait("it is another router's", 1);
     settled(&cluster, 0);
     let tally = load.tally(&cluster);
-    let check_result = cluster.check_result(&tally, true);
+    let check_result = cluster.check_result(&tally.asked, true);
     assert!(tally.answered > 30 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
     assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
 }
@@ -192,7 +192,7 @@
     cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 2.0);
     cluster.router(0).log.wait("the store did not say in time", 1);
     let tally = load.tally(&cluster);
-    let check_result = cluster.check_result(&tally, true);
+    let check_result = cluster.check_result(&tally.asked, true);
     assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
     assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
     for router in 0..2 {
@@ -221,10 +221,10 @@
         std::thread::sleep(Duration::from_secs(2));
         cluster.engines[0].silent(false);
         let tally = load.tally(&cluster);
-        let check_result = cluster.check_result(&tally, true);
+        let check_result = cluster.check_result(&tally.asked, true);
         assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
         assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
-        cluster.retries(&tally, 0, 10.0)
+        cluster.retries(&tally.asked, 0, 10.0)
     };
     let (with, without) = (play(true), play(false));
     assert!(with <= 4 && without > 4, "{with} further pushes with a store, {without} without");
@@ -245,7 +245,7 @@
     (0..10).for_each(|router| cluster.stands(router, "whole"));
     cluster.engines[0].silent(false);
     let tally = load.tally(&cluster);
-    let check_result = cluster.check_result(&tally, true);
+    let check_result = cluster.check_result(&tally.asked, true);
     assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
     assert!(tally.answered > 100 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
 }
--- a/crates/testbed/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -162,7 +162,7 @@
     cluster.play(&vec![(0.0, FaultAction::Silent(second, true))], AFTER);
     let end = cluster.now();
     let tally = load.tally(&cluster);
-    let check_result = cluster.check_result(&tally, false);
+    let check_result = cluster.check_result(&tally.asked, false);
     let ran: Vec<Ran> = cluster.engines.iter().flat_map(|engine| engine.ran()).collect();
     let requests = grouped(&tally);
     let no_request = || format!("{count} engines: no job came to the engine that was lost");
--- a/crates/testbed/src/routers/cluster.rs
+++ b/crates/testbed/src/routers/cluster.rs
@@ -3,8 +3,7 @@
 //! under their names.
 
 use crate::checkers::failure_detection::{Record, Said, Truth};
-use crate::checkers::request_rules::{check_requests, two_holders, CheckResult, Claim, Facts, Stated};
-use crate::clients::load::Tally;
+use crate::checkers::request_rules::{check_requests, two_holders, Asked, CheckResult, Claim, Facts, Stated};
 use crate::engines::shared_engine::Shared;
 use crate::faults::datagram_relays::Relays;
 use crate::faults::schedule::{FaultAction, Schedule, Target};
@@ -459,7 +458,7 @@
         }
     }
 
-    /// What was done and what was said so far, for the judge.
+    /// What was done and what was said so far, for the checker.
     pub fn record(&self) -> Record {
         let mut record = Record::new(self.truths[0].clone());
         record.truths = self.truths.clone();
@@ -472,7 +471,7 @@
     }
 
     /// What clients and engines saw, judged against the rules; `kept` where retries are kept over a start.
-    pub fn check_result(&self, tally: &Tally, kept: bool) -> CheckResult {
+    pub fn check_result(&self, asked: &[Asked], kept: bool) -> CheckResult {
         let rough = |router: usize, engine: usize, from: f64, to: f64| {
             self.ways[router][engine].was_rough(from, to, 1.0) || !self.was_up(router, from, to)
         };
@@ -485,7 +484,7 @@
         };
         let ran: Vec<_> = self.engines.iter().flat_map(Shared::ran).collect();
         // A client whose router was frozen or gone is told late through no fault of the rules.
-        let mut asked = tally.asked.clone();
+        let mut asked = asked.to_vec();
         let gone = |router: usize, from: f64, to: f64| !self.was_up(router, from, to);
         asked
             .iter_mut()
@@ -495,9 +494,8 @@
     }
 
     /// The most retries of a router within so many seconds, over all its incarnations, by what engines were given.
-    pub fn retries(&self, tally: &Tally, router: usize, window: f64) -> usize {
-        let calls: std::collections::HashSet<&str> = tally
-            .asked
+    pub fn retries(&self, asked: &[Asked], router: usize, window: f64) -> usize {
+        let calls: std::collections::HashSet<&str> = asked
             .iter()
             .filter(|request| request.router == router)
             .map(|request| request.call.as_str())
--- a/crates/testbed/src/scenarios/membership.rs
+++ b/crates/testbed/src/scenarios/membership.rs
@@ -32,7 +32,7 @@
     let (load, watch) = (Load::start(&cluster, 20.0), Watch::start(&cluster));
     cluster.play(&mixed(routers, 1.0, seconds, seed), 8.0);
     let (tally, claims) = (load.tally(&cluster), watch.end());
-    let check_result = cluster.check_result(&tally, false);
+    let check_result = cluster.check_result(&tally.asked, false);
     let (two_holders, held_by) = cluster.two_holders(&claims);
     let mut report = cluster.record().report();
     let link_conditions = cluster.relays.link_conditions.lock().expect("the weather");
--- a/crates/testbed/src/scenarios/recovery.rs
+++ b/crates/testbed/src/scenarios/recovery.rs
@@ -175,7 +175,7 @@
     let end = cluster.now();
     over.store(true, Ordering::Relaxed);
     let (tally, open) = (load.tally(&cluster), counted.join().expect("a counter"));
-    let check_result = cluster.check_result(&tally, true);
+    let check_result = cluster.check_result(&tally.asked, true);
     let mut full = Histogram::<u64>::new(3).expect("a histogram");
     let mut never = 0;
     for router in &victims {
@@ -207,7 +207,7 @@
         "board_calls_peak_per_s": peak(&discoveries, started_at, end),
         "cold_over_budget": cold,
         "pushes_over_budget": check_result.attempts_over_budget,
-        "further_pushes_most": victims.iter().map(|at| cluster.retries(&tally, *at, 10.0)).max(),
+        "further_pushes_most": victims.iter().map(|at| cluster.retries(&tally.asked, *at, 10.0)).max(),
         "stale_decisions": check_result.to_draining,
         "ran_twice": check_result.ran_twice,
         "two_answers": check_result.two_answers,
