--- a/crates/router/src/transport/discovery_client.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -151,8 +151,8 @@
         if address == self.address {
             return None;
         }
-        let words = address.map_or("none".to_string(), |address| address.to_string());
-        log::info!("notice board is {words} now, asked from event {}", self.last_event);
+        let shown = address.map_or("none".to_string(), |address| address.to_string());
+        log::info!("discovery service is {shown} now, asked from event {}", self.last_event);
         self.address = address;
         self.state = State::Down { retry_at: now };
         self.readable = false;
@@ -166,7 +166,7 @@
         let was_away = std::mem::replace(&mut self.is_away, true);
         let level = if was_away { log::Level::Debug } else { log::Level::Warn };
         let last = self.last_event;
-        log::log!(level, event = last; "notice board lost: {why}; the list of event {last} stands");
+        log::log!(level, event = last; "discovery service lost: {why}; the list of event {last} stands");
         self.state = State::Down { retry_at: now + self.next_backoff() };
         self.readable = false;
         self.connection.take().map(|connection| connection.token)
@@ -206,7 +206,7 @@
 
     fn came_up(&mut self, now: f64) {
         let level = if self.is_away { log::Level::Debug } else { log::Level::Info };
-        log::log!(level, "notice board connected, from event {}", self.last_event);
+        log::log!(level, "discovery service connected, from event {}", self.last_event);
         self.state = State::Up { heard_at: now };
         self.counters.discovery_connects += 1;
         let mut request = Vec::new();
@@ -240,7 +240,7 @@
         self.heard_at = now;
         self.tries = 0;
         if std::mem::replace(&mut self.is_away, false) {
-            log::info!("notice board heard again, from event {}", self.last_event);
+            log::info!("discovery service heard again, from event {}", self.last_event);
         }
     }
 
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -201,7 +201,8 @@
     fn read_discovery(&mut self, readable: bool, now: f64) {
         let discovery = &mut self.discovery;
         let events = &mut self.input.list_events;
-        let worked = catch_panic("the notice board's link", || discovery.work(readable, now, events));
+        let worked =
+            catch_panic("the connection to the discovery service", || discovery.work(readable, now, events));
         let lost = match worked {
             Some(Ok(())) => None,
             Some(Err(error)) => self.discovery.lost(&error.to_string(), now),
@@ -231,7 +232,7 @@
     fn connect_to_discovery(&mut self, address: SocketAddr, now: f64) {
         let connection = begin_connect(&self.handle, address, EventSource::Discovery);
         if let Err(error) = &connection {
-            log::debug!("notice board {address}: {error}");
+            log::debug!("discovery service {address}: {error}");
         }
         self.discovery.connecting(connection.ok(), now);
     }
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -100,7 +100,7 @@
     let mut client = Client::new(&router);
     assert_eq!(client.ask(&request("look", 5000, "x")), row());
     discovery.tell(true, &entries(&engine, MANY + 100, 1000));
-    let told = router.log.wait("notice board lost", 1).pop().unwrap();
+    let told = router.log.wait("discovery service lost", 1).pop().unwrap();
     assert!(told.contains(&format!("a line of more than {LINE} bytes")), "{told}");
     // Asked again and again, it has nothing else to say.
     discovery.seen.wait("watch 1", 3);
--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -56,8 +56,9 @@
         client.counters("reloads", number);
     }
     let at_rest = router.log.all();
-    let about =
-        |line: &&String| ["engine ", "notice board", "can't change"].iter().any(|word| line.contains(word));
+    let about = |line: &&String| {
+        ["engine ", "discovery service", "can't change"].iter().any(|word| line.contains(word))
+    };
     assert_eq!(
         at_rest.iter().filter(about).collect::<Vec<_>>(),
         Vec::<&String>::new(),
@@ -66,7 +67,7 @@
     let moved = discovery.moved();
     router.reload(&router.configuration(&moved, &known).replace("\"memory_mb\":192", "\"memory_mb\":99"));
     moved.seen.wait("watch 1", 1);
-    router.log.wait("notice board connected", 1);
+    router.log.wait("discovery service connected", 1);
     let after = client.counters("reloads", 4);
     let grown = |name: &str| counter(&after, name) - counter(&before, name);
     // The session is still there and is served, on the connection that was there.
@@ -74,7 +75,7 @@
     let lines = router.log.all();
     let count_of = |words: &str| lines.iter().filter(|line| line.contains(words)).count();
     Counted {
-        lines: ["engine ", "notice board is", "can't change while running", "connected, from event 1"]
+        lines: ["engine ", "discovery service is", "can't change while running", "connected, from event 1"]
             .map(count_of),
         calls: discovery.seen.all().len() + moved.seen.all().len() - 1,
         connections: engine.seen.all().iter().filter(|line| line.starts_with("connection")).count(),
@@ -123,7 +124,7 @@
     last.seen.wait("watch 1", 1);
     let counters = client.counters("reloads", 1);
     assert_eq!(counter(&counters, "reloads_refused"), 0);
-    assert_eq!(router.log.wait("notice board is", 1).len(), 1);
+    assert_eq!(router.log.wait("discovery service is", 1).len(), 1);
     assert!(
         discoveries[..19].iter().all(|discovery| discovery.seen.all().is_empty()),
         "one that was passed over was called"
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -207,7 +207,7 @@
     // It comes again with the last event that it holds.
     assert_eq!(discovery.seen.wait("watch 1", 2).len(), 2);
     discovery.say("{\"rev\":\n");
-    router.log.wait("notice board lost: malformed", 1);
+    router.log.wait("discovery service lost: malformed", 1);
     discovery.seen.wait("watch 1", 3);
     // The old list stood; now another engine has the old one's address.
     let second = Engine { uid: "second".to_string(), ..first.clone() };
--- a/crates/testbed/src/capacity/configuration.rs
+++ b/crates/testbed/src/capacity/configuration.rs
@@ -291,7 +291,7 @@
     let moved = discovery.moved();
     moved.tell(true, &[first, second]);
     let text = router.configuration(&moved, r#"{"rev":2,"notices":[]}"#);
-    let words = format!("notice board is {}", moved.address);
+    let words = format!("discovery service is {}", moved.address);
     let deed = || Some(!moved.seen.wait("watch", 1).is_empty());
     plays("configuration: board", &words, &|| router.reload(&text), &deed);
     Ok(rows)
--- a/crates/testbed/src/capacity/lists.rs
+++ b/crates/testbed/src/capacity/lists.rs
@@ -533,7 +533,7 @@
         &info,
         |text| text,
     );
-    router.log.wait("notice board connected", 1);
+    router.log.wait("discovery service connected", 1);
     router
 }
 
@@ -717,7 +717,7 @@
     discovery.lose(false);
     let has_it = in_force(&mut client, event, back)?;
     let words = router.log.all();
-    let words: Vec<&String> = words.iter().filter(|line| line.contains("notice board")).collect();
+    let words: Vec<&String> = words.iter().filter(|line| line.contains("discovery service")).collect();
     Ok(json!({
         "seconds_lost": seconds, "tries": tries, "tries_a_second": tries as f64 / seconds, "cpu_share": cpu,
         "bytes_once_back": discovery.bytes() - bytes, "seconds_once_back": has_it, "log": words,
