--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -1,6 +1,7 @@
 //! The BGP speaker: connections to routing peers, around the sessions of `cleatgw-bgp` and the decisions of
 //! `cleatgw-announce`. It decides nothing itself: it reads, hands over, and writes what came of it.
 
+mod shutdown;
 mod status;
 
 use super::bgp_connection::{BgpConnectionError, BgpPeer};
@@ -22,10 +23,6 @@
 const BACKLOG: i32 = 16;
 /// Connections accepted in one turn.
 const MAX_ACCEPTED: usize = 16;
-/// How long the last messages may take at the end, in seconds.
-const GOODBYE_TIMEOUT: f64 = 0.2;
-/// What routing peers are told at a planned stop (RFC 9003).
-const SHUTDOWN_COMMUNICATION: &str = "planned stop";
 /// An action of a session may bring about another one, but no more than these: both connections ended, one begun.
 const MAX_ACTIONS: usize = 8;
 /// What a session is called in the log when its code panics.
@@ -334,7 +331,7 @@
     /// When its next turn is due, on the monotonic clock.
     pub fn due(&self) -> f64 {
         let peers = self.peers.iter().map(|peer| peer.session.due());
-        let goodbye = self.goodbye_at.map_or(f64::INFINITY, |at| at + GOODBYE_TIMEOUT);
+        let goodbye = self.goodbye_at.map_or(f64::INFINITY, |at| at + shutdown::GOODBYE_TIMEOUT);
         peers.fold(self.announcer.due().min(goodbye), f64::min)
     }
 
@@ -346,36 +343,6 @@
         }
         unfinished
     }
-
-    /// Begins the drain: withdrawals are decided now, and written in this turn. New work ends in so many seconds.
-    pub fn drain(&mut self, now: f64, new_work_ends_in: f64) {
-        let drain = self.announcer.drain(now, new_work_ends_in);
-        self.advertisements_changed();
-        log::info!(
-            withdraws_in = drain.withdraws_at - now, new_work_ends_in = drain.new_work_ends - now;
-            "drain begins"
-        );
-    }
-
-    /// No route of ours is left at any peer, as far as can be known.
-    pub fn is_cleared(&self, now: f64) -> bool {
-        let announces_nothing = self.advertisements.by_prefix.is_empty();
-        announces_nothing && self.peers.iter().all(|peer| peer.session.all_withdrawn(now))
-    }
-
-    /// Says goodbye to all peers, once; tells whether that is done, or has had its time.
-    pub fn say_goodbye(&mut self, now: f64) -> bool {
-        if self.goodbye_at.is_none() {
-            self.goodbye_at = Some(now);
-            for index in 0..self.peers.len() {
-                let session = &mut self.peers[index].session;
-                session.shut_down(CeaseSubcode::AdministrativeShutdown, SHUTDOWN_COMMUNICATION, now);
-                self.carry_out(index, now);
-            }
-        }
-        let is_over = self.peers.iter().all(|peer| peer.session.is_finished());
-        is_over || self.goodbye_at.is_some_and(|at| now >= at + GOODBYE_TIMEOUT)
-    }
 }
 
 /// Other addresses are told on the session that is up; what else is new in a peer's part ends it.
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -1,5 +1,6 @@
 //! All client sessions: the listener, how many there may be, and what each of them asks.
 
+mod kills;
 mod questions;
 
 use super::client_listener::Listener;
@@ -307,36 +308,6 @@
         self.remove(id);
     }
 
-    /// Kills what was asked for, once all that was ready has been read, and once more what the victims sent before the kill: it may
-    /// have come since, or wait for its turn.
-    pub fn carry_out_kills(&mut self, is_serving: bool, now: f64, input: &mut TurnInput) {
-        for Kill { asked_by, victim, query_only } in std::mem::take(&mut self.kills) {
-            let readable = Readiness { readable: true, ..Readiness::EMPTY };
-            self.work(victim, readable, is_serving, now, input);
-            let was_there = self.kill(victim, query_only, input);
-            if let Some(session) = self.sessions.get_mut(&asked_by) {
-                if was_there {
-                    session.ok();
-                } else {
-                    session.error(mysql::NO_SUCH_SESSION, &format!("unknown connection id: {victim}"));
-                }
-            }
-            self.unfinished.extend([asked_by, victim]);
-        }
-    }
-
-    /// Kills a session, or its query alone; false where there is no such session.
-    fn kill(&mut self, id: SessionId, query_only: bool, input: &mut TurnInput) -> bool {
-        let Some(session) = self.sessions.get_mut(&id) else { return false };
-        if session.is_waiting() {
-            input.withdrawn.push(id);
-        }
-        if !query_only {
-            session.kill();
-        }
-        true
-    }
-
     /// Gives a session the final answer to its request.
     pub fn answer(&mut self, id: SessionId, answer: Answer, now: f64) {
         // Its client is to have the time to read it, also at the end.
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -1,12 +1,15 @@
 //! A connection to an engine: many attempts on it, and how far each of them came.
 
+mod queued_attempts;
+
 use super::buffer::{Buffer, Reached};
 use super::engine_exchange::Exchange;
 use super::sockets::{is_connected, RegisteredStream};
-use crate::protocol::engine::{self, AnswerKind, EncodedRequest, Malformed};
-use crate::routing::{AttemptId, DeliveryFailure, Dispatch, EndedAttempt, Reply};
+use crate::protocol::engine::{self, AnswerKind, Malformed};
+use crate::routing::{AttemptId, DeliveryFailure, EndedAttempt, Reply};
 use calloop::RegistrationToken;
 use cleatgw_deployment_config::ConnectionLimits;
+use queued_attempts::{never_sent, QueuedAttempt};
 use std::collections::{HashMap, HashSet};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -30,17 +33,6 @@
 /// The part of its idle time-out for which an idle connection is used: after that its engine may be closing it.
 const IDLE_PART: f64 = 0.9;
 
-/// An attempt that waits for the connection to come up.
-struct QueuedAttempt {
-    id: String,
-    attempt: AttemptId,
-    request: EncodedRequest,
-    /// It has left by then, or never does.
-    leave_by: f64,
-    /// For so long the gateway waits for its answer.
-    answered_by: f64,
-}
-
 /// A cancelled attempt whose engine may not know yet.
 struct Cancelled {
     attempt: AttemptId,
@@ -207,57 +199,6 @@
         cancelled.chain(queued).chain(answer).fold(due, f64::min)
     }
 
-    /// Takes an attempt, which leaves once the connection is up.
-    pub fn dispatch(
-        &mut self,
-        dispatch: &Dispatch,
-        now: f64,
-        ended: &mut Vec<EndedAttempt>,
-    ) -> io::Result<()> {
-        let Dispatch { attempt, request, leave_by, .. } = dispatch;
-        self.queued.push(QueuedAttempt {
-            id: request.id.to_string(),
-            attempt: *attempt,
-            request: EncodedRequest::new(request),
-            leave_by: *leave_by,
-            answered_by: now + request.wait,
-        });
-        if self.is_up() {
-            self.send_queued(now, ended)?;
-        }
-        self.ping_if_silent(now)
-    }
-
-    /// What waits for the connection leaves, with the time that is left for it now.
-    pub fn send_queued(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) -> io::Result<()> {
-        self.idle_since = now;
-        self.drop_late(now, ended);
-        for queued in std::mem::take(&mut self.queued) {
-            let mut bytes = Vec::new();
-            queued.request.write(&mut bytes, queued.answered_by - now);
-            self.put(&bytes);
-            let exchange = Exchange { attempt: queued.attempt, ends_at: self.put, pages: None };
-            self.exchanges.insert(queued.id, exchange);
-        }
-        self.flush()
-    }
-
-    /// What should have left by now never does.
-    fn drop_late(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) {
-        self.queued.retain(|queued| {
-            let is_late = now >= queued.leave_by;
-            if is_late {
-                ended.push(never_sent(queued.attempt));
-            }
-            !is_late
-        });
-    }
-
-    /// Nothing that waits for it to come up leaves any more.
-    pub fn withdraw_unsent(&mut self, ended: &mut Vec<EndedAttempt>) {
-        ended.extend(self.queued.drain(..).map(|queued| never_sent(queued.attempt)));
-    }
-
     /// Its engine has yet to take bytes that were put on it.
     pub fn has_unsent(&self) -> bool {
         self.buffer.unsent() > 0
@@ -455,7 +396,3 @@
         }
     }
 }
-
-fn never_sent(attempt: AttemptId) -> EndedAttempt {
-    EndedAttempt { attempt, result: Err(DeliveryFailure::NeverSent) }
-}
