--- a/crates/router/src/commands/serve.rs
+++ b/crates/router/src/commands/serve.rs
@@ -3,7 +3,7 @@
 use super::{
     config_path, join_cluster, load_config, load_service, load_store, load_teams, CommandError, OperatorFiles,
 };
-use crate::config::LoadedConfig;
+use crate::config::{FixedFields, LoadedConfig};
 use crate::files::FileError;
 use crate::routing::{Routing, TurnInput};
 use crate::transport::{
@@ -27,7 +27,7 @@
     for contradiction in &config.contradictions {
         log::warn!("configuration: contradictory {contradiction}");
     }
-    let reloaders = reloaders(config_path, &files, &config)?;
+    let reloaders = reloaders(config_path, &files, &config);
     let mut routing = Routing::new(config.deployment, config.names, config.seed, unix_time());
     if let Some(file) = teams {
         routing.set_tenants(file);
@@ -52,31 +52,26 @@
 }
 
 /// How each file is read again.
-fn reloaders(
-    config_path: PathBuf,
-    files: &OperatorFiles,
-    config: &LoadedConfig,
-) -> Result<Reloaders, FileError> {
-    // What can't change while the router runs is compared with the file as it was at the start.
-    let at_start = load_config(&config_path)?;
+fn reloaders(config_path: PathBuf, files: &OperatorFiles, config: &LoadedConfig) -> Reloaders {
+    let fixed = config.fixed.clone();
     let name = config.name.clone();
     let seed = config.seed;
     let cluster = files.cluster.clone().map(|path| {
         let reload: Reload<_> = Box::new(move || join_cluster(&path, &name, seed));
         reload
     });
-    Ok(Reloaders {
-        config: Box::new(move || reload_config(&config_path, &at_start)),
+    Reloaders {
+        config: Box::new(move || reload_config(&config_path, &fixed)),
         service: files.service.clone().map(|path| -> Reload<_> { Box::new(move || load_service(&path)) }),
         teams: files.teams.clone().map(|path| -> Reload<_> { Box::new(move || load_teams(&path)) }),
         cluster,
-    })
+    }
 }
 
 /// What of a new configuration takes effect while the router runs.
-fn reload_config(path: &Path, at_start: &LoadedConfig) -> Result<ReloadedConfig, FileError> {
+fn reload_config(path: &Path, fixed: &FixedFields) -> Result<ReloadedConfig, FileError> {
     let config = load_config(path)?;
-    let changed = at_start.fixed_that_changed(&config);
+    let changed = fixed.changed_in(&config.fixed);
     if !changed.is_empty() {
         log::warn!("configuration: {} can't change while running, what was stands", changed.join(", "));
     }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -49,13 +49,21 @@
     pub deployment: Deployment,
     pub names: Names,
     pub contradictions: Vec<Contradiction>,
-    fixed: [Value; FIXED_FIELDS.len()],
+    pub fixed: FixedFields,
 }
 
-impl LoadedConfig {
-    /// The fields that another configuration changes and that can't change while the router runs.
-    pub fn fixed_that_changed(&self, new: &LoadedConfig) -> Vec<&'static str> {
-        let fields = FIXED_FIELDS.into_iter().zip(self.fixed.iter().zip(&new.fixed));
+/// The fields that can't change while the router runs, as they stand in a configuration.
+#[derive(Clone)]
+pub struct FixedFields([Value; FIXED_FIELDS.len()]);
+
+impl FixedFields {
+    fn of(config: &Value) -> FixedFields {
+        FixedFields(FIXED_FIELDS.map(|field| config[field].clone()))
+    }
+
+    /// The names of those that another configuration changes.
+    pub fn changed_in(&self, new: &FixedFields) -> Vec<&'static str> {
+        let fields = FIXED_FIELDS.into_iter().zip(self.0.iter().zip(&new.0));
         fields.filter(|(_, (was, is))| was != is).map(|(field, _)| field).collect()
     }
 }
@@ -116,7 +124,7 @@
         deployment,
         names,
         contradictions,
-        fixed: FIXED_FIELDS.map(|field| value[field].clone()),
+        fixed: FixedFields::of(&value),
     })
 }
 
