--- a/crates/testbed/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -48,7 +48,7 @@
 }
 
 /// The share of good answers of what was sent to these groups, window by window.
-fn check_requests(asked: &[(usize, &Asked)], ran: &[Ran], lost: usize, at: f64, end: f64) -> Option<Loss> {
+fn loss_of_service(asked: &[(usize, &Asked)], ran: &[Ran], lost: usize, at: f64, end: f64) -> Option<Loss> {
     let by_call: HashMap<&str, usize> =
         asked.iter().map(|(group, request)| (request.call.as_str(), *group)).collect();
     let there = |from: f64, to: f64| {
@@ -167,8 +167,8 @@
     let requests = grouped(&tally);
     let no_request = || format!("{count} engines: no job came to the engine that was lost");
     Ok(Engines {
-        announced: check_requests(&requests, &ran, first, drained, hung).ok_or_else(no_request)?,
-        silent: check_requests(&requests, &ran, second, hung, end).ok_or_else(no_request)?,
+        announced: loss_of_service(&requests, &ran, first, drained, hung).ok_or_else(no_request)?,
+        silent: loss_of_service(&requests, &ran, second, hung, end).ok_or_else(no_request)?,
         breaks: check_result.breaks(),
         unanswered: tally.unanswered,
         finds: check_result.finds,
--- a/crates/testbed/src/faults/datagram_relays.rs
+++ b/crates/testbed/src/faults/datagram_relays.rs
@@ -159,7 +159,7 @@
                 .map(|(_, (at, _))| *at)
                 .collect();
             let now = self.began.elapsed().as_secs_f64();
-            let mut link_conditions = self.link_conditions.lock().expect("the weather");
+            let mut link_conditions = self.link_conditions.lock().expect("the conditions of links");
             for at in ready {
                 let (from, to) = (at / self.routers, at % self.routers);
                 let socket = self.sockets[at].as_ref().expect("it was polled");
--- a/crates/testbed/src/routers/cluster.rs
+++ b/crates/testbed/src/routers/cluster.rs
@@ -358,14 +358,14 @@
                     routers.into_iter().for_each(|router| self.way(router, *target).does(*fault));
                 }
                 FaultAction::Silent(engine, silent) => self.engines[*engine].silent(*silent),
-                _ => self.link_conditions(act),
+                _ => self.change_links(act),
             }
         }
         for at in started {
             self.router(at).log.wait("listens on", 1);
         }
         let (cuts, rough) = {
-            let link_conditions = self.relays.link_conditions.lock().expect("the weather");
+            let link_conditions = self.relays.link_conditions.lock().expect("the conditions of links");
             let row = |from| (0..self.slots.len()).map(|to| link_conditions.is_cut(from, to)).collect();
             ((0..self.slots.len()).map(row).collect(), link_conditions.rough())
         };
@@ -380,9 +380,9 @@
         });
     }
 
-    fn link_conditions(&self, act: &FaultAction) {
+    fn change_links(&self, act: &FaultAction) {
         let now = self.now();
-        let mut link_conditions = self.relays.link_conditions.lock().expect("the weather");
+        let mut link_conditions = self.relays.link_conditions.lock().expect("the conditions of links");
         match act {
             FaultAction::Cut(one, other) => {
                 link_conditions.link(*one, *other).cut = true;
--- a/crates/testbed/src/scenarios/membership.rs
+++ b/crates/testbed/src/scenarios/membership.rs
@@ -35,7 +35,7 @@
     let check_result = cluster.check_result(&tally.asked, false);
     let (two_holders, held_by) = cluster.two_holders(&claims);
     let mut report = cluster.record().report();
-    let link_conditions = cluster.relays.link_conditions.lock().expect("the weather");
+    let link_conditions = cluster.relays.link_conditions.lock().expect("the conditions of links");
     let more = json!({
         "two_holders": two_holders,
         "held_by": held_by,
