--- a/crates/bgp/tests/model.rs
+++ b/crates/bgp/tests/model.rs
@@ -9,7 +9,7 @@
 use stateright::{Checker, Model, Property};
 use std::fmt;
 
-/// A error that is put in to see that it is found.
+/// An error that is put in to see that it is found.
 #[derive(Clone, Copy, PartialEq)]
 enum Planted {
     Nothing,
--- a/crates/router/src/transport/connection_pool/tests.rs
+++ b/crates/router/src/transport/connection_pool/tests.rs
@@ -20,6 +20,18 @@
     now: f64,
 }
 
+fn engine_request(id: &str) -> EngineRequest<'_> {
+    EngineRequest {
+        id,
+        class: "look",
+        wait: 9.0,
+        idempotency_key: None,
+        grant_mb: 0.0,
+        lane: 1,
+        statement: b"x",
+    }
+}
+
 fn attempt(request: usize) -> AttemptId {
     AttemptId { request, number: 0 }
 }
@@ -44,15 +56,7 @@
 
     fn attempt_to(&mut self, attempt: AttemptId, engine: u64, leave_by: f64) {
         let id = format!("{:016x}", attempt.request);
-        let request = EngineRequest {
-            id: &id,
-            class: "look",
-            wait: 9.0,
-            idempotency_key: None,
-            grant_mb: 0.0,
-            lane: 1,
-            statement: b"x",
-        };
+        let request = engine_request(&id);
         let dispatch = Dispatch { attempt, engine, address: self.address, request, leave_by };
         self.pool.dispatch(dispatch, self.now);
     }
@@ -458,15 +462,7 @@
                 .filter(|(_, connection)| fits(connection))
                 .max_by_key(|(id, connection)| (connection.is_up(), *id));
             let walked = walked.map(|(id, _)| id);
-            let request = EngineRequest {
-                id: &attempt,
-                class: "look",
-                wait: 9.0,
-                idempotency_key: None,
-                grant_mb: 0.0,
-                lane: 1,
-                statement: b"x",
-            };
+            let request = engine_request(&attempt);
             let attempt = AttemptId { request: number, number: 0 };
             let dispatch = Dispatch { attempt, engine, address, request, leave_by };
             assert_eq!(pool.find(&dispatch, now), walked);
@@ -525,15 +521,7 @@
                     let id = format!("{request:016x}");
                     let address = addresses[(engine + usize::from(wild.below(8) == 0)) % addresses.len()];
                     let leave_by = [f64::INFINITY, now + 0.1][usize::from(wild.below(4) == 0)];
-                    let request = EngineRequest {
-                        id: &id,
-                        class: "look",
-                        wait: 9.0,
-                        idempotency_key: None,
-                        grant_mb: 0.0,
-                        lane: 1,
-                        statement: b"x",
-                    };
+                    let request = engine_request(&id);
                     let attempt = AttemptId { request: step, number: 0 };
                     let engine = engine as u64;
                     pool.dispatch(Dispatch { attempt, engine, address, request, leave_by }, now);
--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -231,9 +231,11 @@
 /// What the floods leave behind in the router's counters.
 const FLOOD_COUNTERS: [&str; 3] = ["sessions_malformed", "unusable", "withdrawn"];
 
-/// Each kind of flood has been met several times.
+/// Each kind of flood has been met several times; not so where the counters could not be had.
 fn floods_were_met(counters: &str) -> bool {
-    FLOOD_COUNTERS.iter().all(|name| counter(counters, name) >= 5)
+    let is_there =
+        |name: &str| counters.contains(&format!("{name}:")) || counters.contains(&format!("{name}="));
+    FLOOD_COUNTERS.iter().all(|name| is_there(name) && counter(counters, name) >= 5)
 }
 
 #[test]
--- a/crates/router/tests/on_call_page.rs
+++ b/crates/router/tests/on_call_page.rs
@@ -7,20 +7,44 @@
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 /// Crates whose code does not run in the router.
 const NOT_IN_THE_ROUTER: [&str; 2] = ["testbed", "simulator-adapter"];
+/// Files whose literals are no log text: names of counters, what crosses to others, options.
+const NO_LOG_TEXT: [&str; 3] = ["counters.rs", "protocol", "cli.rs"];
 /// Parts of a line that are shorter than this could stand anywhere.
 const MIN_PART: usize = 3;
+/// How lines begin that are put together from several literals (levels, reasons, states, errors); all others are one.
+const PUT_TOGETHER: [&str; 13] = [
+    "announce ",
+    "bgp ",
+    "router ",
+    "cluster",
+    "majority",
+    "recovery",
+    "cleatgw: ",
+    "engine ",
+    "connection to ",
+    "the configuration is",
+    "the service file is",
+    "the teams file is",
+    "a routing peer's session",
+];
+/// A part of such a line is put together from no more literals than these.
+const MAX_PHRASES: usize = 4;
 
 /// The texts that the code may write: its string literals, cut at their arguments, and its identifiers.
 struct SourceTexts {
-    literals: BTreeSet<String>,
+    literals: BTreeSet<Vec<String>>,
     identifiers: BTreeSet<String>,
 }
 
 impl SourceTexts {
-    fn read() -> SourceTexts {
+    /// Of all files but those under the names that are left out.
+    fn read(left_out: &[&str]) -> SourceTexts {
         let mut texts = SourceTexts { literals: BTreeSet::new(), identifiers: BTreeSet::new() };
         for file in source_files() {
-            texts.add(&fs::read_to_string(file).expect("it can be read"));
+            let mut names = file.components().map(|name| name.as_os_str().to_string_lossy());
+            if !names.any(|name| left_out.contains(&&*name)) {
+                texts.add(&fs::read_to_string(file).expect("it can be read"));
+            }
         }
         texts
     }
@@ -28,7 +52,7 @@
     fn add(&mut self, source: &str) {
         for (index, part) in split_at_quotes(source).into_iter().enumerate() {
             if index % 2 == 1 {
-                self.literals.extend(cut_at_arguments(&part));
+                self.literals.insert(cut_at_arguments(&part));
             } else {
                 let is_separator = |c: char| !c.is_alphanumeric() && c != '_';
                 self.identifiers.extend(part.split(is_separator).map(str::to_string));
@@ -37,13 +61,42 @@
     }
 
     fn writes(&self, part: &str) -> bool {
-        self.literals.iter().any(|literal| literal.contains(part))
+        self.literals.iter().flatten().any(|piece| piece.contains(part))
+    }
+
+    /// One literal holds these parts, in their order.
+    fn writes_in_order(&self, parts: &[String]) -> bool {
+        self.literals.iter().any(|literal| {
+            let mut pieces = literal.iter().peekable();
+            parts.iter().all(|part| {
+                while pieces.next_if(|piece| !piece.contains(part.as_str())).is_some() {}
+                pieces.peek().is_some()
+            })
+        })
+    }
+
+    /// It stands in a literal, or is the name of a variant that is printed.
+    fn has_phrase(&self, phrase: &str) -> bool {
+        let is_variant = phrase.starts_with(char::is_uppercase) && self.identifiers.contains(phrase);
+        is_variant || self.writes(phrase)
     }
 
-    /// A part that is put together from several literals, or from names: each of its words is one of them.
+    /// A part that is put together from a few literals, each of which holds a phrase of it.
     fn puts_together(&self, part: &str) -> bool {
-        let mut words = part.split([' ', ':', ',', ';']).filter(|word| word.len() >= MIN_PART);
-        words.all(|word| self.writes(word) || self.identifiers.contains(word))
+        let segments = part.split([':', ',', ';']).map(str::trim);
+        segments.filter(|segment| segment.len() >= MIN_PART).all(|segment| {
+            let words: Vec<&str> = segment.split(' ').collect();
+            self.phrases(&words).is_some_and(|phrases| phrases <= MAX_PHRASES)
+        })
+    }
+
+    /// How many phrases the words are, each as long as it can be; none where one of them stands nowhere.
+    fn phrases(&self, words: &[&str]) -> Option<usize> {
+        if words.is_empty() {
+            return Some(0);
+        }
+        let longest = (1..=words.len()).rev().find(|&length| self.has_phrase(&words[..length].join(" ")))?;
+        self.phrases(&words[longest..]).map(|rest| rest + 1)
     }
 }
 
@@ -133,11 +186,17 @@
     trimmed.filter(|part| part.len() >= MIN_PART).collect()
 }
 
-/// The parts of the page's lines that no code writes.
+/// The lines of the page that no code writes.
 fn unwritten(page: &str, texts: &SourceTexts) -> Vec<String> {
-    let spans = spans_of_tables(page, &["line"]);
-    let parts = spans.iter().flat_map(|span| literal_parts(span));
-    parts.filter(|part| !texts.writes(part) && !texts.puts_together(part)).collect()
+    let mut spans = spans_of_tables(page, &["line"]);
+    spans.retain(|span| {
+        let parts = literal_parts(span);
+        let is_counter = span.chars().all(|c| c.is_ascii_lowercase() || c == '_') && span.contains('_');
+        let is_put_together = PUT_TOGETHER.iter().any(|beginning| span.starts_with(beginning))
+            && parts.iter().all(|part| texts.writes(part) || texts.puts_together(part));
+        !is_counter && !is_put_together && !texts.writes_in_order(&parts)
+    });
+    spans
 }
 
 fn page() -> String {
@@ -146,14 +205,15 @@
 
 #[test]
 fn log_lines_that_the_on_call_page_names_are_written_by_the_code() {
-    let (page, texts) = (page(), SourceTexts::read());
+    let page = page();
+    let texts = SourceTexts::read(&NO_LOG_TEXT);
     assert!(spans_of_tables(&page, &["line"]).len() > 50, "the tables are found");
     assert_eq!(unwritten(&page, &texts), Vec::<String>::new());
 }
 
 #[test]
 fn counters_that_the_on_call_page_names_exist() {
-    let texts = SourceTexts::read();
+    let texts = SourceTexts::read(&[]);
     let spans = spans_of_tables(&page(), &["counter", "line or counter"]);
     let is_counter = |span: &&String| span.chars().all(|c| c.is_ascii_lowercase() || c == '_');
     let counters: Vec<&String> = spans.iter().filter(is_counter).collect();
@@ -163,10 +223,25 @@
     }
 }
 
-/// What is put in to see that it is found.
+/// What is put in to see that it is found: lines of former versions, whose words still stand elsewhere in the code, and one that
+/// never was.
 #[test]
-fn a_line_that_no_code_writes_is_found() {
-    let page = "| line | it means |\n| --- | --- |\n| `engine N ejected: G of W attempts good` | |\n\
-        | `engine N has gone mouldy: G of W` | |\n";
-    assert_eq!(unwritten(page, &SourceTexts::read()), ["has gone mouldy"]);
+fn lines_that_no_code_writes_are_found() {
+    let texts = SourceTexts::read(&NO_LOG_TEXT);
+    let unwritten_of =
+        |line: &str| unwritten(&format!("| line | it means |\n| --- | --- |\n| `{line}` | |\n"), &texts);
+    assert!(unwritten_of("engine N ejected: G of W attempts good").is_empty());
+    for line in [
+        "engine N has gone mouldy: G of W",
+        "engine N doubted: G of W attempts good",
+        "connection to ADDRESS: gives no sign, with N pushes",
+        "SIGTERM: stopping, N jobs open",
+        "coming back: N further pushes and M receipts of before still count",
+        "duty D is ours, epoch E",
+        "a push that is not legal was not made",
+        "turning back: N held",
+        "notice board lost: WHY; the list of event N stands",
+    ] {
+        assert!(!unwritten_of(line).is_empty(), "{line}");
+    }
 }
