--- a/crates/deployment-config/src/reader.rs
+++ b/crates/deployment-config/src/reader.rs
@@ -47,7 +47,7 @@
         max_list_age: max_list_age(settings)?,
         slow_start: slow_start(settings)?,
         retry_budget: retry_budget(settings)?,
-        key_rest: settings.time("rules.key-quiet-us", 0.0)?,
+        key_quiet_period: settings.time("rules.key-quiet-us", 0.0)?,
     };
     Ok(NamedDeployment { deployment, names })
 }
--- a/crates/router/src/routing/action_executor.rs
+++ b/crates/router/src/routing/action_executor.rs
@@ -54,7 +54,7 @@
 }
 
 impl ActionWriter for ActionExecutor<'_> {
-    fn set_terms(&mut self, id: usize, lane: u8, memory_mb: f64) {
+    fn set_priority_and_memory(&mut self, id: usize, lane: u8, memory_mb: f64) {
         let in_flight = self.state.requests.attempts_in_flight(id);
         let Some(request) = self.state.requests.get_mut(id) else { return };
         request.grant_mb = memory_mb;
@@ -127,7 +127,7 @@
         self.end(id, Answer::Failed);
     }
 
-    fn announce_wait(&mut self, id: usize, wait: Option<WaitEstimate>) {
+    fn report_wait_estimate(&mut self, id: usize, wait: Option<WaitEstimate>) {
         let Some(request) = self.state.requests.get(id) else { return };
         let call = request.statement.id.as_str();
         match wait {
@@ -139,8 +139,8 @@
     }
 
     /// Discovery sends its changes unasked.
-    fn watch_list(&mut self, _on: bool) {}
-    fn fetch_list(&mut self) {}
+    fn watch_engine_list(&mut self, _on: bool) {}
+    fn fetch_engine_list(&mut self) {}
 
     /// Engines can't be probed, nor peers sent to, on this protocol.
     fn probe(&mut self, _engine: usize) {}
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -294,7 +294,7 @@
         let Some(request) = self.state.requests.of_session(session) else { return };
         let in_flight = self.state.requests.attempts_in_flight(request);
         self.state.answer(request, Answer::Withdrawn, connections);
-        self.gateway.request_withdrawn(request);
+        self.gateway.request_finished(request);
         for attempt in in_flight {
             self.state.cancel(attempt, AttemptOutcome::Cancelled, connections);
         }
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -410,8 +410,8 @@
     host.ask(4, parsed("look"));
     let mut executor = ActionExecutor { state: &mut host.routing.state, connections: &mut host.peers };
     let lane = executor.state.requests.get(0).unwrap().lane;
-    executor.set_terms(0, lane, 64.0);
-    executor.set_terms(0, 3 - lane, 64.0);
+    executor.set_priority_and_memory(0, lane, 64.0);
+    executor.set_priority_and_memory(0, 3 - lane, 64.0);
     executor.cancel(0, 0);
     executor.cancel(0, 0);
     assert_eq!((&host.peers.lanes[..], host.peers.given_up.len()), (&[3 - lane][..], 1));
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -8,7 +8,7 @@
 use crate::reply_writer::ReplyWriter;
 use crate::units::seconds;
 use cleatgw::{
-    ActionWriter, AttemptEnd, AttemptNote, AttemptOutcome, EngineListing, Gateway, IncomingRequest,
+    ActionWriter, AttemptEnd, AttemptOutcome, AttemptStatus, EngineListing, Gateway, IncomingRequest,
     LoadReport, MeasuredCost,
 };
 use cleatgw_deployment_config::{index_of, name_hash, read_deployment, NamedDeployment, Names, Settings};
@@ -95,7 +95,7 @@
             "diff" => false,
             "snapshot" | "disk" => true,
             "error" => {
-                self.gateway.list_failed(now);
+                self.gateway.engine_list_failed(now);
                 return Ok(());
             }
             other => return Err(fields.error("how", "diff, snapshot, disk or error", other)),
@@ -174,7 +174,7 @@
 
     fn request_withdrawn(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         if let Some(request) = self.identities.request(fields.integer("req")?) {
-            self.gateway.request_withdrawn(request);
+            self.gateway.request_finished(request);
             self.identities.answered(request);
         }
         Ok(())
@@ -187,14 +187,14 @@
         let kind = fields.integer("kind")?;
         let value = fields.number("x")?.unwrap_or(0.0);
         let note = match kind {
-            1 => AttemptNote::Progress(value),
-            2 => AttemptNote::Spills,
-            3 if value == 2.0 => AttemptNote::WaitsForLoad,
-            3 => AttemptNote::WaitsForMemory,
+            1 => AttemptStatus::Progress(value),
+            2 => AttemptStatus::Spills,
+            3 if value == 2.0 => AttemptStatus::WaitsForLoad,
+            3 => AttemptStatus::WaitsForMemory,
             _ => return Ok(()),
         };
         if let Some(request) = self.identities.request(id) {
-            self.gateway.attempt_noted(now, request, note);
+            self.gateway.attempt_status_received(now, request, note);
         }
         Ok(())
     }
--- a/crates/simulator-adapter/src/reply_writer.rs
+++ b/crates/simulator-adapter/src/reply_writer.rs
@@ -20,7 +20,7 @@
 }
 
 impl ActionWriter for ReplyWriter<'_> {
-    fn set_terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+    fn set_priority_and_memory(&mut self, request: usize, lane: u8, memory_mb: f64) {
         let Some(id) = self.identities.request_id(request) else { return };
         write_line(self.reply, format_args!("PROVIDE {} {id} {lane} {:.1}", self.instance, memory_mb));
     }
@@ -52,11 +52,11 @@
         self.identities.answered(request);
     }
 
-    fn watch_list(&mut self, on: bool) {
+    fn watch_engine_list(&mut self, on: bool) {
         write_line(self.reply, format_args!("LISTEN {} {}", self.instance, u8::from(on)));
     }
 
-    fn fetch_list(&mut self) {
+    fn fetch_engine_list(&mut self) {
         write_line(self.reply, format_args!("RESOLVE {}", self.instance));
     }
 
--- a/crates/testbed/src/capacity/decisions.rs
+++ b/crates/testbed/src/capacity/decisions.rs
@@ -45,15 +45,15 @@
 struct Book(Vec<(usize, usize)>);
 
 impl ActionWriter for Book {
-    fn set_terms(&mut self, _: usize, _: u8, _: f64) {}
+    fn set_priority_and_memory(&mut self, _: usize, _: u8, _: f64) {}
     fn dispatch(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
         self.0.push((request, engine));
     }
     fn cancel(&mut self, _: usize, _: u32) {}
     fn reject(&mut self, _: usize, _: Option<f64>) {}
     fn fail(&mut self, _: usize) {}
-    fn watch_list(&mut self, _: bool) {}
-    fn fetch_list(&mut self) {}
+    fn watch_engine_list(&mut self, _: bool) {}
+    fn fetch_engine_list(&mut self) {}
     fn probe(&mut self, _: usize) {}
     fn close_idle(&mut self, _: usize) {}
     fn send_to_peers(&mut self, _: Option<usize>, _: &[u8]) {}
--- a/crates/testbed/src/capacity/fleet.rs
+++ b/crates/testbed/src/capacity/fleet.rs
@@ -275,7 +275,7 @@
 }
 
 impl ActionWriter for Book {
-    fn set_terms(&mut self, _: usize, _: u8, _: f64) {}
+    fn set_priority_and_memory(&mut self, _: usize, _: u8, _: f64) {}
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
         self.attempts.push((request, engine, time_out));
     }
@@ -288,8 +288,8 @@
     fn fail(&mut self, request: usize) {
         self.ended.push((request, false));
     }
-    fn watch_list(&mut self, _: bool) {}
-    fn fetch_list(&mut self) {}
+    fn watch_engine_list(&mut self, _: bool) {}
+    fn fetch_engine_list(&mut self) {}
     fn probe(&mut self, _: usize) {}
     fn close_idle(&mut self, _: usize) {}
     fn send_to_peers(&mut self, _: Option<usize>, _: &[u8]) {}
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -5,7 +5,7 @@
 /// Where decisions are written, in the order in which they are made.
 pub trait ActionWriter {
     /// Sets the priority lane (0 to 3) and the memory of the request's attempts; 0 MB leaves that to the engine.
-    fn set_terms(&mut self, request: usize, lane: u8, memory_mb: f64);
+    fn set_priority_and_memory(&mut self, request: usize, lane: u8, memory_mb: f64);
     /// Makes an attempt. Without a time-out it runs until the deadline. It must have left by `leave_by`, or not at all: the
     /// repeat of a request that may have run is recognised for a while only.
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64);
@@ -16,11 +16,11 @@
     /// Answers that the request was not completed.
     fn fail(&mut self, request: usize);
     /// How long a request that was queued in this round will wait for its first attempt; none where that can't be told.
-    fn announce_wait(&mut self, _request: usize, _wait: Option<queue::WaitEstimate>) {}
+    fn report_wait_estimate(&mut self, _request: usize, _wait: Option<queue::WaitEstimate>) {}
     /// Asks for the changes of the engine list from now on.
-    fn watch_list(&mut self, on: bool);
+    fn watch_engine_list(&mut self, on: bool);
     /// Asks for the whole engine list once.
-    fn fetch_list(&mut self);
+    fn fetch_engine_list(&mut self);
     /// Checks the health of an engine.
     fn probe(&mut self, engine: usize);
     /// Closes idle connections to an engine.
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -57,7 +57,7 @@
         let request = &self.requests.open[&end.request];
         self.queue.attempt_ended(request.incoming.tenant, request.work, needed, now);
         if end.request_done {
-            self.request_withdrawn(end.request);
+            self.request_finished(end.request);
         } else if request.is_queued() {
             let last_start = self.last_start(request);
             self.requests.schedule(last_start, DueEvent::LastStart(end.request));
@@ -191,7 +191,7 @@
         }
         let key = self.requests.open[&end.request].incoming.key;
         if let Some(queue) = key.and_then(|key| self.requests.keys.get_mut(&key)) {
-            queue.rests_until = queue.rests_until.max(now + self.deployment.key_rest);
+            queue.rests_until = queue.rests_until.max(now + self.deployment.key_quiet_period);
         }
     }
 
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -270,7 +270,7 @@
 
         if self.deployment.honours_grants || self.deployment.has_priority_lanes {
             let memory = if self.deployment.honours_grants { grant.memory } else { 0.0 };
-            out.set_terms(id, lane, memory);
+            out.set_priority_and_memory(id, lane, memory);
         }
         out.dispatch(id, index, time_out, leave_by);
     }
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -11,7 +11,7 @@
 use crate::request_state::{DueEvent, RequestState, RequestTable};
 use crate::statistics::RandomDraws;
 use crate::{
-    ActionWriter, AttemptNote, Deployment, EngineEvidence, EngineListing, EngineStage, IncomingRequest,
+    ActionWriter, AttemptStatus, Deployment, EngineEvidence, EngineListing, EngineStage, IncomingRequest,
 };
 use cleatgw_tenant_queue::TenantQueue;
 
@@ -135,7 +135,7 @@
     }
 
     /// The engine list could not be had; the old one stands, and it is asked for again in a while.
-    pub fn list_failed(&mut self, now: f64) {
+    pub fn engine_list_failed(&mut self, now: f64) {
         self.lifecycle.watch_list_at = self.deployment.max_list_age.map(|_| now + LIST_RETRY);
         let known = self.engines.states.len();
         self.log.push(format!("engine list unavailable: {known} engines known"));
@@ -257,18 +257,18 @@
     }
 
     /// An engine says something of the request's attempt in flight.
-    pub fn attempt_noted(&mut self, now: f64, id: usize, note: AttemptNote) {
+    pub fn attempt_status_received(&mut self, now: f64, id: usize, status: AttemptStatus) {
         let Some(request) = self.requests.open.get(&id) else { return };
         let Some(attempt) = request.attempts.iter().rfind(|attempt| attempt.in_flight) else { return };
         let Some(engine) = self.engines.states.get_mut(attempt.engine) else { return };
         engine.last_answer_at = now;
-        match note {
-            AttemptNote::WaitsForMemory => {
+        match status {
+            AttemptStatus::WaitsForMemory => {
                 engine.ledger.shrink(now);
                 self.threshold.note_memory_wait();
             }
             // Where grants are honoured in full, a spill tells of a heavy draw, not of pressure.
-            AttemptNote::Spills if !attempt.at_quarter && self.deployment.trims_grants => {
+            AttemptStatus::Spills if !attempt.at_quarter && self.deployment.trims_grants => {
                 engine.ledger.shrink(now);
             }
             _ => {}
@@ -276,7 +276,7 @@
     }
 
     /// The request needs nothing more: it has its answer from this gateway, or wants none.
-    pub fn request_withdrawn(&mut self, id: usize) {
+    pub fn request_finished(&mut self, id: usize) {
         let Some(request) = self.requests.open.get_mut(&id) else { return };
         request.done = true;
         let deadline = request.incoming.deadline;
@@ -288,7 +288,7 @@
     /// One round: all events have been handed in; what is decided is written out.
     pub fn round(&mut self, now: f64, out: &mut dyn ActionWriter) {
         if self.lifecycle.watch_list_at.take_if(|at| now >= *at).is_some() {
-            out.watch_list(true);
+            out.watch_engine_list(true);
         }
         if now >= self.next_tick {
             self.next_tick = now + TICK;
@@ -356,7 +356,7 @@
             if self.queue.has_tenants() && self.queue.contains(id) {
                 let wait = self.queue.wait_of(id, now);
                 self.queue.waits.remember(id, wait, now);
-                out.announce_wait(id, wait);
+                out.report_wait_estimate(id, wait);
             }
         }
     }
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -136,7 +136,7 @@
         } else {
             out.fail(id);
         }
-        self.request_withdrawn(id);
+        self.request_finished(id);
     }
 
     /// Whether its client may send the request again without harm.
--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -16,15 +16,15 @@
 }
 
 impl ActionWriter for Recorder {
-    fn set_terms(&mut self, _: usize, _: u8, _: f64) {}
+    fn set_priority_and_memory(&mut self, _: usize, _: u8, _: f64) {}
     fn dispatch(&mut self, request: usize, engine: usize, _: Option<f64>, _: f64) {
         self.attempts.push((request, engine));
     }
     fn cancel(&mut self, _: usize, _: u32) {}
     fn reject(&mut self, _: usize, _: Option<f64>) {}
     fn fail(&mut self, _: usize) {}
-    fn watch_list(&mut self, _: bool) {}
-    fn fetch_list(&mut self) {}
+    fn watch_engine_list(&mut self, _: bool) {}
+    fn fetch_engine_list(&mut self) {}
     fn probe(&mut self, _: usize) {}
     fn close_idle(&mut self, _: usize) {}
     fn send_to_peers(&mut self, _: Option<usize>, _: &[u8]) {}
@@ -136,7 +136,7 @@
         max_attempts: 4,
         slow_start: SlowStart { initial_share: 0.3, duration: 6.0, overload_multiple: 2.0, window: 1.0 },
         retry_budget: Some(RetryBudget { base: 30.0, per_request: 0.3, window: 5.0 }),
-        key_rest: 0.5,
+        key_quiet_period: 0.5,
         ..Deployment::default()
     }
 }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -130,5 +130,5 @@
     /// The stated budget of retries, if there is one.
     pub retry_budget: Option<RetryBudget>,
     /// How long a key rests after an attempt that may still run.
-    pub key_rest: f64,
+    pub key_quiet_period: f64,
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -145,7 +145,7 @@
 
 /// What an engine says of an attempt that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AttemptNote {
+pub enum AttemptStatus {
     /// It has come this far, from 0 to 1.
     Progress(f64),
     /// It writes to disk for want of memory.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,6 +24,6 @@
     DeduplicationScope, Deployment, EngineKind, Idempotency, RequestClass, RetryBudget, SlowStart,
 };
 pub use events::{
-    AttemptEnd, AttemptNote, AttemptOutcome, EngineEvidence, EngineListing, EngineStage, IncomingRequest,
+    AttemptEnd, AttemptOutcome, AttemptStatus, EngineEvidence, EngineListing, EngineStage, IncomingRequest,
     LoadReport, MeasuredCost, SlowStartWork,
 };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -33,7 +33,7 @@
 }
 
 impl ActionWriter for ActionRecorder {
-    fn set_terms(&mut self, _request: usize, lane: u8, memory_mb: f64) {
+    fn set_priority_and_memory(&mut self, _request: usize, lane: u8, memory_mb: f64) {
         self.terms = (lane, memory_mb);
     }
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
@@ -52,10 +52,10 @@
     fn fail(&mut self, request: usize) {
         self.record(WrittenAction::Fail(request));
     }
-    fn watch_list(&mut self, _on: bool) {
+    fn watch_engine_list(&mut self, _on: bool) {
         self.record(WrittenAction::Watch);
     }
-    fn fetch_list(&mut self) {}
+    fn fetch_engine_list(&mut self) {}
     fn probe(&mut self, _engine: usize) {}
     fn close_idle(&mut self, _engine: usize) {}
     fn send_to_peers(&mut self, _peer: Option<usize>, _content: &[u8]) {}
--- a/tests/engine_list.rs
+++ b/tests/engine_list.rs
@@ -29,7 +29,7 @@
     deployment.max_list_age = Some(10.0);
     let mut host = TestHost::new(deployment, 1);
     host.round();
-    host.gateway.list_failed(host.now);
+    host.gateway.engine_list_failed(host.now);
     host.advance(2.0);
     let asked = host.recorder.actions.iter().filter(|(_, what)| *what == WrittenAction::Watch).count();
     assert_eq!(asked, 2);
@@ -69,7 +69,7 @@
         if !host.engines_of(request).is_empty() {
             host.attempt_ended(request, AttemptOutcome::ConnectionLost, 0.1);
         }
-        host.gateway.request_withdrawn(request);
+        host.gateway.request_finished(request);
     }
     host.advance(0.3);
     assert!(host.logged("ejected"));
--- a/tests/engine_selection.rs
+++ b/tests/engine_selection.rs
@@ -97,7 +97,7 @@
         let request = host.request(1, |_| ());
         host.round();
         host.attempt_ended(request, AttemptOutcome::ConnectionLost, 0.1);
-        host.gateway.request_withdrawn(request);
+        host.gateway.request_finished(request);
     }
     host.advance(0.5);
     assert!(host.logged("engine 9 ejected"));
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -3,7 +3,7 @@
 use cleatgw::queue::{Budget, TenantConfig, TenantQueue, WaitEstimate};
 use cleatgw::Gateway;
 use cleatgw::{
-    ActionWriter, AttemptEnd, AttemptNote, AttemptOutcome, DeduplicationScope, Deployment, EngineEvidence,
+    ActionWriter, AttemptEnd, AttemptOutcome, AttemptStatus, DeduplicationScope, Deployment, EngineEvidence,
     EngineKind, EngineListing, EngineStage, Idempotency, IncomingRequest, LoadReport, MeasuredCost,
     RequestClass, RetryBudget, SlowStart, SlowStartWork,
 };
@@ -61,7 +61,7 @@
 }
 
 impl ActionWriter for Recorder {
-    fn set_terms(&mut self, request: usize, lane: u8, memory_mb: f64) {
+    fn set_priority_and_memory(&mut self, request: usize, lane: u8, memory_mb: f64) {
         self.grants.insert(request, memory_mb);
         self.line(format_args!("terms {request} {lane} {memory_mb:?}"));
     }
@@ -84,15 +84,15 @@
         self.ended.push(request);
         self.line(format_args!("fail {request}"));
     }
-    fn announce_wait(&mut self, request: usize, wait: Option<WaitEstimate>) {
+    fn report_wait_estimate(&mut self, request: usize, wait: Option<WaitEstimate>) {
         self.counts.announced_waits += 1;
         let wait = wait.map(|wait| (wait.expected, wait.from, wait.to));
         self.line(format_args!("waits {request} {wait:?}"));
     }
-    fn watch_list(&mut self, on: bool) {
+    fn watch_engine_list(&mut self, on: bool) {
         self.line(format_args!("watch {on}"));
     }
-    fn fetch_list(&mut self) {
+    fn fetch_engine_list(&mut self) {
         self.line(format_args!("fetch"));
     }
     fn probe(&mut self, engine: usize) {
@@ -225,7 +225,7 @@
         max_retry_after: Some(5.0),
         slow_start: SlowStart { initial_share: 0.2, duration: 12.0, overload_multiple: 2.0, window: 2.0 },
         retry_budget: Some(RetryBudget { base: 20.0, per_request: 0.25, window: 10.0 }),
-        key_rest: 0.4,
+        key_quiet_period: 0.4,
         ..Deployment::default()
     };
     match variant {
@@ -419,7 +419,7 @@
             }
         }
         if at(40.0) {
-            self.gateway.list_failed(self.now);
+            self.gateway.engine_list_failed(self.now);
         }
         if at(42.0) {
             self.list(true);
@@ -533,7 +533,7 @@
             let index = self.below(open.max(1));
             if let Some(&request) = self.requests.keys().nth(index) {
                 self.requests.remove(&request);
-                self.gateway.request_withdrawn(request);
+                self.gateway.request_finished(request);
                 self.cancel(request, None);
             }
         }
@@ -581,13 +581,13 @@
         let index = self.below(self.attempts.len());
         let request = self.attempts[index].request;
         let notes = [
-            AttemptNote::Progress(0.5),
-            AttemptNote::Spills,
-            AttemptNote::WaitsForMemory,
-            AttemptNote::WaitsForLoad,
+            AttemptStatus::Progress(0.5),
+            AttemptStatus::Spills,
+            AttemptStatus::WaitsForMemory,
+            AttemptStatus::WaitsForLoad,
         ];
         let note = notes[self.below(4)];
-        self.gateway.attempt_noted(self.now, request, note);
+        self.gateway.attempt_status_received(self.now, request, note);
     }
 
     /// Four times a second peers tell of some engines; what this gateway would tell them is part of the record.
--- a/tests/key_order.rs
+++ b/tests/key_order.rs
@@ -9,7 +9,7 @@
 fn requests_of_one_key_run_in_turn_and_rest_after_a_time_out() {
     let mut deployment = two_class_deployment();
     deployment.classes[0].in_key_order = true;
-    deployment.key_rest = 1.0;
+    deployment.key_quiet_period = 1.0;
     let mut host = TestHost::new(deployment, 3);
     let first = host.request(0, |taken| taken.key = Some(5));
     let second = host.request(0, |taken| taken.key = Some(5));
@@ -17,7 +17,7 @@
     host.advance(0.1);
     assert_eq!([first, second, other].map(|request| host.engines_of(request).len()), [1, 0, 1]);
     host.attempt_ended(first, AttemptOutcome::TimedOut, 0.1);
-    host.gateway.request_withdrawn(first);
+    host.gateway.request_finished(first);
     host.advance(0.9);
     assert_eq!(host.engines_of(second).len(), 0);
     host.advance(0.2);
--- a/tests/memory_grants.rs
+++ b/tests/memory_grants.rs
@@ -23,7 +23,7 @@
         if host.engines_of(request).is_empty() {
             continue;
         }
-        host.gateway.attempt_noted(host.now, request, AttemptNote::WaitsForMemory);
+        host.gateway.attempt_status_received(host.now, request, AttemptStatus::WaitsForMemory);
         let quarter = host.grant_of(request) <= 420.0;
         quarters += usize::from(quarter);
         host.attempt_ended(request, AttemptOutcome::Completed, if quarter { 2.0 } else { 1.0 });
@@ -62,7 +62,7 @@
     host.round();
     assert!(calm.iter().all(|&request| host.grant_of(request) > 2999.0));
     host.attempt_ended(calm[1], AttemptOutcome::Completed, 1.0);
-    host.gateway.attempt_noted(host.now, calm[0], AttemptNote::WaitsForMemory);
+    host.gateway.attempt_status_received(host.now, calm[0], AttemptStatus::WaitsForMemory);
     let pressed = host.request(1, large);
     host.round();
     assert_ne!(host.engines_of(pressed).len(), 1, "3000 and 750 MB are past what is left of 3200 MB");
@@ -83,7 +83,7 @@
             .inspect(|_| ())
             .collect();
         host.round();
-        host.gateway.attempt_noted(host.now, requests[0], AttemptNote::Spills);
+        host.gateway.attempt_status_received(host.now, requests[0], AttemptStatus::Spills);
         let next = host.request(1, |taken| taken.estimated_memory_mb = Some(3000.0));
         host.round();
         assert_eq!(host.engines_of(next).is_empty(), trims);
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -120,7 +120,7 @@
         let ending = if step % 3 == 0 { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Completed };
         host.attempt_ended(request, ending, 0.1);
         if ending == AttemptOutcome::ConnectionLost {
-            host.gateway.request_withdrawn(request);
+            host.gateway.request_finished(request);
         }
     }
     assert!(used.iter().all(|&count| count > 5), "{used:?}");
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -80,7 +80,7 @@
         .collect();
     host.round();
     let waited = host.gateway.queue.load(1).queued;
-    gone.iter().for_each(|request| host.gateway.request_withdrawn(*request));
+    gone.iter().for_each(|request| host.gateway.request_finished(*request));
     assert!(waited > 0 && host.gateway.queue.is_empty(), "{waited}");
     // Its line has room again: none of those that come now is displaced.
     for _ in 0..40 {
