--- a/crates/router/src/transport/buffer.rs
+++ b/crates/router/src/transport/buffer.rs
@@ -1,12 +1,15 @@
-//! The one buffer of a connection: what was read and not yet taken apart, and behind it what is still to be
-//! written. It grows as needed, is compacted in place, and gives its memory back when it is empty.
+//! The buffer of one connection. A single allocation holds the bytes that were read but not yet parsed, followed by
+//! the bytes that still have to be written. It grows as needed, is compacted in place, and releases its memory when
+//! it is empty.
 
 use std::io::{ErrorKind, Read, Result, Write};
 
+/// Bytes read by one call at most.
 const CHUNK: usize = 4096;
-/// An empty buffer larger than this is given back.
+/// The memory of an empty buffer that is larger than this is released, in bytes.
 const RETAINED_CAPACITY: usize = 4 * CHUNK;
 
+/// See the module. `input` and `output` are the start and end indices of the unparsed and the unsent bytes in `bytes`.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -14,33 +17,36 @@
     output: (usize, usize),
 }
 
-/// How far reading came.
+/// Why `Buffer::read` stopped reading.
 #[derive(Debug, PartialEq)]
-pub enum Reached {
-    /// All that was ready.
-    Drained,
-    /// As much as was allowed; more may be ready.
-    More,
-    /// The peer sends nothing more.
-    End,
+pub enum ReadOutcome {
+    /// All available bytes were read; the next read would block.
+    WouldBlock,
+    /// The input has reached its permitted length; more bytes may be available.
+    LimitReached,
+    /// The peer has closed its side of the connection.
+    EndOfStream,
 }
 
 impl Buffer {
+    /// The bytes that were read and not yet consumed.
     pub fn input(&self) -> &[u8] {
         &self.bytes[self.input.0..self.input.1]
     }
 
-    pub fn taken(&mut self, length: usize) {
+    /// Removes this many bytes from the front of the input.
+    pub fn consume(&mut self, length: usize) {
         self.input.0 += length;
-        self.release();
+        self.release_if_empty();
     }
 
-    pub fn unsent(&self) -> usize {
+    /// The number of bytes that still have to be written.
+    pub fn unsent_len(&self) -> usize {
         self.output.1 - self.output.0
     }
 
-    fn release(&mut self) {
-        if self.input.0 == self.input.1 && self.unsent() == 0 {
+    fn release_if_empty(&mut self) {
+        if self.input.0 == self.input.1 && self.unsent_len() == 0 {
             (self.input, self.output) = Default::default();
             if self.bytes.len() > RETAINED_CAPACITY {
                 self.bytes = Vec::new();
@@ -48,42 +54,43 @@
         }
     }
 
-    /// Moves the input to the front and the output so far behind it, with room for more behind that.
+    /// Moves the input to the front and the output to `gap` bytes behind it, and grows the buffer where fewer than
+    /// `tail` bytes would be free behind the output.
     fn compact(&mut self, gap: usize, tail: usize) {
-        let read = self.input.1 - self.input.0;
-        let unsent = self.unsent();
+        let input_len = self.input.1 - self.input.0;
+        let unsent_len = self.unsent_len();
         self.bytes.copy_within(self.input.0..self.input.1, 0);
-        let needed = read + gap + unsent + tail;
+        let needed = input_len + gap + unsent_len + tail;
         if self.bytes.len() < needed {
             self.bytes.resize(needed.next_power_of_two(), 0);
         }
-        self.bytes.copy_within(self.output.0..self.output.1, read + gap);
-        (self.input, self.output) = ((0, read), (read + gap, read + gap + unsent));
+        self.bytes.copy_within(self.output.0..self.output.1, input_len + gap);
+        (self.input, self.output) = ((0, input_len), (input_len + gap, input_len + gap + unsent_len));
     }
 
-    /// Makes room for so many bytes behind the input, ahead of the output.
-    fn make_room(&mut self, length: usize) {
-        let free = if self.unsent() > 0 { self.output.0 } else { self.bytes.len() } - self.input.1;
+    /// Ensures that this many bytes are free between the input and the output.
+    fn reserve_input(&mut self, length: usize) {
+        let free = if self.unsent_len() > 0 { self.output.0 } else { self.bytes.len() } - self.input.1;
         if free < length {
             self.compact(length, 0);
         }
     }
 
-    /// Reads what is ready until the input holds `most` bytes.
-    pub fn read(&mut self, mut from: impl Read, most: usize) -> Result<Reached> {
+    /// Reads the available bytes until the input holds `max_input` bytes.
+    pub fn read(&mut self, mut from: impl Read, max_input: usize) -> Result<ReadOutcome> {
         loop {
-            let left = most.saturating_sub(self.input().len());
-            if left == 0 {
-                return Ok(Reached::More);
+            let allowed = max_input.saturating_sub(self.input().len());
+            if allowed == 0 {
+                return Ok(ReadOutcome::LimitReached);
             }
-            let room = left.min(CHUNK);
-            self.make_room(room);
-            match from.read(&mut self.bytes[self.input.1..self.input.1 + room]) {
-                Ok(0) => return Ok(Reached::End),
+            let chunk = allowed.min(CHUNK);
+            self.reserve_input(chunk);
+            match from.read(&mut self.bytes[self.input.1..self.input.1 + chunk]) {
+                Ok(0) => return Ok(ReadOutcome::EndOfStream),
                 Ok(length) => self.input.1 += length,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.release();
-                    return Ok(Reached::Drained);
+                    self.release_if_empty();
+                    return Ok(ReadOutcome::WouldBlock);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
@@ -91,23 +98,23 @@
         }
     }
 
-    /// Appends to what is to be written.
-    pub fn put(&mut self, bytes: &[u8]) {
-        if self.unsent() == 0 {
+    /// Appends bytes to the output.
+    pub fn queue_output(&mut self, bytes: &[u8]) {
+        if self.unsent_len() == 0 {
             self.output = (self.input.1, self.input.1);
         }
         if self.bytes.len() - self.output.1 < bytes.len() {
-            // Room at the front is used before the buffer grows.
+            // The free space at the front is used before the buffer grows.
             self.compact(0, bytes.len());
         }
         self.bytes[self.output.1..self.output.1 + bytes.len()].copy_from_slice(bytes);
         self.output.1 += bytes.len();
     }
 
-    /// Writes as much as is taken; tells how much.
+    /// Writes output until all of it is written or the writer would block. Returns the number of bytes written.
     pub fn write(&mut self, mut to: impl Write) -> Result<usize> {
-        let before = self.unsent();
-        while self.unsent() > 0 {
+        let before = self.unsent_len();
+        while self.unsent_len() > 0 {
             match to.write(&self.bytes[self.output.0..self.output.1]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(length) => self.output.0 += length,
@@ -116,8 +123,8 @@
                 Err(error) => return Err(error),
             }
         }
-        let written = before - self.unsent();
-        self.release();
+        let written = before - self.unsent_len();
+        self.release_if_empty();
         Ok(written)
     }
 }
--- a/crates/router/src/transport/client_session.rs
+++ b/crates/router/src/transport/client_session.rs
@@ -2,7 +2,7 @@
 
 mod commands;
 
-use super::buffer::{Buffer, Reached};
+use super::buffer::{Buffer, ReadOutcome};
 use crate::protocol::mysql::{self, Command};
 use crate::protocol::statement::{ParsedStatement, Question, StatementError};
 use crate::routing::SessionId;
@@ -160,7 +160,7 @@
 
     /// No request is open on it, and nothing is left to write.
     fn is_at_rest(&self) -> bool {
-        matches!(self.state, State::Login | State::Idle | State::Closing) && self.buffer.unsent() == 0
+        matches!(self.state, State::Login | State::Idle | State::Closing) && self.buffer.unsent_len() == 0
     }
 
     /// It may be closed without loss: it is at rest, and no complete packet of a client's waits for its turn.
@@ -172,14 +172,14 @@
     /// and cost its client the request.
     pub fn has_nothing_unread(&mut self, now: f64) -> bool {
         let Ok((came, reached)) = self.read(now) else { return true };
-        self.readable = reached == Reached::More;
-        self.has_ended = reached == Reached::End;
+        self.readable = reached == ReadOutcome::LimitReached;
+        self.has_ended = reached == ReadOutcome::EndOfStream;
         self.has_unread_packets |= came;
         self.state == State::Closing || !self.has_unread_packets
     }
 
     /// Reads what is ready; tells whether anything was.
-    fn read(&mut self, now: f64) -> io::Result<(bool, Reached)> {
+    fn read(&mut self, now: f64) -> io::Result<(bool, ReadOutcome)> {
         let before = self.buffer.input().len();
         let reached = self.buffer.read(&*self.stream, self.max_packet + mysql::HEADER)?;
         let came = self.buffer.input().len() > before;
@@ -205,7 +205,7 @@
     }
 
     pub fn unsent(&self) -> usize {
-        self.buffer.unsent()
+        self.buffer.unsent_len()
     }
 
     /// More may be ready than was read or taken: no readiness will tell of it again.
@@ -240,7 +240,7 @@
             State::Idle | State::Waiting | State::Closed => PACKET_TIMEOUT,
         };
         let is_late = self.began_at.is_some_and(|began| now > began + timeout);
-        let has_unsent = self.buffer.unsent() > 0;
+        let has_unsent = self.buffer.unsent_len() > 0;
         self.unsent_since = has_unsent.then(|| self.unsent_since.unwrap_or(now));
         let is_deaf = self.unsent_since.is_some_and(|since| now > since + ANSWER_TIMEOUT);
         if is_late || is_deaf || has_unsent && now > self.active_at + STALLED_AFTER {
@@ -287,9 +287,9 @@
     fn read_if_readable(&mut self, now: f64) -> io::Result<()> {
         if self.readable && !self.has_ended {
             match self.read(now)?.1 {
-                Reached::Drained => self.readable = false,
-                Reached::More => {}
-                Reached::End => {
+                ReadOutcome::WouldBlock => self.readable = false,
+                ReadOutcome::LimitReached => {}
+                ReadOutcome::EndOfStream => {
                     self.readable = false;
                     self.has_ended = true;
                 }
@@ -299,7 +299,7 @@
     }
 
     fn takes_packets(&self) -> bool {
-        matches!(self.state, State::Login | State::Idle) && self.buffer.unsent() == 0
+        matches!(self.state, State::Login | State::Idle) && self.buffer.unsent_len() == 0
     }
 
     fn is_ping(&self, body: &[u8]) -> bool {
@@ -316,7 +316,7 @@
     }
 
     fn take_packet(&mut self, sequence: u8, body: &[u8]) -> Option<SessionEvent> {
-        self.buffer.taken(mysql::HEADER + body.len());
+        self.buffer.consume(mysql::HEADER + body.len());
         self.began_at = self.began_at.filter(|_| self.state == State::Login);
         self.sequence = sequence.wrapping_add(1);
         let taken = match self.state {
@@ -344,7 +344,7 @@
         if self.state == State::Closing {
             // What it still sends is not read any more; its end is awaited, so that it can read the last answer.
             let length = self.buffer.input().len();
-            self.buffer.taken(length);
+            self.buffer.consume(length);
         }
         if self.has_ended && !self.has_unread_packets && !has_event && self.is_at_rest() {
             self.state = State::Closed;
@@ -366,7 +366,7 @@
     fn close_after_writing(&mut self) {
         self.state = State::Closing;
         self.began_at = None;
-        if self.buffer.unsent() == 0 {
+        if self.buffer.unsent_len() == 0 {
             // Where that fails the connection is gone already.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
@@ -376,7 +376,7 @@
     fn send(&mut self, write: impl FnOnce(&mut Vec<u8>, &mut u8)) {
         let mut out = Vec::new();
         write(&mut out, &mut self.sequence);
-        self.buffer.put(&out);
+        self.buffer.queue_output(&out);
         if let Err(error) = self.flush() {
             log::debug!("session {}: {error}", self.id);
             self.state = State::Closed;
@@ -384,9 +384,9 @@
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        if self.buffer.unsent() > 0 {
+        if self.buffer.unsent_len() > 0 {
             self.buffer.write(&*self.stream)?;
-            if self.state == State::Closing && self.buffer.unsent() == 0 {
+            if self.state == State::Closing && self.buffer.unsent_len() == 0 {
                 self.stream.shutdown(Shutdown::Write)?;
             }
         }
--- a/crates/router/src/transport/discovery_client.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -1,6 +1,6 @@
 //! The connection to the discovery service: made again whenever it is lost or silent, from the last event that is known.
 
-use super::buffer::{Buffer, Reached};
+use super::buffer::{Buffer, ReadOutcome};
 use super::sockets::{is_connected, RegisteredStream};
 use crate::protocol::discovery::{self, Event, Line, Malformed};
 use crate::routing::Counters;
@@ -211,27 +211,27 @@
         self.counters.discovery_connects += 1;
         let mut request = Vec::new();
         discovery::watch(&mut request, self.last_event);
-        self.buffer.put(&request);
+        self.buffer.queue_output(&request);
     }
 
     fn read(&mut self, stream: &TcpStream, now: f64, events: &mut Vec<Event>) -> Result<(), DiscoveryError> {
         let reached = self.buffer.read(stream, self.max_line)?;
-        self.readable = reached == Reached::More;
+        self.readable = reached == ReadOutcome::LimitReached;
         while let Some(end) = self.buffer.input().iter().position(|&byte| byte == b'\n') {
             self.note_heard(now);
             let line = discovery::line(&self.buffer.input()[..end]);
-            self.buffer.taken(end + 1);
+            self.buffer.consume(end + 1);
             if line.is_err() {
                 self.counters.discovery_malformed += 1;
             }
             self.take_line(line?, events)?;
         }
         match reached {
-            Reached::End => Err(DiscoveryError::Closed),
-            Reached::More if self.buffer.input().len() >= self.max_line => {
+            ReadOutcome::EndOfStream => Err(DiscoveryError::Closed),
+            ReadOutcome::LimitReached if self.buffer.input().len() >= self.max_line => {
                 Err(DiscoveryError::LineTooLong(self.max_line))
             }
-            Reached::More | Reached::Drained => Ok(()),
+            ReadOutcome::LimitReached | ReadOutcome::WouldBlock => Ok(()),
         }
     }
 
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -2,7 +2,7 @@
 
 mod queued_attempts;
 
-use super::buffer::{Buffer, Reached};
+use super::buffer::{Buffer, ReadOutcome};
 use super::engine_exchange::Exchange;
 use super::sockets::{is_connected, RegisteredStream};
 use crate::protocol::engine::{self, AnswerKind, Malformed};
@@ -151,7 +151,7 @@
             || self.queued.iter().any(|queued| queued.id == id);
         let is_full = self.load() >= limits.max_attempts_per_connection
             || self.used_ids.len() >= MAX_USED_IDS
-            || self.buffer.unsent() > MAX_UNSENT;
+            || self.buffer.unsent_len() > MAX_UNSENT;
         !is_full && !is_stale && !is_known && !self.is_mute(limits, now)
     }
 
@@ -201,16 +201,16 @@
 
     /// Its engine has yet to take bytes that were put on it.
     pub fn has_unsent(&self) -> bool {
-        self.buffer.unsent() > 0
+        self.buffer.unsent_len() > 0
     }
 
     fn put(&mut self, bytes: &[u8]) {
-        self.buffer.put(bytes);
+        self.buffer.queue_output(bytes);
         self.put += bytes.len() as u64;
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        if self.is_up() && self.buffer.unsent() > 0 {
+        if self.is_up() && self.buffer.unsent_len() > 0 {
             self.written += self.buffer.write(&*self.stream)? as u64;
         }
         Ok(())
@@ -300,8 +300,8 @@
         self.answer_began_at = is_cut.then(|| self.answer_began_at.unwrap_or(now));
         self.flush()?;
         match reached {
-            Reached::End => Err(ConnectionError::Closed),
-            Reached::Drained | Reached::More => Ok(()),
+            ReadOutcome::EndOfStream => Err(ConnectionError::Closed),
+            ReadOutcome::WouldBlock | ReadOutcome::LimitReached => Ok(()),
         }
     }
 
@@ -320,7 +320,7 @@
     }
 
     /// Reads what is ready, but no more than a part, so that one engine does not starve the others.
-    fn read(&mut self, now: f64) -> io::Result<Reached> {
+    fn read(&mut self, now: f64) -> io::Result<ReadOutcome> {
         let before = self.buffer.input().len();
         let reached = self.buffer.read(&*self.stream, MAX_INPUT)?;
         if self.buffer.input().len() > before {
@@ -329,7 +329,7 @@
             self.asked_at = None;
             self.known_mute = false;
         }
-        self.readable = reached == Reached::More;
+        self.readable = reached == ReadOutcome::LimitReached;
         Ok(reached)
     }
 
@@ -369,7 +369,7 @@
                     }
                 },
             }
-            self.buffer.taken(taken);
+            self.buffer.consume(taken);
             self.answer_began_at = None;
             if !requests.is_empty() {
                 self.put(&requests);
--- a/crates/router/src/transport/event_source.rs
+++ b/crates/router/src/transport/event_source.rs
@@ -1,4 +1,4 @@
-//! What the event loop reports as ready, and how files are registered with it.
+//! The sources of events that the event loop reports as ready, and the registration of files and signals with it.
 
 use crate::routing::SessionId;
 use calloop::generic::Generic;
@@ -7,32 +7,35 @@
 use std::io;
 use std::os::fd::AsFd;
 
-/// What an event is about.
+/// The file that an event concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EventSource {
+    /// The socket that accepts client connections.
     ClientListener,
     ClientSession(SessionId),
+    /// A connection to an engine, by the id that the connection pool gave it.
     EngineConnection(u64),
+    /// The connection to the discovery service.
     Discovery,
-    /// A connection to a routing peer.
+    /// A connection to a BGP peer, by the id that the speaker gave it.
     BgpConnection(u64),
-    /// Where routing peers connect to.
+    /// The socket that accepts connections from BGP peers.
     BgpListener,
-    /// The socket to other routers.
+    /// The UDP socket to the other routers of the cluster.
     Cluster,
 }
 
-/// What has become ready since the last turn; the loop's callbacks only note it here.
+/// The files and signals that have become ready since the last turn. The event loop's callbacks only record them here.
 #[derive(Default)]
 pub struct ReadyEvents {
     pub sources: Vec<(EventSource, Readiness)>,
     pub signals: Vec<Signal>,
 }
 
-/// The handle by which files are registered with the event loop.
+/// The handle that registers files with the event loop.
 pub type LoopHandle = calloop::LoopHandle<'static, ReadyEvents>;
 
-/// Registers a file under its source.
+/// Registers a file for edge-triggered reads and writes; its events are recorded under `source`.
 pub fn watch<F: AsFd + 'static>(
     handle: &LoopHandle,
     file: F,
--- a/crates/router/src/transport/sockets.rs
+++ b/crates/router/src/transport/sockets.rs
@@ -1,4 +1,4 @@
-//! Outgoing TCP connections that come up, or do not, later.
+//! Outgoing non-blocking TCP connections, which are established or fail after the call that starts them.
 
 use super::event_source::{watch, EventSource, LoopHandle};
 use calloop::RegistrationToken;
@@ -14,7 +14,7 @@
     pub stream: Rc<TcpStream>,
 }
 
-/// Begins a connection.
+/// Starts a connection and registers it with the event loop.
 pub fn begin_connect(
     handle: &LoopHandle,
     to: SocketAddr,
@@ -29,7 +29,7 @@
     Ok(RegisteredStream { token, stream })
 }
 
-/// Begins the connection of a socket that does not block.
+/// Starts the connection of a non-blocking socket. That it is still in progress is no error.
 pub fn connect_nonblocking(socket: &Socket, to: SocketAddr) -> io::Result<()> {
     match socket.connect(&to.into()) {
         Err(error) if !is_in_progress(&error) => Err(error),
@@ -41,22 +41,22 @@
     matches!(Errno::from_io_error(error), Some(Errno::INPROGRESS | Errno::WOULDBLOCK))
 }
 
-/// Whether a connection that was begun is up.
+/// Whether a connection that was started is established.
 ///
 /// # Errors
-/// Why it never will be; it has until `until` to come up.
-pub fn is_connected(stream: &TcpStream, until: f64, now: f64) -> io::Result<bool> {
+/// The connection failed, or it is not established and `now` has reached `connect_by`.
+pub fn is_connected(stream: &TcpStream, connect_by: f64, now: f64) -> io::Result<bool> {
     if let Some(error) = stream.take_error()? {
         return Err(error);
     }
-    let is_up = stream.peer_addr().is_ok();
-    if !is_up && now >= until {
-        return Err(io::Error::new(io::ErrorKind::TimedOut, "no connection came up"));
+    let is_established = stream.peer_addr().is_ok();
+    if !is_established && now >= connect_by {
+        return Err(io::Error::new(io::ErrorKind::TimedOut, "the connection was not established in time"));
     }
-    Ok(is_up)
+    Ok(is_established)
 }
 
-/// The process or the system has no descriptor or buffer left.
+/// Whether the process or the system has run out of file descriptors or socket buffers.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS))
 }
