--- a/crates/membership/src/leader.rs
+++ b/crates/membership/src/leader.rs
@@ -6,7 +6,7 @@
 //! one natural successor when the holder does not, and the number of requests does not grow with that of routers.
 
 use crate::lease::{Epoch, Leases, Resource, MAX_TERM};
-use crate::view::Allowed;
+use crate::view::Permissions;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Roles of one cluster at most; more are left alone.
@@ -64,7 +64,7 @@
     /// The routers that are present.
     pub present: &'a [u16],
     /// What the view of this router allows.
-    pub allowed: Allowed,
+    pub allowed: Permissions,
     /// A draw from 0 to 1, which spreads the requests of many routers.
     pub chance: f64,
 }
@@ -119,7 +119,7 @@
 }
 
 /// Requests an extension of a lease that is held. That needs no view, as a majority either grants it or does not.
-fn extend(resource: Resource, remaining: f64, allowed: Allowed, leases: &mut Leases, now: f64) {
+fn extend(resource: Resource, remaining: f64, allowed: Permissions, leases: &mut Leases, now: f64) {
     let renews = remaining < MAX_TERM * (1.0 - RENEW_AFTER);
     if renews && allowed.requests_leases {
         leases.request(resource, now);
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -36,10 +36,6 @@
 /// What a lease is for.
 pub type Resource = u32;
 
-/// The former name of [`Resource`], until the test bed uses the new one.
-#[doc(hidden)]
-pub type Thing = Resource;
-
 /// Grows with each attempt: a counter, then the number of the router that made it, so that no two are alike.
 pub type Epoch = u64;
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,6 +1,6 @@
 //! What is known of one router, how its state changes, and what is counted of all.
 
-use crate::wire::Dropped;
+use crate::wire::DropReason;
 use std::collections::BTreeMap;
 
 /// The state of one router in this router's view.
@@ -102,7 +102,7 @@
 
 /// A router came to another state.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
+pub struct StateChange {
     /// When, in seconds of the host's clock.
     pub at: f64,
     /// The router, by its place in the cluster file.
@@ -119,7 +119,7 @@
 
 /// What was counted since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Datagrams that came in.
     pub received: u64,
     /// Datagrams that went out.
@@ -127,7 +127,7 @@
     /// Bytes of those.
     pub sent_bytes: u64,
     /// Datagrams that were dropped, by the reason.
-    pub dropped: BTreeMap<Dropped, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
     /// Suspicions of others, by this router or by others.
     pub accusations: u64,
     /// Suspicions of this router that it refuted.
--- a/crates/membership/src/membership/leases.rs
+++ b/crates/membership/src/membership/leases.rs
@@ -1,12 +1,12 @@
 //! What only one router does at a time: leases that the host requests, and leader roles that are requested here.
 
-use super::Members;
+use super::Membership;
 use crate::leader::{Candidate, LeaderRoles, RoleStatus};
 use crate::lease::{Epoch, Resource};
 use crate::view::Standing;
 
-impl Members {
-    /// Requests a lease where the view allows that; whether it was granted is seen by [`Members::holds`].
+impl Membership {
+    /// Requests a lease where the view allows that; whether it was granted is seen by [`Membership::holds`].
     pub fn request_lease(&mut self, resource: Resource, now: f64) {
         if self.allowed().requests_leases {
             self.leases.request(resource, now);
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -9,20 +9,20 @@
 use crate::direct_probe::DirectProbes;
 use crate::leader::LeaderRoles;
 use crate::lease::Leases;
-use crate::member::{Change, Counts, Member, State, ViewDigest};
-use crate::swim::{DetectorCounts, Incarnation, Pace, Swim};
-use crate::view::{self, Allowed, Standing};
+use crate::member::{Counters, Member, State, StateChange, ViewDigest};
+use crate::swim::{DetectorCounters, DetectorSettings, Incarnation, Swim};
+use crate::view::{self, Permissions, Standing};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Routers of one cluster at most; a file that names more is refused.
-pub const MOST_ROUTERS: usize = 2000;
+pub const MAX_ROUTERS: usize = 2000;
 /// Timers of the failure detector that one turn serves, so that a turn after a long pause is short.
 const MAX_TIMERS: usize = 64;
 /// A turn that comes so much later than it was due tells of a pause, in seconds: the process was frozen, or had no core.
 const PAUSE: f64 = 0.75;
 
 /// One router's part in the cluster. Times are in seconds of the host's clock, which nobody sets.
-pub struct Members {
+pub struct Membership {
     me: u16,
     cluster: u64,
     members: Vec<Member>,
@@ -40,8 +40,8 @@
     /// What this router says of engines.
     observations: Vec<Observation>,
     outgoing: Vec<(u16, Vec<u8>)>,
-    changes: Vec<Change>,
-    counts: Counts,
+    changes: Vec<StateChange>,
+    counts: Counters,
     started: f64,
     /// When the last pause ended.
     resumed_at: f64,
@@ -73,26 +73,26 @@
     hasher.finish()
 }
 
-impl Members {
+impl Membership {
     /// A router's part after its start.
     ///
-    /// `me` is its place among the `routers` that the cluster file names, at most [`MOST_ROUTERS`]. `born` has to be larger
+    /// `me` is its place among the `routers` that the cluster file names, at most [`MAX_ROUTERS`]. `born` has to be larger
     /// than in any former incarnation: the Unix time of the start in milliseconds.
     pub fn new(
         cluster: u64,
         routers: usize,
         me: usize,
         born: u64,
-        pace: &Pace,
+        pace: &DetectorSettings,
         seed: u64,
         now: f64,
-    ) -> Members {
-        let routers = routers.clamp(1, MOST_ROUTERS);
+    ) -> Membership {
+        let routers = routers.clamp(1, MAX_ROUTERS);
         let incarnation = Incarnation { router: me as u16, born, leaving: false };
         let mut members = vec![Member::unseen(now); routers];
         members[me].state = State::Present;
         members[me].born = born;
-        Members {
+        Membership {
             me: me as u16,
             cluster,
             members,
@@ -107,7 +107,7 @@
             observations: Vec::new(),
             outgoing: Vec::new(),
             changes: Vec::new(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             started: now,
             resumed_at: f64::NEG_INFINITY,
             formed: false,
@@ -186,7 +186,7 @@
     }
 
     /// What its standing allows.
-    pub fn allowed(&self) -> Allowed {
+    pub fn allowed(&self) -> Permissions {
         view::allows(self.standing)
     }
 
@@ -239,11 +239,11 @@
     }
 
     /// The changes of state since this was last called, the oldest first.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// When [`Members::turn`] is to be called next, in seconds of the host's clock.
+    /// When [`Membership::turn`] is to be called next, in seconds of the host's clock.
     pub fn due(&self) -> f64 {
         let observed_at = self.observe_at + observe::OBSERVE_INTERVAL;
         let own = self.heartbeat_at.min(self.announce_at).min(observed_at).min(self.probes.due());
@@ -267,8 +267,8 @@
     }
 
     /// What was counted since the start.
-    pub fn counts(&self) -> Counts {
-        let DetectorCounts { refutations, new_incarnations, contradicted } = self.swim.counts();
-        Counts { refutations, new_incarnations, contradicted, ..self.counts.clone() }
+    pub fn counts(&self) -> Counters {
+        let DetectorCounters { refutations, new_incarnations, contradicted } = self.swim.counts();
+        Counters { refutations, new_incarnations, contradicted, ..self.counts.clone() }
     }
 }
--- a/crates/membership/src/membership/observe.rs
+++ b/crates/membership/src/membership/observe.rs
@@ -1,10 +1,10 @@
 //! The state of each router, from what the failure detector tells and what is heard directly; and what is counted of all.
 
 use super::receive::{NAME_CONFLICT_INCARNATIONS, NAME_CONFLICT_WITHIN};
-use super::Members;
-use crate::member::{Change, Member, State, ViewDigest};
+use super::Membership;
+use crate::member::{Member, State, StateChange, ViewDigest};
 use crate::swim::{DetectorState, Incarnation};
-use crate::view::{self, Count};
+use crate::view::{self, ViewInputs};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// All routers are looked over no more often than this, in seconds, whatever comes in: it takes time in proportion to their
@@ -17,7 +17,7 @@
 /// Changes that are kept for the host; the oldest go.
 const MAX_CHANGES: usize = 1000;
 
-impl Members {
+impl Membership {
     /// Puts together what the detector tells and what is heard directly, and notes who came to another state.
     pub(super) fn observe(&mut self, now: f64) {
         let states: Vec<(Incarnation, DetectorState)> = self.swim.states().collect();
@@ -77,12 +77,12 @@
         if self.changes.len() >= MAX_CHANGES {
             self.changes.remove(0);
         }
-        self.changes.push(Change { at: now, router, from, to, born, heard_ago });
+        self.changes.push(StateChange { at: now, router, from, to, born, heard_ago });
     }
 
     /// What is counted now, which the standing follows from.
-    pub fn count(&self, now: f64) -> Count {
-        Count {
+    pub fn count(&self, now: f64) -> ViewInputs {
+        ViewInputs {
             expected: self.members.len(),
             present: usize::from(self.view.present),
             formed: self.formed,
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,13 +1,13 @@
 //! What is received: each datagram is checked, what its envelope tells is noted, and its body goes to its part.
 
 use super::send::HEARTBEAT_INTERVAL;
-use super::Members;
+use super::Membership;
 use crate::digest;
 use crate::direct_probe::MAX_NAMED;
 use crate::lease::Message;
 use crate::member::ViewDigest;
 use crate::swim::YOUNGEST;
-use crate::wire::{self, Dropped, Envelope, Kind, LastHeard, HEARD_UNIT};
+use crate::wire::{self, DropReason, Envelope, Kind, LastHeard, HEARD_UNIT};
 
 /// The probes of one router are answered no more often than this, in seconds: several of one round are answered once.
 const ANSWER_INTERVAL: f64 = 0.05;
@@ -18,12 +18,12 @@
 pub(super) const NAME_CONFLICT_INCARNATIONS: usize = 4;
 pub(super) const NAME_CONFLICT_WITHIN: f64 = 20.0;
 
-impl Members {
+impl Membership {
     /// Takes a datagram that came from the address of router `from`.
     ///
     /// # Errors
     /// Why it was dropped, which is also counted.
-    pub fn datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), Dropped> {
+    pub fn datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
         self.check_pause(now);
         self.counts.received += 1;
         let taken = self.take(from, bytes, now);
@@ -33,7 +33,7 @@
         taken
     }
 
-    fn take(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), Dropped> {
+    fn take(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
         let (envelope, body) = wire::read(bytes)?;
         self.check(from, &envelope)?;
         self.note_contact(from, &envelope, now)?;
@@ -42,7 +42,7 @@
         self.renew_incarnation(&envelope, now);
         self.notify_absent(from, &envelope, now);
         match envelope.kind {
-            Kind::Swim => self.swim.receive(body, now).map_err(|_| Dropped::Body),
+            Kind::Swim => self.swim.receive(body, now).map_err(|_| DropReason::Body),
             Kind::Heartbeat => self.take_heartbeat(from, body, now),
             Kind::DirectProbe => {
                 self.answer_direct_probe(from, now);
@@ -55,27 +55,27 @@
     }
 
     /// It is of this cluster, from this sender, and meant for this router.
-    fn check(&self, from: usize, envelope: &Envelope) -> Result<(), Dropped> {
+    fn check(&self, from: usize, envelope: &Envelope) -> Result<(), DropReason> {
         if envelope.cluster != self.cluster {
-            return Err(Dropped::OtherCluster);
+            return Err(DropReason::OtherCluster);
         }
         let known = from < self.members.len() && from != usize::from(self.me);
         if !known || usize::from(envelope.from) != from || envelope.to != self.me {
-            return Err(Dropped::WrongSender);
+            return Err(DropReason::WrongSender);
         }
         if envelope.born > YOUNGEST || envelope.receiver_born > YOUNGEST {
-            return Err(Dropped::Body);
+            return Err(DropReason::Body);
         }
         Ok(())
     }
 
     /// Notes that the sender was heard, in which incarnation, and when it last heard this router.
-    fn note_contact(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), Dropped> {
+    fn note_contact(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), DropReason> {
         {
             let mut contacts = self.swim.contacts.borrow_mut();
             contacts.now = now;
             if !contacts.record(from, envelope.born) {
-                return Err(Dropped::FormerIncarnation);
+                return Err(DropReason::FormerIncarnation);
             }
         }
         self.swim.heard(now);
@@ -147,8 +147,8 @@
         }
     }
 
-    fn take_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
-        let observations = digest::read(body).ok_or(Dropped::Body)?;
+    fn take_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
+        let observations = digest::read(body).ok_or(DropReason::Body)?;
         self.digests.receive(from as u16, observations, now);
         Ok(())
     }
@@ -161,10 +161,10 @@
     }
 
     /// Tells when the routers that are named were last heard here.
-    fn answer_indirect_probe(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
-        let named: Vec<u16> = postcard::from_bytes(body).map_err(|_| Dropped::Body)?;
+    fn answer_indirect_probe(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
+        let named: Vec<u16> = postcard::from_bytes(body).map_err(|_| DropReason::Body)?;
         if named.len() > MAX_NAMED {
-            return Err(Dropped::Body);
+            return Err(DropReason::Body);
         }
         if now < self.members[from].indirect_probe_answered_at + ANSWER_INTERVAL {
             return Ok(());
@@ -182,10 +182,10 @@
         LastHeard { router, ago: ago.min(f64::from(u8::MAX)) as u8 }
     }
 
-    fn take_indirect_ack(&mut self, body: &[u8]) -> Result<(), Dropped> {
-        let answer: Vec<LastHeard> = postcard::from_bytes(body).map_err(|_| Dropped::Body)?;
+    fn take_indirect_ack(&mut self, body: &[u8]) -> Result<(), DropReason> {
+        let answer: Vec<LastHeard> = postcard::from_bytes(body).map_err(|_| DropReason::Body)?;
         if answer.len() > MAX_NAMED {
-            return Err(Dropped::Body);
+            return Err(DropReason::Body);
         }
         for heard in answer.into_iter().filter(|heard| heard.ago < u8::MAX) {
             self.probes.heard_by_other(heard.router, f64::from(heard.ago) * HEARD_UNIT);
@@ -193,10 +193,10 @@
         Ok(())
     }
 
-    fn take_lease(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), Dropped> {
-        let (message, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| Dropped::Body)?;
+    fn take_lease(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
+        let (message, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| DropReason::Body)?;
         if !rest.is_empty() {
-            return Err(Dropped::Body);
+            return Err(DropReason::Body);
         }
         let asks_for_grant = matches!(message, Message::Prepare { .. } | Message::Propose { .. });
         if self.allowed().grants_leases || !asks_for_grant {
--- a/crates/membership/src/membership/send.rs
+++ b/crates/membership/src/membership/send.rs
@@ -1,6 +1,6 @@
 //! What is sent: heartbeats to the others in turn, probes of silent routers, and the messages of the parts.
 
-use super::Members;
+use super::Membership;
 use crate::digest;
 use crate::direct_probe::Peer;
 use crate::member::State;
@@ -17,7 +17,7 @@
 /// The least time without a datagram after which a router counts as not heard, in seconds.
 const MIN_SILENCE: f64 = 2.0;
 
-impl Members {
+impl Membership {
     /// Sends a heartbeat to the next of the others, with what was seen of engines.
     pub(super) fn send_heartbeats(&mut self, now: f64) {
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -21,7 +21,7 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use runtime::HostRuntime;
-pub use settings::{Defences, Pace};
+pub use settings::{Defences, DetectorSettings};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -52,7 +52,7 @@
 
 /// What the detector has counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DetectorCounts {
+pub struct DetectorCounters {
     /// Suspicions of this router that it refuted.
     pub refutations: u64,
     /// Incarnations that it had to begin anew.
@@ -84,7 +84,7 @@
 
 impl Swim {
     /// The detector of the router with this incarnation, among so many.
-    pub fn new(me: Incarnation, routers: usize, pace: &Pace, seed: u64, now: f64) -> Swim {
+    pub fn new(me: Incarnation, routers: usize, pace: &DetectorSettings, seed: u64, now: f64) -> Swim {
         let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.own_observations, now)));
         let contradicted = Rc::new(RefCell::new(0));
         let codec =
@@ -112,8 +112,8 @@
     }
 
     /// What was counted since the start.
-    pub fn counts(&self) -> DetectorCounts {
-        DetectorCounts {
+    pub fn counts(&self) -> DetectorCounters {
+        DetectorCounters {
             refutations: self.runtime.refutations,
             new_incarnations: self.runtime.new_incarnations,
             contradicted: *self.contradicted.borrow(),
--- a/crates/membership/src/swim/settings.rs
+++ b/crates/membership/src/swim/settings.rs
@@ -51,7 +51,7 @@
 
 /// The timing of the failure detector, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct DetectorSettings {
     /// Between two probes of the detector.
     pub probe_period: f64,
     /// How long an answer to a probe may take before others are asked to probe.
@@ -62,13 +62,18 @@
     pub defences: Defences,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace { probe_period: 0.4, round_trip: 0.12, suspicion: 1.0, defences: Defences::default() }
+impl Default for DetectorSettings {
+    fn default() -> DetectorSettings {
+        DetectorSettings {
+            probe_period: 0.4,
+            round_trip: 0.12,
+            suspicion: 1.0,
+            defences: Defences::default(),
+        }
     }
 }
 
-impl Pace {
+impl DetectorSettings {
     /// News reaches all in a number of rounds that grows with the logarithm of the number of routers.
     pub(super) fn suspicion_for(&self, routers: usize) -> f64 {
         if !self.defences.suspicion {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -3,7 +3,7 @@
 
 /// What is counted at one moment. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Count {
+pub struct ViewInputs {
     /// Routers that the cluster file names, this one among them.
     pub expected: usize,
     /// Of them held present, this one among them.
@@ -93,7 +93,7 @@
 }
 
 /// The standing that follows from what is counted.
-pub fn standing(count: &Count) -> Standing {
+pub fn standing(count: &ViewInputs) -> Standing {
     let enough = count.present >= majority(count.expected);
     match () {
         () if count.leaving => Standing::Leaving,
@@ -113,7 +113,7 @@
 /// What a standing allows. Whatever it says, this router serves its own requests, by itself, and its decisions keep their
 /// rules with the share that it holds: a view makes a share no larger, as it may be wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
+pub struct Permissions {
     /// It may request a lease, and use one that it holds as long as that lasts by its own clock.
     pub requests_leases: bool,
     /// It answers others that ask. One that is just started may have granted what it has forgotten.
@@ -131,8 +131,8 @@
 }
 
 /// What a standing allows.
-pub fn allows(standing: Standing) -> Allowed {
-    let all = Allowed {
+pub fn allows(standing: Standing) -> Permissions {
+    let all = Permissions {
         requests_leases: true,
         grants_leases: true,
         takes_over: true,
@@ -141,19 +141,19 @@
         uses_peer_evidence: true,
         warns: false,
     };
-    let few = Allowed { requests_leases: false, takes_over: false, uses_released_shares: false, ..all };
+    let few = Permissions { requests_leases: false, takes_over: false, uses_released_shares: false, ..all };
     match standing {
         Standing::Complete | Standing::Majority => all,
         // Leases are safe whatever the views are; but who is gone is not known well enough to take over from.
-        Standing::Disagreeing => Allowed { takes_over: false, warns: true, ..all },
+        Standing::Disagreeing => Permissions { takes_over: false, warns: true, ..all },
         // They can grant to one of the others' side that asks, but have no majority for themselves.
-        Standing::Half | Standing::Minority | Standing::Alone => Allowed { warns: true, ..few },
-        Standing::NeverFormed => Allowed { warns: true, ..few },
+        Standing::Half | Standing::Minority | Standing::Alone => Permissions { warns: true, ..few },
+        Standing::NeverFormed => Permissions { warns: true, ..few },
         // What it has forgotten, or missed while paused, must expire first. What it saw of engines is old.
-        Standing::JustStarted => Allowed { grants_leases: false, shares_observations: false, ..few },
-        Standing::JustResumed => Allowed { shares_observations: false, uses_peer_evidence: false, ..few },
-        Standing::Leaving => Allowed { shares_observations: false, ..few },
-        Standing::NameConflict => Allowed {
+        Standing::JustStarted => Permissions { grants_leases: false, shares_observations: false, ..few },
+        Standing::JustResumed => Permissions { shares_observations: false, uses_peer_evidence: false, ..few },
+        Standing::Leaving => Permissions { shares_observations: false, ..few },
+        Standing::NameConflict => Permissions {
             grants_leases: false,
             shares_observations: false,
             uses_peer_evidence: false,
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn count(expected: usize, present: usize) -> Count {
-    Count {
+fn count(expected: usize, present: usize) -> ViewInputs {
+    ViewInputs {
         expected,
         present,
         formed: true,
@@ -25,15 +25,15 @@
         (count(10, 4), Standing::Minority),
         (count(9, 4), Standing::Minority),
         (count(9, 1), Standing::Alone),
-        (Count { formed: false, ..count(9, 4) }, Standing::NeverFormed),
-        (Count { formed: false, ..count(9, 1) }, Standing::NeverFormed),
-        (Count { disagreeing: 1, ..count(9, 9) }, Standing::Disagreeing),
-        (Count { disagreeing: 3, ..count(9, 4) }, Standing::Minority),
-        (Count { resumed_ago: 0.1, ..count(9, 9) }, Standing::JustResumed),
-        (Count { started_ago: 0.1, ..count(9, 9) }, Standing::JustStarted),
-        (Count { started_ago: 0.1, resumed_ago: 0.0, ..count(9, 9) }, Standing::JustResumed),
-        (Count { name_conflict: true, ..count(9, 9) }, Standing::NameConflict),
-        (Count { leaving: true, name_conflict: true, ..count(9, 9) }, Standing::Leaving),
+        (ViewInputs { formed: false, ..count(9, 4) }, Standing::NeverFormed),
+        (ViewInputs { formed: false, ..count(9, 1) }, Standing::NeverFormed),
+        (ViewInputs { disagreeing: 1, ..count(9, 9) }, Standing::Disagreeing),
+        (ViewInputs { disagreeing: 3, ..count(9, 4) }, Standing::Minority),
+        (ViewInputs { resumed_ago: 0.1, ..count(9, 9) }, Standing::JustResumed),
+        (ViewInputs { started_ago: 0.1, ..count(9, 9) }, Standing::JustStarted),
+        (ViewInputs { started_ago: 0.1, resumed_ago: 0.0, ..count(9, 9) }, Standing::JustResumed),
+        (ViewInputs { name_conflict: true, ..count(9, 9) }, Standing::NameConflict),
+        (ViewInputs { leaving: true, name_conflict: true, ..count(9, 9) }, Standing::Leaving),
     ];
     for (count, wanted) in rows {
         assert_eq!(standing(&count), wanted, "{count:?}");
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -89,7 +89,7 @@
 
 /// Why a datagram was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DropReason {
     /// Longer than [`MAX_DATAGRAM`].
     TooLong,
     /// Without the magic bytes, with a length that does not fit, or with a wrong checksum.
@@ -106,31 +106,31 @@
     Body,
 }
 
-impl Dropped {
+impl DropReason {
     /// All reasons, in the order of the checks.
-    pub const ALL: [Dropped; 7] = [
-        Dropped::TooLong,
-        Dropped::Noise,
-        Dropped::Version,
-        Dropped::OtherCluster,
-        Dropped::WrongSender,
-        Dropped::FormerIncarnation,
-        Dropped::Body,
+    pub const ALL: [DropReason; 7] = [
+        DropReason::TooLong,
+        DropReason::Noise,
+        DropReason::Version,
+        DropReason::OtherCluster,
+        DropReason::WrongSender,
+        DropReason::FormerIncarnation,
+        DropReason::Body,
     ];
 }
 
-impl std::error::Error for Dropped {}
+impl std::error::Error for DropReason {}
 
-impl fmt::Display for Dropped {
+impl fmt::Display for DropReason {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str(match self {
-            Dropped::TooLong => "too_long",
-            Dropped::Noise => "noise",
-            Dropped::Version => "version",
-            Dropped::OtherCluster => "other_cluster",
-            Dropped::WrongSender => "wrong_sender",
-            Dropped::FormerIncarnation => "former_life",
-            Dropped::Body => "body",
+            DropReason::TooLong => "too_long",
+            DropReason::Noise => "noise",
+            DropReason::Version => "version",
+            DropReason::OtherCluster => "other_cluster",
+            DropReason::WrongSender => "wrong_sender",
+            DropReason::FormerIncarnation => "former_life",
+            DropReason::Body => "body",
         })
     }
 }
@@ -154,21 +154,21 @@
 ///
 /// # Errors
 /// Why it is none of this format, as far as its bytes alone tell.
-pub fn read(bytes: &[u8]) -> Result<(Envelope, &[u8]), Dropped> {
+pub fn read(bytes: &[u8]) -> Result<(Envelope, &[u8]), DropReason> {
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Dropped::TooLong);
+        return Err(DropReason::TooLong);
     }
     if bytes.len() < MIN_DATAGRAM || bytes[..2] != MAGIC {
-        return Err(Dropped::Noise);
+        return Err(DropReason::Noise);
     }
     let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM);
     if crc32fast::hash(content).to_le_bytes() != checksum {
-        return Err(Dropped::Noise);
+        return Err(DropReason::Noise);
     }
     if content[2] != VERSION {
-        return Err(Dropped::Version);
+        return Err(DropReason::Version);
     }
-    postcard::take_from_bytes(&content[3..]).map_err(|_| Dropped::Noise)
+    postcard::take_from_bytes(&content[3..]).map_err(|_| DropReason::Noise)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -38,14 +38,14 @@
 fn rejects_cut_or_damaged_datagrams_as_noise() {
     let whole = write(&envelope(), b"a body").unwrap();
     for at in 0..whole.len() {
-        assert_eq!(read(&whole[..at]).err(), Some(Dropped::Noise), "cut at {at}");
+        assert_eq!(read(&whole[..at]).err(), Some(DropReason::Noise), "cut at {at}");
         for bit in 0..8 {
             let mut damaged = whole.clone();
             damaged[at] ^= 1 << bit;
-            assert_eq!(read(&damaged).err(), Some(Dropped::Noise), "byte {at}, bit {bit}");
+            assert_eq!(read(&damaged).err(), Some(DropReason::Noise), "byte {at}, bit {bit}");
         }
     }
-    assert_eq!(read(&[0; MAX_DATAGRAM + 1]).err(), Some(Dropped::TooLong));
+    assert_eq!(read(&[0; MAX_DATAGRAM + 1]).err(), Some(DropReason::TooLong));
 }
 
 #[test]
@@ -55,7 +55,7 @@
     let end = bytes.len() - 4;
     let sum = crc32fast::hash(&bytes[..end]).to_le_bytes();
     bytes[end..].copy_from_slice(&sum);
-    assert_eq!(read(&bytes).err(), Some(Dropped::Version));
+    assert_eq!(read(&bytes).err(), Some(DropReason::Version));
 }
 
 proptest! {
--- a/crates/membership/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -2,7 +2,7 @@
 //! stateright. A state is the faults so far; what comes of them is played in virtual time, then left without faults.
 
 use cleatgw_membership::leader::role_resource;
-use cleatgw_membership::swim::{Defences, Pace};
+use cleatgw_membership::swim::{Defences, DetectorSettings};
 use cleatgw_membership::view::Standing;
 use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::scenarios::virtual_membership::World;
@@ -32,7 +32,11 @@
 
 impl Views {
     fn play(&self, path: &Path) -> World {
-        let mut world = World::new(ROUTERS, Pace { defences: self.defences, ..Pace::default() }, 5);
+        let mut world = World::new(
+            ROUTERS,
+            DetectorSettings { defences: self.defences, ..DetectorSettings::default() },
+            5,
+        );
         world.role = Some(role_resource("one"));
         world.rates = vec![0.99, 1.01, 1.0];
         (0..ROUTERS).for_each(|router| world.at(0.0, FaultAction::Start(router)));
--- a/crates/membership/tests/golden_bytes.rs
+++ b/crates/membership/tests/golden_bytes.rs
@@ -3,9 +3,9 @@
 
 use cleatgw_membership::digest::{self, DigestRounds, EngineIncarnation, Observation};
 use cleatgw_membership::lease::Message;
-use cleatgw_membership::swim::Pace;
+use cleatgw_membership::swim::DetectorSettings;
 use cleatgw_membership::wire::{self, Envelope, Kind, LastHeard};
-use cleatgw_membership::{cluster_hash, Members};
+use cleatgw_membership::{cluster_hash, Membership};
 use expect_test::expect_file;
 
 fn hex(bytes: &[u8]) -> String {
@@ -91,8 +91,18 @@
 fn a_seeded_cluster_sends_the_same_datagrams_as_the_former_version() {
     const ROUTERS: usize = 5;
     let cluster = cluster_hash("golden", ["a", "b", "c", "d", "e"]);
-    let mut members: Vec<Members> = (0..ROUTERS)
-        .map(|me| Members::new(cluster, ROUTERS, me, 1000 + me as u64, &Pace::default(), 40 + me as u64, 0.0))
+    let mut members: Vec<Membership> = (0..ROUTERS)
+        .map(|me| {
+            Membership::new(
+                cluster,
+                ROUTERS,
+                me,
+                1000 + me as u64,
+                &DetectorSettings::default(),
+                40 + me as u64,
+                0.0,
+            )
+        })
         .collect();
     let mut text = String::new();
     let mut silent = [false; ROUTERS];
--- a/crates/membership/tests/growth.rs
+++ b/crates/membership/tests/growth.rs
@@ -1,12 +1,12 @@
 //! What routers send each other as they become more: counted in virtual time, so that every machine gives the same verdict.
 
-use cleatgw_membership::swim::Pace;
+use cleatgw_membership::swim::DetectorSettings;
 use cleatgw_testbed::faults::schedule::{three_regions, FaultAction};
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// Datagrams and bytes that one router sends in ten idle seconds on average, once the news of all the starts is spread.
 fn idle_traffic(routers: usize, far: bool) -> (f64, f64) {
-    let mut world = World::started(routers, Pace::default(), 37);
+    let mut world = World::started(routers, DetectorSettings::default(), 37);
     if far {
         world.link_conditions.place((0..routers).map(|router| router % 10).collect(), three_regions());
     }
@@ -40,7 +40,7 @@
 #[test]
 fn traffic_of_a_router_after_losing_a_zone_does_not_grow_with_the_cluster() {
     let peak = |routers: usize| {
-        let mut world = World::started(routers, Pace::default(), 38);
+        let mut world = World::started(routers, DetectorSettings::default(), 38);
         world.link_conditions.place((0..routers).map(|router| router % 10).collect(), three_regions());
         world.run_until(12.0);
         let lost: Vec<usize> = (0..routers).step_by(10).collect();
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -2,7 +2,7 @@
 //! machine's load is in the figures.
 
 use cleatgw_membership::leader::role_resource;
-use cleatgw_membership::swim::Pace;
+use cleatgw_membership::swim::DetectorSettings;
 use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
@@ -22,7 +22,7 @@
 fn leaves(seed: u64, delay: f64, moments: usize, step: f64) -> (f64, usize) {
     let (mut longest, mut again) = (0.0f64, 0);
     for moment in 0..moments {
-        let mut world = World::new(5, Pace::default(), seed);
+        let mut world = World::new(5, DetectorSettings::default(), seed);
         world.role = Some(role_resource("nightly"));
         world.link_conditions.all(|link| link.delay = delay);
         (0..5).for_each(|router| world.at(0.0, FaultAction::Start(router)));
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -1,18 +1,18 @@
 //! Several routers in virtual time: one scenario for each way in which they may lose contact with one another.
 
-use cleatgw_membership::swim::{Defences, Pace};
+use cleatgw_membership::swim::{Defences, DetectorSettings};
 use cleatgw_membership::view::Standing;
-use cleatgw_membership::wire::Dropped;
-use cleatgw_membership::{cluster_hash, Members, State};
+use cleatgw_membership::wire::DropReason;
+use cleatgw_membership::{cluster_hash, Membership, State};
 use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
 /// All started and whole.
 fn whole(routers: usize, seed: u64) -> World {
-    whole_with(routers, Pace::default(), seed)
+    whole_with(routers, DetectorSettings::default(), seed)
 }
 
-fn whole_with(routers: usize, pace: Pace, seed: u64) -> World {
+fn whole_with(routers: usize, pace: DetectorSettings, seed: u64) -> World {
     let mut world = World::started(routers, pace, seed);
     world.run_until(8.0);
     for router in 0..routers {
@@ -185,7 +185,7 @@
 #[test]
 fn false_suspicions_of_an_overloaded_router_are_not_believed() {
     let once = |defences: Defences, seed: u64| {
-        let mut world = whole_with(9, Pace { defences, ..Pace::default() }, seed);
+        let mut world = whole_with(9, DetectorSettings { defences, ..DetectorSettings::default() }, seed);
         (0..9).for_each(|from| world.link_conditions.link(from, 3).loss = 0.5);
         world.slow[3] = 0.3;
         world.run_until(60.0);
@@ -253,8 +253,15 @@
     let cluster = 7;
     for round in 0..30u64 {
         let at = world.now + 0.5;
-        let mut twin =
-            Members::new(cluster, 5, 2, 1_900_000_000_000 + round * 1000, &Pace::default(), round, at);
+        let mut twin = Membership::new(
+            cluster,
+            5,
+            2,
+            1_900_000_000_000 + round * 1000,
+            &DetectorSettings::default(),
+            round,
+            at,
+        );
         twin.turn(at);
         for (to, bytes) in twin.outgoing() {
             world.inject(2, to.into(), bytes);
@@ -300,7 +307,7 @@
     world.run_until(20.0);
     let counts = world.members(0).unwrap().counts();
     assert!(
-        counts.dropped.get(&Dropped::FormerIncarnation).is_some_and(|dropped| *dropped > 0),
+        counts.dropped.get(&DropReason::FormerIncarnation).is_some_and(|dropped| *dropped > 0),
         "{counts:?}"
     );
     assert_eq!(world.members(0).unwrap().members()[3].born, born);
@@ -312,7 +319,8 @@
 fn counts_and_ignores_noise_and_foreign_clusters() {
     let mut world = whole(5, 13);
     let foreign = cluster_hash("other", ["a", "b"]);
-    let mut other = Members::new(foreign, 5, 2, 1_900_000_000_000, &Pace::default(), 1, world.now);
+    let mut other =
+        Membership::new(foreign, 5, 2, 1_900_000_000_000, &DetectorSettings::default(), 1, world.now);
     let mut chance = 1u64;
     for step in 0..2000 {
         let at = 8.0 + f64::from(step) * 0.001;
@@ -328,8 +336,8 @@
     world.run_until(12.0);
     let counts = world.members(0).unwrap().counts();
     let dropped = |why| counts.dropped.get(&why).copied().unwrap_or(0);
-    assert!(dropped(Dropped::OtherCluster) > 0 && dropped(Dropped::Noise) >= 1900, "{counts:?}");
-    assert_eq!(dropped(Dropped::TooLong), 2000);
+    assert!(dropped(DropReason::OtherCluster) > 0 && dropped(DropReason::Noise) >= 1900, "{counts:?}");
+    assert_eq!(dropped(DropReason::TooLong), 2000);
     assert_eq!(standing(&world, 0), Standing::Complete);
     assert_eq!(world.record.false_failures(), []);
 }
@@ -374,7 +382,7 @@
 /// The same code at the size of the fleet: one in fifteen is killed at once.
 #[test]
 fn three_hundred_routers_detect_failures_within_eight_seconds() {
-    let mut world = World::started(300, Pace::default(), 17);
+    let mut world = World::started(300, DetectorSettings::default(), 17);
     world.run_until(12.0);
     assert_eq!(standing(&world, 0), Standing::Complete);
     (0..20).for_each(|router| world.at(12.0, FaultAction::Kill(router * 15)));
@@ -392,7 +400,7 @@
 #[test]
 fn leader_role_has_one_holder_at_a_time_and_a_successor_under_faults() {
     for seed in 0..6 {
-        let mut world = World::new(7, Pace::default(), seed);
+        let mut world = World::new(7, DetectorSettings::default(), seed);
         world.role = Some(cleatgw_membership::leader::role_resource("nightly"));
         world.rates = [0.99, 1.01, 1.0, 1.01, 0.99, 1.0, 1.01].into();
         (0..7).for_each(|router| world.at(0.0, FaultAction::Start(router)));
--- a/crates/operator-config/src/cluster.rs
+++ b/crates/operator-config/src/cluster.rs
@@ -5,8 +5,8 @@
 use crate::bgp::seconds;
 use crate::{invalid, read_checked, schema_text, OperatorFile, OperatorFileError};
 use cleatgw_membership::leader::{role_resource, MAX_ROLES};
-use cleatgw_membership::swim::{Defences, Pace};
-use cleatgw_membership::{cluster_hash, MOST_ROUTERS};
+use cleatgw_membership::swim::{Defences, DetectorSettings};
+use cleatgw_membership::{cluster_hash, MAX_ROUTERS};
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -67,7 +67,7 @@
 
 impl Default for PacePart {
     fn default() -> PacePart {
-        let Pace { probe_period, round_trip, suspicion, .. } = Pace::default();
+        let DetectorSettings { probe_period, round_trip, suspicion, .. } = DetectorSettings::default();
         PacePart { probe_period_s: probe_period, round_trip_s: round_trip, suspicion_s: suspicion }
     }
 }
@@ -99,7 +99,7 @@
 impl OperatorFile for ClusterFile {
     fn check(&self) -> Result<(), OperatorFileError> {
         name("name", &self.name)?;
-        if !(1..=MOST_ROUTERS).contains(&self.routers.len()) {
+        if !(1..=MAX_ROUTERS).contains(&self.routers.len()) {
             return invalid("routers", "1 to 2000 routers", self.routers.len());
         }
         if !(1..=64).contains(&self.networks.len()) {
@@ -158,9 +158,9 @@
     }
 
     /// The pace of failure detection.
-    pub fn pace(&self) -> Pace {
+    pub fn pace(&self) -> DetectorSettings {
         let PacePart { probe_period_s, round_trip_s, suspicion_s } = self.pace;
-        Pace {
+        DetectorSettings {
             probe_period: probe_period_s,
             round_trip: round_trip_s,
             suspicion: suspicion_s,
--- a/crates/operator-config/src/cluster/tests.rs
+++ b/crates/operator-config/src/cluster/tests.rs
@@ -7,7 +7,7 @@
 fn the_example_is_read_and_the_schema_is_the_one_checked_in() {
     let file = read_cluster(GOOD).unwrap();
     assert_eq!((file.routers.len(), file.place("n2").unwrap()), (3, 1));
-    assert_eq!(file.pace(), Pace::default());
+    assert_eq!(file.pace(), DetectorSettings::default());
     let checked_in = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cluster.schema.json");
     let text = std::fs::read_to_string(checked_in).unwrap();
     assert!(text == cluster_schema(), "stale: write `cleatgw schema cluster` to deploy/cluster.schema.json");
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -9,8 +9,8 @@
 use cleatgw_membership::digest::{EngineIncarnation, Observation, PeerEvidence};
 use cleatgw_membership::leader::{role_resource, RoleStatus};
 use cleatgw_membership::view::Standing;
-use cleatgw_membership::wire::{Dropped, MAX_DATAGRAM};
-use cleatgw_membership::{Member, Members};
+use cleatgw_membership::wire::{DropReason, MAX_DATAGRAM};
+use cleatgw_membership::{Member, Membership};
 use cleatgw_operator_config::ClusterFile;
 use std::collections::HashMap;
 use std::io;
@@ -38,10 +38,10 @@
     }
 
     /// This router's part of the cluster.
-    fn members(&self, now: f64) -> Members {
+    fn members(&self, now: f64) -> Membership {
         let JoinedCluster { file, place, born, seed } = self;
         let routers = file.routers.len();
-        let mut members = Members::new(file.hash(), routers, *place, *born, &file.pace(), *seed, now);
+        let mut members = Membership::new(file.hash(), routers, *place, *born, &file.pace(), *seed, now);
         let roles: Vec<_> = file.duties.iter().map(|name| role_resource(name)).collect();
         members.take_on(&roles, now);
         members
@@ -56,20 +56,20 @@
 }
 
 /// What membership counts, as counters of the router.
-fn counters_of(members: &Members) -> Counters {
+fn counters_of(members: &Membership) -> Counters {
     let counts = members.counts();
-    let dropped = |reason: Dropped| counts.dropped.get(&reason).copied().unwrap_or(0);
+    let dropped = |reason: DropReason| counts.dropped.get(&reason).copied().unwrap_or(0);
     Counters {
         cluster_in: counts.received,
         cluster_out: counts.sent,
         cluster_out_bytes: counts.sent_bytes,
-        cluster_too_long: dropped(Dropped::TooLong),
-        cluster_noise: dropped(Dropped::Noise),
-        cluster_version: dropped(Dropped::Version),
-        cluster_other: dropped(Dropped::OtherCluster),
-        cluster_wrong_sender: dropped(Dropped::WrongSender),
-        cluster_former_incarnation: dropped(Dropped::FormerIncarnation),
-        cluster_body: dropped(Dropped::Body),
+        cluster_too_long: dropped(DropReason::TooLong),
+        cluster_noise: dropped(DropReason::Noise),
+        cluster_version: dropped(DropReason::Version),
+        cluster_other: dropped(DropReason::OtherCluster),
+        cluster_wrong_sender: dropped(DropReason::WrongSender),
+        cluster_former_incarnation: dropped(DropReason::FormerIncarnation),
+        cluster_body: dropped(DropReason::Body),
         cluster_accusations: counts.accusations,
         cluster_refutations: counts.refutations,
         cluster_new_incarnations: counts.new_incarnations,
@@ -91,7 +91,7 @@
     token: RegistrationToken,
     socket: Rc<UdpSocket>,
     joined: JoinedCluster,
-    members: Members,
+    members: Membership,
     places_by_address: HashMap<SocketAddr, usize>,
     readable: bool,
     standing: Standing,
--- a/crates/testbed/src/capacity/fleet.rs
+++ b/crates/testbed/src/capacity/fleet.rs
@@ -11,8 +11,8 @@
 };
 use cleatgw_membership::digest::{self, EngineIncarnation, OwnEvidence, OBSERVATION_LIFETIME};
 use cleatgw_membership::leader::role_resource;
-use cleatgw_membership::swim::Pace;
-use cleatgw_membership::Members;
+use cleatgw_membership::swim::DetectorSettings;
+use cleatgw_membership::Membership;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -246,7 +246,7 @@
 #[derive(Default)]
 struct Router {
     gateway: Option<Gateway>,
-    members: Option<Members>,
+    members: Option<Membership>,
     incarnation: u32,
     drains: bool,
     turn_at: f64,
@@ -987,7 +987,7 @@
         let own = seed.wrapping_mul(31).wrapping_add(at as u64 * 1000 + u64::from(incarnation));
         let mut gateway = Gateway::new(self.deployment(), own, now);
         let born = 1_700_000_000_000 + (now * 1e3) as u64;
-        let mut members = Members::new(CLUSTER, routers, at, born, &Pace::default(), own, now);
+        let mut members = Membership::new(CLUSTER, routers, at, born, &DetectorSettings::default(), own, now);
         members.take_on(&[role_resource(ROLE)], now);
         if again {
             // Nothing is kept here from one incarnation to the next.
--- a/crates/testbed/src/capacity/members.rs
+++ b/crates/testbed/src/capacity/members.rs
@@ -5,8 +5,8 @@
 use super::{report, target, Ask, Need, Row};
 use crate::faults::schedule::{three_regions, FaultAction, REGION_OF_ZONE};
 use crate::scenarios::virtual_membership::World;
-use cleatgw_membership::swim::Pace;
-use cleatgw_membership::MOST_ROUTERS;
+use cleatgw_membership::swim::DetectorSettings;
+use cleatgw_membership::MAX_ROUTERS;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -45,7 +45,7 @@
 
 /// Places routers evenly in ten zones, on clocks as far apart as leases allow for, with one leader role; lets them meet.
 fn settled(routers: usize, seed: u64, absent: &[usize], until: f64) -> World {
-    let mut world = World::new(routers, Pace::default(), seed);
+    let mut world = World::new(routers, DetectorSettings::default(), seed);
     world.link_conditions.place((0..routers).map(|router| router % target::ZONES).collect(), three_regions());
     world.role = Some(cleatgw_membership::leader::role_resource("one"));
     let drift = cleatgw_membership::lease::DRIFT;
@@ -329,10 +329,10 @@
 
 fn need(sizes: &[f64]) -> Result<Need, String> {
     let largest = sizes.iter().copied().fold(0.0, f64::max);
-    if largest > MOST_ROUTERS as f64 {
+    if largest > MAX_ROUTERS as f64 {
         return Err(format!(
             "{largest} routers: {} more than a cluster may have",
-            largest - MOST_ROUTERS as f64
+            largest - MAX_ROUTERS as f64
         ));
     }
     if sizes.iter().any(|size| *size < 4.0) {
--- a/crates/testbed/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -8,7 +8,7 @@
 use crate::faults::schedule::FaultAction;
 use crate::routers::cluster::{Cluster, Plan, Watch};
 use crate::scenarios::virtual_membership::World;
-use cleatgw_membership::swim::Pace;
+use cleatgw_membership::swim::DetectorSettings;
 use serde_json::{json, Value};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -178,7 +178,7 @@
 /// In virtual time: from the moment a holder that held it is killed to the first moment that another holds it. Then how
 /// often two held it.
 fn role(routers: usize, seed: u64) -> (f64, usize) {
-    let mut world = World::started(routers, Pace::default(), seed);
+    let mut world = World::started(routers, DetectorSettings::default(), seed);
     let thing = cleatgw_membership::leader::role_resource("one");
     world.role = Some(thing);
     let holder = |world: &World| {
--- a/crates/testbed/src/capacity/whole.rs
+++ b/crates/testbed/src/capacity/whole.rs
@@ -108,8 +108,8 @@
     let each = largest.iter().rev().flat_map(|mb| std::iter::repeat_n(*mb, ask.plays)).take(AT_ONCE);
     let processes = AT_ONCE.min(sizes.len() * ask.plays) as u64;
     Need { descriptors: 64, memory_mb: each.sum(), processes }.borne()?;
-    if let Some(lacks) = sizes.iter().find(|size| **size > cleatgw_membership::MOST_ROUTERS as f64) {
-        return Err(format!("{lacks} routers: at most {} make a cluster", cleatgw_membership::MOST_ROUTERS));
+    if let Some(lacks) = sizes.iter().find(|size| **size > cleatgw_membership::MAX_ROUTERS as f64) {
+        return Err(format!("{lacks} routers: at most {} make a cluster", cleatgw_membership::MAX_ROUTERS));
     }
     let played = match one {
         Some(size) => vec![(size, played_here(size, ask.seed))],
--- a/crates/testbed/src/scenarios/membership.rs
+++ b/crates/testbed/src/scenarios/membership.rs
@@ -5,7 +5,7 @@
 use crate::routers::cluster::{Cluster, Plan, Watch};
 use crate::scenarios::virtual_membership::World;
 use crate::stand_ins::{counter, Client, Router};
-use cleatgw_membership::swim::{Defences, Pace};
+use cleatgw_membership::swim::{Defences, DetectorSettings};
 use plotters::prelude::*;
 use serde_json::{json, Value};
 use std::path::Path;
@@ -147,7 +147,7 @@
 
 /// The same code in virtual time, under the same schedule. CPU is this process's, for all routers together.
 pub fn measure_virtual(routers: usize, seed: u64, seconds: f64, plot: Option<&Path>) -> Value {
-    let mut world = World::new(routers, Pace::default(), seed);
+    let mut world = World::new(routers, DetectorSettings::default(), seed);
     // One leader role, and clocks as far apart as leases allow for.
     world.role = Some(cleatgw_membership::leader::role_resource("one"));
     let drift = cleatgw_membership::lease::DRIFT;
@@ -195,7 +195,8 @@
     let mut rows = Vec::new();
     for (name, defences) in kinds {
         for loss in losses {
-            let mut world = World::started(30, Pace { defences, ..Pace::default() }, seed);
+            let mut world =
+                World::started(30, DetectorSettings { defences, ..DetectorSettings::default() }, seed);
             world.run_until(10.0);
             world.at(10.0, FaultAction::Loss(loss));
             (0..3).for_each(|router| {
--- a/crates/testbed/src/scenarios/virtual_membership.rs
+++ b/crates/testbed/src/scenarios/virtual_membership.rs
@@ -2,9 +2,9 @@
 
 use crate::checkers::failure_detection::{Record, Said, Truth};
 use crate::faults::schedule::{FaultAction, LinkConditions, Schedule};
-use cleatgw_membership::lease::Thing;
-use cleatgw_membership::swim::Pace;
-use cleatgw_membership::Members;
+use cleatgw_membership::lease::Resource;
+use cleatgw_membership::swim::DetectorSettings;
+use cleatgw_membership::Membership;
 use std::collections::BTreeMap;
 
 enum Event {
@@ -15,7 +15,7 @@
 
 struct Router {
     /// None while it is dead.
-    members: Option<Members>,
+    members: Option<Membership>,
     frozen: bool,
     /// What waits in a frozen one's socket buffer, at most so much as a system keeps.
     buffer: Vec<(usize, Vec<u8>)>,
@@ -35,7 +35,7 @@
     pub now: f64,
     pub link_conditions: LinkConditions,
     pub record: Record,
-    pub pace: Pace,
+    pub pace: DetectorSettings,
     /// The Unix clock that each router's incarnation begins from, in milliseconds beside the true one.
     pub clocks: Vec<i64>,
     /// Its turns come so late, in seconds: it is overloaded.
@@ -45,7 +45,7 @@
     /// The hash of the list that each starts with: another list is another cluster.
     pub lists: Vec<u64>,
     /// What one router at a time holds, if anything; how often it changed hands, and how often two held it.
-    pub role: Option<Thing>,
+    pub role: Option<Resource>,
     pub changed_hands: usize,
     pub two_holders: usize,
     holder: Option<usize>,
@@ -57,7 +57,7 @@
 }
 
 impl World {
-    pub fn new(routers: usize, pace: Pace, seed: u64) -> World {
+    pub fn new(routers: usize, pace: DetectorSettings, seed: u64) -> World {
         let truth = Truth {
             at: 0.0,
             up: vec![false; routers],
@@ -97,7 +97,7 @@
     }
 
     /// The same with all routers started within a second.
-    pub fn started(routers: usize, pace: Pace, seed: u64) -> World {
+    pub fn started(routers: usize, pace: DetectorSettings, seed: u64) -> World {
         let mut world = World::new(routers, pace, seed);
         for router in 0..routers {
             world.at(router as f64 / routers as f64, FaultAction::Start(router));
@@ -154,11 +154,11 @@
         (0..self.routers.len()).filter(holds).collect()
     }
 
-    pub fn members(&self, router: usize) -> Option<&Members> {
+    pub fn members(&self, router: usize) -> Option<&Membership> {
         self.routers[router].members.as_ref()
     }
 
-    pub fn members_mut(&mut self, router: usize) -> Option<&mut Members> {
+    pub fn members_mut(&mut self, router: usize) -> Option<&mut Membership> {
         self.routers[router].members.as_mut()
     }
 
@@ -259,7 +259,7 @@
                 let seed = self.seed.wrapping_mul(31).wrapping_add((at * 1000) as u64 + u64::from(starts));
                 let clock = self.clock(at);
                 let mut members =
-                    Members::new(self.lists[at], count, at, born as u64, &self.pace, seed, clock);
+                    Membership::new(self.lists[at], count, at, born as u64, &self.pace, seed, clock);
                 members.take_on(self.role.as_slice(), clock);
                 let router = &mut self.routers[at];
                 (router.members, router.frozen, router.leaves_at) = (Some(members), false, None);
