--- a/crates/membership/src/leader.rs
+++ b/crates/membership/src/leader.rs
@@ -64,7 +64,7 @@
     /// The routers that are present.
     pub present: &'a [u16],
     /// What the view of this router allows.
-    pub allowed: Permissions,
+    pub permissions: Permissions,
     /// A draw from 0 to 1, which spreads the requests of many routers.
     pub chance: f64,
 }
@@ -94,7 +94,7 @@
             let remaining = leases.remaining(role.resource, now);
             let interval = match remaining {
                 Some(remaining) => {
-                    extend(role.resource, remaining, candidate.allowed, leases, now);
+                    extend(role.resource, remaining, candidate.permissions, leases, now);
                     REQUEST_INTERVAL
                 }
                 None => {
@@ -109,7 +109,8 @@
 
     /// Who holds the role of this resource, as far as router `me` knows.
     pub fn status(&self, resource: Resource, me: u16, leases: &Leases, now: f64) -> RoleStatus {
-        if let (Some(epoch), Some(remaining)) = (leases.holds(resource, now), leases.remaining(resource, now))
+        if let (Some(epoch), Some(remaining)) =
+            (leases.held_epoch(resource, now), leases.remaining(resource, now))
         {
             return RoleStatus::Held { epoch, remaining };
         }
@@ -119,9 +120,9 @@
 }
 
 /// Requests an extension of a lease that is held. That needs no view, as a majority either grants it or does not.
-fn extend(resource: Resource, remaining: f64, allowed: Permissions, leases: &mut Leases, now: f64) {
+fn extend(resource: Resource, remaining: f64, permissions: Permissions, leases: &mut Leases, now: f64) {
     let renews = remaining < MAX_TERM * (1.0 - RENEW_AFTER);
-    if renews && allowed.requests_leases {
+    if renews && permissions.requests_leases {
         leases.request(resource, now);
     }
 }
@@ -129,7 +130,7 @@
 /// Requests a lease that, as far as this router knows, no other holds.
 fn take_over(resource: Resource, rank: usize, candidate: Candidate, leases: &mut Leases, now: f64) {
     let other = leases.granted_to(resource, now).is_some_and(|holder| holder != candidate.me);
-    if rank < CANDIDATES && candidate.allowed.takes_over && !other {
+    if rank < CANDIDATES && candidate.permissions.takes_over && !other {
         leases.request(resource, now);
     }
 }
--- a/crates/membership/src/leader/tests.rs
+++ b/crates/membership/src/leader/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::view::{allows, Standing};
+use crate::view::{permissions, Standing};
 
 #[test]
 fn ranks_agree_on_all_routers_spread_and_skip_absent_ones() {
@@ -25,7 +25,8 @@
     let mut leases = Leases::new(0, 1, 10, 0.0);
     let mut roles = LeaderRoles::new(7, &[role_resource("nightly")], 3.0);
     let nightly = role_resource("nightly");
-    let candidate = |standing| Candidate { me: 0, present: &[0], allowed: allows(standing), chance: 0.5 };
+    let candidate =
+        |standing| Candidate { me: 0, present: &[0], permissions: permissions(standing), chance: 0.5 };
     for standing in [Standing::Disagreeing, Standing::Minority, Standing::JustResumed, Standing::Leaving] {
         roles.turn(candidate(standing), &mut leases, 3.0);
         assert_eq!(roles.status(nightly, 0, &leases, 3.0), RoleStatus::Unknown, "{standing:?}");
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -5,7 +5,7 @@
 //! **Assumptions.** A clock is only ever compared with itself. Of two routers' clocks, one second of one is at most
 //! `1 + 2 * DRIFT` seconds of the other: a bound on their rates, not on what they show. Steps of the Unix clock do not matter,
 //! as it is not read. A grantor that has lost its memory grants nothing for [`MAX_TERM`] after its start. A holder checks
-//! [`Leases::holds`] before each use, in the same turn, and a use takes effect within [`MAX_USE_DELAY`] of that check or
+//! [`Leases::held_epoch`] before each use, in the same turn, and a use takes effect within [`MAX_USE_DELAY`] of that check or
 //! never; what a freeze between the two lets through later is stopped by the epoch, where the other side checks it. Epochs
 //! go back only if a majority loses its memory at once *and* the Unix clocks that they start from were set back.
 
@@ -122,7 +122,7 @@
     }
 
     /// The epoch of a lease that is held and may be used now. To be checked before each use, in the same turn.
-    pub fn holds(&self, resource: Resource, now: f64) -> Option<Epoch> {
+    pub fn held_epoch(&self, resource: Resource, now: f64) -> Option<Epoch> {
         let held = self.held.get(&resource)?;
         (now < held.expires_at - MAX_USE_DELAY).then_some(held.epoch)
     }
@@ -151,7 +151,7 @@
     }
 
     /// The messages to send, each with its receiver.
-    pub fn outgoing(&mut self) -> Vec<(u16, Message)> {
+    pub fn take_outgoing(&mut self) -> Vec<(u16, Message)> {
         std::mem::take(&mut self.outgoing)
     }
 
--- a/crates/membership/src/lease/requester.rs
+++ b/crates/membership/src/lease/requester.rs
@@ -87,7 +87,7 @@
     /// A later epoch was promised: the next attempt has to be later still.
     pub(super) fn on_refuse(&mut self, resource: Resource, epoch: Epoch, promised: Epoch) {
         let latest = promised >> super::ROUTER_BITS;
-        self.counter = self.counter.max(latest.min(crate::YOUNGEST >> super::ROUTER_BITS));
+        self.counter = self.counter.max(latest.min(crate::MAX_GENERATION >> super::ROUTER_BITS));
         if self.attempts.get(&resource).is_some_and(|attempt| attempt.epoch() == epoch) {
             self.attempts.remove(&resource);
         }
--- a/crates/membership/src/lease/tests.rs
+++ b/crates/membership/src/lease/tests.rs
@@ -17,7 +17,7 @@
         self.routers[router].turn(self.now);
         self.routers[router].request(7, self.now);
         self.settle();
-        self.holds(router)
+        self.held_epoch(router)
     }
 
     fn settle(&mut self) {
@@ -35,8 +35,8 @@
         Some((from as u16, to, message))
     }
 
-    fn holds(&self, router: usize) -> Option<Epoch> {
-        self.routers[router].holds(7, self.now)
+    fn held_epoch(&self, router: usize) -> Option<Epoch> {
+        self.routers[router].held_epoch(7, self.now)
     }
 }
 
@@ -46,7 +46,7 @@
     let first = cluster.request(0).expect("all are there");
     assert_eq!(cluster.request(1), None);
     cluster.now += MAX_TERM + 0.01;
-    assert_eq!(cluster.holds(0), None);
+    assert_eq!(cluster.held_epoch(0), None);
     let second = cluster.request(1).expect("it has expired");
     assert!(second > first);
 }
@@ -59,11 +59,11 @@
     let again = cluster.request(2).unwrap();
     assert!(again > first);
     cluster.now += 1.5;
-    assert_eq!(cluster.holds(2), Some(again), "counted from when it asked again");
+    assert_eq!(cluster.held_epoch(2), Some(again), "counted from when it asked again");
     let now = cluster.now;
     cluster.routers[2].release(7, now);
     cluster.settle();
-    assert_eq!(cluster.holds(2), None);
+    assert_eq!(cluster.held_epoch(2), None);
     assert_eq!(cluster.request(0), None, "it is told that later ones were promised");
     assert!(cluster.request(0).is_some_and(|epoch| epoch > again));
 }
@@ -89,7 +89,7 @@
     }
     cluster.now += 0.1;
     assert_eq!(cluster.request(1), None);
-    assert_eq!(cluster.holds(0), Some(first));
+    assert_eq!(cluster.held_epoch(0), Some(first));
     cluster.now += MAX_TERM * 1.05;
     assert!(cluster.request(1).unwrap() > first);
 }
@@ -112,7 +112,7 @@
     let other = cluster.request(1).expect("it has expired");
     let now = cluster.now;
     late_accepts.into_iter().for_each(|(from, message)| cluster.routers[0].receive(from, message, now));
-    assert_eq!((cluster.holds(0), cluster.holds(1)), (None, Some(other)));
+    assert_eq!((cluster.held_epoch(0), cluster.held_epoch(1)), (None, Some(other)));
 }
 
 #[test]
@@ -124,5 +124,5 @@
     assert_eq!(router.grants.len(), MAX_RESOURCES);
     router.receive(1, Message::Refuse { resource: 1, epoch: 1, promised: u64::MAX }, 10.0);
     router.request(1, 10.0);
-    assert_eq!(router.holds(1, 10.0), None);
+    assert_eq!(router.held_epoch(1, 10.0), None);
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`wire`] is the form of the datagrams.
 //!
 //! No I/O: the host hands in bytes, a clock of its own that nobody sets (seconds), and a seed; it sends what
-//! [`Membership::outgoing`] gives, and calls [`Membership::turn`] when [`Membership::due`] says. Design: `docs/design/members.md`.
+//! [`Membership::take_outgoing`] gives, and calls [`Membership::turn`] when [`Membership::due`] says. Design: `docs/design/members.md`.
 //!
 //! Nothing here says where a request goes, and no request waits for any of it.
 
@@ -24,4 +24,4 @@
 
 pub use member::{Counters, Member, State, StateChange};
 pub use membership::{cluster_hash, Membership, MAX_ROUTERS};
-pub use swim::{Defences, YOUNGEST};
+pub use swim::{Defences, MAX_GENERATION};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -22,7 +22,7 @@
 
 impl State {
     /// The word for logs and status.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Unseen => "unseen",
             State::Present => "present",
@@ -34,7 +34,7 @@
     }
 
     /// Whether it counts as present in this router's view.
-    pub fn counts(self) -> bool {
+    pub fn counts_as_present(self) -> bool {
         matches!(self, State::Present | State::SeenByOthers | State::Suspected)
     }
 }
@@ -54,13 +54,13 @@
     /// Its present state.
     pub state: State,
     /// Its incarnation, 0 where none is known.
-    pub born: u64,
+    pub generation: u64,
     /// When it came to this state.
-    pub since: f64,
+    pub state_since: f64,
     /// When it was last heard here.
     pub heard_at: f64,
     /// When, by its own word, it last heard this router.
-    pub hears_us_at: f64,
+    pub heard_us_at: f64,
     /// The view that it has told of.
     pub(crate) view: ViewDigest,
     /// When it told of that view.
@@ -84,10 +84,10 @@
     pub(crate) fn unseen(now: f64) -> Member {
         Member {
             state: State::Unseen,
-            born: 0,
-            since: now,
+            generation: 0,
+            state_since: now,
             heard_at: f64::NEG_INFINITY,
-            hears_us_at: f64::NEG_INFINITY,
+            heard_us_at: f64::NEG_INFINITY,
             view: ViewDigest::default(),
             view_at: f64::NEG_INFINITY,
             view_differs_since: None,
@@ -112,7 +112,7 @@
     /// The new state.
     pub to: State,
     /// Its incarnation.
-    pub born: u64,
+    pub generation: u64,
     /// Seconds since it was last heard here; infinite for never.
     pub heard_ago: f64,
 }
@@ -129,7 +129,7 @@
     /// Datagrams that were dropped, by the reason.
     pub dropped: BTreeMap<DropReason, u64>,
     /// Suspicions of others, by this router or by others.
-    pub accusations: u64,
+    pub suspicions_of_others: u64,
     /// Suspicions of this router that it refuted.
     pub refutations: u64,
     /// Incarnations that it had to begin anew.
--- a/crates/membership/src/membership/leases.rs
+++ b/crates/membership/src/membership/leases.rs
@@ -6,16 +6,16 @@
 use crate::view::Standing;
 
 impl Membership {
-    /// Requests a lease where the view allows that; whether it was granted is seen by [`Membership::holds`].
+    /// Requests a lease where the view allows that; whether it was granted is seen by [`Membership::held_epoch`].
     pub fn request_lease(&mut self, resource: Resource, now: f64) {
-        if self.allowed().requests_leases {
+        if self.permissions().requests_leases {
             self.leases.request(resource, now);
         }
     }
 
     /// The epoch of a lease that is held and may be used now. To be checked before each use, in the same turn.
-    pub fn holds(&self, resource: Resource, now: f64) -> Option<Epoch> {
-        self.leases.holds(resource, now)
+    pub fn held_epoch(&self, resource: Resource, now: f64) -> Option<Epoch> {
+        self.leases.held_epoch(resource, now)
     }
 
     /// Gives up a lease.
@@ -25,7 +25,7 @@
 
     /// Sets the leader roles of the cluster, by their resources ([`crate::leader::role_resource`]). What is held of others
     /// is released.
-    pub fn take_on(&mut self, resources: &[Resource], now: f64) {
+    pub fn set_roles(&mut self, resources: &[Resource], now: f64) {
         let dropped: Vec<Resource> =
             self.roles.resources().filter(|resource| !resources.contains(resource)).collect();
         for resource in dropped {
@@ -47,7 +47,7 @@
     pub(super) fn request_roles(&mut self, now: f64) {
         let present: Vec<u16> = self.present().map(|router| router as u16).collect();
         let chance = self.draw_fraction();
-        let candidate = Candidate { me: self.me, present: &present, allowed: self.allowed(), chance };
+        let candidate = Candidate { me: self.me, present: &present, permissions: self.permissions(), chance };
         self.roles.turn(candidate, &mut self.leases, now);
     }
 
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -27,11 +27,11 @@
     cluster: u64,
     members: Vec<Member>,
     swim: Swim,
-    adopt_younger_incarnation: bool,
+    adopt_later_incarnation: bool,
     /// The epoch of this router's own store.
     store_epoch: u64,
     /// The latest epoch of it that another router says it was shown, once one has said anything.
-    store_epoch_shown: Option<u64>,
+    store_epoch_seen_by_peers: Option<u64>,
     leases: Leases,
     roles: LeaderRoles,
     probes: DirectProbes,
@@ -49,7 +49,7 @@
     formed: bool,
     leaving_since: Option<f64>,
     /// When this router's name was found in a younger incarnation.
-    younger_incarnations: Vec<f64>,
+    later_incarnations_seen: Vec<f64>,
     seed: u64,
     draws: u64,
     /// The routers that are still to be sent a heartbeat in this round, the next one last.
@@ -76,31 +76,31 @@
 impl Membership {
     /// A router's part after its start.
     ///
-    /// `me` is its place among the `routers` that the cluster file names, at most [`MAX_ROUTERS`]. `born` has to be larger
+    /// `me` is its place among the `routers` that the cluster file names, at most [`MAX_ROUTERS`]. `generation` has to be larger
     /// than in any former incarnation: the Unix time of the start in milliseconds.
     pub fn new(
         cluster: u64,
         routers: usize,
         me: usize,
-        born: u64,
+        generation: u64,
         pace: &DetectorSettings,
         seed: u64,
         now: f64,
     ) -> Membership {
         let routers = routers.clamp(1, MAX_ROUTERS);
-        let incarnation = Incarnation { router: me as u16, born, leaving: false };
+        let incarnation = Incarnation { router: me as u16, generation, leaving: false };
         let mut members = vec![Member::unseen(now); routers];
         members[me].state = State::Present;
-        members[me].born = born;
+        members[me].generation = generation;
         Membership {
             me: me as u16,
             cluster,
             members,
             swim: Swim::new(incarnation, routers, pace, seed, now),
-            adopt_younger_incarnation: pace.defences.adopt_younger_incarnation,
+            adopt_later_incarnation: pace.defences.adopt_later_incarnation,
             store_epoch: 0,
-            store_epoch_shown: None,
-            leases: Leases::new(me as u16, routers, born, now),
+            store_epoch_seen_by_peers: None,
+            leases: Leases::new(me as u16, routers, generation, now),
             roles: LeaderRoles::default(),
             probes: DirectProbes::default(),
             digests: PeerDigests::default(),
@@ -112,7 +112,7 @@
             resumed_at: f64::NEG_INFINITY,
             formed: false,
             leaving_since: None,
-            younger_incarnations: Vec::new(),
+            later_incarnations_seen: Vec::new(),
             seed,
             draws: 0,
             heartbeat_round: Vec::new(),
@@ -144,7 +144,7 @@
         if gap > PAUSE {
             self.resumed_at = now;
             // At once, as what comes in ahead of the next turn is judged by it.
-            self.standing = view::standing(&self.count(now));
+            self.standing = view::standing(&self.view_inputs(now));
             self.counts.pauses += 1;
             self.probes.paused();
             self.swim.paused(gap);
@@ -186,8 +186,8 @@
     }
 
     /// What its standing allows.
-    pub fn allowed(&self) -> Permissions {
-        view::allows(self.standing)
+    pub fn permissions(&self) -> Permissions {
+        view::permissions(self.standing)
     }
 
     /// All routers by their place in the cluster file, this router among them.
@@ -202,7 +202,11 @@
 
     /// The routers that are held present; this router always is.
     pub fn present(&self) -> impl Iterator<Item = usize> + '_ {
-        self.members.iter().enumerate().filter(|(_, member)| member.state.counts()).map(|(at, _)| at)
+        self.members
+            .iter()
+            .enumerate()
+            .filter(|(_, member)| member.state.counts_as_present())
+            .map(|(at, _)| at)
     }
 
     /// This router leaves by plan, which others are told from now on.
@@ -211,12 +215,12 @@
             return;
         }
         self.leaving_since = Some(now);
-        let born = self.swim.me().born;
-        self.swim.begin_incarnation(born + 1, true, now);
+        let generation = self.swim.me().generation;
+        self.swim.begin_incarnation(generation + 1, true, now);
         self.heartbeat_round.clear();
         self.heartbeat_at = now;
         // At once, so that what is released below is not requested again in the next turn.
-        self.standing = view::standing(&self.count(now));
+        self.standing = view::standing(&self.view_inputs(now));
         self.release_roles(now);
     }
 
@@ -227,19 +231,20 @@
 
     /// What others report of an engine: those that are present in this router's view.
     pub fn evidence_on(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
-        if !self.allowed().uses_peer_evidence {
+        if !self.permissions().uses_peer_evidence {
             return PeerEvidence::default();
         }
-        self.digests.evidence_on(engine, now, |source| self.members[usize::from(source)].state.counts())
+        self.digests
+            .evidence_on(engine, now, |source| self.members[usize::from(source)].state.counts_as_present())
     }
 
     /// The datagrams to send, each with its receiver.
-    pub fn outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
+    pub fn take_outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
     /// The changes of state since this was last called, the oldest first.
-    pub fn changes(&mut self) -> Vec<StateChange> {
+    pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -257,18 +262,18 @@
 
     /// The latest epoch of this router's store that another was shown by this incarnation or a former one; `None` until one has
     /// said so.
-    pub fn store_epoch_shown(&self) -> Option<u64> {
-        self.store_epoch_shown
+    pub fn store_epoch_seen_by_peers(&self) -> Option<u64> {
+        self.store_epoch_seen_by_peers
     }
 
     /// How slow or deaf this router finds itself, from 0 to 4.
-    pub fn health(&self) -> u32 {
-        self.swim.health()
+    pub fn local_health_score(&self) -> u32 {
+        self.swim.local_health_score()
     }
 
     /// What was counted since the start.
-    pub fn counts(&self) -> Counters {
-        let DetectorCounters { refutations, new_incarnations, contradicted } = self.swim.counts();
+    pub fn counters(&self) -> Counters {
+        let DetectorCounters { refutations, new_incarnations, contradicted } = self.swim.counters();
         Counters { refutations, new_incarnations, contradicted, ..self.counts.clone() }
     }
 }
--- a/crates/membership/src/membership/observe.rs
+++ b/crates/membership/src/membership/observe.rs
@@ -25,13 +25,13 @@
             let router = usize::from(incarnation.router);
             if incarnation.router != self.me && router < self.members.len() {
                 let state = self.state_of(incarnation, detected, now);
-                self.set_state(router, state, incarnation.born, now);
+                self.set_state(router, state, incarnation.generation, now);
             }
         }
-        self.members[usize::from(self.me)].born = self.swim.me().born;
+        self.members[usize::from(self.me)].generation = self.swim.me().generation;
         self.update_view();
         self.formed |= usize::from(self.view.present) >= view::majority(self.members.len());
-        self.standing = view::standing(&self.count(now));
+        self.standing = view::standing(&self.view_inputs(now));
     }
 
     /// The state of a router by the detector, and by when it was heard.
@@ -60,28 +60,28 @@
         }
     }
 
-    fn set_state(&mut self, router: usize, to: State, born: u64, now: f64) {
+    fn set_state(&mut self, router: usize, to: State, generation: u64, now: f64) {
         let member = &mut self.members[router];
         let from = member.state;
-        member.born = member.born.max(born);
+        member.generation = member.generation.max(generation);
         if from == to {
             return;
         }
         member.state = to;
-        member.since = now;
+        member.state_since = now;
         let heard_ago = now - member.heard_at;
-        self.counts.accusations += u64::from(to == State::Suspected);
+        self.counts.suspicions_of_others += u64::from(to == State::Suspected);
         if to == State::Suspected || (to == State::Failed && from != State::Suspected) {
             self.probes.suspected(now);
         }
         if self.changes.len() >= MAX_CHANGES {
             self.changes.remove(0);
         }
-        self.changes.push(StateChange { at: now, router, from, to, born, heard_ago });
+        self.changes.push(StateChange { at: now, router, from, to, generation, heard_ago });
     }
 
     /// What is counted now, which the standing follows from.
-    pub fn count(&self, now: f64) -> ViewInputs {
+    pub fn view_inputs(&self, now: f64) -> ViewInputs {
         ViewInputs {
             expected: self.members.len(),
             present: usize::from(self.view.present),
@@ -96,13 +96,13 @@
 
     /// Whether another process goes by this router's name.
     fn has_name_conflict(&self, now: f64) -> bool {
-        let recent = self.younger_incarnations.iter().any(|at| now < at + NAME_CONFLICT_WITHIN);
-        self.younger_incarnations.len() >= NAME_CONFLICT_INCARNATIONS && recent
+        let recent = self.later_incarnations_seen.iter().any(|at| now < at + NAME_CONFLICT_WITHIN);
+        self.later_incarnations_seen.len() >= NAME_CONFLICT_INCARNATIONS && recent
     }
 }
 
 /// Whether a router counts as present, and has told for a while of another view than this router's.
 fn disagrees(member: &Member, now: f64) -> bool {
     let long = member.view_differs_since.is_some_and(|since| now - since > DISAGREEMENT);
-    member.state.counts() && long && now - member.view_at < MAX_VIEW_AGE
+    member.state.counts_as_present() && long && now - member.view_at < MAX_VIEW_AGE
 }
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -6,7 +6,7 @@
 use crate::direct_probe::MAX_NAMED;
 use crate::lease::Message;
 use crate::member::ViewDigest;
-use crate::swim::YOUNGEST;
+use crate::swim::MAX_GENERATION;
 use crate::wire::{self, DropReason, Envelope, Kind, LastHeard, HEARD_UNIT};
 
 /// The probes of one router are answered no more often than this, in seconds: several of one round are answered once.
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// Why it was dropped, which is also counted.
-    pub fn datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
+    pub fn receive_datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
         self.check_pause(now);
         self.counts.received += 1;
         let taken = self.take(from, bytes, now);
@@ -63,7 +63,7 @@
         if !known || usize::from(envelope.from) != from || envelope.to != self.me {
             return Err(DropReason::WrongSender);
         }
-        if envelope.born > YOUNGEST || envelope.receiver_born > YOUNGEST {
+        if envelope.generation > MAX_GENERATION || envelope.receiver_generation > MAX_GENERATION {
             return Err(DropReason::Body);
         }
         Ok(())
@@ -74,19 +74,19 @@
         {
             let mut contacts = self.swim.contacts.borrow_mut();
             contacts.now = now;
-            if !contacts.record(from, envelope.born) {
+            if !contacts.record(from, envelope.generation) {
                 return Err(DropReason::FormerIncarnation);
             }
         }
         self.swim.heard(now);
         let member = &mut self.members[from];
-        if member.born < envelope.born {
+        if member.generation < envelope.generation {
             self.digests.forget(from as u16);
         }
         member.heard_at = now;
         member.leaving = envelope.leaving;
-        if envelope.heard_ago < u16::MAX && envelope.receiver_born == self.swim.me().born {
-            member.hears_us_at = now - f64::from(envelope.heard_ago) * HEARD_UNIT;
+        if envelope.heard_ago < u16::MAX && envelope.receiver_generation == self.swim.me().generation {
+            member.heard_us_at = now - f64::from(envelope.heard_ago) * HEARD_UNIT;
         }
         Ok(())
     }
@@ -95,11 +95,11 @@
     /// incarnation of it and knows this incarnation.
     fn note_store_epochs(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
-        member.store_epoch = member.store_epoch.max(envelope.store_epoch.min(YOUNGEST));
-        let knows_this_incarnation = envelope.receiver_born == self.swim.me().born;
+        member.store_epoch = member.store_epoch.max(envelope.store_epoch.min(MAX_GENERATION));
+        let knows_this_incarnation = envelope.receiver_generation == self.swim.me().generation;
         if knows_this_incarnation && f64::from(envelope.age) > now - self.started + STARTED_BEFORE {
-            let shown = envelope.receiver_store_epoch.min(YOUNGEST);
-            self.store_epoch_shown = Some(self.store_epoch_shown.unwrap_or(0).max(shown));
+            let shown = envelope.receiver_store_epoch.min(MAX_GENERATION);
+            self.store_epoch_seen_by_peers = Some(self.store_epoch_seen_by_peers.unwrap_or(0).max(shown));
         }
     }
 
@@ -119,15 +119,15 @@
     fn renew_incarnation(&mut self, envelope: &Envelope, now: f64) {
         let leaving = self.leaving_since.is_some();
         // Its name was in a younger incarnation: its clock was set back before its start, or another process goes by its name.
-        if envelope.receiver_born > self.swim.me().born && self.adopt_younger_incarnation {
-            self.younger_incarnations.retain(|at| now < at + NAME_CONFLICT_WITHIN);
-            if self.younger_incarnations.len() < NAME_CONFLICT_INCARNATIONS {
-                self.younger_incarnations.push(now);
-                self.swim.begin_incarnation(envelope.receiver_born.saturating_add(1), leaving, now);
+        if envelope.receiver_generation > self.swim.me().generation && self.adopt_later_incarnation {
+            self.later_incarnations_seen.retain(|at| now < at + NAME_CONFLICT_WITHIN);
+            if self.later_incarnations_seen.len() < NAME_CONFLICT_INCARNATIONS {
+                self.later_incarnations_seen.push(now);
+                self.swim.begin_incarnation(envelope.receiver_generation.saturating_add(1), leaving, now);
             }
         }
-        if envelope.receiver_failed && envelope.receiver_born == self.swim.me().born && !leaving {
-            self.swim.begin_incarnation(envelope.receiver_born + 1, false, now);
+        if envelope.receiver_failed && envelope.receiver_generation == self.swim.me().generation && !leaving {
+            self.swim.begin_incarnation(envelope.receiver_generation + 1, false, now);
         }
     }
 
@@ -136,11 +136,11 @@
     fn notify_absent(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
         let notified = now < member.notified_at + HEARTBEAT_INTERVAL;
-        if member.state.counts() || envelope.leaving || notified {
+        if member.state.counts_as_present() || envelope.leaving || notified {
             return;
         }
         member.notified_at = now;
-        if envelope.born <= member.born {
+        if envelope.generation <= member.generation {
             self.send(from as u16, Kind::Heartbeat, &[], now);
         } else {
             self.swim.announce(from as u16, now);
@@ -199,7 +199,7 @@
             return Err(DropReason::Body);
         }
         let asks_for_grant = matches!(message, Message::Prepare { .. } | Message::Propose { .. });
-        if self.allowed().grants_leases || !asks_for_grant {
+        if self.permissions().grants_leases || !asks_for_grant {
             self.leases.receive(from as u16, message, now);
         }
         Ok(())
--- a/crates/membership/src/membership/send.rs
+++ b/crates/membership/src/membership/send.rs
@@ -23,7 +23,7 @@
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
         for _ in 0..HEARTBEAT_FANOUT {
             let Some(to) = self.next_of_round() else { break };
-            let shares = self.allowed().shares_observations;
+            let shares = self.permissions().shares_observations;
             let digest = if shares { digest::write(&self.observations) } else { Vec::new() };
             self.send(to, Kind::Heartbeat, &digest, now);
         }
@@ -34,7 +34,7 @@
         // Spread by chance, so that many that were cut off together do not ask at the same time.
         self.announce_at = now + ANNOUNCE_INTERVAL * (0.75 + 0.5 * self.draw_fraction());
         let absent: Vec<u16> = (0..self.members.len())
-            .filter(|router| !self.members[*router].state.counts())
+            .filter(|router| !self.members[*router].state.counts_as_present())
             .map(|router| router as u16)
             .collect();
         if !absent.is_empty() && self.leaving_since.is_none() {
@@ -45,10 +45,10 @@
 
     /// Sends the messages of the failure detector and of the leases.
     pub(super) fn send_messages_of_parts(&mut self, now: f64) {
-        for (to, bytes) in self.swim.outgoing() {
+        for (to, bytes) in self.swim.take_outgoing() {
             self.send(to, Kind::Swim, &bytes, now);
         }
-        for (to, message) in self.leases.outgoing() {
+        for (to, message) in self.leases.take_outgoing() {
             let bytes = postcard::to_extend(&message, Vec::new()).unwrap_or_default();
             self.send(to, Kind::Lease, &bytes, now);
         }
@@ -77,7 +77,7 @@
             let member = &self.members[router];
             let suspected = member.state == State::Suspected;
             // One that was never heard is silent since it came to be counted.
-            let heard_at = if suspected { member.heard_at } else { member.heard_at.max(member.since) };
+            let heard_at = if suspected { member.heard_at } else { member.heard_at.max(member.state_since) };
             Peer { router: router as u16, heard_at, suspected }
         };
         present.map(peer).collect()
@@ -129,21 +129,21 @@
     fn envelope(&self, to: u16, kind: Kind, now: f64) -> Option<Envelope> {
         let member = self.members.get(usize::from(to)).filter(|_| to != self.me)?;
         let heard_ago = (now - member.heard_at) / HEARD_UNIT;
-        let heard_born = self.swim.contacts.borrow().born(to).unwrap_or(0);
+        let heard_generation = self.swim.contacts.borrow().generation(to).unwrap_or(0);
         Some(Envelope {
             cluster: self.cluster,
             from: self.me,
             to,
-            born: self.swim.me().born,
+            generation: self.swim.me().generation,
             // A router whose incarnation is older than the one known under its name is told of that one.
-            receiver_born: heard_born.max(member.born),
+            receiver_generation: heard_generation.max(member.generation),
             heard_ago: if heard_ago < f64::from(u16::MAX) { heard_ago as u16 } else { u16::MAX },
             present: self.view.present,
             present_hash: self.view.hash,
             age: (now - self.started) as u32,
             leaving: self.leaving_since.is_some(),
             // Not of a younger incarnation that was heard, which the detector is only about to learn of.
-            receiver_failed: member.state == State::Failed && heard_born <= member.born,
+            receiver_failed: member.state == State::Failed && heard_generation <= member.generation,
             store_epoch: self.store_epoch,
             receiver_store_epoch: member.store_epoch,
             kind,
--- a/crates/membership/src/swim/codec.rs
+++ b/crates/membership/src/swim/codec.rs
@@ -1,6 +1,6 @@
 //! The codec of the library, which weighs the word of others against what this router hears.
 
-use super::{Contacts, Incarnation, YOUNGEST};
+use super::{Contacts, Incarnation, MAX_GENERATION};
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, PostcardCodec, State};
 use std::cell::RefCell;
@@ -50,7 +50,7 @@
 
 /// An incarnation beyond the youngest could never be followed by another.
 fn check_incarnation(incarnation: &Incarnation) -> Result<(), postcard::Error> {
-    if incarnation.born > YOUNGEST {
+    if incarnation.generation > MAX_GENERATION {
         Err(postcard::Error::SerdeDeCustom)
     } else {
         Ok(())
--- a/crates/membership/src/swim/contacts.rs
+++ b/crates/membership/src/swim/contacts.rs
@@ -5,7 +5,7 @@
 /// What was heard from one router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Contact {
-    born: u64,
+    generation: u64,
     at: f64,
 }
 
@@ -35,8 +35,9 @@
 
     /// Whether the router was heard so recently, in this incarnation or a younger one, that it can't be down.
     pub(super) fn refutes(&self, incarnation: &Incarnation) -> bool {
-        let recent =
-            |contact: Contact| contact.born >= incarnation.born && self.now - contact.at < Self::RECENT;
+        let recent = |contact: Contact| {
+            contact.generation >= incarnation.generation && self.now - contact.at < Self::RECENT
+        };
         self.enabled && self.of(incarnation.router).is_some_and(recent)
     }
 
@@ -51,17 +52,17 @@
     }
 
     /// The youngest incarnation in which the router was heard.
-    pub(crate) fn born(&self, router: u16) -> Option<u64> {
-        self.of(router).map(|contact| contact.born)
+    pub(crate) fn generation(&self, router: u16) -> Option<u64> {
+        self.of(router).map(|contact| contact.generation)
     }
 
     /// Notes that a router was heard now. Tells whether in an incarnation that is not older than what is known already.
-    pub(crate) fn record(&mut self, router: usize, born: u64) -> bool {
+    pub(crate) fn record(&mut self, router: usize, generation: u64) -> bool {
         let last = &mut self.last[router];
-        if last.is_some_and(|contact| contact.born > born) {
+        if last.is_some_and(|contact| contact.generation > generation) {
             return false;
         }
-        *last = Some(Contact { born, at: self.now });
+        *last = Some(Contact { generation, at: self.now });
         true
     }
 }
--- a/crates/membership/src/swim/incarnation.rs
+++ b/crates/membership/src/swim/incarnation.rs
@@ -10,19 +10,19 @@
     /// The place of the router in the cluster file.
     pub router: u16,
     /// Grows with each incarnation: the Unix time of the start in milliseconds, or more where others know a later incarnation.
-    pub born: u64,
+    pub generation: u64,
     /// In this incarnation it leaves by plan: its silence is no failure.
     pub leaving: bool,
 }
 
 /// No incarnation is younger than this, so that there is always a next one.
-pub const YOUNGEST: u64 = 1 << 62;
+pub const MAX_GENERATION: u64 = 1 << 62;
 
 impl Identity for Incarnation {
     type Addr = u16;
 
     fn renew(&self) -> Option<Incarnation> {
-        (self.born < YOUNGEST).then_some(Incarnation { born: self.born + 1, ..*self })
+        (self.generation < MAX_GENERATION).then_some(Incarnation { generation: self.generation + 1, ..*self })
     }
 
     fn addr(&self) -> u16 {
@@ -30,6 +30,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Incarnation) -> bool {
-        (self.born, self.leaving) > (other.born, other.leaving)
+        (self.generation, self.leaving) > (other.generation, other.leaving)
     }
 }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -17,7 +17,7 @@
 pub(crate) use contacts::Contacts;
 use foca::{Foca, Header, Member, Message, NoCustomBroadcast, State, Timer};
 use health::{LocalHealth, ProbeEnd};
-pub use incarnation::{Incarnation, YOUNGEST};
+pub use incarnation::{Incarnation, MAX_GENERATION};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use runtime::HostRuntime;
@@ -78,25 +78,25 @@
     contradicted: Rc<RefCell<u64>>,
     me: u16,
     /// How long a suspicion lasts, in seconds.
-    suspicion: f64,
+    suspicion_timeout: f64,
     suspicions: BTreeMap<u16, Suspicion>,
 }
 
 impl Swim {
     /// The detector of the router with this incarnation, among so many.
     pub fn new(me: Incarnation, routers: usize, pace: &DetectorSettings, seed: u64, now: f64) -> Swim {
-        let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.own_observations, now)));
+        let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.trust_direct_contact, now)));
         let contradicted = Rc::new(RefCell::new(0));
         let codec =
             EvidenceCodec { contacts: contacts.clone(), me: me.router, contradicted: contradicted.clone() };
         let health = LocalHealth::new(pace.defences.local_health);
         Swim {
-            foca: Foca::new(me, pace.foca(routers), SmallRng::seed_from_u64(seed), codec),
+            foca: Foca::new(me, pace.foca_config(routers), SmallRng::seed_from_u64(seed), codec),
             runtime: HostRuntime::new(health, now),
             contacts,
             contradicted,
             me: me.router,
-            suspicion: pace.suspicion_for(routers),
+            suspicion_timeout: pace.suspicion_timeout_for(routers),
             suspicions: BTreeMap::new(),
         }
     }
@@ -107,12 +107,12 @@
     }
 
     /// How slow or deaf this router finds itself, from 0 to 4.
-    pub fn health(&self) -> u32 {
+    pub fn local_health_score(&self) -> u32 {
         self.runtime.health.score
     }
 
     /// What was counted since the start.
-    pub fn counts(&self) -> DetectorCounters {
+    pub fn counters(&self) -> DetectorCounters {
         DetectorCounters {
             refutations: self.runtime.refutations,
             new_incarnations: self.runtime.new_incarnations,
@@ -128,7 +128,7 @@
     /// Asks a router for all members that it knows.
     pub fn announce(&mut self, router: u16, now: f64) {
         self.set_time(now);
-        let to = Incarnation { router, born: 0, leaving: false };
+        let to = Incarnation { router, generation: 0, leaving: false };
         // An address is all that it takes; which incarnation answers is learned from the answer.
         let _ = self.foca.announce(to, &mut self.runtime);
     }
@@ -168,14 +168,14 @@
     /// library leaves that to the first, which may be dead by now, and whose news may be gossiped to the dead.
     pub fn expire_suspicions(&mut self, now: f64) {
         self.set_time(now);
-        let lasts = self.suspicion * self.runtime.health.suspicion_stretch();
+        let timeout = self.suspicion_timeout * self.runtime.health.suspicion_stretch();
         let mut suspicions = BTreeMap::new();
         let mut down = Vec::new();
         let contacts = self.contacts.borrow();
         for member in self.foca.iter_membership_state().filter(|member| member.state() == State::Suspect) {
             let suspicion = self.suspicion_of(member, now);
             suspicions.insert(suspicion.incarnation.router, suspicion);
-            if now >= suspicion.since + lasts && !contacts.refutes(&suspicion.incarnation) {
+            if now >= suspicion.since + timeout && !contacts.refutes(&suspicion.incarnation) {
                 down.push(Member::new(suspicion.incarnation, suspicion.swim_incarnation, State::Down));
             }
         }
@@ -208,9 +208,10 @@
     }
 
     /// Begins a new incarnation: one in which this router leaves, or one that is younger than what others know of it.
-    pub fn begin_incarnation(&mut self, born: u64, leaving: bool, now: f64) {
+    pub fn begin_incarnation(&mut self, generation: u64, leaving: bool, now: f64) {
         self.set_time(now);
-        let incarnation = Incarnation { router: self.me, born: born.min(YOUNGEST), leaving };
+        let incarnation =
+            Incarnation { router: self.me, generation: generation.min(MAX_GENERATION), leaving };
         if incarnation != self.me() {
             let _ = self.foca.change_identity(incarnation, &mut self.runtime);
         }
@@ -258,7 +259,7 @@
     }
 
     /// The messages to send, each with its receiver.
-    pub fn outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
+    pub fn take_outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
         std::mem::take(&mut self.runtime.outgoing)
     }
 
--- a/crates/membership/src/swim/settings.rs
+++ b/crates/membership/src/swim/settings.rs
@@ -31,20 +31,20 @@
     /// A router that finds itself slow stretches its timers (Lifeguard's local health).
     pub local_health: bool,
     /// What a router hears directly outweighs the word of others that its sender is down.
-    pub own_observations: bool,
+    pub trust_direct_contact: bool,
     /// A router that a probe did not reach is suspected first. Without, it is down at once.
     pub suspicion: bool,
     /// A router that others know in a younger incarnation than its own takes one that is younger still.
-    pub adopt_younger_incarnation: bool,
+    pub adopt_later_incarnation: bool,
 }
 
 impl Default for Defences {
     fn default() -> Defences {
         Defences {
             local_health: true,
-            own_observations: true,
+            trust_direct_contact: true,
             suspicion: true,
-            adopt_younger_incarnation: true,
+            adopt_later_incarnation: true,
         }
     }
 }
@@ -55,9 +55,9 @@
     /// Between two probes of the detector.
     pub probe_period: f64,
     /// How long an answer to a probe may take before others are asked to probe.
-    pub round_trip: f64,
+    pub probe_timeout: f64,
     /// How long a suspicion lasts before its router is held failed; more among many routers.
-    pub suspicion: f64,
+    pub suspicion_timeout: f64,
     /// Which defences are on.
     pub defences: Defences,
 }
@@ -66,8 +66,8 @@
     fn default() -> DetectorSettings {
         DetectorSettings {
             probe_period: 0.4,
-            round_trip: 0.12,
-            suspicion: 1.0,
+            probe_timeout: 0.12,
+            suspicion_timeout: 1.0,
             defences: Defences::default(),
         }
     }
@@ -75,25 +75,25 @@
 
 impl DetectorSettings {
     /// News reaches all in a number of rounds that grows with the logarithm of the number of routers.
-    pub(super) fn suspicion_for(&self, routers: usize) -> f64 {
+    pub(super) fn suspicion_timeout_for(&self, routers: usize) -> f64 {
         if !self.defences.suspicion {
             return NO_SUSPICION;
         }
         let from = SUSPICION_GROWS_FROM;
         let decades = (routers.max(from) as f64 / from as f64).log10();
-        self.suspicion * (1.0 + SUSPICION_PER_DECADE * decades)
+        self.suspicion_timeout * (1.0 + SUSPICION_PER_DECADE * decades)
     }
 
-    pub(super) fn foca(&self, routers: usize) -> foca::Config {
+    pub(super) fn foca_config(&self, routers: usize) -> foca::Config {
         // So many that it is unlikely that one router is never told: each goes to a few drawn by chance.
         let transmissions = (TRANSMISSIONS_PER_DECADE * (routers as f64 + 1.0).log10()).ceil();
         let transmissions = transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8;
         foca::Config {
             probe_period: Duration::from_secs_f64(self.probe_period),
-            probe_rtt: Duration::from_secs_f64(self.round_trip),
+            probe_rtt: Duration::from_secs_f64(self.probe_timeout),
             num_indirect_probes: count(INDIRECT_PROBES),
             max_transmissions: NonZeroU8::new(transmissions).expect("at least eight"),
-            suspect_to_down_after: Duration::from_secs_f64(self.suspicion_for(routers)),
+            suspect_to_down_after: Duration::from_secs_f64(self.suspicion_timeout_for(routers)),
             remove_down_after: None,
             max_packet_size: count(MAX_BODY),
             notify_down_members: true,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -70,7 +70,7 @@
     ];
 
     /// The words for logs and status.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Standing::Leaving => "leaving",
             Standing::NameConflict => "doubled",
@@ -131,7 +131,7 @@
 }
 
 /// What a standing allows.
-pub fn allows(standing: Standing) -> Permissions {
+pub fn permissions(standing: Standing) -> Permissions {
     let all = Permissions {
         requests_leases: true,
         grants_leases: true,
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -47,7 +47,8 @@
 fn no_two_partitions_may_both_take_over() {
     for expected in 1..=40 {
         for first in 0..=expected {
-            let may = |present: usize| present > 0 && allows(standing(&count(expected, present))).takes_over;
+            let may =
+                |present: usize| present > 0 && permissions(standing(&count(expected, present))).takes_over;
             assert!(!(may(first) && may(expected - first)), "{first} of {expected}");
         }
     }
@@ -56,7 +57,7 @@
 #[test]
 fn takeover_and_released_shares_require_leases() {
     for standing in Standing::ALL {
-        let allowed = allows(standing);
+        let allowed = permissions(standing);
         assert!(allowed.requests_leases || !allowed.takes_over, "{standing:?}");
         assert!(allowed.requests_leases || !allowed.uses_released_shares, "{standing:?}");
     }
@@ -64,7 +65,7 @@
 
 #[test]
 fn restarted_routers_grant_nothing_and_paused_routers_tell_nothing() {
-    let row = |standing| allows(standing);
+    let row = |standing| permissions(standing);
     assert!(!row(Standing::JustStarted).grants_leases);
     assert!(!row(Standing::NameConflict).grants_leases);
     for old in [Standing::JustStarted, Standing::JustResumed, Standing::Leaving, Standing::NameConflict] {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -37,9 +37,9 @@
     /// The receiver, by its place in the cluster file.
     pub to: u16,
     /// The sender's incarnation.
-    pub born: u64,
+    pub generation: u64,
     /// The receiver's incarnation as the sender knows it, 0 if it knows none.
-    pub receiver_born: u64,
+    pub receiver_generation: u64,
     /// How long ago the sender last heard the receiver, in [`HEARD_UNIT`]; `u16::MAX` for never or long ago.
     pub heard_ago: u16,
     /// How many routers the sender holds present, itself among them.
@@ -50,7 +50,7 @@
     pub age: u32,
     /// The sender leaves by plan.
     pub leaving: bool,
-    /// The sender holds the receiver failed in the incarnation `receiver_born`: the receiver has to begin a new one.
+    /// The sender holds the receiver failed in the incarnation `receiver_generation`: the receiver has to begin a new one.
     pub receiver_failed: bool,
     /// The epoch of the sender's last put that is on its disk, 0 for none.
     pub store_epoch: u64,
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -6,8 +6,8 @@
         cluster: u64::MAX,
         from: 7,
         to: 9,
-        born: u64::MAX,
-        receiver_born: u64::MAX,
+        generation: u64::MAX,
+        receiver_generation: u64::MAX,
         ..Envelope::default()
     }
 }
--- a/crates/membership/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -133,7 +133,7 @@
 /// again: the checker finds a schedule.
 #[test]
 fn finds_the_injected_fault() {
-    let defences = Defences { adopt_younger_incarnation: false, ..Defences::default() };
+    let defences = Defences { adopt_later_incarnation: false, ..Defences::default() };
     let checker = Views { defences }.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery("views agree after the last fault");
     assert!(found.is_some(), "{} states", checker.unique_state_count());
--- a/crates/membership/tests/golden_bytes.rs
+++ b/crates/membership/tests/golden_bytes.rs
@@ -17,8 +17,8 @@
         cluster: 0x1122_3344_5566_7788,
         from: 7,
         to: 300,
-        born: 1_700_000_000_123,
-        receiver_born: 1_700_000_000_456,
+        generation: 1_700_000_000_123,
+        receiver_generation: 1_700_000_000_456,
         heard_ago: 65_000,
         present: 550,
         present_hash: 0xdead_beef,
@@ -129,11 +129,11 @@
                 continue;
             }
             members[from].turn(now);
-            for (to, bytes) in members[from].outgoing() {
+            for (to, bytes) in members[from].take_outgoing() {
                 text += &format!("{step} {from} {to} {}\n", hex(&bytes));
                 let to = usize::from(to);
                 if !silent[to] {
-                    let _ = members[to].datagram(from, &bytes, now);
+                    let _ = members[to].receive_datagram(from, &bytes, now);
                 }
             }
         }
--- a/crates/membership/tests/growth.rs
+++ b/crates/membership/tests/growth.rs
@@ -12,7 +12,7 @@
     }
     world.run_until(25.0);
     let sum = |world: &World| {
-        let counts = (0..routers).map(|router| world.members(router).expect("it runs").counts());
+        let counts = (0..routers).map(|router| world.members(router).expect("it runs").counters());
         counts.fold((0, 0), |(sent, bytes), one| (sent + one.sent, bytes + one.sent_bytes))
     };
     let before = sum(&world);
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -11,7 +11,9 @@
 
 fn holder(world: &World) -> Option<usize> {
     let holds = |router: &usize| {
-        world.members(*router).is_some_and(|one| one.holds(role_resource("nightly"), world.now).is_some())
+        world
+            .members(*router)
+            .is_some_and(|one| one.held_epoch(role_resource("nightly"), world.now).is_some())
     };
     (0..world.routers()).find(holds)
 }
--- a/crates/membership/tests/lease_model.rs
+++ b/crates/membership/tests/lease_model.rs
@@ -95,7 +95,7 @@
     }
 
     fn collect(&self, at: &mut At, router: usize) {
-        let mut out = at.routers[router].outgoing();
+        let mut out = at.routers[router].take_outgoing();
         out.retain(|(to, _)| {
             !self.by_one || router == self.routers - 1 || usize::from(*to) == self.routers - 1
         });
@@ -158,8 +158,8 @@
         if at.restarts < self.restarts {
             steps.push(Step::Restart(self.routers - 1));
         }
-        let uses =
-            asking.filter(|router| at.routers[*router].holds(RESOURCE, self.local(at, *router)).is_some());
+        let uses = asking
+            .filter(|router| at.routers[*router].held_epoch(RESOURCE, self.local(at, *router)).is_some());
         for router in uses {
             steps.extend(std::iter::repeat_n(Step::Use(router), 2 * self.deliver_weight - 1));
         }
@@ -195,7 +195,7 @@
                 at.routers[router] = leases;
             }
             Step::Use(router) => {
-                let epoch = at.routers[router].holds(RESOURCE, self.local(&at, router))?;
+                let epoch = at.routers[router].held_epoch(RESOURCE, self.local(&at, router))?;
                 let now = at.time as f64 / 100.0;
                 let others = at.effects.iter().enumerate().filter(|(other, _)| *other != router);
                 at.two |= others.flat_map(|(_, effect)| effect).any(|(until, _)| now < *until);
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -67,7 +67,7 @@
         world.at(15.0, FaultAction::Wake(2));
         world.run_until(15.01);
         assert_eq!(standing(&world, 2), Standing::JustResumed);
-        assert!(!world.members(2).unwrap().allowed().shares_observations);
+        assert!(!world.members(2).unwrap().permissions().shares_observations);
         world.run_until(25.0);
         sound(&world, 3500);
         agreed_in(&world, 3500);
@@ -82,20 +82,20 @@
     let mut world = whole(5, 18);
     let woken = world.now + 5.0;
     let one = world.members_mut(2).unwrap();
-    assert!(one.allowed().takes_over);
-    let _ = one.datagram(0, b"whatever waited", woken);
+    assert!(one.permissions().takes_over);
+    let _ = one.receive_datagram(0, b"whatever waited", woken);
     assert_eq!(one.standing(), Standing::JustResumed);
-    assert!(!one.allowed().takes_over && !one.allowed().uses_peer_evidence);
+    assert!(!one.permissions().takes_over && !one.permissions().uses_peer_evidence);
 }
 
 #[test]
 fn router_restarted_before_detection_is_present_in_its_new_incarnation() {
     let mut world = whole(9, 3);
-    let before = world.members(0).unwrap().members()[5].born;
+    let before = world.members(0).unwrap().members()[5].generation;
     world.plan(&vec![(10.0, FaultAction::Kill(5)), (10.2, FaultAction::Start(5))]);
     world.run_until(20.0);
     sound(&world, 0);
-    assert!(world.members(0).unwrap().members()[5].born > before);
+    assert!(world.members(0).unwrap().members()[5].generation > before);
     assert_eq!(standing(&world, 5), Standing::Complete);
 }
 
@@ -108,7 +108,7 @@
         world.run_until(30.0);
         sound(&world, 0);
         assert_eq!(state(&world, 1, 0), State::SeenByOthers, "seed {seed}");
-        let hears_us = world.now - world.members(0).unwrap().members()[1].hears_us_at;
+        let hears_us = world.now - world.members(0).unwrap().members()[1].heard_us_at;
         assert!(hears_us > 10.0, "it tells that it does not hear us: {hears_us}");
         assert_eq!((standing(&world, 0), standing(&world, 1)), (Standing::Complete, Standing::Complete));
     }
@@ -133,7 +133,7 @@
         world.run_until(19.9);
         for router in 0..10 {
             assert_eq!(standing(&world, router), Standing::Half, "router {router}, seed {seed}");
-            assert!(!world.members(router).unwrap().allowed().takes_over);
+            assert!(!world.members(router).unwrap().permissions().takes_over);
         }
         world.run_until(32.0);
         agreed_in(&world, 3000);
@@ -189,7 +189,7 @@
         (0..9).for_each(|from| world.link_conditions.link(from, 3).loss = 0.5);
         world.slow[3] = 0.3;
         world.run_until(60.0);
-        let others = || (0..9).filter(|at| *at != 3).map(|at| world.members(at).unwrap().counts());
+        let others = || (0..9).filter(|at| *at != 3).map(|at| world.members(at).unwrap().counters());
         let believed =
             world.record.false_failures().into_iter().filter(|(_, by, of)| *by != 3 && *of != 3).count();
         let accused: u64 = others().map(|counts| counts.refutations + counts.contradicted).sum();
@@ -197,7 +197,7 @@
             others().map(|counts| counts.new_incarnations).sum::<u64>(),
             believed,
             accused,
-            world.members(3).unwrap().health(),
+            world.members(3).unwrap().local_health_score(),
         )
     };
     let play = |defences: Defences| {
@@ -263,14 +263,14 @@
             at,
         );
         twin.turn(at);
-        for (to, bytes) in twin.outgoing() {
+        for (to, bytes) in twin.take_outgoing() {
             world.inject(2, to.into(), bytes);
         }
         world.run_until(at);
     }
     assert_eq!(standing(&world, 2), Standing::NameConflict);
-    assert!(world.members(2).unwrap().allowed().warns);
-    assert!(!world.members(2).unwrap().allowed().grants_leases);
+    assert!(world.members(2).unwrap().permissions().warns);
+    assert!(!world.members(2).unwrap().permissions().grants_leases);
 }
 
 #[test]
@@ -295,22 +295,22 @@
         (0..8)
             .flat_map(|step| {
                 one.turn(now + f64::from(step) * 0.25);
-                one.outgoing()
+                one.take_outgoing()
             })
             .collect()
     };
     assert!(old.len() > 8);
     world.plan(&vec![(10.0, FaultAction::Kill(3)), (10.5, FaultAction::Start(3))]);
     world.run_until(16.0);
-    let born = world.members(0).unwrap().members()[3].born;
+    let generation = world.members(0).unwrap().members()[3].generation;
     old.into_iter().for_each(|(to, bytes)| world.inject(3, to.into(), bytes));
     world.run_until(20.0);
-    let counts = world.members(0).unwrap().counts();
+    let counts = world.members(0).unwrap().counters();
     assert!(
         counts.dropped.get(&DropReason::FormerIncarnation).is_some_and(|dropped| *dropped > 0),
         "{counts:?}"
     );
-    assert_eq!(world.members(0).unwrap().members()[3].born, born);
+    assert_eq!(world.members(0).unwrap().members()[3].generation, generation);
     assert_eq!(standing(&world, 0), Standing::Complete);
 }
 
@@ -325,7 +325,7 @@
     for step in 0..2000 {
         let at = 8.0 + f64::from(step) * 0.001;
         other.turn(at);
-        for (to, bytes) in other.outgoing() {
+        for (to, bytes) in other.take_outgoing() {
             world.inject(2, to.into(), bytes);
         }
         chance = chance.wrapping_mul(6364136223846793005).wrapping_add(1);
@@ -334,7 +334,7 @@
         world.run_until(at);
     }
     world.run_until(12.0);
-    let counts = world.members(0).unwrap().counts();
+    let counts = world.members(0).unwrap().counters();
     let dropped = |why| counts.dropped.get(&why).copied().unwrap_or(0);
     assert!(dropped(DropReason::OtherCluster) > 0 && dropped(DropReason::Noise) >= 1900, "{counts:?}");
     assert_eq!(dropped(DropReason::TooLong), 2000);
@@ -409,7 +409,9 @@
             let at = world.now;
             let holder = (0..7).find(|router| {
                 let members = world.members(*router);
-                members.is_some_and(|one| one.holds(world.role.unwrap(), at * world.rates[*router]).is_some())
+                members.is_some_and(|one| {
+                    one.held_epoch(world.role.unwrap(), at * world.rates[*router]).is_some()
+                })
             });
             let holder = holder.unwrap_or_else(|| panic!("nobody holds the role at {at}, seed {seed}"));
             let alone = (0..7).map(|router| usize::from(router == holder)).collect();
@@ -441,8 +443,8 @@
     }
     world.run_until(18.0);
     assert_eq!(state(&world, 0, 1), State::Present, "they hear each other");
-    assert_eq!(world.members(0).unwrap().store_epoch_shown(), None);
+    assert_eq!(world.members(0).unwrap().store_epoch_seen_by_peers(), None);
     world.plan(&vec![(18.0, FaultAction::Heal)]);
     world.run_until(22.0);
-    assert_eq!(world.members(0).unwrap().store_epoch_shown(), Some(40));
+    assert_eq!(world.members(0).unwrap().store_epoch_seen_by_peers(), Some(40));
 }
--- a/crates/operator-config/src/cluster.rs
+++ b/crates/operator-config/src/cluster.rs
@@ -67,8 +67,9 @@
 
 impl Default for PacePart {
     fn default() -> PacePart {
-        let DetectorSettings { probe_period, round_trip, suspicion, .. } = DetectorSettings::default();
-        PacePart { probe_period_s: probe_period, round_trip_s: round_trip, suspicion_s: suspicion }
+        let DetectorSettings { probe_period, probe_timeout, suspicion_timeout, .. } =
+            DetectorSettings::default();
+        PacePart { probe_period_s: probe_period, round_trip_s: probe_timeout, suspicion_s: suspicion_timeout }
     }
 }
 
@@ -162,8 +163,8 @@
         let PacePart { probe_period_s, round_trip_s, suspicion_s } = self.pace;
         DetectorSettings {
             probe_period: probe_period_s,
-            round_trip: round_trip_s,
-            suspicion: suspicion_s,
+            probe_timeout: round_trip_s,
+            suspicion_timeout: suspicion_s,
             defences: Defences::default(),
         }
     }
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -43,7 +43,7 @@
         let routers = file.routers.len();
         let mut members = Membership::new(file.hash(), routers, *place, *born, &file.pace(), *seed, now);
         let roles: Vec<_> = file.duties.iter().map(|name| role_resource(name)).collect();
-        members.take_on(&roles, now);
+        members.set_roles(&roles, now);
         members
     }
 
@@ -57,7 +57,7 @@
 
 /// What membership counts, as counters of the router.
 fn counters_of(members: &Membership) -> Counters {
-    let counts = members.counts();
+    let counts = members.counters();
     let dropped = |reason: DropReason| counts.dropped.get(&reason).copied().unwrap_or(0);
     Counters {
         cluster_in: counts.received,
@@ -70,7 +70,7 @@
         cluster_wrong_sender: dropped(DropReason::WrongSender),
         cluster_former_incarnation: dropped(DropReason::FormerIncarnation),
         cluster_body: dropped(DropReason::Body),
-        cluster_accusations: counts.accusations,
+        cluster_accusations: counts.suspicions_of_others,
         cluster_refutations: counts.refutations,
         cluster_new_incarnations: counts.new_incarnations,
         cluster_contradicted: counts.contradicted,
@@ -140,7 +140,7 @@
         if joined.file == self.joined.file {
             return;
         }
-        joined.born = joined.born.max(self.members.members()[self.joined.place].born + 1);
+        joined.born = joined.born.max(self.members.members()[self.joined.place].generation + 1);
         let address = joined.address();
         if address != self.joined.address() {
             match bind(&self.handle, address) {
@@ -155,7 +155,7 @@
             }
         }
         // Leader roles are released under the old file: the new one may be another cluster.
-        self.members.take_on(&[], now);
+        self.members.set_roles(&[], now);
         self.turn(now);
         self.counted_before.add(&counters_of(&self.members));
         self.members = joined.members(now);
@@ -185,8 +185,9 @@
                 continue;
             };
             let members = &mut self.members;
-            let taken =
-                catch_panic("a datagram of the cluster", || members.datagram(router, &bytes[..length], now));
+            let taken = catch_panic("a datagram of the cluster", || {
+                members.receive_datagram(router, &bytes[..length], now)
+            });
             if taken.is_none() {
                 return;
             }
@@ -207,7 +208,7 @@
     /// Does all that is due, and sends what came of it.
     pub fn turn(&mut self, now: f64) {
         self.members.turn(now);
-        for (to, bytes) in self.members.outgoing().into_iter().take(MAX_SENT_PER_TURN) {
+        for (to, bytes) in self.members.take_outgoing().into_iter().take(MAX_SENT_PER_TURN) {
             let to = self.joined.file.routers[usize::from(to)].address;
             self.unsent += u64::from(self.socket.send_to(&bytes, to).is_err());
         }
@@ -217,12 +218,12 @@
     }
 
     fn log_member_changes(&mut self) {
-        for change in self.members.changes() {
+        for change in self.members.take_changes() {
             let name = self.joined.file.routers[change.router].name.as_str();
-            let from = change.from.word();
-            let to = change.to.word();
+            let from = change.from.as_str();
+            let to = change.to.as_str();
             log::info!(
-                router = name, from = from, to = to, born = change.born, heard_ago = change.heard_ago;
+                router = name, from = from, to = to, born = change.generation, heard_ago = change.heard_ago;
                 "router {name} is {to}, was {from}"
             );
         }
@@ -233,11 +234,11 @@
         if std::mem::replace(&mut self.standing, standing) == standing {
             return;
         }
-        let count = self.members.count(now);
-        let word = standing.word();
+        let count = self.members.view_inputs(now);
+        let word = standing.as_str();
         let present = count.present;
         let expected = count.expected;
-        let level = if self.members.allowed().warns { log::Level::Warn } else { log::Level::Info };
+        let level = if self.members.permissions().warns { log::Level::Warn } else { log::Level::Info };
         log::log!(
             level, standing = word, present = present, expected = expected;
             "cluster: {word}, {present} of {expected} routers present"
@@ -293,7 +294,7 @@
 
     /// The latest epoch of this router's store that others say they were shown.
     pub fn store_epoch_seen(&self) -> Option<u64> {
-        self.members.store_epoch_shown()
+        self.members.store_epoch_seen_by_peers()
     }
 
     /// When its next turn is due, on the monotonic clock.
@@ -339,32 +340,32 @@
     }
 
     fn cluster_row(&self, now: f64) -> StatusRow {
-        let count = self.members.count(now);
+        let count = self.members.view_inputs(now);
         let detail = format!(
             "{} of {} present, {} count otherwise, own health {}",
             count.present,
             count.expected,
             count.disagreeing,
-            self.members.health()
+            self.members.local_health_score()
         );
-        StatusRow::new(format!("cluster {}", self.joined.file.name), self.members.standing().word(), detail)
+        StatusRow::new(format!("cluster {}", self.joined.file.name), self.members.standing().as_str(), detail)
     }
 
     fn router_row(&self, place: usize, member: &Member, now: f64) -> StatusRow {
         let detail = if place == self.joined.place {
-            format!("this one, life {}", member.born)
+            format!("this one, life {}", member.generation)
         } else {
             format!(
                 "since {}, life {}, heard {}, hears us {}",
-                ago(member.since, now),
-                member.born,
+                ago(member.state_since, now),
+                member.generation,
                 ago(member.heard_at, now),
-                ago(member.hears_us_at, now)
+                ago(member.heard_us_at, now)
             )
         };
         StatusRow::new(
             format!("router {}", self.joined.file.routers[place].name),
-            member.state.word(),
+            member.state.as_str(),
             detail,
         )
     }
--- a/crates/testbed/src/capacity/fleet.rs
+++ b/crates/testbed/src/capacity/fleet.rs
@@ -617,7 +617,7 @@
             Event::Datagram { from, to, bytes } => {
                 let began = Instant::now();
                 let Some(members) = &mut self.routers[to].members else { return };
-                let _ = members.datagram(from, &bytes, self.now);
+                let _ = members.receive_datagram(from, &bytes, self.now);
                 self.spent.members += began.elapsed();
                 self.serve(to);
             }
@@ -654,8 +654,8 @@
         let began = Instant::now();
         let Some(members) = &mut self.routers[at].members else { return };
         members.turn(now);
-        let out = members.outgoing();
-        let _ = members.changes();
+        let out = members.take_outgoing();
+        let _ = members.take_changes();
         let due = (members.due() + 1e-7).max(now);
         self.spent.members += began.elapsed();
         self.routers[at].turn_at = due;
@@ -675,7 +675,7 @@
     fn look_at_holder(&mut self, at: usize) {
         let holds = |router: usize| {
             let members = self.routers[router].members.as_ref();
-            members.is_some_and(|members| members.holds(role_resource(ROLE), self.now).is_some())
+            members.is_some_and(|members| members.held_epoch(role_resource(ROLE), self.now).is_some())
         };
         if self.holder == Some(at) || !holds(at) {
             return;
@@ -988,7 +988,7 @@
         let mut gateway = Gateway::new(self.deployment(), own, now);
         let born = 1_700_000_000_000 + (now * 1e3) as u64;
         let mut members = Membership::new(CLUSTER, routers, at, born, &DetectorSettings::default(), own, now);
-        members.take_on(&[role_resource(ROLE)], now);
+        members.set_roles(&[role_resource(ROLE)], now);
         if again {
             // Nothing is kept here from one incarnation to the next.
             gateway.assume_lost_history(now);
--- a/crates/testbed/src/capacity/members.rs
+++ b/crates/testbed/src/capacity/members.rs
@@ -70,7 +70,7 @@
 /// Bytes on the wire that each running router sent in this incarnation.
 fn sent(world: &World) -> Vec<u64> {
     let bytes = |router| {
-        let counts = world.members(router).map(|members| members.counts());
+        let counts = world.members(router).map(|members| members.counters());
         counts.map_or(0, |counts| counts.sent_bytes + HEADERS * counts.sent)
     };
     (0..world.routers()).map(bytes).collect()
@@ -278,7 +278,9 @@
     let running = (0..routers).filter(|router| up[*router]).filter_map(|by| Some((by, world.members(by)?)));
     let wrong = running.flat_map(|(by, view)| {
         let members = view.members().iter().enumerate();
-        members.filter(|(of, member)| member.state.counts() != up[*of]).map(move |(of, _)| (by, of))
+        members
+            .filter(|(of, member)| member.state.counts_as_present() != up[*of])
+            .map(move |(of, _)| (by, of))
     });
     let wrong: Vec<(usize, usize)> = wrong.collect();
     report["counted_wrongly_at_the_end"] = json!(wrong.len());
--- a/crates/testbed/src/capacity/primary.rs
+++ b/crates/testbed/src/capacity/primary.rs
@@ -182,7 +182,8 @@
     let thing = cleatgw_membership::leader::role_resource("one");
     world.role = Some(thing);
     let holder = |world: &World| {
-        let holds = |at: &usize| world.members(*at).is_some_and(|one| one.holds(thing, world.now).is_some());
+        let holds =
+            |at: &usize| world.members(*at).is_some_and(|one| one.held_epoch(thing, world.now).is_some());
         (0..routers).find(holds)
     };
     let (mut lost, mut at, most) = (None, 0.0, 60.0);
--- a/crates/testbed/src/scenarios/membership.rs
+++ b/crates/testbed/src/scenarios/membership.rs
@@ -188,7 +188,7 @@
     let kinds = [
         ("all", all),
         ("no local health", Defences { local_health: false, ..all }),
-        ("no own ears", Defences { own_observations: false, ..all }),
+        ("no own ears", Defences { trust_direct_contact: false, ..all }),
         ("no suspicion", Defences { suspicion: false, ..all }),
     ];
     let losses = [0.0, 0.1, 0.2, 0.3, 0.4, 0.5];
--- a/crates/testbed/src/scenarios/virtual_membership.rs
+++ b/crates/testbed/src/scenarios/virtual_membership.rs
@@ -134,7 +134,7 @@
         let Some(thing) = self.role else { return };
         let holds = |router: usize| {
             let members = self.routers[router].members.as_ref();
-            members.is_some_and(|members| members.holds(thing, self.clock(router)).is_some())
+            members.is_some_and(|members| members.held_epoch(thing, self.clock(router)).is_some())
         };
         if !holds(at) || self.holder == Some(at) {
             return;
@@ -149,7 +149,7 @@
         let Some(thing) = self.role else { return Vec::new() };
         let holds = |router: &usize| {
             let members = self.routers[*router].members.as_ref();
-            members.is_some_and(|members| members.holds(thing, self.clock(*router)).is_some())
+            members.is_some_and(|members| members.held_epoch(thing, self.clock(*router)).is_some())
         };
         (0..self.routers.len()).filter(holds).collect()
     }
@@ -196,7 +196,7 @@
             return;
         }
         router.received += 1;
-        let _ = members.datagram(from, &bytes, now);
+        let _ = members.receive_datagram(from, &bytes, now);
         self.serve(to);
     }
 
@@ -209,7 +209,7 @@
         }
         for (from, bytes) in std::mem::take(&mut router.buffer) {
             router.received += 1;
-            let _ = router.members.as_mut().expect("it runs").datagram(from, &bytes, clock);
+            let _ = router.members.as_mut().expect("it runs").receive_datagram(from, &bytes, clock);
         }
         if router.leaves_at.is_some_and(|leaves| self.now >= leaves) {
             router.members = None;
@@ -225,9 +225,9 @@
         let router = &mut self.routers[at];
         let Some(members) = &mut router.members else { return };
         members.turn(clock);
-        let out = members.outgoing();
-        for change in members.changes() {
-            let state = change.to.word().to_string();
+        let out = members.take_outgoing();
+        for change in members.take_changes() {
+            let state = change.to.as_str().to_string();
             self.record.say(Said { at: now, by: at, of: change.router, state });
         }
         let leaves = router.leaves_at.unwrap_or(f64::INFINITY);
@@ -260,7 +260,7 @@
                 let clock = self.clock(at);
                 let mut members =
                     Membership::new(self.lists[at], count, at, born as u64, &self.pace, seed, clock);
-                members.take_on(self.role.as_slice(), clock);
+                members.set_roles(self.role.as_slice(), clock);
                 let router = &mut self.routers[at];
                 (router.members, router.frozen, router.leaves_at) = (Some(members), false, None);
                 (router.starts, router.turn_at) = (starts, self.now);
