--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt teaches: of its engine, of its class, and of the load.
+//! Handles the end of an attempt: updates the estimates of its engine, of its class and of the load.
 
 use super::concurrency_limit::USUAL_THREADS;
 use super::outlier_detection::AttemptEvidence;
@@ -6,52 +6,56 @@
 use crate::request_state::{DueEvent, RequestState};
 use crate::{AttemptEnd, AttemptOutcome};
 
-/// An answer is slow where it took so many times what its class takes elsewhere, and longer than this in seconds.
+/// An answer is slow if its pace is this many times its class's, and it took longer than this many seconds.
 const SLOW_ANSWER_PACES: f64 = 4.0;
 const SLOW_ANSWER_SECONDS: f64 = 0.5;
-/// The weight of a slow answer as a failure, beside that as a success: a slow machine, a pause, a crowd.
+/// The weight of a slow answer as a failure, in addition to its weight as a success. The cause may be a slow machine, a
+/// pause or other load.
 const SLOW_ANSWER_FAILURE: f64 = 0.5;
-/// The weight of an engine that can't be reached, as failures.
+/// The weight, in failures, of an engine that cannot be reached.
 const UNREACHABLE_FAILURE: f64 = 3.0;
-/// An engine is under pressure where its pace is so many times its best, or this part of its memory is granted.
+/// An engine is under memory pressure if its pace is this many times its best, or if this share of its memory is
+/// granted.
 const PRESSURE_PACES: f64 = 2.5;
 const PRESSURE_GRANTED: f64 = 0.98;
-/// The largest pace that is taken as evidence of a crowd.
+/// The maximum pace that counts as evidence of the load of other gateways.
 const MAX_PEER_LOAD_PACE: f64 = 8.0;
-/// The largest weight of one answer whose work was only estimated.
+/// The maximum weight of one answer whose work is only estimated.
 const MAX_ESTIMATE_WEIGHT: f64 = 3.0;
-/// The least work that a pace is taken of.
+/// The minimum work by which a time is divided to get a pace.
 const MIN_WORK: f64 = 1e-3;
 
-/// What one ended attempt shows.
+/// The figures of one ended attempt.
 struct AttemptSample {
     class: usize,
+    /// The attempt's number among those of its request.
     number: usize,
     sent_at: f64,
-    at_quarter: bool,
-    /// What the request needed, or is thought to have needed.
+    is_quarter_grant: bool,
+    /// The measured work, or else the estimate, in seconds of one core.
     work: f64,
+    /// The measured memory, or else the estimate, in megabytes.
     memory: f64,
     threads: f64,
-    /// Time for each second of work a thread.
+    /// The elapsed time per second of work per thread.
     pace: f64,
-    /// The same as evidence of a crowd, where it is any.
+    /// The pace as evidence of the load of other gateways; absent if it is no such evidence.
     peer_load_pace: Option<f64>,
-    /// No answer of the class measures work, and gateways are few.
-    is_uncorrected: bool,
-    /// This gateway had no turn for a while, and can't tell when the answer came.
+    /// The work of the class is estimated but never measured, and there are few gateways.
+    is_never_measured: bool,
+    /// This gateway did not run for a while, so the time of the answer is not known.
     is_stalled: bool,
 }
 
 impl Gateway {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: f64, end: &AttemptEnd) {
         let Some(sample) = self.sample(now, end) else { return };
-        self.learn_of_engine(now, end, &sample);
+        self.update_engine_estimates(now, end, &sample);
         if end.outcome == AttemptOutcome::Completed {
-            self.learn_of_class(end, &sample);
+            self.update_class_model(end, &sample);
         }
-        self.rest_key(now, end);
+        self.start_key_quiet_period(now, end);
         self.release(end.request, sample.number);
         let needed = if end.outcome.never_ran() { 0.0 } else { sample.work };
         let request = &self.requests.open[&end.request];
@@ -65,25 +69,26 @@
             self.enqueue(now, end.request);
             self.round.ended.push(end.request);
         }
-        self.requests.forget_if_done(end.request);
+        self.requests.remove_if_done(end.request);
     }
 
-    /// Closes the attempt, and reads off what it shows; none where there is no such attempt in flight.
+    /// Marks the attempt as ended and returns its figures. None if no such attempt is in flight.
     fn sample(&mut self, now: f64, end: &AttemptEnd) -> Option<AttemptSample> {
         let request = self.requests.open.get_mut(&end.request)?;
-        let is_meant =
+        let is_ended_attempt =
             |attempt: &crate::request_state::Attempt| attempt.in_flight && attempt.engine == end.engine;
-        let number = request.attempts.iter().position(is_meant)?;
+        let number = request.attempts.iter().position(is_ended_attempt)?;
         let attempt = &mut request.attempts[number];
         attempt.in_flight = false;
         attempt.never_ran = end.outcome.never_ran();
         let sent_at = attempt.sent_at;
-        let at_quarter = attempt.at_quarter;
+        let is_quarter_grant = attempt.is_quarter_grant;
 
         let class = request.incoming.class;
         let threads = self.deployment.classes[class].threads;
         let has_estimate = request.incoming.estimated_work.is_some();
-        // Where work is neither measured nor estimated, the time it took is safe for an engine in slow start.
+        // If the work is neither measured nor estimated, the elapsed thread time is a safe value for the slow-start
+        // budget.
         let unmeasured = if has_estimate { request.work } else { end.elapsed * threads };
         let work = end.measured.map_or(unmeasured, |measured| measured.work);
         let memory = end.measured.map_or(request.memory, |measured| measured.memory_mb);
@@ -91,14 +96,14 @@
         let is_stalled = now > self.next_tick + TICK;
         let model = &mut self.classes[class];
         let pace = if is_stalled { model.pace() } else { end.elapsed * threads / work.max(MIN_WORK) };
-        // Among few gateways this one's threads are much of what stands there, and the least pace is soon met. Many that all
-        // know little must rather believe a crowd that is not there than none.
+        // Among few gateways this one's threads are a large part of an engine's load, and the lowest pace is soon
+        // observed. Many gateways that each know little must rather assume load that does not exist than none.
         let cores = self.engines.states.get(end.engine).map_or(0.0, |engine| engine.cores);
-        let is_uncorrected =
+        let is_never_measured =
             model.work_fit.is_unmeasured() && has_estimate && self.deployment.gateways <= cores;
-        let is_evidence = end.outcome == AttemptOutcome::Completed && !at_quarter && !is_stalled;
-        let peer_load_pace = match (is_uncorrected, is_evidence) {
-            (true, true) => model.pace_against_least(pace, work),
+        let is_evidence = end.outcome == AttemptOutcome::Completed && !is_quarter_grant && !is_stalled;
+        let peer_load_pace = match (is_never_measured, is_evidence) {
+            (true, true) => model.pace_over_baseline(pace, work),
             (true, false) => None,
             (false, _) => Some(pace),
         };
@@ -106,82 +111,82 @@
             class,
             number,
             sent_at,
-            at_quarter,
+            is_quarter_grant,
             work,
             memory,
             threads,
             pace,
             peer_load_pace,
-            is_uncorrected,
+            is_never_measured,
             is_stalled,
         })
     }
 
-    /// What the attempt shows of its engine: the load there, whether it answers well, and whether its memory is short.
-    fn learn_of_engine(&mut self, now: f64, end: &AttemptEnd, sample: &AttemptSample) {
+    /// Updates the engine's estimates: its load, its success rate, and whether its memory is short.
+    fn update_engine_estimates(&mut self, now: f64, end: &AttemptEnd, sample: &AttemptSample) {
         let class_pace = self.classes[sample.class].pace();
         let usual_work = self.classes[sample.class].work.mean_or(sample.work);
         let Some(engine) = self.engines.states.get_mut(end.engine) else { return };
 
         let reported = end.load.requests;
-        let reported = reported.map(|all| self.load.peer_threads_reported(all, engine.attempts));
+        let reported = reported.map(|requests| self.load.peer_threads_reported(requests, engine.attempts));
         let ran = matches!(
             end.outcome,
             AttemptOutcome::Completed | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
         );
         let shows_peer_load =
-            ran && !sample.at_quarter && !sample.is_stalled && self.deployment.gateways > 1.0;
+            ran && !sample.is_quarter_grant && !sample.is_stalled && self.deployment.gateways > 1.0;
         let estimated = sample
             .peer_load_pace
             .filter(|_| shows_peer_load)
             .map(|pace| USUAL_THREADS * pace.min(MAX_PEER_LOAD_PACE) * engine.cores - engine.threads);
         engine.concurrency.reports_load |= reported.is_some();
-        self.load.note_pace(sample.pace);
+        self.load.record_pace(sample.pace);
         if let Some(threads) = reported.or(estimated) {
-            // One estimate that no answer corrects may be off by ten times; their sum is not.
-            let is_uncorrected = sample.is_uncorrected;
+            // A single estimate that no measurement corrects may be wrong by a factor of ten; a sum of many is not.
+            let is_never_measured = sample.is_never_measured;
             let weight =
-                if is_uncorrected { (sample.work / usual_work).min(MAX_ESTIMATE_WEIGHT) } else { 1.0 };
-            self.load.note_peer_threads(engine, threads, weight);
+                if is_never_measured { (sample.work / usual_work).min(MAX_ESTIMATE_WEIGHT) } else { 1.0 };
+            self.load.record_peer_threads(engine, threads, weight);
         }
         if end.load.memory_waits.is_some_and(|waits| waits >= 1.0) {
             engine.ledger.shrink(now);
         }
 
-        let evidence = evidence(end, sample, class_pace, engine.last_answer_at);
+        let evidence = attempt_evidence(end, sample, class_pace, engine.last_answer_at);
         engine.failures.add(sample.class, evidence);
         let is_success = evidence.success > 0.0;
         if is_success {
-            engine.note_success(sample.peer_load_pace, sample.pace, sample.work, now);
+            engine.record_success(sample.peer_load_pace, sample.pace, sample.work, now);
         }
         let best = engine.best_pace.filter(|_| is_success);
         let is_slowed = best.is_some_and(|best| engine.pace.mean_or(1.0) > PRESSURE_PACES * best);
         let is_granted = end.load.granted_memory_share.is_some_and(|share| share >= PRESSURE_GRANTED);
         if is_slowed || is_granted || end.outcome == AttemptOutcome::EngineFull {
-            engine.ledger.press(now);
+            engine.ledger.mark_pressure(now);
         }
     }
 
-    /// What a completed attempt shows of its class, and of the waits for memory.
-    fn learn_of_class(&mut self, end: &AttemptEnd, sample: &AttemptSample) {
+    /// Updates the class model and the grant threshold's statistics with a completed attempt.
+    fn update_class_model(&mut self, end: &AttemptEnd, sample: &AttemptSample) {
         let AttemptSample { work, memory, pace, .. } = *sample;
         let request = &self.requests.open[&end.request];
         let model = &mut self.classes[sample.class];
-        model.note_pace(pace, work, sample.at_quarter);
-        self.threshold.note_completed(pace, work / sample.threads, request.memory_wait);
+        model.record_pace(pace, work, sample.is_quarter_grant);
+        self.threshold.record_completed_attempt(pace, work / sample.threads, request.memory_wait);
         let incoming = &request.incoming;
         if incoming.estimated_work.is_none() {
-            model.note_work(work, 1.0);
+            model.record_work(work, 1.0);
         }
         if end.measured.is_some() {
             let estimated_work = incoming.estimated_work;
             let estimated_memory = incoming.estimated_memory_mb;
-            model.note_measured(estimated_work, estimated_memory, work, memory);
+            model.record_measured_cost(estimated_work, estimated_memory, work, memory);
         }
     }
 
-    /// The request's key rests where the attempt may still run.
-    fn rest_key(&mut self, now: f64, end: &AttemptEnd) {
+    /// Starts the quiet period of the request's key if the attempt may still be running on the engine.
+    fn start_key_quiet_period(&mut self, now: f64, end: &AttemptEnd) {
         let may_run = matches!(
             end.outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost | AttemptOutcome::Cancelled
@@ -191,11 +196,11 @@
         }
         let key = self.requests.open[&end.request].incoming.key;
         if let Some(queue) = key.and_then(|key| self.requests.keys.get_mut(&key)) {
-            queue.rests_until = queue.rests_until.max(now + self.deployment.key_quiet_period);
+            queue.quiet_until = queue.quiet_until.max(now + self.deployment.key_quiet_period);
         }
     }
 
-    /// An attempt no longer counts on its engine.
+    /// Releases what the attempt occupied on its engine: threads, table lock and memory grant.
     fn release(&mut self, id: usize, number: usize) {
         let request = &self.requests.open[&id];
         let attempt = &request.attempts[number];
@@ -218,7 +223,7 @@
     /// Puts a request into its tenant's queue.
     pub(super) fn enqueue(&mut self, now: f64, id: usize) {
         let request: &RequestState = &self.requests.open[&id];
-        let waiting = cleatgw_tenant_queue::QueuedRequest {
+        let queued = cleatgw_tenant_queue::QueuedRequest {
             request: id,
             tenant: request.incoming.tenant,
             class: request.incoming.class,
@@ -227,12 +232,12 @@
             since: request.received_at,
             never_ran: request.never_ran(),
         };
-        self.queue.enqueue(waiting, now);
+        self.queue.enqueue(queued, now);
     }
 }
 
-/// What an ended attempt says of its engine.
-fn evidence(
+/// The evidence that an ended attempt gives on its engine.
+fn attempt_evidence(
     end: &AttemptEnd,
     sample: &AttemptSample,
     class_pace: f64,
@@ -245,8 +250,9 @@
         AttemptOutcome::Unreachable => AttemptEvidence::new(0.0, UNREACHABLE_FAILURE),
         AttemptOutcome::EngineError | AttemptOutcome::ConnectionLost => AttemptEvidence::new(0.0, 1.0),
         AttemptOutcome::TimedOut if last_answer_at < sample.sent_at => AttemptEvidence::new(0.0, 1.0),
-        // Others were answered since: one class's answers are lost, or it stands behind a lock.
-        AttemptOutcome::TimedOut | AttemptOutcome::EngineFull => AttemptEvidence::of_class_alone(),
+        // The engine has answered other attempts since. Either the answers of one class are lost, or the request waits
+        // behind a table lock. For a full engine, too, only the class is charged.
+        AttemptOutcome::TimedOut | AttemptOutcome::EngineFull => AttemptEvidence::class_failure(),
         AttemptOutcome::Cancelled | AttemptOutcome::NeverSent => AttemptEvidence::new(0.0, 0.0),
     }
 }
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -1,61 +1,65 @@
-//! How many threads a core an engine may hold before requests are queued at this gateway instead.
+//! Limits the threads per core that an engine may run. Beyond the limit, requests stay queued at this gateway.
 
 use super::{EngineState, Gateway};
 use crate::statistics::WeightedMean;
 
-/// Threads a core that an engine may hold at first.
+/// The initial limit, in threads per core.
 pub(super) const INITIAL_LIMIT: f64 = 1.0;
-/// Threads a core that a deployment of many gateways is taken to run where nothing reports its load.
+/// The threads per core that engines are assumed to run in a deployment of many gateways if no engine reports its load.
 pub(super) const USUAL_THREADS: f64 = 0.75;
-/// The part of the evidence about peers that stays with each tick. Less, and gateways move together.
+/// The fraction of the evidence about peers that is kept at each tick. With a smaller value, gateways react in step
+/// with each other.
 pub(super) const KEEP: f64 = 0.98;
 
 /// The bounds of the limit.
 const MIN_LIMIT: f64 = 0.6 * INITIAL_LIMIT;
 const MAX_LIMIT: f64 = 1.5 * INITIAL_LIMIT;
-/// The limit shrinks where work takes this many times as long, and grows where it takes less than that.
+/// The limit shrinks if the pace is above the first value, and may grow if it is below the second.
 const SLOW_PACE: f64 = 3.0;
 const FAST_PACE: f64 = 2.0;
-/// The factors by which it moves with a tick.
+/// The factors by which the limit changes at a tick.
 const SHRINK: f64 = 0.97;
 const GROW: f64 = 1.03;
-/// It grows only where this part of it is used.
-const USED_PART: f64 = 0.7;
-/// How many times the limit a light request may reach, so that it passes the heavy ones that fill an engine: more where they
-/// cannot make it page.
+/// The limit grows only if more than this share of it is used.
+const MIN_USED_SHARE: f64 = 0.7;
+/// The factor by which the limit is higher for light requests, so that they can pass the heavy ones that fill an
+/// engine. It is larger if requests cannot make the engine page.
 const LIGHT_FACTOR: f64 = 2.0;
 const LIGHT_FACTOR_PAGING: f64 = 1.5;
-/// How many times its even share of an engine one gateway may take. Reports lag, and gateways that see the same gap would fill
-/// it together.
+/// The largest multiple of its fair share of an engine that one gateway may use. Reports are delayed, so gateways that
+/// all see the same free capacity would overfill it together.
 const MAX_SHARES: f64 = 2.0;
-/// The part of the limit that one gateway may take where an engine reports nothing: most of the load may be its own.
-const UNREPORTED_PART: f64 = 0.6;
-/// A request with more threads than the limit fits an engine that is all but empty: it may have this factor of its threads.
+/// The share of the limit that one gateway may use on an engine that does not report its load: most of the load may be
+/// its own.
+const UNREPORTED_SHARE: f64 = 0.6;
+/// A request with more threads than the limit still fits an almost empty engine: the limit is raised to this multiple
+/// of the request's threads.
 const WIDE_REQUEST_FACTOR: f64 = 1.25;
 
-/// The limit of one engine, and what its peers are thought to hold there.
+/// The limit of one engine, and the estimated load of other gateways on it.
 #[derive(Default)]
 pub(super) struct ConcurrencyLimit {
-    /// Threads a core.
+    /// The limit, in threads per core.
     pub limit: f64,
-    /// Threads a core that other gateways hold there, by reports or by the pace of answers: their mean, late.
+    /// The decaying mean of the threads per core that other gateways occupy, from load reports or from the pace of
+    /// answers.
     pub peer_threads: WeightedMean,
     /// The engine reports its load.
     pub reports_load: bool,
 }
 
 impl ConcurrencyLimit {
-    /// The limit of an engine that has just started.
+    /// The limit of an engine that is new or has restarted.
     pub fn initial() -> ConcurrencyLimit {
         ConcurrencyLimit { limit: INITIAL_LIMIT, ..ConcurrencyLimit::default() }
     }
 
-    /// A tick: the limit follows the pace of answers. `used` is what all gateways hold, in threads a core.
+    /// Adjusts the limit to the pace of answers at a tick. `used` is the load of all gateways, in threads per core.
     pub fn tick(&mut self, pace: f64, used: f64) {
-        self.peer_threads.fade(KEEP);
+        self.peer_threads.decay(KEEP);
         if pace > SLOW_PACE {
             self.limit = (self.limit * SHRINK).max(MIN_LIMIT);
-        } else if pace < FAST_PACE && used > self.limit * USED_PART {
+        } else if pace < FAST_PACE && used > self.limit * MIN_USED_SHARE {
             self.limit = (self.limit * GROW).min(MAX_LIMIT);
         }
     }
@@ -67,21 +71,22 @@
         let threads = self.deployment.classes[class].threads;
         let limit = self.limit_for(engine, is_light);
         if engine.attempts == 0 {
-            // Where this gateway holds nothing and nothing is reported, a slow spell is remembered for long: a light request
-            // finds out.
-            let finds_out = is_light && self.deployment.gateways * threads <= engine.cores;
-            // What all gateways send an engine in slow start is bounded by its budget, and the load that is estimated on
-            // other engines is not there.
-            if finds_out || engine.in_slow_start {
+            // Without own attempts and load reports, the gateway would long remember a period of slow answers. A light
+            // request probes the engine.
+            let is_probe = is_light && self.deployment.gateways * threads <= engine.cores;
+            // The work sent to an engine in slow start is bounded by its budget, and the load that is estimated from
+            // other engines does not exist there yet.
+            if is_probe || engine.in_slow_start {
                 return true;
             }
         }
         let peers = self.load.peer_threads_on(engine).max(0.0);
-        let ours = (engine.threads + threads) / engine.cores;
-        (engine.attempts == 0 || ours <= self.own_part(engine) * limit)
-            && ours + peers <= limit.max(WIDE_REQUEST_FACTOR * threads / engine.cores)
+        let own = (engine.threads + threads) / engine.cores;
+        (engine.attempts == 0 || own <= self.max_own_share(engine) * limit)
+            && own + peers <= limit.max(WIDE_REQUEST_FACTOR * threads / engine.cores)
     }
 
+    /// The limit that applies to a light or a heavy request, in threads per core.
     fn limit_for(&self, engine: &EngineState, is_light: bool) -> f64 {
         let limit = engine.concurrency.limit;
         match (is_light, self.deployment.pages_memory) {
@@ -91,14 +96,15 @@
         }
     }
 
-    /// The part of an engine's limit that this gateway may take alone.
-    fn own_part(&self, engine: &EngineState) -> f64 {
-        let unreported = if engine.concurrency.reports_load { 0.0 } else { UNREPORTED_PART };
+    /// The share of an engine's limit that this gateway may use alone.
+    fn max_own_share(&self, engine: &EngineState) -> f64 {
+        let unreported = if engine.concurrency.reports_load { 0.0 } else { UNREPORTED_SHARE };
         (MAX_SHARES / self.deployment.gateways).max(unreported)
     }
 
-    /// With so many threads of each gateway, none of the cores has more than one.
-    pub(super) fn fits_even_part(&self, threads: f64, cores: f64) -> bool {
+    /// Whether these threads are within this gateway's fair share of the cores: if every gateway used as many, no core
+    /// would run more than one thread.
+    pub(super) fn fits_fair_share(&self, threads: f64, cores: f64) -> bool {
         self.deployment.gateways * threads <= INITIAL_LIMIT * cores
     }
 }
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -1,5 +1,5 @@
-//! Which engine a request goes to: of the first in its table group's hash order whose ledger fits the grant, the one with the
-//! fewest of this gateway's threads a core.
+//! Chooses the engine for a request: among the first engines in its table group's hash order whose ledger fits the
+//! grant, the one with the fewest of this gateway's threads per core.
 
 use super::memory_grant::{GrantChoice, MemoryGrant};
 use super::outlier_detection::MIN_SUCCESS_RATE;
@@ -9,58 +9,59 @@
 use crate::statistics::order_key;
 use crate::ActionWriter;
 
-/// Of the engines, a hot table group's first ones are this many times its share of the work: they serve others too.
+/// A hot table group is spread over a share of the engines that is this many times the group's share of the work,
+/// because those engines serve other groups too.
 pub(super) const HOT_GROUP_SPREAD: f64 = 4.0;
-/// The prior, in requests, that a group has no share.
+/// The weight, in requests, of the prior that a table group has no share of the work.
 pub(super) const HOT_GROUP_PRIOR: f64 = 20.0;
-/// Engines among which the least loaded is chosen, for a group that is not hot.
+/// The bounds of the number of engines among which the least loaded is chosen, for a group that is not hot.
 const MIN_CANDIDATES: usize = 2;
 const MAX_CANDIDATES: usize = 3;
 
-/// The engine of an attempt, and its grant.
+/// The engine of an attempt, and the attempt's memory grant.
 #[derive(Clone, Copy, Debug)]
 struct Placement {
     engine: usize,
     grant: MemoryGrant,
 }
 
-/// What one choice asks of engines.
+/// The criteria for choosing an engine for one request.
 struct Criteria {
     request: usize,
     class: usize,
     table_group: u64,
-    /// A light request that may pass heavy ones.
+    /// The request is light and may pass heavy ones.
     is_light: bool,
-    /// So many engines are weighed against each other.
+    /// The number of engines among which the best is chosen.
     candidates: usize,
-    /// Threads of all gateways with one request of the kind each.
+    /// The threads of all gateways if each has one request of this class.
     threads_of_all_gateways: f64,
     now: f64,
 }
 
-/// The engines that a walk has found.
+/// The engines that a walk found.
 #[derive(Default)]
 struct Candidates {
-    /// They may take the request, and do well enough.
-    open: Vec<usize>,
-    /// Their ledgers fit the preferred grant as well.
+    /// Engines that may run the request and are reliable enough.
+    eligible: Vec<usize>,
+    /// Those of them whose ledger fits the preferred grant.
     fitting: Vec<usize>,
 }
 
 impl Gateway {
-    /// Finds an engine for the request and makes an attempt there; false where it stays queued.
+    /// Chooses an engine for the request and starts an attempt there. Returns false if the request stays queued.
     pub(super) fn place(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) -> bool {
         let grants = self.grant(id);
         self.index_changed_engines();
         self.random.advance();
-        if !self.request_may_go(id, now) {
+        if !self.request_may_be_attempted(id, now) {
             return false;
         }
         let criteria = self.criteria(id, now);
         let walk = self.walk(&criteria);
         let candidates = self.candidates(&criteria, &walk, grants.preferred.memory);
         let Some(placement) = self.choose(&criteria, &candidates, grants) else {
-            if !candidates.open.is_empty() {
+            if !candidates.eligible.is_empty() {
                 self.requests.get_mut(id).waits_for_memory_since.get_or_insert(now);
             }
             return false;
@@ -69,29 +70,30 @@
         true
     }
 
-    /// Indexes the engines that have changed for the choices that follow.
+    /// Updates the indices by class for the engines that have changed.
     fn index_changed_engines(&mut self) {
         let mut by_class = std::mem::take(&mut self.engines.by_class);
         for index in std::mem::take(&mut self.engines.changed) {
             let engine = &self.engines.states[index];
             for (class, indexed) in by_class.iter_mut().enumerate() {
-                let is_open = self.engines.orders.is_ready(index) && self.is_allowed_on(class, engine);
-                let success_rate = is_open.then(|| engine.failures.success_rate_for(class));
+                let is_allowed = self.engines.orders.is_ready(index) && self.is_allowed_on(class, engine);
+                let success_rate = is_allowed.then(|| engine.failures.success_rate_for(class));
                 indexed.success_rates.set(index, success_rate);
                 for (is_light, with_capacity) in [false, true].into_iter().zip(&mut indexed.with_capacity) {
-                    with_capacity.set(index, is_open && self.has_capacity(class, engine, is_light));
+                    with_capacity.set(index, is_allowed && self.has_capacity(class, engine, is_light));
                 }
-                let is_free = is_open && self.is_even_part_free(class, engine);
-                indexed.even_part_free.set(index, is_free);
+                let is_free = is_allowed && self.is_fair_share_free(class, engine);
+                indexed.fair_share_free.set(index, is_free);
             }
         }
         self.engines.by_class = by_class;
     }
 
-    /// Whether this gateway's even part of an engine that reports nothing is free for a request of this class.
-    pub(super) fn is_even_part_free(&self, class: usize, engine: &EngineState) -> bool {
+    /// Whether this gateway's fair share of an engine that does not report its load is free for a request of this
+    /// class.
+    pub(super) fn is_fair_share_free(&self, class: usize, engine: &EngineState) -> bool {
         let threads = engine.threads + self.deployment.classes[class].threads;
-        let is_free = engine.attempts == 0 || self.fits_even_part(threads, engine.cores);
+        let is_free = engine.attempts == 0 || self.fits_fair_share(threads, engine.cores);
         is_free && !engine.concurrency.reports_load
     }
 
@@ -100,75 +102,80 @@
         let threads = self.deployment.classes[incoming.class].threads;
         let threads_of_all_gateways = self.deployment.gateways * threads;
         let kinds = &self.deployment.engine_kinds;
-        let largest = kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
-        let has_many_gateways = threads_of_all_gateways > largest;
+        let most_cores = kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
+        let has_many_gateways = threads_of_all_gateways > most_cores;
         Criteria {
             request: id,
             class: incoming.class,
             table_group: incoming.table_group,
-            is_light: self.is_light(id) && !self.round.passed_over,
+            is_light: self.is_light(id) && !self.round.earlier_request_unplaced,
             candidates: self.candidate_count(incoming.table_group, has_many_gateways),
             threads_of_all_gateways,
             now,
         }
     }
 
-    /// How many engines are weighed. Among many gateways, each with few requests, none sees a crowd of its own: there a hot
-    /// group's engines follow its share of the work.
+    /// The number of engines among which the best is chosen. Among many gateways, each with few requests, no gateway's
+    /// own threads show that an engine is overloaded. The number of a hot group's engines then follows its share of the
+    /// work.
     fn candidate_count(&self, table_group: u64, has_many_gateways: bool) -> usize {
         let ready = self.engines.orders.ready_count();
-        let usual = (ready / 3).clamp(MIN_CANDIDATES, MAX_CANDIDATES);
+        let default = (ready / 3).clamp(MIN_CANDIDATES, MAX_CANDIDATES);
         if !has_many_gateways {
-            return usual;
+            return default;
         }
         let share = self.load.table_group_work.share(table_group, HOT_GROUP_PRIOR);
         let hot = HOT_GROUP_SPREAD * share * ready as f64;
-        usual.max(hot.ceil() as usize)
+        default.max(hot.ceil() as usize)
     }
 
-    /// The walk over the engines with capacity, in the order of the table group.
+    /// The walk over the engines with capacity, in the table group's hash order.
     fn walk(&mut self, criteria: &Criteria) -> OrderWalk {
         let indexed = &self.engines.by_class[criteria.class];
-        let mut among = indexed.with_capacity[usize::from(criteria.is_light)].clone();
-        if self.may_use_even_part(criteria.class) {
-            among.union_with(&indexed.even_part_free);
+        let mut with_capacity = indexed.with_capacity[usize::from(criteria.is_light)].clone();
+        if self.may_use_fair_share(criteria.class) {
+            with_capacity.union_with(&indexed.fair_share_free);
         }
         if !self.deployment.classes[criteria.class].locks_tables {
-            return self.engines.orders.walk(criteria.table_group, among, criteria.candidates);
+            return self.engines.orders.walk(criteria.table_group, with_capacity, criteria.candidates);
         }
-        // A request that locks its tables keeps to the far half of the order while it has time, clear of its readers.
+        // A request that locks its tables walks backwards from the end of the order, away from the engines where
+        // requests that read the tables run. While it has time, it stays in the second half of the order.
         let request = &self.requests.open[&criteria.request];
         let has_time = self.last_start(request) - criteria.now > self.expected_run_time(request);
         let ready = self.engines.orders.ready_count();
-        let most = if has_time { ready.div_ceil(2) } else { ready };
-        self.engines.orders.walk_back(criteria.table_group, among, most)
+        let max_engines = if has_time { ready.div_ceil(2) } else { ready };
+        self.engines.orders.walk_back(criteria.table_group, with_capacity, max_engines)
     }
 
-    /// Where no answer ever measures work, a crowd is read from estimates alone, and may not be there: this gateway's even part
-    /// of all usable cores is its own whatever is estimated. If all gateways take theirs, each core has a thread.
-    fn may_use_even_part(&self, class: usize) -> bool {
+    /// Whether a request may use this gateway's fair share of an engine whatever the estimated load. This holds if work
+    /// is never measured, because the load of other gateways is then inferred from estimates alone and may not exist.
+    /// The gateway's threads must stay within its fair share of all usable cores: if every gateway uses its share, each
+    /// core has one thread.
+    fn may_use_fair_share(&self, class: usize) -> bool {
         let threads = self.load.threads + self.deployment.classes[class].threads;
-        self.classes[class].work_fit.is_unmeasured() && self.fits_even_part(threads, self.load.usable_cores)
+        self.classes[class].work_fit.is_unmeasured() && self.fits_fair_share(threads, self.load.usable_cores)
     }
 
-    /// The engines of the walk that may take the request and do well enough, as many as are to be weighed.
+    /// The engines of the walk that may run the request and are reliable enough. The walk ends once enough of them fit
+    /// the preferred grant.
     fn candidates(&self, criteria: &Criteria, walk: &OrderWalk, preferred_memory: f64) -> Candidates {
         let orders = &self.engines.orders;
-        let may_take = |engine: usize| {
-            orders.count_look();
-            self.engine_may_take(criteria.request, engine, criteria.now)
+        let may_run = |engine: usize| {
+            orders.count_examined_engine();
+            self.engine_may_run(criteria.request, engine, criteria.now)
                 && !self.would_wait_for_tables(criteria, engine)
         };
         let indexed = &self.engines.by_class[criteria.class];
         let best_rate = indexed
             .success_rates
-            .largest_passing(&mut |engine| walk.covers(orders, engine) && may_take(engine));
-        let least_rate = MIN_SUCCESS_RATE * best_rate;
+            .largest_passing(&mut |engine| walk.covers(orders, engine) && may_run(engine));
+        let min_success_rate = MIN_SUCCESS_RATE * best_rate;
         let mut candidates = Candidates::default();
         walk.visit(orders, &mut |index| {
             let engine = &self.engines.states[index];
-            if may_take(index) && Self::is_trusted(criteria, engine, least_rate) {
-                candidates.open.push(index);
+            if may_run(index) && Self::is_reliable_or_probed(criteria, engine, min_success_rate) {
+                candidates.eligible.push(index);
                 if engine.ledger.fits(preferred_memory, criteria.now) {
                     candidates.fitting.push(index);
                 }
@@ -178,21 +185,26 @@
         candidates
     }
 
-    /// The request would stand still behind one of this gateway's that has locked its tables, and keep its memory.
+    /// Whether the request would wait for a table lock of another request of this gateway, and hold its memory
+    /// meanwhile.
     fn would_wait_for_tables(&self, criteria: &Criteria, engine: usize) -> bool {
         let class = &self.deployment.classes[criteria.class];
         let can_wait = class.locks_tables || class.waits_for_table_locks;
         can_wait && self.engines.states[engine].locked_table_groups.contains(&criteria.table_group)
     }
 
-    /// Whether an engine does well enough. One light request at a time, and one a draw, tries one that does not: failures must not
-    /// draw in more.
-    fn is_trusted(criteria: &Criteria, engine: &EngineState, least_rate: f64) -> bool {
-        let tries = criteria.is_light && engine.attempts == 0 && engine.failures.drawn_rate >= least_rate;
-        engine.failures.success_rate_for(criteria.class) >= least_rate || tries
+    /// Whether an engine is reliable enough for the request, or the request probes it. An unreliable engine gets only
+    /// one light request at a time, and one per sample of its success rate, so that failures do not attract more
+    /// requests.
+    fn is_reliable_or_probed(criteria: &Criteria, engine: &EngineState, min_success_rate: f64) -> bool {
+        let is_probe = criteria.is_light
+            && engine.attempts == 0
+            && engine.failures.sampled_success_rate >= min_success_rate;
+        engine.failures.success_rate_for(criteria.class) >= min_success_rate || is_probe
     }
 
-    /// The best of the engines whose ledger fits the preferred grant, or else the one with the most memory left for the least.
+    /// Chooses the best of the engines whose ledger fits the preferred grant. If there is none, chooses among the
+    /// eligible engines whose ledger fits the smallest grant the one with the most memory left.
     fn choose(&self, criteria: &Criteria, candidates: &Candidates, grants: GrantChoice) -> Option<Placement> {
         let best = candidates.fitting.iter().min_by_key(|engine| self.rank(criteria, **engine));
         if let Some(&engine) = best {
@@ -202,30 +214,35 @@
             let ledger = &self.engines.states[*engine].ledger;
             ledger.limit - ledger.granted
         };
-        let fits_least =
-            |engine: &&usize| self.engines.states[**engine].ledger.fits(grants.least, criteria.now);
-        let open = candidates.open.iter().filter(fits_least);
-        let &engine = open.max_by(|a, b| free(a).total_cmp(&free(b)))?;
-        let GrantChoice { preferred, least } = grants;
-        let at_quarter = preferred.at_quarter || least < preferred.memory;
-        Some(Placement { engine, grant: MemoryGrant { memory: least, at_quarter } })
+        let fits_minimum =
+            |engine: &&usize| self.engines.states[**engine].ledger.fits(grants.minimum, criteria.now);
+        let fitting = candidates.eligible.iter().filter(fits_minimum);
+        let &engine = fitting.max_by(|a, b| free(a).total_cmp(&free(b)))?;
+        let GrantChoice { preferred, minimum } = grants;
+        let is_quarter_grant = preferred.is_quarter_grant || minimum < preferred.memory;
+        Some(Placement { engine, grant: MemoryGrant { memory: minimum, is_quarter_grant } })
     }
 
-    /// The rank of an engine for a request, the least first. One that has had the request already comes last: what stood in its
-    /// way may stand there still. Then the fewest threads of this gateway; among many gateways one that has answered it before,
-    /// as each has so little traffic that they would open connections to all; then the fewest threads of peers, then chance.
+    /// The rank of an engine for a request; the lowest rank is the best. It compares, in this order:
+    ///
+    /// - whether the request was attempted there before, because the cause of the failure may persist;
+    /// - this gateway's threads per core;
+    /// - among many gateways, whether the engine has never answered this gateway: each gateway has so little traffic that it
+    ///   would otherwise open connections to all engines;
+    /// - the estimated threads of other gateways;
+    /// - a random number.
     fn rank(&self, criteria: &Criteria, index: usize) -> (bool, u64, bool, u64, u64) {
         let engine = &self.engines.states[index];
         let attempts = &self.requests.open[&criteria.request].attempts;
-        let has_had_it = attempts.iter().any(|attempt| attempt.engine == index);
+        let was_attempted = attempts.iter().any(|attempt| attempt.engine == index);
         let own_threads = order_key(engine.threads / engine.cores);
         let is_first_contact = criteria.threads_of_all_gateways > engine.cores && engine.best_pace.is_none();
         let peer_threads = order_key(self.load.peer_threads_on(engine));
-        let chance = self.random.for_candidate(index);
-        (has_had_it, own_threads, is_first_contact, peer_threads, chance)
+        let tie_break = self.random.for_candidate(index);
+        (was_attempted, own_threads, is_first_contact, peer_threads, tie_break)
     }
 
-    /// Makes an attempt on an engine.
+    /// Starts an attempt on an engine.
     fn dispatch(&mut self, now: f64, id: usize, placement: Placement, out: &mut dyn ActionWriter) {
         let Placement { engine: index, grant } = placement;
         let request = &self.requests.open[&id];
@@ -246,12 +263,12 @@
             engine: index,
             sent_at: now,
             grant: grant.memory,
-            at_quarter: grant.at_quarter,
+            is_quarter_grant: grant.is_quarter_grant,
             in_flight: true,
             ..Attempt::default()
         });
         if number > 0 {
-            self.retries.note_retry(now);
+            self.retries.record_retry(now);
         }
         self.requests.schedule(overdue_at, DueEvent::AttemptOverdue(id, number));
 
@@ -259,7 +276,7 @@
         self.load.threads += class.threads;
         self.engines.changed.push(index);
         let engine = &mut self.engines.states[index];
-        engine.failures.drawn_rate = 0.0;
+        engine.failures.sampled_success_rate = 0.0;
         engine.threads += class.threads;
         engine.attempts += 1;
         if class.locks_tables {
--- a/src/decision/engine_state.rs
+++ b/src/decision/engine_state.rs
@@ -1,4 +1,4 @@
-//! What is known of each engine, and the indices by which engines are found.
+//! The state of each engine, and the indices that engine selection uses.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::memory_ledger::MemoryLedger;
@@ -7,45 +7,48 @@
 use crate::statistics::{TimeWindow, WeightedMean};
 use crate::{EngineKind, EngineListing, EngineStage};
 
-/// The part of the evidence on an engine's pace that stays with each tick, and with each answer.
+/// The fraction of the evidence on an engine's pace that is kept at each tick, and at each answer.
 const KEEP_PACE: f64 = super::peer_load::KEEP_OVERALL;
 const KEEP_PACE_PER_ANSWER: f64 = 0.9;
-/// An engine's best pace is forgotten by this factor with each answer.
-const BEST_PACE_FADES: f64 = 1.001;
+/// An engine's best pace rises by this factor at each answer, so that an old best is eventually forgotten.
+const BEST_PACE_DECAY: f64 = 1.001;
 
-/// One engine.
+/// The state of one engine.
 #[derive(Default)]
 pub(super) struct EngineState {
-    /// What discovery last said of it.
+    /// The engine's latest entry in the engine list.
     pub listing: EngineListing,
-    /// Its cores; 0 for one that has never been listed.
+    /// The number of cores; 0 if the engine has never been listed.
     pub cores: f64,
-    /// What is granted of its memory.
+    /// This gateway's memory grants on the engine.
     pub ledger: MemoryLedger,
-    /// Whether it answers well.
+    /// The estimated success rate of attempts.
     pub failures: FailureEstimate,
-    /// How many threads it may hold.
+    /// The limit on the engine's threads per core.
     pub concurrency: ConcurrencyLimit,
-    /// Threads and attempts of this gateway there.
+    /// The threads that this gateway's attempts occupy on the engine.
     pub threads: f64,
+    /// The number of this gateway's attempts in flight on the engine.
     pub attempts: u32,
-    /// The time of late for each second of work a thread, and the best of it.
+    /// The mean recent pace of answers.
     pub pace: WeightedMean,
+    /// The lowest mean pace so far, which rises slowly; absent until the engine has answered.
     pub best_pace: Option<f64>,
-    /// When it last answered anything.
+    /// When the engine last gave a successful answer or a status message, or when it restarted.
     pub last_answer_at: f64,
-    /// Work that was sent to it of late, each request counted as its class's usual work.
+    /// The work recently sent to the engine, in which each request counts as its class's usual work.
     pub slow_start_work: TimeWindow,
-    /// What peers say that they sent to it within its slow start.
+    /// The work that peers report having sent to the engine during its slow start.
     pub peers_slow_start_work: f64,
-    /// Table groups that requests of this gateway have locked there.
+    /// The table groups that requests of this gateway have locked on the engine.
     pub locked_table_groups: Vec<u64>,
-    /// It warms up after its start.
+    /// The engine is warming up after its start.
     pub in_slow_start: bool,
 }
 
 impl EngineState {
-    /// It is new or was started anew: nothing that was learned of it holds, but what was sent to it is still in flight.
+    /// Resets the state of an engine that is new or has restarted. All estimates are discarded; attempts in flight
+    /// remain counted.
     pub fn restart(&mut self, kind: Option<&EngineKind>, gateways: f64, now: f64) {
         let memory = kind.map_or(0.0, |kind| kind.memory_mb);
         self.ledger.restart(memory, memory / gateways);
@@ -59,41 +62,43 @@
         self.cores = kind.map_or(1.0, |kind| kind.cores);
     }
 
-    /// It was never listed, or the listing is of another engine or of another start of it.
+    /// Whether the listing describes another engine or another start of it, or the engine was never listed before.
     pub fn is_superseded_by(&self, listing: &EngineListing) -> bool {
         let identity = |listing: &EngineListing| (listing.started_at, listing.name_hash);
         self.cores == 0.0 || identity(&self.listing) != identity(listing)
     }
 
-    /// Discovery lists it as ready.
+    /// Whether discovery lists the engine as ready.
     pub fn is_ready(&self) -> bool {
         self.listing.stage == EngineStage::Ready && self.cores > 0.0
     }
 
-    /// It answered well now. `pace` is the evidence on its pace, `work` its weight, `measured_pace` the time as it was.
-    pub fn note_success(&mut self, pace: Option<f64>, measured_pace: f64, work: f64, now: f64) {
+    /// Records a successful answer. `pace` is its pace as evidence on the engine's pace, if it is evidence at all;
+    /// `work` is the weight of that evidence; `measured_pace` is the pace as measured.
+    pub fn record_success(&mut self, pace: Option<f64>, measured_pace: f64, work: f64, now: f64) {
         self.last_answer_at = now;
         if let Some(pace) = pace {
             self.pace.add(pace, work, KEEP_PACE_PER_ANSWER);
         }
         let best = self.best_pace.unwrap_or(measured_pace);
-        self.best_pace = Some(best.min(self.pace.mean_or(measured_pace)) * BEST_PACE_FADES);
+        self.best_pace = Some(best.min(self.pace.mean_or(measured_pace)) * BEST_PACE_DECAY);
     }
 
-    /// Fades the evidence on its pace by one tick.
-    pub fn fade_pace(&mut self) {
-        self.pace.fade(KEEP_PACE);
+    /// Decays the evidence on the engine's pace by one tick.
+    pub fn decay_pace(&mut self) {
+        self.pace.decay(KEEP_PACE);
     }
 }
 
-/// All engines, by their indices.
+/// All engines, by engine index.
 #[derive(Default)]
 pub(super) struct EngineTable {
     pub states: Vec<EngineState>,
     /// The ready engines in each table group's hash order.
     pub orders: HashOrders,
-    /// Engines by class, and those that changed since they were indexed there.
+    /// The indices over the engines, by request class.
     pub by_class: Vec<ClassIndex>,
+    /// The engines that changed since `by_class` was last updated.
     pub changed: Vec<usize>,
 }
 
@@ -103,14 +108,14 @@
         self.states.iter().filter(|engine| engine.is_ready())
     }
 
-    /// An engine of this index, made where there is none.
+    /// The engine with this index, which is added if it does not exist.
     pub fn get_or_add(&mut self, engine: usize) -> &mut EngineState {
-        let engines = self.states.len().max(engine + 1);
-        self.states.resize_with(engines, EngineState::default);
+        let count = self.states.len().max(engine + 1);
+        self.states.resize_with(count, EngineState::default);
         &mut self.states[engine]
     }
 
-    /// What the list says of this engine counts for the orders from now on.
+    /// Updates the hash orders after a change of the engine's listing.
     pub fn update_order(&mut self, engine: usize) {
         let state = &self.states[engine];
         let hash = state.is_ready().then_some(state.listing.name_hash);
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -1,4 +1,5 @@
-//! The gateway: its state, its events, and the round that calls the other modules. It holds no rule itself.
+//! The gateway: its state, the handling of events, and the round that calls the other modules. The rules and decisions
+//! themselves are in the other modules.
 
 use super::cost_model::ClassModel;
 use super::engine_state::EngineTable;
@@ -15,28 +16,30 @@
 };
 use cleatgw_tenant_queue::TenantQueue;
 
-/// How long new requests are taken after a drain began: within the second that is promised, less a slow turn.
+/// How long new requests are still accepted after a drain began, in seconds. It must stay within the one second that is
+/// promised, with an allowance for a slow round of the host.
 const ACCEPTS_WHILE_DRAINING: f64 = 0.95;
-/// Seconds after which a list that could not be had is asked for again.
-const LIST_RETRY: f64 = 1.0;
-/// What is no work is allowed for by the shortest latency objective, but by no more than this, in seconds.
+/// How long after a failure the engine list is requested again, in seconds.
+const LIST_RETRY_DELAY: f64 = 1.0;
+/// The upper bound, in seconds, of the shortest latency objective, which scales the time allowed for everything but
+/// work.
 const MAX_SHORTEST_OBJECTIVE: f64 = 0.8;
-/// Requests that find no engine after which a round stops trying.
+/// A round stops placing requests after this many have found no engine.
 const MAX_FAILED_PLACEMENTS: usize = 12;
-/// The work that a request is expected to need until any is known, in seconds of one core.
+/// The expected work of a request before any work is known, in seconds of one core.
 const INITIAL_WORK: f64 = 1.0;
-/// The least work that a density is taken of.
+/// The minimum work by which a value is divided to get a value density.
 const MIN_WORK: f64 = 1e-3;
 
-/// What concerns this instance as a whole.
+/// The state of this gateway instance as a whole.
 pub(super) struct Lifecycle {
-    /// When it began without knowing what it had sent before.
+    /// When this instance started without a record of what it had sent before; 0 if it has one.
     pub history_lost_at: f64,
-    /// It ends then: no request has longer.
+    /// When this instance stops. No request's deadline is later.
     stops_at: f64,
-    /// What is received later is rejected at once: this instance drains.
+    /// Requests received from then on are rejected immediately, because this instance drains.
     accepts_until: f64,
-    /// When the engine list is to be watched anew.
+    /// When to ask the host to watch the engine list; absent if there is no need.
     watch_list_at: Option<f64>,
 }
 
@@ -51,30 +54,31 @@
     }
 }
 
-/// What concerns one round.
+/// The state of one round.
 #[derive(Default)]
 pub(super) struct RoundState {
     /// Requests that were queued since the last round.
     pub received: Vec<usize>,
-    /// Requests whose attempt has ended since.
+    /// Queued requests whose attempt has ended since the last round.
     pub ended: Vec<usize>,
-    /// With tenants: a request whose turn came before found no capacity in this round. Another tenant's light requests must not
-    /// fill what a heavy one waits for.
-    pub passed_over: bool,
+    /// With tenants: a request that was offered earlier in this round found no engine. Light requests of other tenants
+    /// must not use up the capacity that a heavy request waits for.
+    pub earlier_request_unplaced: bool,
 }
 
-/// One gateway's decisions.
+/// The decision core of one gateway.
 #[derive(Default)]
 pub struct Gateway {
     pub(super) deployment: Deployment,
-    /// Deployments differ in pace: the shortest latency objective stands for what is no work.
+    /// The shortest latency objective of all classes, in seconds. It scales the time allowed for everything but work,
+    /// because deployments differ in their time scales.
     pub(super) shortest_objective: f64,
     pub(super) random: RandomDraws,
     pub(super) threshold: GrantThreshold,
     pub(super) classes: Vec<ClassModel>,
     pub(super) engines: EngineTable,
     pub(super) requests: RequestTable,
-    /// The queued requests, by tenant.
+    /// The queued requests by tenant.
     pub queue: TenantQueue,
     pub(super) retries: RetryHistory,
     pub(super) load: LoadEstimates,
@@ -84,12 +88,12 @@
     pub(super) next_tick: f64,
     /// When the host was last asked for a round.
     wakes_at: Option<f64>,
-    /// Lines for the log of this round.
+    /// Log lines that are written at the end of the round.
     pub(super) log: Vec<String>,
 }
 
 impl Gateway {
-    /// A gateway of this deployment. `seed` is what its chance is drawn from.
+    /// Creates a gateway for this deployment. `seed` is the seed of its pseudo-random sequence.
     pub fn new(deployment: Deployment, seed: u64, now: f64) -> Gateway {
         let objectives = deployment.classes.iter().map(|class| class.latency_objective);
         let class_indices = vec![ClassIndex::default(); deployment.classes.len()];
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Discovery has listed engines: all there are, or those that changed.
+    /// Handles an engine list from discovery: all engines (`is_complete`), or those that changed.
     pub fn engines_listed(&mut self, now: f64, listings: &[EngineListing], is_complete: bool) {
         if is_complete {
             for engine in &mut self.engines.states {
@@ -134,28 +138,30 @@
         }
     }
 
-    /// The engine list could not be had; the old one stands, and it is asked for again in a while.
+    /// Handles a failure to get the engine list. The old list remains in use, and the list is requested again after a
+    /// delay.
     pub fn engine_list_failed(&mut self, now: f64) {
-        self.lifecycle.watch_list_at = self.deployment.max_list_age.map(|_| now + LIST_RETRY);
+        self.lifecycle.watch_list_at = self.deployment.max_list_age.map(|_| now + LIST_RETRY_DELAY);
         let known = self.engines.states.len();
-        self.log.push(format!("engine list unavailable: {known} engines known"));
+        self.log.push(format!("engine list unavailable: keeping the {known} engines known so far"));
     }
 
-    /// A request was received.
+    /// Handles a request that was received.
     pub fn request_received(&mut self, now: f64, id: usize, mut incoming: IncomingRequest) {
         self.retries.received_at.push_back(now);
         let class = &self.deployment.classes[incoming.class];
-        // From here on a request has a key only where its class keeps the order of keys.
+        // A key is kept only if the class runs requests with the same key in order.
         incoming.key = incoming.key.filter(|_| class.in_key_order);
         let max_headroom = self.max_headroom();
         let model = &mut self.classes[incoming.class];
         let work = model.work_fit.expected(incoming.estimated_work, model.work.mean_or(INITIAL_WORK));
         let need = model.memory_fit.expected(incoming.estimated_memory_mb, model.memory.mean_or(0.0));
         let memory = need * model.memory_fit.headroom(max_headroom);
-        // Also from those that never run: the heavy ones are rejected first.
+        // The mean work includes requests that never run. Without them it would be too low, because the heavy requests
+        // are rejected first.
         let weight = f64::from(u8::from(incoming.estimated_work.is_some()));
-        model.note_work(work, weight);
-        // What has less time left than others of its class came late, or its client has tried before.
+        model.record_work(work, weight);
+        // A request with less time left than others of its class arrived late, or its client has tried before.
         let lead = incoming.deadline - now;
         model.longest_lead = model.longest_lead.max(lead);
         let age = model.longest_lead - lead;
@@ -169,12 +175,12 @@
             received_at: now,
             ..RequestState::default()
         };
-        self.load.note_request(value_density, incoming.table_group, work);
+        self.load.record_request(value_density, incoming.table_group, work);
         if let Some(key) = incoming.key {
             self.requests.keys.entry(key).or_default().requests.push_back(id);
         }
         self.requests.open.insert(id, request);
-        // A request that comes too late for a drain is never queued, so that nothing new is attempted.
+        // During a drain, a request that arrives too late is never queued, so that it is never attempted.
         if now >= self.lifecycle.accepts_until {
             self.requests.schedule(now, DueEvent::Deadline(id));
         } else {
@@ -182,14 +188,14 @@
             self.round.received.push(id);
         }
         self.schedule_retry_window_end(id);
-        self.limit_time(id, self.lifecycle.stops_at);
+        self.limit_deadline(id, self.lifecycle.stops_at);
     }
 
-    /// Tenants have these queues from now on; open requests move to where `tenant_of` says.
+    /// Replaces the tenants' queues. Open requests move to the tenant that `tenant_of` returns for their index.
     pub fn set_tenants(&mut self, now: f64, queue: TenantQueue, tenant_of: &dyn Fn(usize) -> usize) {
-        let before = std::mem::replace(&mut self.queue, queue);
+        let previous = std::mem::replace(&mut self.queue, queue);
         let queued: Vec<usize> =
-            self.requests.open.keys().copied().filter(|id| before.contains(*id)).collect();
+            self.requests.open.keys().copied().filter(|id| previous.contains(*id)).collect();
         for (id, request) in &mut self.requests.open {
             request.incoming.tenant = tenant_of(*id);
             for _ in request.attempts.iter().filter(|attempt| attempt.in_flight) {
@@ -201,7 +207,7 @@
         }
     }
 
-    /// All that peers have seen of an engine of late, each of them with one attempt at most.
+    /// Sets the recent evidence of all peers on an engine, in which each peer counts for at most one attempt.
     pub fn peer_evidence_received(&mut self, index: usize, evidence: EngineEvidence) {
         let Some(engine) = self.engines.states.get_mut(index) else { return };
         engine.failures.set_peers(evidence.successes, evidence.failures);
@@ -209,7 +215,7 @@
         self.engines.changed.push(index);
     }
 
-    /// What this gateway has seen of an engine of late, for its peers.
+    /// This gateway's recent evidence on an engine, for its peers; none if the engine is unknown.
     pub fn evidence(&self, index: usize, now: f64) -> Option<EngineEvidence> {
         let engine = self.engines.states.get(index)?;
         let window = self.deployment.slow_start.window;
@@ -225,28 +231,29 @@
         })
     }
 
-    /// This instance drains: no request that is received from the returned time on is attempted.
+    /// Starts to drain this instance. Requests received from the returned time on are not attempted.
     pub fn drain(&mut self, now: f64) -> f64 {
         let accepts_until = &mut self.lifecycle.accepts_until;
         *accepts_until = accepts_until.min(now + ACCEPTS_WHILE_DRAINING);
         *accepts_until
     }
 
-    /// Engines that are ready and not ejected.
+    /// The number of engines that are ready and not ejected.
     pub fn usable_engines(&self) -> usize {
         self.engines.ready().filter(|engine| !engine.failures.ejected).count()
     }
 
-    /// This instance ends then: no request has longer.
+    /// Sets when this instance stops. Requests with a later deadline get this time as their deadline.
     pub fn stop_at(&mut self, stops_at: f64) {
         self.lifecycle.stops_at = stops_at;
         let open: Vec<usize> = self.requests.open.keys().copied().collect();
         for id in open {
-            self.limit_time(id, stops_at);
+            self.limit_deadline(id, stops_at);
         }
     }
 
-    fn limit_time(&mut self, id: usize, until: f64) {
+    /// Limits the request's deadline and latency objective to a time, and schedules its events.
+    fn limit_deadline(&mut self, id: usize, until: f64) {
         let request = self.requests.get_mut(id);
         request.incoming.deadline = request.incoming.deadline.min(until);
         request.objective_at = request.objective_at.min(until);
@@ -256,7 +263,7 @@
         self.requests.schedule(last_start, DueEvent::LastStart(id));
     }
 
-    /// An engine says something of the request's attempt in flight.
+    /// Handles an engine's message about the request's latest attempt in flight.
     pub fn attempt_status_received(&mut self, now: f64, id: usize, status: AttemptStatus) {
         let Some(request) = self.requests.open.get(&id) else { return };
         let Some(attempt) = request.attempts.iter().rfind(|attempt| attempt.in_flight) else { return };
@@ -265,27 +272,28 @@
         match status {
             AttemptStatus::WaitsForMemory => {
                 engine.ledger.shrink(now);
-                self.threshold.note_memory_wait();
+                self.threshold.record_memory_wait();
             }
-            // Where grants are honoured in full, a spill tells of a heavy draw, not of pressure.
-            AttemptStatus::Spills if !attempt.at_quarter && self.deployment.trims_grants => {
+            // If engines give every request its full grant, a spill shows that the request needed more than expected,
+            // not that the engine is short of memory.
+            AttemptStatus::Spills if !attempt.is_quarter_grant && self.deployment.trims_grants => {
                 engine.ledger.shrink(now);
             }
             _ => {}
         }
     }
 
-    /// The request needs nothing more: it has its answer from this gateway, or wants none.
+    /// Handles a request that needs no further attempt: it has its answer, or its client no longer wants one.
     pub fn request_finished(&mut self, id: usize) {
         let Some(request) = self.requests.open.get_mut(&id) else { return };
         request.done = true;
         let deadline = request.incoming.deadline;
         self.queue.remove(id);
         self.requests.unschedule(deadline, DueEvent::Deadline(id));
-        self.requests.forget_if_done(id);
+        self.requests.remove_if_done(id);
     }
 
-    /// One round: all events have been handed in; what is decided is written out.
+    /// Runs one round: makes the decisions that follow from the events reported so far, and writes them to `out`.
     pub fn round(&mut self, now: f64, out: &mut dyn ActionWriter) {
         if self.lifecycle.watch_list_at.take_if(|at| now >= *at).is_some() {
             out.watch_engine_list(true);
@@ -294,7 +302,8 @@
             self.next_tick = now + TICK;
             self.tick(now);
         }
-        // Requests are tried before they are found too late: capacity may just have come free.
+        // Queued requests are placed before the due events are handled, because capacity may just have become free for
+        // a request that would otherwise be rejected as too late.
         self.dispatch_queued(now, out);
         self.handle_due_events(now, out);
         for line in self.log.drain(..) {
@@ -306,10 +315,10 @@
     fn handle_due_events(&mut self, now: f64, out: &mut dyn ActionWriter) {
         while let Some(event) = self.requests.next_due(now) {
             match event {
-                DueEvent::Deadline(id) => self.end(now, id, out),
-                DueEvent::LastStart(id) => self.too_late(now, id, out),
+                DueEvent::Deadline(id) => self.reject_or_fail(now, id, out),
+                DueEvent::LastStart(id) => self.shed_if_too_late(now, id, out),
                 DueEvent::AttemptOverdue(id, attempt) => self.attempt_overdue(now, id, attempt, out),
-                DueEvent::RetryWindowEnds(id) => self.end_if_exhausted(now, id, out),
+                DueEvent::RetryWindowEnds(id) => self.reject_or_fail_if_exhausted(now, id, out),
             }
         }
     }
@@ -324,19 +333,19 @@
         }
     }
 
-    /// Tries what is queued: tenants in their turns, within a tenant the most value for its work first.
+    /// Places queued requests: tenants in turn, and within a tenant the highest value density first.
     fn dispatch_queued(&mut self, now: f64, out: &mut dyn ActionWriter) {
         for id in std::mem::take(&mut self.round.ended) {
-            self.end_if_exhausted(now, id, out);
+            self.reject_or_fail_if_exhausted(now, id, out);
         }
-        // A queue that is longer than its tenant's may be: its last is told at once.
+        // If a queue exceeds its tenant's limit, its last request is rejected immediately.
         while let Some(id) = self.queue.over_limit() {
             self.shed(now, id, out);
         }
         let mut failed_placements = 0;
         while failed_placements < MAX_FAILED_PLACEMENTS {
             let Some(id) = self.queue.next(now) else { break };
-            self.round.passed_over = failed_placements > 0 && self.queue.has_tenants();
+            self.round.earlier_request_unplaced = failed_placements > 0 && self.queue.has_tenants();
             if !self.is_first_of_key(id, now) || self.retries_exhausted(id, now) {
                 continue;
             }
@@ -347,11 +356,11 @@
             }
         }
         self.queue.return_offers(now);
-        self.announce_waits(now, out);
+        self.report_wait_estimates(now, out);
     }
 
-    /// Tells how long those that were queued in this round will wait.
-    fn announce_waits(&mut self, now: f64, out: &mut dyn ActionWriter) {
+    /// Reports the expected waits of the requests that were received since the last round and are still queued.
+    fn report_wait_estimates(&mut self, now: f64, out: &mut dyn ActionWriter) {
         for id in std::mem::take(&mut self.round.received) {
             if self.queue.has_tenants() && self.queue.contains(id) {
                 let wait = self.queue.wait_of(id, now);
--- a/src/decision/grant_threshold.rs
+++ b/src/decision/grant_threshold.rs
@@ -1,87 +1,93 @@
-//! θ, the return on consumption above which a request gets its best grant, and its hill climb.
+//! The grant threshold θ: a request whose return on consumption exceeds it gets its best grant. θ is adjusted by hill
+//! climbing on the waits for memory and the run times.
 
 use crate::statistics::{weighted_median, WeightedMean};
 use std::collections::VecDeque;
 
-/// The part by which θ moves at first.
-const FIRST_STEP: f64 = 0.25;
-/// Seconds between two reviews.
+/// The relative size of the first step of θ.
+const INITIAL_STEP: f64 = 0.25;
+/// The interval between two reviews of θ, in seconds.
 const REVIEW_PERIOD: f64 = 2.0;
-/// Attempts that must have completed for a review.
-const MIN_COMPLETED: f64 = 3.0;
-/// Waits that are no more than this part of the work count as none.
-const NO_WAIT: f64 = 0.05;
-/// Best grants that are remembered for the median.
+/// A review needs this many completed seconds of work per thread.
+const MIN_COMPLETED_WORK: f64 = 3.0;
+/// Waits for memory below this fraction of the work count as no wait.
+const NEGLIGIBLE_WAIT: f64 = 0.05;
+/// The number of recent best grants from which the median is computed.
 const REMEMBERED_GRANTS: usize = 101;
-/// Waits that grow by more than this factor begin a climb.
-const WAITS_GROW: f64 = 1.1;
-/// The total is worse, or better, beyond these factors.
-const TOTAL_WORSE: f64 = 1.02;
-const TOTAL_BETTER: f64 = 0.98;
-/// The climb rests after so many reversals.
+/// Waits that grow by more than this factor start a climb.
+const WAIT_GROWTH_FACTOR: f64 = 1.1;
+/// The total of waits and run times is worse, or better, if it changed by more than these factors.
+const WORSE_TOTAL_FACTOR: f64 = 1.02;
+const BETTER_TOTAL_FACTOR: f64 = 0.98;
+/// The climb stops after this many reversals without an improvement.
 const MAX_REVERSALS: u32 = 2;
 
-/// The return on consumption of a best grant, and its memory.
+/// A recent best grant.
 struct BestGrant {
     return_on_consumption: f64,
+    /// Megabytes.
     memory: f64,
 }
 
-/// θ and its climb.
+/// θ and the state of its hill climb.
 #[derive(Default)]
 pub(super) struct GrantThreshold {
-    /// θ itself.
+    /// The threshold θ.
     pub theta: f64,
-    /// Waits for memory, for each second of work a thread, at the last review.
+    /// Seconds of waiting for memory per second of work per thread, at the last review.
     pub last_wait: f64,
-    /// The same with the time of the runs.
+    /// Seconds of waiting for memory and of running per second of work per thread, at the last review.
     pub last_total: f64,
     step: f64,
     upwards: bool,
     climbing: bool,
     reversals: u32,
-    waits: WeightedMean,
-    runs: WeightedMean,
-    recent: VecDeque<BestGrant>,
+    /// Waits for memory since the last review.
+    memory_waits: WeightedMean,
+    /// The pace of completed attempts since the last review, weighted by work per thread.
+    run_pace: WeightedMean,
+    recent_grants: VecDeque<BestGrant>,
     review_at: f64,
 }
 
 impl GrantThreshold {
-    /// Notes what a best grant would return.
-    pub fn note_grant(&mut self, return_on_consumption: f64, memory: f64) {
+    /// Records the return on consumption of a best grant, and its memory.
+    pub fn record_best_grant(&mut self, return_on_consumption: f64, memory: f64) {
         if return_on_consumption.is_finite() && return_on_consumption > 0.0 {
-            self.recent.push_front(BestGrant { return_on_consumption, memory });
-            self.recent.truncate(REMEMBERED_GRANTS);
+            self.recent_grants.push_front(BestGrant { return_on_consumption, memory });
+            self.recent_grants.truncate(REMEMBERED_GRANTS);
         }
     }
 
-    /// Notes that an engine says that an attempt waits for memory.
-    pub fn note_memory_wait(&mut self) {
-        self.waits.add(1.0, 1.0, 1.0);
+    /// Records that an engine reported that an attempt waits for memory.
+    pub fn record_memory_wait(&mut self) {
+        self.memory_waits.add(1.0, 1.0, 1.0);
     }
 
-    /// Notes a completed attempt: its time for each second of work a thread, that work, and how long it had waited for memory.
-    pub fn note_completed(&mut self, pace: f64, work_per_thread: f64, memory_wait: f64) {
-        self.runs.add(pace, work_per_thread, 1.0);
-        self.waits.add(memory_wait, 1.0, 1.0);
+    /// Records a completed attempt: its pace, its work per thread in seconds, and how long the request waited for
+    /// memory, in seconds.
+    pub fn record_completed_attempt(&mut self, pace: f64, work_per_thread: f64, memory_wait: f64) {
+        self.run_pace.add(pace, work_per_thread, 1.0);
+        self.memory_waits.add(memory_wait, 1.0, 1.0);
     }
 
-    /// The return that parts the memory asked for in half: by count, many small requests would pass every large one.
+    /// The median return on consumption of the recent best grants, weighted by memory. By count, many small requests
+    /// would exceed the threshold at the expense of every large one.
     fn median(&self) -> f64 {
-        weighted_median(self.recent.iter().map(|grant| (grant.return_on_consumption, grant.memory)))
+        weighted_median(self.recent_grants.iter().map(|grant| (grant.return_on_consumption, grant.memory)))
     }
 
-    /// Moves θ once a period; tells whether it moved.
+    /// Adjusts θ once per review period. Returns whether θ changed.
     pub fn review(&mut self, now: f64) -> bool {
-        if now < self.review_at || self.runs.weight < MIN_COMPLETED {
+        if now < self.review_at || self.run_pace.weight < MIN_COMPLETED_WORK {
             return false;
         }
         self.review_at = now + REVIEW_PERIOD;
-        // Both for each second of work a thread, so that a few heavy requests do not pass for a change.
-        let wait = self.waits.sum / self.runs.weight;
-        let total = wait + self.runs.mean_or(0.0);
-        let before = self.theta;
-        if wait < NO_WAIT {
+        // Both figures are per second of work per thread, so that a few heavy requests do not look like a change.
+        let wait = self.memory_waits.sum / self.run_pace.weight;
+        let total = wait + self.run_pace.mean_or(0.0);
+        let previous_theta = self.theta;
+        if wait < NEGLIGIBLE_WAIT {
             self.descend();
         } else if !self.climbing {
             self.begin_climb(wait);
@@ -90,35 +96,36 @@
         }
         self.last_wait = wait;
         self.last_total = total;
-        self.waits = WeightedMean::default();
-        self.runs = WeightedMean::default();
-        self.theta != before
+        self.memory_waits = WeightedMean::default();
+        self.run_pace = WeightedMean::default();
+        self.theta != previous_theta
     }
 
-    /// Memory that nobody waits for is not worth a spill: θ falls until every request gets its best grant.
+    /// Lowers θ until every request gets its best grant: while no request waits for memory, a smaller grant would cause
+    /// spilling without any benefit.
     fn descend(&mut self) {
         self.climbing = false;
-        self.theta = if self.theta < self.median() / 4.0 { 0.0 } else { self.theta * (1.0 - FIRST_STEP) };
+        self.theta = if self.theta < self.median() / 4.0 { 0.0 } else { self.theta * (1.0 - INITIAL_STEP) };
     }
 
-    /// The first rise of waits: θ leaves zero for the median, or goes up a step.
+    /// Starts a climb when waits for memory grow: θ rises from zero to the median, or by one step.
     fn begin_climb(&mut self, wait: f64) {
-        if wait > self.last_wait * WAITS_GROW {
-            self.theta = if self.theta == 0.0 { self.median() } else { self.theta * (1.0 + FIRST_STEP) };
+        if wait > self.last_wait * WAIT_GROWTH_FACTOR {
+            self.theta = if self.theta == 0.0 { self.median() } else { self.theta * (1.0 + INITIAL_STEP) };
             self.climbing = true;
             self.upwards = true;
-            self.step = FIRST_STEP;
+            self.step = INITIAL_STEP;
             self.reversals = 0;
         }
     }
 
-    /// A step of the climb, in the other direction and by half where things became worse.
+    /// Makes one step of the climb. If the total became worse, the direction is reversed and the step halved.
     fn climb(&mut self, total: f64) {
-        if total > self.last_total * TOTAL_WORSE {
+        if total > self.last_total * WORSE_TOTAL_FACTOR {
             self.upwards = !self.upwards;
             self.step /= 2.0;
             self.reversals += 1;
-        } else if total < self.last_total * TOTAL_BETTER {
+        } else if total < self.last_total * BETTER_TOTAL_FACTOR {
             self.reversals = 0;
         }
         self.climbing = self.reversals < MAX_REVERSALS;
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -1,42 +1,45 @@
-//! When a queued request is rejected, and what its client is told to wait.
+//! Decides when a queued request is rejected, and which Retry-After its client gets.
 
 use super::Gateway;
 use crate::request_state::{DueEvent, RequestState};
 use crate::statistics::fraction;
 use crate::ActionWriter;
 
-/// A request whose late value counts is kept until so shortly before it could not even meet its deadline.
+/// A request that is worth running after its objective stays queued until this many seconds before the last start that
+/// meets its deadline.
 const LATE_MARGIN: f64 = 0.05;
-/// Load shedding has stopped after so many seconds without a rejection.
-const QUIET_AFTER: f64 = 5.0;
-/// The wait that clients are told is spread over this part of it, so that those rejected together do not return as one.
-const MIN_SPREAD: f64 = 0.8;
-const SPREAD: f64 = 0.4;
-/// No client is told less than the longest Retry-After divided by this.
+/// Load shedding ends after this many seconds without a rejection.
+const SHEDDING_ENDS_AFTER: f64 = 5.0;
+/// The Retry-After is the expected wait times a random factor from 0.8 to 1.2, so that clients rejected together do not
+/// all return at the same time.
+const MIN_JITTER: f64 = 0.8;
+const JITTER_RANGE: f64 = 0.4;
+/// The shortest Retry-After is the longest one divided by this.
 const MIN_RETRY_AFTER_DIVISOR: f64 = 10.0;
 
-/// Whether load is being shed.
+/// The load-shedding mode, which lasts from one rejection until there has been none for a while.
 #[derive(Default)]
 pub(super) struct LoadShedding {
-    /// When the last request was rejected, while the mode lasts.
+    /// When the last request was rejected; absent while no load is shed.
     last_rejection: Option<f64>,
 }
 
 impl LoadShedding {
-    /// Notes a rejection; tells whether it begins the mode.
-    fn begin(&mut self, now: f64) -> bool {
+    /// Records a rejection. Returns whether it starts the mode.
+    fn record_rejection(&mut self, now: f64) -> bool {
         self.last_rejection.replace(now).is_none()
     }
 
-    /// Tells once that the mode has ended.
-    pub fn ends(&mut self, now: f64) -> bool {
-        self.last_rejection.take_if(|last| now > *last + QUIET_AFTER).is_some()
+    /// Ends the mode if the last rejection is long enough ago. Returns true once, when the mode ends.
+    pub fn end_if_quiet(&mut self, now: f64) -> bool {
+        self.last_rejection.take_if(|last| now > *last + SHEDDING_ENDS_AFTER).is_some()
     }
 }
 
 impl Gateway {
-    /// A queued request can't meet its objective any more: rejected, unless what it earns late beats the work that waits.
-    pub(super) fn too_late(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
+    /// Rejects a queued request that can no longer meet its latency objective, unless its value density for a late
+    /// answer is at least the mean value density of all requests and it can still meet its deadline.
+    pub(super) fn shed_if_too_late(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
         let Some(request) = self.requests.open.get(&id).filter(|request| request.is_queued()) else { return };
         let class = &self.deployment.classes[request.incoming.class];
         let late_density = request.value_density * class.late_value_share;
@@ -48,23 +51,25 @@
         self.shed(now, id, out);
     }
 
-    /// Rejects a request for want of capacity.
+    /// Rejects a request because capacity is lacking.
     pub(super) fn shed(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
-        if self.shedding.begin(now) {
+        if self.shedding.record_rejection(now) {
             let queued = self.queue.len();
             let density = self.requests.open[&id].value_density;
             self.log.push(format!("load shedding started: {queued} queued, value density {density:.2}"));
         }
-        self.end(now, id, out);
+        self.reject_or_fail(now, id, out);
     }
 
-    /// What a client is told to wait, no longer than clients follow: with tenants, until its queue would take the request.
+    /// The Retry-After for a rejected request, in seconds: with tenants, the expected wait until the tenant's queue
+    /// could run the request; otherwise the longest Retry-After that clients obey. Absent if clients ignore
+    /// Retry-After.
     pub(super) fn retry_after(&mut self, now: f64, id: usize) -> Option<f64> {
-        let most = self.deployment.max_retry_after?;
+        let longest = self.deployment.max_retry_after?;
         let RequestState { incoming, work, .. } = &self.requests.open[&id];
         let wait = self.queue.wait_for(incoming.tenant, *work, now).filter(|_| self.queue.has_tenants());
-        let Some(wait) = wait else { return Some(most) };
-        let spread = MIN_SPREAD + SPREAD * fraction(self.random.next());
-        Some((spread * wait.expected).clamp(most / MIN_RETRY_AFTER_DIVISOR, most))
+        let Some(wait) = wait else { return Some(longest) };
+        let jitter = MIN_JITTER + JITTER_RANGE * fraction(self.random.next());
+        Some((jitter * wait.expected).clamp(longest / MIN_RETRY_AFTER_DIVISOR, longest))
     }
 }
--- a/src/decision/memory_grant.rs
+++ b/src/decision/memory_grant.rs
@@ -1,34 +1,36 @@
-//! How much memory a request is granted: by return on consumption against θ (Yu and Cornell 1992, section 4).
+//! Decides how much memory a request is granted, by comparing its return on consumption with the threshold θ (Yu and
+//! Cornell 1992, section 4).
 
 use super::Gateway;
 
-/// The part of its need at the lesser of the two points of the curve.
+/// The smaller of the two grants that are considered, as a share of the request's need.
 const QUARTER: f64 = 0.25;
-/// The largest part of an engine's memory that one request gets, whatever the deployment allows.
+/// The largest share of an engine's memory that one request is granted, whatever the deployment allows.
 const MAX_MEMORY_SHARE: f64 = 0.5;
-/// The most that is granted over the expected need. An engine that pages counts no more than the need, so that more is free there.
+/// The largest factor by which a grant exceeds the expected need. An engine that pages charges a request only for what
+/// it needs, so a larger grant costs nothing there.
 const MAX_HEADROOM: f64 = 1.6;
 const MAX_HEADROOM_PAGING: f64 = 4.0;
 
-/// What a request is granted.
+/// A memory grant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MemoryGrant {
     /// Megabytes.
     pub memory: f64,
-    /// It is a quarter of the need.
-    pub at_quarter: bool,
+    /// The grant is a quarter of the request's need.
+    pub is_quarter_grant: bool,
 }
 
-/// What a request is to be granted, and the least that it can do with.
+/// The grant that a request should get, and the smallest that it can run with.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GrantChoice {
     pub preferred: MemoryGrant,
-    /// Megabytes.
-    pub least: f64,
+    /// The smallest grant, in megabytes.
+    pub minimum: f64,
 }
 
 impl Gateway {
-    /// The most that is granted over the expected need.
+    /// The largest factor by which a grant exceeds the expected need.
     pub(super) fn max_headroom(&self) -> f64 {
         if self.deployment.pages_memory {
             MAX_HEADROOM_PAGING
@@ -37,14 +39,14 @@
         }
     }
 
-    /// The most memory that one request gets; 0 where no memory is stated.
+    /// The most memory that one request is granted, in megabytes; 0 if the engines' memory is not configured.
     fn memory_cap(&self) -> f64 {
         let kinds = &self.deployment.engine_kinds;
         let largest = kinds.iter().map(|kind| kind.memory_mb).fold(0.0, f64::max);
         largest * self.deployment.max_memory_share.min(MAX_MEMORY_SHARE)
     }
 
-    /// The best grant if its return on consumption exceeds θ, and a quarter of the need otherwise.
+    /// Chooses the best grant if its return on consumption exceeds θ, and a quarter of the need otherwise.
     pub(super) fn grant(&mut self, id: usize) -> GrantChoice {
         let request = &self.requests.open[&id];
         let cap = self.memory_cap();
@@ -55,20 +57,20 @@
             let missing = (1.0 - grant / request.memory.max(1e-9)).max(0.0) / (1.0 - QUARTER);
             request.work * (1.0 + (spill_factor - 1.0) * missing)
         };
-        let fast = run_time(full);
-        let slow = run_time(quarter);
-        let extra_consumption = fast * full - slow * quarter;
+        let full_time = run_time(full);
+        let quarter_time = run_time(quarter);
+        let extra_consumption = full_time * full - quarter_time * quarter;
         if extra_consumption <= 0.0 || full <= quarter {
-            let preferred = MemoryGrant { memory: full, at_quarter: false };
-            return GrantChoice { preferred, least: full };
+            let preferred = MemoryGrant { memory: full, is_quarter_grant: false };
+            return GrantChoice { preferred, minimum: full };
         }
-        let return_on_consumption = (slow - fast) / extra_consumption;
-        self.threshold.note_grant(return_on_consumption, full);
+        let return_on_consumption = (quarter_time - full_time) / extra_consumption;
+        self.threshold.record_best_grant(return_on_consumption, full);
         let preferred = if return_on_consumption > self.threshold.theta {
-            MemoryGrant { memory: full, at_quarter: false }
+            MemoryGrant { memory: full, is_quarter_grant: false }
         } else {
-            MemoryGrant { memory: quarter, at_quarter: true }
+            MemoryGrant { memory: quarter, is_quarter_grant: true }
         };
-        GrantChoice { preferred, least: quarter }
+        GrantChoice { preferred, minimum: quarter }
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,18 +1,25 @@
-//! Every decision of the gateway, one module for each concern.
+//! All decisions of the gateway, one module per concern.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `gateway` | nothing: it holds the state, takes events, and calls the others once a round |
-//! | `rules` | whether an attempt may be made at all, and on this engine (rules 1 to 7) |
-//! | `memory_grant`, `grant_threshold`, `memory_ledger` | memory by return on consumption against θ |
-//! | `engine_selection` | which engine: early in the table group's hash order, fewest threads, fitting ledger |
-//! | `concurrency_limit`, `peer_load` | when an engine has no capacity left |
-//! | `priority_lane`, `load_shedding` | what goes first, and what is rejected |
-//! | `retry` | attempt time-outs, overdue attempts, the budget of retries |
-//! | `slow_start`, `outlier_detection`, `cost_model` | one estimate each, with its evidence |
+//! | `gateway` | nothing: it holds the state, receives events, and calls the other modules once per round |
+//! | `rules` | whether an attempt may be made at all, and on a given engine (rules 1 to 7) |
+//! | `memory_grant`, `grant_threshold`, `memory_ledger` | memory grants, by comparing the return on consumption with θ |
+//! | `engine_selection` | the engine: early in the table group's hash order, fewest threads, grant fits its ledger |
+//! | `concurrency_limit`, `peer_load` | whether an engine has capacity for another request |
+//! | `priority_lane`, `load_shedding` | which requests engines prefer, and which the gateway rejects |
+//! | `retry` | attempt time-outs, overdue attempts, the retry budget |
+//! | `slow_start`, `outlier_detection`, `cost_model` | one estimate each, with the evidence for it |
+//! | `attempt_end` | nothing: it updates the estimates when an attempt ends |
+//! | `history` | nothing: it restores the state that rules 4 and 7 need after a restart |
+//! | `periodic` | nothing: it decays and reviews the estimates at a fixed interval |
 //!
-//! The ordinary path is that of Yu and Cornell, "Buffer Management Based on Return on Consumption In a Multi-Query
-//! Environment" (1992); `docs/design.md` says what was kept and what was changed.
+//! The basic algorithm is that of Yu and Cornell, "Buffer Management Based on Return on Consumption In a Multi-Query
+//! Environment" (1992); `docs/design.md` describes what was kept and what was changed.
+//!
+//! Two terms recur in these modules. The *pace* of an attempt is its elapsed time divided by its work per thread: the
+//! time that a second of work takes, so a larger pace is slower. The *value density* of a request is its value per
+//! second of its work; a request is *light* if its value density is at least the mean, and *heavy* otherwise.
 
 mod attempt_end;
 mod concurrency_limit;
@@ -38,5 +45,5 @@
 use engine_state::EngineState;
 pub use gateway::Gateway;
 
-/// Seconds between two runs of the periodic work.
+/// The interval of the periodic work, in seconds.
 const TICK: f64 = 0.25;
--- a/src/decision/peer_load.rs
+++ b/src/decision/peer_load.rs
@@ -1,89 +1,92 @@
-//! Estimates of the load: what other gateways hold on engines, how fast work goes of late, and what is asked for.
+//! Estimates of the load: the threads that other gateways occupy on engines, the recent pace of answers, and the work
+//! requested.
 
 use super::concurrency_limit::{KEEP, USUAL_THREADS};
 use super::EngineState;
 use crate::statistics::{DecayingShares, WeightedMean};
 
-/// The part of the evidence about peers on all engines that stays with each tick.
+/// The fraction of the evidence about peers on all engines that is kept at each tick.
 pub(super) const KEEP_OVERALL: f64 = 0.9;
-/// The part of the evidence about peers that stays with each answer: on one engine, and on all of them.
+/// The fraction of the evidence about peers that is kept at each answer: on one engine, and on all engines.
 const KEEP_PER_ANSWER: f64 = 0.8;
 const KEEP_PER_ANSWER_OVERALL: f64 = 0.9;
-/// The factors by which the median pace follows each answer, and its least value.
+/// The factors by which the estimated median pace moves at each answer, and its minimum.
 const MEDIAN_UP: f64 = 1.04;
 const MEDIAN_DOWN: f64 = 0.96;
 const MIN_MEDIAN_PACE: f64 = 0.5;
-/// The part of the mean value density that stays with each request.
+/// The fraction of the mean value density that is kept at each request.
 const KEEP_DENSITY: f64 = 0.995;
-/// The part of the mean of threads that stays with each engine looked at.
+/// The fraction of the mean of threads per attempt that is kept with each engine sampled.
 const KEEP_THREADS: f64 = 0.99;
 
-/// What this gateway believes of the load of all engines.
+/// This gateway's estimates of the load on all engines.
 #[derive(Default)]
 pub(super) struct LoadEstimates {
-    /// The median of the pace of late, over all engines.
+    /// The estimated median of the recent pace, over all engines.
     pub median_pace: f64,
-    /// The value of requests for each second of their work.
+    /// The mean value density of requests, weighted by their work.
     pub value_density: WeightedMean,
-    /// The work asked for of late, by table group.
+    /// The recently requested work by table group.
     pub table_group_work: DecayingShares,
-    /// This gateway's threads on all engines.
+    /// The threads that this gateway occupies on all engines.
     pub threads: f64,
     /// The cores of the engines that are ready and not ejected.
     pub usable_cores: f64,
     threads_per_attempt: WeightedMean,
-    /// Threads a core that peers hold, over all engines that said so of late.
+    /// The mean of the threads per core that peers occupy, by recent reports and estimates from all engines.
     observed_peer_threads: WeightedMean,
-    /// Threads a core that they are believed to hold on the others.
-    believed_peer_threads: f64,
+    /// The threads per core that peers are assumed to occupy on engines without such evidence.
+    assumed_peer_threads: f64,
 }
 
 impl LoadEstimates {
-    /// Learns from a request that was received.
-    pub fn note_request(&mut self, value_density: f64, table_group: u64, work: f64) {
+    /// Records a request that was received.
+    pub fn record_request(&mut self, value_density: f64, table_group: u64, work: f64) {
         self.value_density.add(value_density, work, KEEP_DENSITY);
         self.table_group_work.add(table_group, work);
     }
 
-    /// Learns the pace of an answer.
-    pub fn note_pace(&mut self, pace: f64) {
+    /// Records the pace of an answer.
+    pub fn record_pace(&mut self, pace: f64) {
         let factor = if pace > self.median_pace { MEDIAN_UP } else { MEDIAN_DOWN };
-        self.median_pace = self.median_or_least() * factor;
+        self.median_pace = self.bounded_median_pace() * factor;
     }
 
-    /// The median of the pace of late, or the least value that it has.
-    pub fn median_or_least(&self) -> f64 {
+    /// The estimated median of the recent pace, but at least its minimum.
+    pub fn bounded_median_pace(&self) -> f64 {
         self.median_pace.max(MIN_MEDIAN_PACE)
     }
 
-    /// Learns what an attempt of this gateway occupies, by what it holds on one engine.
-    pub fn note_own_threads(&mut self, threads: f64, attempts: f64) {
+    /// Updates the mean of threads per attempt with the threads and attempts of this gateway on one engine.
+    pub fn record_own_threads(&mut self, threads: f64, attempts: f64) {
         self.threads_per_attempt.add(threads / attempts.max(1.0), attempts, KEEP_THREADS);
     }
 
-    /// What other gateways hold on an engine, in threads, by its report: their requests have as many threads each as ours.
+    /// The threads that other gateways occupy on an engine according to its report. Their requests are assumed to have
+    /// as many threads as this gateway's.
     pub fn peer_threads_reported(&self, requests: f64, own_attempts: u32) -> f64 {
         (requests - f64::from(own_attempts)) * self.threads_per_attempt.mean_or(1.0)
     }
 
-    /// Learns what other gateways hold on an engine.
-    pub fn note_peer_threads(&mut self, engine: &mut EngineState, threads: f64, weight: f64) {
+    /// Records the threads that other gateways occupy on an engine.
+    pub fn record_peer_threads(&mut self, engine: &mut EngineState, threads: f64, weight: f64) {
         let threads_per_core = threads / engine.cores;
         engine.concurrency.peer_threads.add(threads_per_core, weight, KEEP_PER_ANSWER);
         self.observed_peer_threads.add(threads_per_core, weight, KEEP_PER_ANSWER_OVERALL);
     }
 
-    /// What other gateways are believed to hold on an engine, in threads a core.
+    /// The estimated threads per core that other gateways occupy on an engine.
     pub fn peer_threads_on(&self, engine: &EngineState) -> f64 {
-        engine.concurrency.peer_threads.mean_with_prior(self.believed_peer_threads, 1.0)
+        engine.concurrency.peer_threads.mean_with_prior(self.assumed_peer_threads, 1.0)
     }
 
-    /// A tick. Where nothing is reported, peers are believed to hold what they hold elsewhere; at first as much as this gateway
-    /// does on each core, but no more than is usual.
+    /// Updates the estimates at a tick. Without evidence on an engine, peers are assumed to occupy as many threads per
+    /// core as on other engines. The prior for that is that each peer occupies as much as this gateway does, up to the
+    /// usual load.
     pub fn tick(&mut self, gateways: f64, own_threads_per_core: f64) {
         let prior = ((gateways - 1.0) * own_threads_per_core).min(USUAL_THREADS);
-        self.believed_peer_threads = self.observed_peer_threads.mean_with_prior(prior, 1.0);
-        self.observed_peer_threads.fade(KEEP_OVERALL);
-        self.table_group_work.fade(KEEP);
+        self.assumed_peer_threads = self.observed_peer_threads.mean_with_prior(prior, 1.0);
+        self.observed_peer_threads.decay(KEEP_OVERALL);
+        self.table_group_work.decay(KEEP);
     }
 }
--- a/src/decision/periodic.rs
+++ b/src/decision/periodic.rs
@@ -1,21 +1,21 @@
-//! The periodic work: what fades, what is reviewed, and the log line of each change of mode.
+//! The periodic work: decays and reviews the estimates, and logs each change of an engine's or the gateway's mode.
 
 use super::engine_state::EngineState;
 use super::gateway::Gateway;
 use super::grant_threshold::GrantThreshold;
 use super::slow_start;
-use crate::statistics::open_fraction;
+use crate::statistics::half_open_fraction;
 
-/// Retries are remembered for this long at least, in seconds.
+/// The minimum time that retries are kept, in seconds.
 const MIN_RETRY_MEMORY: f64 = 1.0;
 
 impl Gateway {
-    /// The periodic work.
+    /// Runs the periodic work of one tick.
     pub(super) fn tick(&mut self, now: f64) {
         if self.threshold.review(now) {
             let GrantThreshold { theta, last_wait, last_total, .. } = self.threshold;
             self.log.push(format!(
-                "grant threshold moved: θ {theta:.6}, waits {last_wait:.3} of the work, with runs {last_total:.3}"
+                "grant threshold moved: θ {theta:.6}, {last_wait:.3} s of memory wait and {last_total:.3} s in total per second of work"
             ));
         }
         self.tick_load();
@@ -23,10 +23,10 @@
             self.tick_engine(index, now);
         }
         self.engines.changed = (0..self.engines.states.len()).collect();
-        self.requests.forget_idle_keys(now);
+        self.requests.remove_idle_keys(now);
         let retry_memory = self.retry_budget().window.max(MIN_RETRY_MEMORY);
-        self.retries.forget_before(now - retry_memory);
-        if self.shedding.ends(now) {
+        self.retries.remove_before(now - retry_memory);
+        if self.shedding.end_if_quiet(now) {
             self.log.push(format!("load shedding stopped: {} queued", self.queue.len()));
         }
     }
@@ -34,27 +34,27 @@
     fn tick_load(&mut self) {
         let threads: f64 = self.engines.ready().map(|engine| engine.threads).sum();
         let cores: f64 = self.engines.ready().map(|engine| engine.cores).sum();
-        let usable = |engine: &EngineState| if engine.failures.ejected { 0.0 } else { engine.cores };
-        self.load.usable_cores = self.engines.ready().map(usable).sum();
+        let usable_cores = |engine: &EngineState| if engine.failures.ejected { 0.0 } else { engine.cores };
+        self.load.usable_cores = self.engines.ready().map(usable_cores).sum();
         self.load.tick(self.deployment.gateways, threads / cores.max(1.0));
     }
 
     fn tick_engine(&mut self, index: usize, now: f64) {
-        let chance = open_fraction(self.random.next());
+        let uniform = half_open_fraction(self.random.next());
         let engine = &mut self.engines.states[index];
         engine.ledger.tick(now);
-        self.load.note_own_threads(engine.threads, f64::from(engine.attempts));
-        engine.failures.fade();
-        engine.failures.draw(chance);
+        self.load.record_own_threads(engine.threads, f64::from(engine.attempts));
+        engine.failures.decay();
+        engine.failures.sample_success_rate(uniform);
         let used = engine.threads / engine.cores.max(1.0) + self.load.peer_threads_on(engine);
-        engine.fade_pace();
-        let pace = engine.pace.mean_with_prior(self.load.median_or_least(), 1.0);
+        engine.decay_pace();
+        let pace = engine.pace.mean_with_prior(self.load.bounded_median_pace(), 1.0);
         engine.concurrency.tick(pace, used);
         if engine.failures.review() {
             let mode = if engine.failures.ejected { "ejected" } else { "readmitted" };
-            let good = engine.failures.own.sum;
-            let of = engine.failures.own.weight;
-            self.log.push(format!("engine {index} {mode}: {good:.1} of {of:.1} attempts good"));
+            let successes = engine.failures.own.sum;
+            let attempts = engine.failures.own.weight;
+            self.log.push(format!("engine {index} {mode}: {successes:.1} of {attempts:.1} attempts good"));
         }
         let started_at = engine.listing.started_at;
         let in_slow_start = slow_start::progress(&self.deployment.slow_start, started_at, now) < 1.0;
--- a/src/decision/priority_lane.rs
+++ b/src/decision/priority_lane.rs
@@ -1,20 +1,20 @@
-//! The priority lane of a request: what brings more value for its work goes first.
+//! Chooses the priority lane of a request: requests with more value for their work get a faster lane.
 
 use super::Gateway;
 
-/// The lanes that are used, the fastest last.
+/// The lanes that are used. A higher number is a faster lane.
 const LANE_HEAVY: u8 = 1;
 const LANE_LOCKING: u8 = 2;
 const LANE_LIGHT: u8 = 3;
 
 impl Gateway {
-    /// A light request: as much value for its work as requests have on the whole, or more.
+    /// Whether the request is light: its value density is at least the mean value density of all requests.
     pub(super) fn is_light(&self, id: usize) -> bool {
         self.requests.open[&id].value_density >= self.load.value_density.mean_or(0.0)
     }
 
-    /// The lane of a request. Whatever waits for the tables that it locks waits for as long as it runs, so it is not in the
-    /// slowest one.
+    /// The lane of a request. A heavy request that locks its tables does not get the slowest lane, because requests
+    /// that wait for those tables wait for as long as it runs.
     pub(super) fn lane(&self, id: usize) -> u8 {
         let class = self.requests.open[&id].incoming.class;
         if self.is_light(id) {
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -1,21 +1,31 @@
-//! Rules 1 to 7, and nothing else: whether an attempt may be made at all, whether on this engine, and that each request has one
-//! final answer. Nothing here depends on what peers do: budgets are divided by the number of gateways.
+//! Rules 1 to 7, which every attempt and every answer must satisfy:
+//!
+//! 1. Each request gets one final answer.
+//! 2. A request is not run twice with a second effect, and has one attempt in flight unless hedging is allowed.
+//! 3. Engines that drain or are gone get nothing new.
+//! 4. An engine in slow start is sent no more work than its budget allows.
+//! 5. Requests with the same key run in order.
+//! 6. A request runs only in the zones and on the kinds of engine that its class allows.
+//! 7. Retries stay within a budget.
+//!
+//! The rules hold whatever the other gateways do, because budgets are divided by the number of gateways.
 
 use super::{EngineState, Gateway};
 use crate::request_state::{Attempt, DueEvent, RequestState};
 use crate::{ActionWriter, DeduplicationScope, Idempotency};
 
-/// How long the repeat of a request may take to its engine: so much sooner than its window ends it must have left.
+/// The time that a repeat may take to reach its engine, in seconds: it must leave the gateway this long before the
+/// window in which engines recognise it ends.
 const DELIVERY_MARGIN: f64 = 0.02;
 
 impl Gateway {
-    /// Rules 2 to 7, in two parts: every attempt passes both.
+    /// Whether rules 2 to 7 allow an attempt of the request on this engine now.
     pub fn may_attempt(&self, id: usize, engine: usize, now: f64) -> bool {
-        self.request_may_go(id, now) && self.engine_may_take(id, engine, now)
+        self.request_may_be_attempted(id, now) && self.engine_may_run(id, engine, now)
     }
 
-    /// Whether an attempt may be made for the request at all now.
-    pub(super) fn request_may_go(&self, id: usize, now: f64) -> bool {
+    /// Whether an attempt may be made for the request now, on any engine.
+    pub(super) fn request_may_be_attempted(&self, id: usize, now: f64) -> bool {
         let Some(request) = self.requests.open.get(&id) else { return false };
         if request.done || now >= request.incoming.deadline {
             return false;
@@ -24,40 +34,40 @@
         if self.retries_exhausted(id, now) || (request.in_flight() && !self.deployment.allows_hedging) {
             return false;
         }
-        // Rule 5: the order of keys, and the rest after an attempt that may still run.
+        // Rule 5: the order of keys, and the quiet period after an attempt that may still be running.
         if !self.is_first_of_key(id, now) {
             return false;
         }
-        // Rule 7: the budget of retries.
+        // Rule 7: the retry budget.
         request.attempts.is_empty() || self.retries.has_budget(&self.retry_budget(), now)
     }
 
-    /// Whether this engine may take the request now.
-    pub(super) fn engine_may_take(&self, id: usize, engine: usize, now: f64) -> bool {
+    /// Whether the rules allow this engine to run the request now.
+    pub(super) fn engine_may_run(&self, id: usize, engine: usize, now: f64) -> bool {
         let Some(request) = self.requests.open.get(&id) else { return false };
         let Some(engine) = self.engines.states.get(engine) else { return false };
         let class = request.incoming.class;
-        // Rule 3: nothing new to an engine that drains or is gone.
+        // Rule 3: an engine that drains or is gone gets nothing new.
         engine.is_ready()
-            // Rule 2: repeats only where they are recognised.
+            // Rule 2: a repeat goes only to engines that recognise it.
             && self.recognises_repeat(request, engine)
-            // Rule 6: placement.
+            // Rule 6: zones and kinds of engine.
             && self.is_allowed_on(class, engine)
             // Rule 4: the budget of an engine in slow start.
             && self.slow_start_allowance(engine, now) >= self.usual_work(class)
     }
 
-    /// Whether the engine recognises a repeat of every attempt that may have run.
+    /// Whether the engine would recognise the request as a repeat of each of its attempts that may have run.
     fn recognises_repeat(&self, request: &RequestState, engine: &EngineState) -> bool {
         let may_have_run = |attempt: &&Attempt| !attempt.never_ran;
         let in_scope = |attempt: &Attempt| {
-            let first = &self.engines.states[attempt.engine].listing;
+            let earlier = &self.engines.states[attempt.engine].listing;
             match self.deployment.classes[request.incoming.class].idempotency {
                 Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
-                    first.zone == engine.listing.zone
+                    earlier.zone == engine.listing.zone
                 }
                 Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => {
-                    first.cell == engine.listing.cell
+                    earlier.cell == engine.listing.cell
                 }
                 _ => true,
             }
@@ -65,7 +75,7 @@
         request.attempts.iter().filter(may_have_run).all(in_scope)
     }
 
-    /// Whether a class may run on an engine's zone and kind.
+    /// Whether a class may run in an engine's zone and on its kind.
     pub(super) fn is_allowed_on(&self, class: usize, engine: &EngineState) -> bool {
         let class = &self.deployment.classes[class];
         let allows = |allowed: &Option<Vec<usize>>, index| {
@@ -74,31 +84,31 @@
         allows(&class.allowed_zones, engine.listing.zone) && allows(&class.allowed_kinds, engine.listing.kind)
     }
 
-    /// Whether it is the request's turn among those with its key, and the key has rested.
+    /// Whether the request is the first with its key and, unless it is a retry, the key's quiet period is over.
     pub(super) fn is_first_of_key(&self, id: usize, now: f64) -> bool {
         let Some(queue) = self.requests.key_queue(id) else { return true };
         let is_retry = !self.requests.open[&id].attempts.is_empty();
-        queue.requests.front() == Some(&id) && (is_retry || now >= queue.rests_until)
+        queue.requests.front() == Some(&id) && (is_retry || now >= queue.quiet_until)
     }
 
-    /// No attempt can follow, whatever comes.
+    /// Whether no further attempt can ever be made for the request.
     pub(super) fn retries_exhausted(&self, id: usize, now: f64) -> bool {
         let request = &self.requests.open[&id];
         now >= self.attempts_allowed_until(request)
             || request.attempts.len() as u32 >= self.deployment.max_attempts
     }
 
-    /// Until when an attempt may leave, by the earlier ones that may have run.
+    /// Until when a further attempt may leave, given the earlier attempts that may have run.
     pub(super) fn attempts_allowed_until(&self, request: &RequestState) -> f64 {
         let class = &self.deployment.classes[request.incoming.class];
-        // How long after an attempt of this gateway, and of another, a repeat may leave.
-        let (after_own, after_others) = match class.idempotency {
+        // How long a repeat may leave after an attempt of this gateway, and after an attempt under another index.
+        let (after_own, after_earlier) = match class.idempotency {
             Idempotency::Idempotent => return f64::INFINITY,
             Idempotency::NonIdempotent => (f64::NEG_INFINITY, f64::NEG_INFINITY),
             Idempotency::Deduplicated { window, scope: DeduplicationScope::All } => {
                 (window - DELIVERY_MARGIN, window - DELIVERY_MARGIN)
             }
-            // Of an attempt under another index only the time is known, not where it ran.
+            // For an attempt under another index only the time is known, not the engine.
             Idempotency::Deduplicated { window, .. } => (window - DELIVERY_MARGIN, f64::NEG_INFINITY),
         };
         let mut until = f64::INFINITY;
@@ -106,12 +116,12 @@
             until = until.min(attempt.sent_at + after_own);
         }
         if let Some(sent_at) = request.incoming.earlier_attempt_at {
-            until = until.min(sent_at + after_others);
+            until = until.min(sent_at + after_earlier);
         }
         until
     }
 
-    /// Makes sure that a queued request is looked at when no attempt can follow any more.
+    /// Schedules an event for the time from which no further attempt can be made for the request.
     pub(super) fn schedule_retry_window_end(&mut self, id: usize) {
         let until = self.attempts_allowed_until(&self.requests.open[&id]);
         if until < f64::INFINITY {
@@ -119,18 +129,19 @@
         }
     }
 
-    /// A queued request that no attempt can follow any more has its answer.
-    pub(super) fn end_if_exhausted(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
+    /// Answers a queued request for which no further attempt can be made.
+    pub(super) fn reject_or_fail_if_exhausted(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
         let is_queued = self.requests.open.get(&id).is_some_and(RequestState::is_queued);
         if is_queued && self.retries_exhausted(id, now) {
-            self.end(now, id, out);
+            self.reject_or_fail(now, id, out);
         }
     }
 
-    /// Rule 1: the one place where a request gets its answer from this gateway.
-    pub(super) fn end(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
+    /// Rule 1: answers the request unless it is done: rejects it if its client may safely send it again, and fails it
+    /// otherwise. Only here does this gateway answer a request that no engine has answered.
+    pub(super) fn reject_or_fail(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
         let Some(request) = self.requests.open.get(&id).filter(|request| !request.done) else { return };
-        if self.may_be_tried_again(request, now) {
+        if self.is_safe_to_resend(request, now) {
             let retry_after = self.retry_after(now, id);
             out.reject(id, retry_after);
         } else {
@@ -139,8 +150,8 @@
         self.request_finished(id);
     }
 
-    /// Whether its client may send the request again without harm.
-    fn may_be_tried_again(&self, request: &RequestState, now: f64) -> bool {
+    /// Whether the client may send the request again without harm.
+    fn is_safe_to_resend(&self, request: &RequestState, now: f64) -> bool {
         let earlier = request.incoming.earlier_attempt_at;
         match self.deployment.classes[request.incoming.class].idempotency {
             Idempotency::Idempotent => true,
--- a/src/engine_index.rs
+++ b/src/engine_index.rs
@@ -1,24 +1,24 @@
-//! Indices of engines by what a choice asks of them first, so that few are looked at for a request. It decides nothing and
-//! holds no value that was tuned for a choice: the decisions say what stands in it, and weigh what it hands out.
+//! Indices over the engines, so that placing a request examines only a few of them. This module makes no decision and
+//! holds no tuned value: the decision modules fill the indices and rank the engines that they return.
 
 use crate::statistics::hash_of;
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// A set of small indices, a bit each.
+/// A set of small indices, stored as a bit set.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IndexSet(Vec<u64>);
 
 impl IndexSet {
-    /// Puts an index in, or takes it out.
-    pub fn set(&mut self, index: usize, is_in: bool) {
+    /// Adds an index, or removes it.
+    pub fn set(&mut self, index: usize, is_member: bool) {
         let word = index / 64;
         if self.0.len() <= word {
             self.0.resize(word + 1, 0);
         }
         let bit = 1 << (index % 64);
-        if is_in {
+        if is_member {
             self.0[word] |= bit;
         } else {
             self.0[word] &= !bit;
@@ -33,36 +33,36 @@
         self.0.iter().map(|word| word.count_ones() as usize).sum()
     }
 
-    /// Puts in all that the other set holds.
+    /// Adds all indices of the other set.
     pub fn union_with(&mut self, other: &IndexSet) {
         self.0.resize(self.0.len().max(other.0.len()), 0);
-        for (word, more) in self.0.iter_mut().zip(&other.0) {
-            *word |= more;
+        for (word, other_word) in self.0.iter_mut().zip(&other.0) {
+            *word |= other_word;
         }
     }
 
-    /// The indices in growing order.
+    /// The indices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
-        self.0.iter().enumerate().flat_map(|(number, &word)| {
-            std::iter::successors(Some(word), |left| Some(left & left.wrapping_sub(1)))
-                .take_while(|left| *left != 0)
-                .map(move |left| 64 * number + left.trailing_zeros() as usize)
+        self.0.iter().enumerate().flat_map(|(word_index, &word)| {
+            std::iter::successors(Some(word), |remaining| Some(remaining & remaining.wrapping_sub(1)))
+                .take_while(|remaining| *remaining != 0)
+                .map(move |remaining| 64 * word_index + remaining.trailing_zeros() as usize)
         })
     }
 }
 
-/// Values that change one at a time, and the largest of them: a tournament tree in which each node holds the larger value of
-/// its two children.
+/// Finds the largest of a set of values that change one at a time: a tournament tree in which each node holds the
+/// larger value of its two children.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MaxTournament {
-    /// The root at 1, the leaves in the second half.
+    /// The root is at index 1; the second half holds the leaves.
     nodes: Vec<f64>,
 }
 
 impl MaxTournament {
     const NONE: f64 = f64::NEG_INFINITY;
 
-    /// Sets the value at an index, or takes it out.
+    /// Sets the value at an index, or removes it.
     pub fn set(&mut self, index: usize, value: Option<f64>) {
         let mut leaves = self.nodes.len() / 2;
         if index >= leaves {
@@ -88,7 +88,8 @@
         }
     }
 
-    /// The largest value, above 0, of those whose index passes; asks only where a larger one than was found may stand.
+    /// The largest positive value whose index passes, or 0 if there is none. `passes` is called only for values larger
+    /// than the best found so far.
     pub fn largest_passing(&self, passes: &mut dyn FnMut(usize) -> bool) -> f64 {
         let mut best = 0.0;
         if !self.nodes.is_empty() {
@@ -117,62 +118,64 @@
     }
 }
 
-/// Engines as they stand for one request class.
+/// The engines, indexed for one request class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassIndex {
-    /// How well each is thought to do, of those that the class may run on.
+    /// The estimated success rate of each ready engine that the class may run on.
     pub success_rates: MaxTournament,
-    /// Which have capacity for a heavy and for a light request.
+    /// The engines with capacity for a heavy request, and those with capacity for a light one.
     pub with_capacity: [IndexSet; 2],
-    /// On which this gateway's even part is free.
-    pub even_part_free: IndexSet,
+    /// The engines on which this gateway's fair share is free. Only engines that do not report their load are included.
+    pub fair_share_free: IndexSet,
 }
 
-/// Where an engine stands in a table group's hash order, and its index.
+/// An engine's hash for a table group, by which the group's hash order is sorted, and the engine's index.
 pub(crate) type Position = (u64, usize);
 
-/// An engine that became ready, with the hash of its name, or that ceased to be.
+/// An engine that became ready, with the hash of its name, or that is no longer ready.
 #[derive(Clone, Copy, Debug)]
 struct ReadyChange {
     engine: usize,
     hash: Option<u64>,
 }
 
-/// The hash orders of table groups over the engines that are ready, the same at every gateway (rendezvous hashing,
-/// Thaler and Ravishankar 1998). Of each order its first positions are cached, and follow the engine list change by change.
+/// The hash order of the ready engines for each table group. It is the same at every gateway (rendezvous hashing,
+/// Thaler and Ravishankar 1998). The first positions of each order are cached and updated with each change of the
+/// engine list.
 #[derive(Debug, Default)]
 pub(crate) struct HashOrders {
-    /// By index: the hash of its name, where it is ready.
+    /// By engine index: the hash of the engine's name if the engine is ready.
     ready: Vec<Option<u64>>,
     ready_count: usize,
-    /// The changes of late, and the number of the first of them.
+    /// The most recent changes, and the sequence number of the first of them.
     changes: VecDeque<ReadyChange>,
     first_change: u64,
     cached: BTreeMap<u64, CachedOrder>,
-    /// Engines looked at: positions worked out, and what the caller adds. Tests bound its growth.
-    looked_at: Cell<u64>,
+    /// The number of engines examined: positions computed here, plus those that the caller counts. Tests bound its
+    /// growth.
+    examined_engines: Cell<u64>,
 }
 
 #[derive(Debug)]
 struct CachedOrder {
     first: Rc<Vec<Position>>,
-    /// All that are ready stand in `first`.
+    /// `first` holds all ready engines.
     is_complete: bool,
-    /// The number of the first change that it has not followed.
+    /// The sequence number of the first change that has not been applied.
     next_change: u64,
 }
 
 impl HashOrders {
-    /// So many positions of an order are cached.
+    /// The maximum number of cached positions per order.
     pub const CACHED_POSITIONS: usize = 48;
-    /// An order is worked out anew where no more than this are left of them.
-    const REBUILT_AT: usize = 16;
-    /// Changes that are remembered, at most.
+    /// A cached order is rebuilt once changes have reduced it to this many positions or fewer.
+    const REBUILD_AT: usize = 16;
+    /// The maximum number of changes that are kept.
     const MAX_CHANGES: usize = 512;
-    /// Orders that are cached, at most.
+    /// The maximum number of cached orders.
     const MAX_CACHED_ORDERS: usize = 4096;
 
-    /// How many engines are ready.
+    /// The number of ready engines.
     pub fn ready_count(&self) -> usize {
         self.ready_count
     }
@@ -187,23 +190,23 @@
     }
 
     #[cfg(test)]
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at.get()
+    pub fn examined_engines(&self) -> u64 {
+        self.examined_engines.get()
     }
 
-    /// Counts that an engine is looked at.
-    pub fn count_look(&self) {
-        self.looked_at.set(self.looked_at.get() + 1);
+    /// Counts an engine as examined.
+    pub fn count_examined_engine(&self) {
+        self.examined_engines.set(self.examined_engines.get() + 1);
     }
 
-    /// An engine is ready under this hash from now on, or is not.
+    /// Marks an engine as ready, with the hash of its name, or as not ready.
     pub fn set_ready(&mut self, engine: usize, hash: Option<u64>) {
         self.ready.resize(self.ready.len().max(engine + 1), None);
-        let before = std::mem::replace(&mut self.ready[engine], hash);
-        if before == hash {
+        let previous = std::mem::replace(&mut self.ready[engine], hash);
+        if previous == hash {
             return;
         }
-        if before.is_some() {
+        if previous.is_some() {
             self.ready_count -= 1;
             self.changes.push_back(ReadyChange { engine, hash: None });
         }
@@ -217,21 +220,21 @@
         }
     }
 
-    /// Where a ready engine stands in a group's order.
+    /// The position of a ready engine in a group's order.
     fn position(&self, group: u64, engine: usize) -> Option<Position> {
-        self.count_look();
+        self.count_examined_engine();
         self.hash(engine).map(|hash| (hash_of((hash, group)), engine))
     }
 
-    /// The positions of all ready engines, in no order.
+    /// The positions of all ready engines, unsorted.
     fn positions(&self, group: u64) -> Vec<Position> {
         (0..self.ready.len()).filter_map(|engine| self.position(group, engine)).collect()
     }
 
-    /// The order's first positions: [`Self::CACHED_POSITIONS`] at most, all where fewer are ready, more than
-    /// [`Self::REBUILT_AT`] otherwise.
+    /// The first positions of a group's order: all positions if no more than [`Self::CACHED_POSITIONS`] engines are
+    /// ready, otherwise more than [`Self::REBUILD_AT`] and at most [`Self::CACHED_POSITIONS`].
     fn first_positions(&mut self, group: u64) -> Rc<Vec<Position>> {
-        self.make_room_for(group);
+        self.evict_order_for(group);
         if let Some(first) = self.cached_positions(group) {
             return first;
         }
@@ -240,7 +243,7 @@
         if !is_complete {
             first.select_nth_unstable(Self::CACHED_POSITIONS - 1);
             first.truncate(Self::CACHED_POSITIONS);
-            // The memory of all that were looked at is given back.
+            // Frees the memory of the positions that are not kept.
             first.shrink_to_fit();
         }
         first.sort_unstable();
@@ -250,14 +253,14 @@
         first
     }
 
-    /// The number of the change that comes next.
+    /// The sequence number of the next change.
     fn next_change(&self) -> u64 {
         self.first_change + self.changes.len() as u64
     }
 
-    /// Where as many orders are cached as may be, a new group's neighbour by number makes room: which that is tells nothing of
-    /// how often it is asked for.
-    fn make_room_for(&mut self, group: u64) {
+    /// If the cache is full, evicts one order before a new group is added: that of the next group by number. Groups are
+    /// numbered independently of how often they are used, so the choice is arbitrary.
+    fn evict_order_for(&mut self, group: u64) {
         if self.cached.len() < Self::MAX_CACHED_ORDERS || self.cached.contains_key(&group) {
             return;
         }
@@ -267,64 +270,68 @@
         }
     }
 
-    /// The cached positions after all changes, if they can still be had.
+    /// The cached positions with all changes applied. None if the group is not cached, if changes that have not been
+    /// applied are no longer kept, or if too few positions remain.
     fn cached_positions(&mut self, group: u64) -> Option<Rc<Vec<Position>>> {
         let next_change = self.next_change();
         let first_change = self.first_change;
         let cached = self.cached.get_mut(&group).filter(|cached| cached.next_change >= first_change)?;
         for change in self.changes.range((cached.next_change - first_change) as usize..) {
-            self.looked_at.set(self.looked_at.get() + 1);
-            cached.follow(group, *change);
+            self.examined_engines.set(self.examined_engines.get() + 1);
+            cached.apply(group, *change);
         }
         cached.next_change = next_change;
-        let enough = cached.is_complete || cached.first.len() > Self::REBUILT_AT;
-        enough.then(|| cached.first.clone())
+        let is_usable = cached.is_complete || cached.first.len() > Self::REBUILD_AT;
+        is_usable.then(|| cached.first.clone())
     }
 
-    /// A walk over some engines in a group's order that is likely to end after `few`. Where few are asked for among many, the
-    /// order's first positions are tried; where few are there, these alone are put in their order.
-    pub fn walk(&mut self, group: u64, among: IndexSet, few: usize) -> OrderWalk {
-        let is_sparse = among.len().pow(2) < few * self.ready_count;
+    /// A walk over a subset of the engines in a group's order, which is likely to end after `expected_visits` engines.
+    /// If the subset is large, the walk starts with the order's cached first positions; if it is small, only its
+    /// engines are sorted.
+    pub fn walk(&mut self, group: u64, subset: IndexSet, expected_visits: usize) -> OrderWalk {
+        let is_sparse = subset.len().pow(2) < expected_visits * self.ready_count;
         let first = if is_sparse { Rc::default() } else { self.first_positions(group) };
-        OrderWalk { group, among, first, nearest: None, backwards: false }
+        OrderWalk { group, subset, first, last_reached: None, backwards: false }
     }
 
-    /// A walk back from the far end of a group's order over at most so many of the ready engines.
-    pub fn walk_back(&self, group: u64, among: IndexSet, most: usize) -> OrderWalk {
+    /// A walk backwards from the end of a group's order, over the engines of the subset that are among the last
+    /// `max_engines` ready engines.
+    pub fn walk_back(&self, group: u64, subset: IndexSet, max_engines: usize) -> OrderWalk {
         let mut positions = self.positions(group);
         positions.sort_unstable();
         positions.reverse();
-        positions.truncate(most);
-        let nearest = positions.last().copied();
-        OrderWalk { group, among, first: Rc::new(positions), nearest, backwards: true }
+        positions.truncate(max_engines);
+        let last_reached = positions.last().copied();
+        OrderWalk { group, subset, first: Rc::new(positions), last_reached, backwards: true }
     }
 }
 
-/// A walk over some engines in a group's order, or back from its far end.
+/// A walk over a subset of the engines, forwards in a group's order or backwards from its end.
 pub(crate) struct OrderWalk {
     group: u64,
-    among: IndexSet,
-    /// Where it begins; all of it for a walk back.
+    /// The engines to visit.
+    subset: IndexSet,
+    /// The positions to visit first. A backwards walk visits no others.
     first: Rc<Vec<Position>>,
-    /// The nearest position of a walk back.
-    nearest: Option<Position>,
+    /// The position at which a backwards walk ends; absent for a forwards walk.
+    last_reached: Option<Position>,
     backwards: bool,
 }
 
 impl OrderWalk {
-    /// Whether it could come by this engine, if that were among those asked for.
+    /// Whether the walk would reach this engine if the engine were in the subset.
     pub fn covers(&self, orders: &HashOrders, engine: usize) -> bool {
-        !self.backwards || orders.position(self.group, engine) >= self.nearest
+        !self.backwards || orders.position(self.group, engine) >= self.last_reached
     }
 
-    /// Visits engines in their order until `visit` says that it has seen enough.
+    /// Visits the engines in order until `visit` returns true.
     pub fn visit(&self, orders: &HashOrders, visit: &mut dyn FnMut(usize) -> bool) {
-        let ended = self.first.iter().any(|&(_, engine)| self.among.contains(engine) && visit(engine));
-        if ended || self.backwards || self.first.len() >= orders.ready_count {
+        let is_stopped = self.first.iter().any(|&(_, engine)| self.subset.contains(engine) && visit(engine));
+        if is_stopped || self.backwards || self.first.len() >= orders.ready_count {
             return;
         }
         let last = self.first.last().copied();
-        let positions = self.among.iter().filter_map(|engine| orders.position(self.group, engine));
+        let positions = self.subset.iter().filter_map(|engine| orders.position(self.group, engine));
         let mut rest: Vec<Position> = positions.filter(|position| Some(*position) > last).collect();
         rest.sort_unstable();
         for (_, engine) in rest {
@@ -336,7 +343,7 @@
 }
 
 impl CachedOrder {
-    fn follow(&mut self, group: u64, change: ReadyChange) {
+    fn apply(&mut self, group: u64, change: ReadyChange) {
         match change.hash {
             None => self.remove(change.engine),
             Some(hash) => self.insert((hash_of((hash, group)), change.engine)),
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,134 +1,135 @@
-//! What a host tells the decisions. Requests, engines, classes, zones and kinds are small indices that the host gives out;
-//! times are seconds on the host's clock.
+//! The events that a host reports to the decision core. Requests, engines, classes, zones and kinds are small indices
+//! assigned by the host; times are seconds on the host's clock.
 
-/// What discovery says of an engine.
+/// The state of an engine according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum EngineStage {
-    /// It takes requests.
+    /// The engine accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has, and takes nothing new.
+    /// The engine finishes the requests it has and accepts no new ones.
     Draining,
-    /// It is there no more.
+    /// The engine no longer exists.
     Gone,
 }
 
-/// One engine of the engine list.
+/// One entry of the engine list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineListing {
-    /// Its index.
+    /// The engine's index.
     pub engine: usize,
-    /// A hash of its name, the same at every gateway, so that an engine hashes alike everywhere.
+    /// A hash of the engine's name. It is the same at every gateway, so that all gateways compute the same hash orders.
     pub name_hash: u64,
-    /// Its zone.
+    /// The zone the engine is in.
     pub zone: usize,
-    /// The kind of machine it runs on.
+    /// The kind of machine the engine runs on.
     pub kind: usize,
-    /// Its cell: the engines among which repeats may be recognised.
+    /// The engine's cell: the group of engines that may recognise repeats of each other's requests.
     pub cell: u64,
-    /// When it started, where that was late enough to matter.
+    /// When the engine started. Absent if it started so long ago that it no longer matters.
     pub started_at: Option<f64>,
-    /// What it takes.
+    /// Whether the engine accepts requests.
     pub stage: EngineStage,
 }
 
 /// A request as it was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IncomingRequest {
-    /// Its class.
+    /// The request's class.
     pub class: usize,
-    /// Its key, where its class keeps the order of keys.
+    /// The ordering key. It is used only if the class runs requests with the same key in order.
     pub key: Option<u64>,
-    /// The group of tables that it reads or writes.
+    /// The group of tables that the request reads or writes.
     pub table_group: u64,
-    /// Its estimated work, in seconds of one core.
+    /// The estimated work, in seconds of one core.
     pub estimated_work: Option<f64>,
-    /// Its estimated need of memory.
+    /// The estimated memory that the request needs, in megabytes.
     pub estimated_memory_mb: Option<f64>,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: f64,
-    /// The queue it waits in, see [`crate::queue`]; 0 where there are no tenants.
+    /// The tenant whose queue the request waits in, see [`crate::queue`]; 0 if no tenants are configured.
     pub tenant: usize,
-    /// When the same request was first attempted under another index, by a former incarnation of this gateway or by another
-    /// gateway: it may have run.
+    /// When the same request was first attempted under another index, by a former incarnation of this gateway or by
+    /// another gateway. It may have run then.
     pub earlier_attempt_at: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// Its result has come.
+    /// The engine returned a result.
     Completed,
     /// The engine answered with an error.
     EngineError,
-    /// The engine was full, and never began it.
+    /// The engine was full and never started the request.
     EngineFull,
-    /// No answer came in the time that was set.
+    /// No answer arrived within the attempt's time-out.
     TimedOut,
-    /// No connection came about.
+    /// No connection to the engine could be established.
     Unreachable,
-    /// The connection ended under it.
+    /// The connection was lost during the attempt.
     ConnectionLost,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// It never left this gateway.
+    /// The attempt never left this gateway.
     NeverSent,
 }
 
 impl AttemptOutcome {
-    /// The engine surely never ran it.
+    /// Whether it is certain that the engine never ran the attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, AttemptOutcome::EngineFull | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent)
     }
 }
 
-/// What an engine reports of its load; what it leaves out is absent.
+/// An engine's report of its load. Each figure is absent if the engine does not report it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests that it holds.
+    /// The number of requests that the engine holds.
     pub requests: Option<f64>,
-    /// Requests that wait for memory.
+    /// The number of requests that wait for memory.
     pub memory_waits: Option<f64>,
-    /// The part of its memory that is granted, from 0 to 1.
+    /// The share of the engine's memory that is granted, from 0 to 1.
     pub granted_memory_share: Option<f64>,
 }
 
-/// What a request turned out to need.
+/// What a request turned out to need, as measured by its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MeasuredCost {
-    /// Its work, in seconds of one core.
+    /// The work, in seconds of one core.
     pub work: f64,
-    /// Its memory, in megabytes.
+    /// The memory, in megabytes.
     pub memory_mb: f64,
 }
 
 /// The end of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The request it was made for.
+    /// The request that the attempt was made for.
     pub request: usize,
-    /// The engine it went to.
+    /// The engine that the attempt was sent to.
     pub engine: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The request needs nothing more: its client has an answer, or wants none.
+    /// The request needs no further attempt: its client has an answer, or no longer wants one.
     pub request_done: bool,
-    /// Seconds from its dispatch to its end.
+    /// Seconds from the attempt's dispatch to its end.
     pub elapsed: f64,
-    /// What the request needed, where the engine says so.
+    /// What the request needed. Absent if the engine does not measure it.
     pub measured: Option<MeasuredCost>,
     /// The engine's report of its load.
     pub load: LoadReport,
 }
 
-/// What a gateway has seen of an engine of late, for other gateways.
+/// Recent evidence on one engine, as gateways exchange it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEvidence {
-    /// Attempts that went well, faded with age.
+    /// The weight of successful attempts. It decays with time.
     pub successes: f64,
-    /// Attempts that did not.
+    /// The weight of failed attempts. It decays with time.
     pub failures: f64,
-    /// Work that was sent to it within its slow-start window, in seconds; 0 where it has warmed up.
+    /// The work sent to the engine within its slow-start window, in seconds of one core; 0 once the engine has warmed
+    /// up.
     pub slow_start_work: f64,
 }
 
@@ -137,21 +138,21 @@
 pub struct SlowStartWork {
     /// The engine.
     pub engine: usize,
-    /// When it was sent.
+    /// When the work was sent.
     pub sent_at: f64,
-    /// How much it was, in seconds of one core.
+    /// The amount of work, in seconds of one core.
     pub work: f64,
 }
 
-/// What an engine says of an attempt that is in flight.
+/// An engine's message about an attempt that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptStatus {
-    /// It has come this far, from 0 to 1.
+    /// The fraction of the attempt that is complete, from 0 to 1.
     Progress(f64),
-    /// It writes to disk for want of memory.
+    /// The attempt is short of memory and spills to disk.
     Spills,
-    /// It waits for memory.
+    /// The attempt waits for memory.
     WaitsForMemory,
-    /// It waits for the load to fall.
+    /// The attempt waits for the engine's load to fall.
     WaitsForLoad,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
-//! cleatgw: a query gateway that decides what runs, where, and with how much memory.
+//! cleatgw: a query gateway that decides which requests run, on which engine, and with how much memory.
 //!
-//! This crate is the decision core, without input or output. A host makes a [`Gateway`] from a [`Deployment`], tells it what has
-//! happened ([`events`]) and calls [`Gateway::round`] once a turn, which writes its decisions into an [`ActionWriter`].
-//! The host owns names and gives out small indices for requests, engines, classes, zones and kinds. Times are seconds on
-//! the host's clock.
+//! This crate is the decision core and performs no input or output. A host creates a [`Gateway`] from a [`Deployment`],
+//! reports what has happened ([`events`]) and calls [`Gateway::round`] once per iteration of its event loop. The round
+//! writes its decisions to an [`ActionWriter`]. The host owns all names: it identifies requests, engines, classes,
+//! zones and kinds by small indices. Times are seconds on the host's clock.
 //!
-//! - [`deployment`]: what is configured; [`events`]: what the host reports; [`actions`]: what it is asked to do.
-//! - [`decision`]: every decision, one module for each concern.
-//! - `engine_index`, `request_state`, `statistics`: containers and arithmetic without a decision.
+//! - [`deployment`]: the configuration; [`events`]: what the host reports; [`actions`]: what the host is asked to do.
+//! - [`decision`]: all decisions, one module per concern.
+//! - `engine_index`, `request_state`, `statistics`: data structures and arithmetic that make no decision.
 
 pub mod actions;
 pub mod decision;
--- a/src/request_state.rs
+++ b/src/request_state.rs
@@ -1,4 +1,5 @@
-//! What is known of each request while it is open, and what falls due. It decides nothing and holds no tuned value.
+//! The state of each request while it is open, and the events scheduled for it. This module makes no decision and holds
+//! no tuned value.
 
 use crate::statistics::order_key;
 use crate::IncomingRequest;
@@ -9,77 +10,79 @@
 pub(crate) struct Attempt {
     pub engine: usize,
     pub sent_at: f64,
-    /// The memory that it was granted, in megabytes.
+    /// The memory granted to the attempt, in megabytes.
     pub grant: f64,
-    /// It was granted a quarter of its need.
-    pub at_quarter: bool,
+    /// The grant is a quarter of the request's need.
+    pub is_quarter_grant: bool,
     pub in_flight: bool,
-    /// Its engine surely never ran it.
+    /// It is certain that the engine never ran the attempt.
     pub never_ran: bool,
     pub cancelled: bool,
 }
 
-/// A request that is open, or that still has an attempt in flight.
+/// A request that has no answer yet or still has an attempt in flight.
 #[derive(Default)]
 pub(crate) struct RequestState {
     pub incoming: IncomingRequest,
-    /// Its expected work, in seconds of one core.
+    /// The expected work, in seconds of one core.
     pub work: f64,
-    /// Its expected need of memory, with headroom, in megabytes.
+    /// The memory that the request is expected to need, including headroom, in megabytes.
     pub memory: f64,
-    /// Its value for each second of its work.
+    /// The request's value per second of its work.
     pub value_density: f64,
-    /// When its latency objective is missed.
+    /// When the request misses its latency objective.
     pub objective_at: f64,
     pub received_at: f64,
-    /// Since when it waits only because its grant fits no ledger.
+    /// Since when the request has waited only because its grant fits no engine's ledger; absent if it does not wait for
+    /// memory.
     pub waits_for_memory_since: Option<f64>,
-    /// How long it has waited for that before.
+    /// The total of its earlier waits for memory, in seconds.
     pub memory_wait: f64,
     pub attempts: Vec<Attempt>,
-    /// It has its answer, or needs none.
+    /// The request has its answer, or needs none.
     pub done: bool,
 }
 
 impl RequestState {
-    /// It has an attempt in flight.
+    /// Whether an attempt is in flight.
     pub fn in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// No attempt of it can have run.
+    /// Whether it is certain that no attempt ran.
     pub fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.never_ran)
     }
 
-    /// It is open, and has no attempt in flight.
+    /// Whether the request needs an answer and has no attempt in flight.
     pub fn is_queued(&self) -> bool {
         !self.done && !self.in_flight()
     }
 }
 
-/// The requests with one key, in the order in which they came.
+/// The open requests with one key, in order of arrival.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub requests: VecDeque<usize>,
-    /// An attempt may still run until then.
-    pub rests_until: f64,
+    /// Until then an attempt that has ended for this gateway may still be running on its engine.
+    pub quiet_until: f64,
 }
 
-/// What falls due for a request. Of what is due at one time, the order of the variants decides.
+/// An event scheduled for a request, identified by its index. Events that are due at the same time are handled in the
+/// order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DueEvent {
-    /// Its deadline passes.
+    /// The request's deadline passes.
     Deadline(usize),
-    /// An attempt that begins later can't meet its objective.
+    /// An attempt that starts later can't meet the request's latency objective.
     LastStart(usize),
-    /// This attempt has been in flight for longer than it should.
+    /// The attempt with this number has been in flight for longer than expected.
     AttemptOverdue(usize, usize),
-    /// The window in which a repeat is recognised ends.
+    /// The window in which engines recognise a repeat ends.
     RetryWindowEnds(usize),
 }
 
-/// All requests, the order of their keys, and what falls due for them.
+/// All open requests, the queues of their keys, and the events scheduled for them.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     pub open: BTreeMap<usize, RequestState>,
@@ -88,41 +91,44 @@
 }
 
 impl RequestTable {
-    /// A request that is open for certain.
+    /// The state of a request.
+    ///
+    /// # Panics
+    /// If the request is not in the table.
     pub fn get_mut(&mut self, id: usize) -> &mut RequestState {
-        self.open.get_mut(&id).expect("an open request")
+        self.open.get_mut(&id).expect("the request is open")
     }
 
-    /// Something falls due then.
+    /// Schedules an event.
     pub fn schedule(&mut self, at: f64, event: DueEvent) {
         self.due.insert((order_key(at), event));
     }
 
-    /// Something does not fall due after all.
+    /// Cancels a scheduled event.
     pub fn unschedule(&mut self, at: f64, event: DueEvent) {
         self.due.remove(&(order_key(at), event));
     }
 
-    /// Takes out the first event that is due by now.
+    /// Removes and returns the first event that is due.
     pub fn next_due(&mut self, now: f64) -> Option<DueEvent> {
         let (_, event) = self.due.first().copied().filter(|&(at, _)| at <= order_key(now))?;
         self.due.pop_first();
         Some(event)
     }
 
-    /// When the next event falls due, if there is one.
+    /// When the next event is due; absent if none is scheduled.
     pub fn next_due_at(&self) -> Option<f64> {
         self.due.first().map(|&(at, _)| crate::statistics::from_order_key(at))
     }
 
-    /// The order in which the request's key lets it run, where it has one.
+    /// The queue of the request's key, if the request has a key.
     pub fn key_queue(&self, id: usize) -> Option<&KeyQueue> {
         let key = self.open[&id].incoming.key?;
         self.keys.get(&key)
     }
 
-    /// Forgets a request that is done and has no attempt in flight.
-    pub fn forget_if_done(&mut self, id: usize) {
+    /// Removes the request if it is done and has no attempt in flight.
+    pub fn remove_if_done(&mut self, id: usize) {
         let Some(request) = self.open.get(&id).filter(|request| request.done && !request.in_flight()) else {
             return;
         };
@@ -132,8 +138,9 @@
         self.open.remove(&id);
     }
 
-    /// Forgets keys that no request has, and that have rested. Clients choose them, so the table is kept small.
-    pub fn forget_idle_keys(&mut self, now: f64) {
-        self.keys.retain(|_, queue| !queue.requests.is_empty() || now < queue.rests_until);
+    /// Removes the keys that no open request has and whose quiet period is over. Clients choose the keys, so the table
+    /// would grow without bound otherwise.
+    pub fn remove_idle_keys(&mut self, now: f64) {
+        self.keys.retain(|_, queue| !queue.requests.is_empty() || now < queue.quiet_until);
     }
 }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,55 +1,56 @@
-//! Arithmetic that the decisions use: decaying means, a fitted line, hashes. It decides nothing and holds no tuned value.
+//! Statistics that the decisions use: decaying means, a fitted line, random draws, hashes. This module makes no
+//! decision and holds no tuned value.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A mean of weighted values, of which older ones may count less.
+/// A weighted mean in which older values may count less.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WeightedMean {
-    /// The sum of the values by their weights.
+    /// The sum of the values, each multiplied by its weight.
     pub sum: f64,
     /// The sum of the weights.
     pub weight: f64,
 }
 
 impl WeightedMean {
-    /// Adds a value; what was there before counts by `keep` from now on.
+    /// Multiplies the existing sums by `keep`, then adds a value.
     pub fn add(&mut self, value: f64, weight: f64, keep: f64) {
         self.sum = self.sum * keep + value * weight;
         self.weight = self.weight * keep + weight;
     }
 
-    /// The mean, or `absent` where nothing was added.
-    pub fn mean_or(&self, absent: f64) -> f64 {
+    /// The mean, or `default` if no value was added.
+    pub fn mean_or(&self, default: f64) -> f64 {
         let mean = self.sum / self.weight;
         if mean.is_finite() {
             mean
         } else {
-            absent
+            default
         }
     }
 
-    /// The mean with a prior added, given as a sum of values and its weight.
-    pub fn mean_with_prior(&self, sum: f64, weight: f64) -> f64 {
-        (self.sum + sum) / (self.weight + weight)
+    /// The mean combined with a prior, which is given as a weighted sum of values and its weight.
+    pub fn mean_with_prior(&self, prior_sum: f64, prior_weight: f64) -> f64 {
+        (self.sum + prior_sum) / (self.weight + prior_weight)
     }
 
-    /// What was added counts by `keep` from now on.
-    pub fn fade(&mut self, keep: f64) {
+    /// Multiplies the weight of all values by `keep`.
+    pub fn decay(&mut self, keep: f64) {
         self.sum *= keep;
         self.weight *= keep;
     }
 }
 
-/// A line fitted through points, of which the older ones count less.
+/// A line fitted through points, in which older points count less.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FittedLine {
-    /// Count, x, y, xx and xy.
+    /// The decayed sums of 1, x, y, x² and xy over all points.
     sums: [f64; 5],
 }
 
 impl FittedLine {
-    /// Adds a point; what was there before counts by `keep` from now on.
+    /// Multiplies the weight of the existing points by `keep`, then adds a point.
     pub fn add(&mut self, x: f64, y: f64, keep: f64) {
         let values = [1.0, x, y, x * x, x * y];
         for (sum, value) in self.sums.iter_mut().zip(values) {
@@ -57,11 +58,11 @@
         }
     }
 
-    /// The line's value at `x`, with a prior of so many points that its slope is 1.
-    pub fn value_at(&self, x: f64, prior: f64) -> f64 {
+    /// The line's value at `x`. The prior is that the slope is 1, with the weight of `prior_points` points.
+    pub fn value_at(&self, x: f64, prior_points: f64) -> f64 {
         let count = self.sums[0].max(1e-9);
         let [_, mean_x, mean_y, xx, xy] = self.sums.map(|sum| sum / count);
-        let prior = prior / (count + prior);
+        let prior = prior_points / (count + prior_points);
         let slope = (xy - mean_x * mean_y + prior) / (xx - mean_x * mean_x + prior);
         mean_y + slope * (x - mean_x)
     }
@@ -74,27 +75,27 @@
     amount: f64,
 }
 
-/// Amounts by their times, in the order in which they were added.
+/// Amounts with the times at which they were added, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TimeWindow {
     entries: VecDeque<TimedAmount>,
 }
 
 impl TimeWindow {
-    /// Adds an amount at a time; what lies more than `keep_for` seconds before it is dropped.
+    /// Adds an amount at a time, and drops the entries that are more than `keep_for` seconds older.
     pub fn add(&mut self, at: f64, amount: f64, keep_for: f64) {
         self.entries.push_back(TimedAmount { at, amount });
         self.entries.retain(|entry| entry.at >= at - keep_for);
     }
 
-    /// The sum of what was added after a time.
-    pub fn sum_after(&self, from: f64) -> f64 {
-        self.entries.iter().filter(|entry| entry.at > from).map(|entry| entry.amount).sum()
+    /// The sum of the amounts that were added after `start`.
+    pub fn sum_after(&self, start: f64) -> f64 {
+        self.entries.iter().filter(|entry| entry.at > start).map(|entry| entry.amount).sum()
     }
 }
 
-/// Amounts by key, of which the older ones count less. A key whose share has come to next to nothing is dropped, so that
-/// keys that strangers choose do not pile up.
+/// Amounts by key, in which older amounts count less. A key whose share becomes negligible is dropped, so that keys
+/// chosen by clients do not accumulate.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DecayingShares {
     amounts: BTreeMap<u64, f64>,
@@ -103,7 +104,7 @@
 }
 
 impl DecayingShares {
-    /// A key with a smaller share of the sum is dropped.
+    /// Keys with a smaller share of the sum are dropped.
     const MIN_SHARE: f64 = 1e-3;
 
     /// Adds to a key's amount.
@@ -113,84 +114,87 @@
         self.count += 1.0;
     }
 
-    /// A key's part of the sum, from 0 to 1, with a prior of so many amounts that it has none.
-    pub fn share(&self, key: u64, prior: f64) -> f64 {
-        let sum = self.sum * (1.0 + prior / self.count);
+    /// A key's share of the sum, from 0 to 1. The prior is a share of zero, with the weight of `prior_count` mean
+    /// amounts.
+    pub fn share(&self, key: u64, prior_count: f64) -> f64 {
+        let sum = self.sum * (1.0 + prior_count / self.count);
         self.amounts.get(&key).map_or(0.0, |amount| amount / sum)
     }
 
-    /// What was added counts by `keep` from now on.
-    pub fn fade(&mut self, keep: f64) {
+    /// Multiplies all amounts by `keep`, and drops the keys whose share is too small.
+    pub fn decay(&mut self, keep: f64) {
         self.sum *= keep;
         self.count *= keep;
-        let least = Self::MIN_SHARE * self.sum;
+        let min_amount = Self::MIN_SHARE * self.sum;
         self.amounts.retain(|_, amount| {
             *amount *= keep;
-            *amount > least
+            *amount > min_amount
         });
     }
 }
 
-/// Pseudo-random draws that follow from a seed alone.
+/// A pseudo-random sequence that depends on the seed alone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RandomDraws {
     pub seed: u64,
+    /// The number of draws so far.
     pub draws: u64,
 }
 
 impl RandomDraws {
-    /// The next draw, from all numbers.
+    /// The next draw, uniform over all `u64` values.
     pub fn next(&mut self) -> u64 {
         self.draws += 1;
         hash_of((self.seed, self.draws))
     }
 
-    /// Moves on to the next draw without looking at it.
+    /// Skips one draw.
     pub fn advance(&mut self) {
         self.draws += 1;
     }
 
-    /// A draw for one of several candidates, as part of the present draw.
+    /// A value for one of several candidates, derived from the current draw.
     pub fn for_candidate(&self, candidate: usize) -> u64 {
         hash_of((self.seed, self.draws, candidate))
     }
 }
 
-/// A draw from all numbers as a fraction from 0 to 1.
+/// Maps a draw over all `u64` values to a fraction from 0 to 1, both included.
 pub(crate) fn fraction(draw: u64) -> f64 {
     draw as f64 / u64::MAX as f64
 }
 
-/// A draw from all numbers as a fraction from 0 up to, but not, 1: the 53 bits that a fraction holds.
-pub(crate) fn open_fraction(draw: u64) -> f64 {
+/// Maps a draw over all `u64` values to a fraction from 0 up to but excluding 1. It uses 53 bits, the precision of an
+/// `f64`.
+pub(crate) fn half_open_fraction(draw: u64) -> f64 {
     (draw >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The value that parts the weights in half; 0 where there is none. The values come with their weights.
+/// The weighted median of pairs of a value and its weight; 0 if there are none.
 pub(crate) fn weighted_median(values: impl Iterator<Item = (f64, f64)>) -> f64 {
     let mut sorted: Vec<(f64, f64)> = values.collect();
     sorted.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut left = sorted.iter().map(|(_, weight)| weight).sum::<f64>() / 2.0;
+    let mut remaining = sorted.iter().map(|(_, weight)| weight).sum::<f64>() / 2.0;
     for (value, weight) in sorted {
-        left -= weight;
-        if left <= 0.0 {
+        remaining -= weight;
+        if remaining <= 0.0 {
             return value;
         }
     }
     0.0
 }
 
-/// A key by which positive times and amounts are ordered.
+/// Maps a non-negative value to an integer with the same order. Negative values map to the key of 0.
 pub(crate) fn order_key(value: f64) -> u64 {
     value.max(0.0).to_bits()
 }
 
-/// The value that a key of [`order_key`] was made of.
+/// The inverse of [`order_key`] for non-negative values.
 pub(crate) fn from_order_key(key: u64) -> f64 {
     f64::from_bits(key)
 }
 
-/// A hash that is the same wherever the parts are.
+/// A hash of the parts that is the same in every process.
 pub(crate) fn hash_of(parts: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     parts.hash(&mut hasher);
