--- a/crates/bgp/src/error.rs
+++ b/crates/bgp/src/error.rs
@@ -1,10 +1,10 @@
-//! The errors of RFC 4271 section 6 and what later documents add to them, each with the code and subcode of the
-//! NOTIFICATION that reports it.
+//! The errors of RFC 4271 section 6 and of later RFCs, each with the code and subcode of the NOTIFICATION that reports
+//! it.
 
 use std::error::Error;
 use std::fmt;
 
-/// Octets of the offending message that a NOTIFICATION repeats at most.
+/// The maximum number of octets of the offending message that a NOTIFICATION carries as its data.
 const MAX_ERROR_DATA: usize = 64;
 
 /// Message Header Error subcodes (RFC 4271 section 6.1).
@@ -12,7 +12,7 @@
 pub enum HeaderError {
     /// The marker is wrong.
     ConnectionNotSynchronized = 1,
-    /// The length does not suit the message type.
+    /// The length is not valid for the message type.
     BadMessageLength = 2,
     /// The message type is unknown.
     BadMessageType = 3,
@@ -21,28 +21,28 @@
 /// OPEN Message Error subcodes (RFC 4271 section 6.2; RFC 5492 for capabilities, RFC 9234 for roles).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// Malformed in a way that has no subcode of its own.
+    /// A malformed OPEN, where no other subcode applies.
     Unspecific = 0,
-    /// Another version than BGP-4.
+    /// The version is not 4.
     UnsupportedVersion = 1,
-    /// Another AS number than the configured one, or AS 0 (RFC 7607).
+    /// The AS number is not the configured one, or is 0 (RFC 7607).
     BadPeerAs = 2,
-    /// Zero, another BGP identifier than the configured one, or our own within one AS.
+    /// The BGP identifier is zero, is not the configured one, or equals ours in an iBGP session.
     BadIdentifier = 3,
     /// An optional parameter other than capabilities.
     UnsupportedParameter = 4,
     /// A hold time of 1 or 2 seconds.
     UnacceptableHoldTime = 6,
-    /// No address family in common.
+    /// The two sides support no address family in common.
     UnsupportedCapability = 7,
     /// The roles of both sides do not match, or the peer sent none where one is required.
     RoleMismatch = 11,
 }
 
-/// UPDATE Message Error subcodes (RFC 4271 section 6.3), those that still end a session under RFC 7606.
+/// UPDATE Message Error subcodes (RFC 4271 section 6.3); only those that still end a session under RFC 7606.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateError {
-    /// Lengths that do not fit the message, or MP_REACH_NLRI or MP_UNREACH_NLRI twice.
+    /// The length fields exceed the message, or MP_REACH_NLRI or MP_UNREACH_NLRI appears twice.
     MalformedAttributeList = 1,
     /// An unknown attribute without the OPTIONAL flag.
     UnrecognizedWellKnownAttribute = 2,
@@ -50,14 +50,14 @@
     AttributeFlags = 4,
     /// A malformed MP_REACH_NLRI or MP_UNREACH_NLRI.
     OptionalAttribute = 9,
-    /// A prefix that can't be read.
+    /// A malformed prefix.
     InvalidNetworkField = 10,
 }
 
 /// Finite State Machine Error subcodes (RFC 6608): the state in which an unexpected message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FsmError {
-    /// A state without a subcode of its own.
+    /// Any state other than those below.
     Unspecified = 0,
     /// In OpenSent.
     OpenSent = 1,
@@ -76,21 +76,22 @@
     AdministrativeShutdown = 2,
     /// The peer is no longer configured.
     PeerDeconfigured = 3,
-    /// The operator ends the session, and it may begin again.
+    /// The operator ends the session, and it may be established again.
     AdministrativeReset = 4,
-    /// The connection is not wanted.
+    /// The speaker does not accept the connection.
     ConnectionRejected = 5,
     /// A change of configuration that needs a new session.
     OtherConfigurationChange = 6,
-    /// The other connection to the same peer stays (RFC 4271 section 6.8).
+    /// The other connection to the same peer is kept (RFC 4271 section 6.8).
     ConnectionCollisionResolution = 7,
     /// The sender is short of resources.
     OutOfResources = 8,
-    /// The session ends for good, and its routes with it (RFC 8538); the true code and subcode stand in the data.
+    /// The session ends without Graceful Restart, so its routes are removed (RFC 8538). The data begins with the actual
+    /// code and subcode.
     HardReset = 9,
 }
 
-/// What a NOTIFICATION reports.
+/// The reason for which a NOTIFICATION is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
     /// Message Header Error.
@@ -99,11 +100,11 @@
     Open(OpenError),
     /// UPDATE Message Error.
     Update(UpdateError),
-    /// No message for the length of the hold time.
+    /// No message arrived within the hold time.
     HoldTimerExpired,
     /// Finite State Machine Error.
     Fsm(FsmError),
-    /// The session ends without an error of the peer.
+    /// The session ends without a protocol error of the peer.
     Cease(CeaseSubcode),
 }
 
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The error subcode; 0 where the code has none.
+    /// The error subcode; 0 if the code has no subcodes.
     pub fn subcode(self) -> u8 {
         match self {
             ErrorKind::Header(subcode) => subcode as u8,
@@ -162,9 +163,9 @@
 pub struct MessageError {
     /// The code and subcode of the NOTIFICATION that reports it.
     pub kind: ErrorKind,
-    /// The data of that NOTIFICATION: the offending part of the message, where the code asks for it.
+    /// The data of that NOTIFICATION: the offending part of the message, if the code requires it.
     pub data: Vec<u8>,
-    /// What was wrong, for the log; empty where the code says it all.
+    /// A description of the error for the log; empty if code and subcode suffice.
     pub reason: &'static str,
 }
 
@@ -174,8 +175,8 @@
         MessageError { kind: kind.into(), data: Vec::new(), reason }
     }
 
-    /// The same error with this data, cut to 64 octets.
-    pub fn with(self, data: &[u8]) -> MessageError {
+    /// The same error with this data, truncated to 64 octets.
+    pub fn with_data(self, data: &[u8]) -> MessageError {
         MessageError { data: data[..data.len().min(MAX_ERROR_DATA)].to_vec(), ..self }
     }
 
--- a/crates/bgp/src/family.rs
+++ b/crates/bgp/src/family.rs
@@ -1,11 +1,11 @@
-//! The address families that are spoken.
+//! The supported address families: IPv4 unicast and IPv6 unicast.
 
 use ipnet::IpNet;
 
-/// SAFI of unicast routes, the only one that is spoken (RFC 4760).
+/// SAFI of unicast routes, the only supported one (RFC 4760).
 pub(crate) const SAFI_UNICAST: u8 = 1;
 
-/// The address families that are spoken, both unicast (RFC 4760).
+/// A supported address family; both are unicast (RFC 4760).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Family {
     /// IPv4 unicast.
@@ -15,11 +15,11 @@
 }
 
 impl Family {
-    /// All families, in the order in which arrays by family hold them.
+    /// All families, in the order of arrays that are indexed by family.
     pub const ALL: [Family; 2] = [Family::Ipv4, Family::Ipv6];
 
-    /// The family with this AFI and SAFI; `None` where it is not spoken.
-    pub fn of(afi: u16, safi: u8) -> Option<Family> {
+    /// The family with this AFI and SAFI; `None` where it is not supported.
+    pub fn from_afi_safi(afi: u16, safi: u8) -> Option<Family> {
         match (afi, safi) {
             (1, SAFI_UNICAST) => Some(Family::Ipv4),
             (2, SAFI_UNICAST) => Some(Family::Ipv6),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Its address family identifier.
+    /// The address family identifier (AFI).
     pub fn afi(self) -> u16 {
         self as u16 + 1
     }
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,10 +1,10 @@
-//! BGP-4 (RFC 4271) for a speaker that announces a few service addresses, without I/O: a host hands in bytes and the
-//! time, and takes out bytes, due times and [`Action`]s.
+//! BGP-4 (RFC 4271) for a speaker that announces a few service addresses, without I/O: the host passes in received
+//! bytes and the current time, and gets back bytes to send, the time of the next timer, and [`Action`]s.
 //!
-//! [`message`], [`open`], [`update`] and [`notification`] are the codec: it never allocates by a length that a peer
-//! claims, and a message holds 4,096 octets at most. [`error`] names what ends a session. [`session`] holds the state
-//! machine of one peer (RFC 4271 section 8) with its Adj-RIB-Out, [`adj_rib_in`] the routes learned from it. Times are
-//! seconds on the host's clock, which must not go back.
+//! [`message`], [`open`], [`update`] and [`notification`] are the codec: it never allocates memory according to a length
+//! field that a peer sent, and a message holds at most 4,096 octets. [`error`] defines the errors that end a session.
+//! [`session`] holds the state machine of one peer (RFC 4271 section 8) with its Adj-RIB-Out, and [`adj_rib_in`] the
+//! routes learned from that peer. Times are seconds on the host's clock, which must be monotonic.
 
 pub mod adj_rib_in;
 pub mod error;
@@ -22,18 +22,18 @@
 pub use notification::Notification;
 pub use open::{Capabilities, GracefulRestart, Open, Role};
 pub use session::{
-    Action, Advertisement, Direction, Importance, LogEntry, Peer, PeerConfig, Received, SessionCounters,
-    State,
+    Action, Advertisement, Direction, Importance, LogEntry, Peer, PeerConfig, ReceiveOutcome,
+    SessionCounters, State,
 };
 pub use update::{PathAttributes, Update};
 
-/// The well-known community of routes that are about to be withdrawn (RFC 8326).
+/// The well-known community GRACEFUL_SHUTDOWN: it marks routes that are about to be withdrawn (RFC 8326).
 pub const GRACEFUL_SHUTDOWN: u32 = 0xffff_0000;
 
-/// A reader over bytes that a peer sent; each method gives `None` where too few are left.
-pub(crate) struct Bytes<'a>(pub &'a [u8]);
+/// A reader over bytes that a peer sent; each read method returns `None` if too few bytes are left.
+pub(crate) struct ByteReader<'a>(pub &'a [u8]);
 
-impl<'a> Bytes<'a> {
+impl<'a> ByteReader<'a> {
     pub fn take(&mut self, length: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.0.split_at_checked(length)?;
         self.0 = rest;
@@ -52,8 +52,8 @@
         self.take(4).map(|bytes| u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
     }
 
-    /// A part that follows its length in one octet.
-    pub fn part(&mut self) -> Option<&'a [u8]> {
+    /// Reads a length of one octet, and then as many bytes.
+    pub fn length_prefixed(&mut self) -> Option<&'a [u8]> {
         let length = self.u8()?;
         self.take(length.into())
     }
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -3,18 +3,18 @@
 use crate::error::{HeaderError, MessageError};
 use crate::family::{Family, SAFI_UNICAST};
 
-/// Octets of the fixed header: marker, length and type.
+/// The length of the fixed header (marker, length and type) in octets.
 pub const HEADER_LENGTH: usize = 19;
-/// Octets of the longest message (RFC 4271 section 4.1). The extended length of RFC 8654 is not offered, so no peer may
-/// send a longer one.
+/// The maximum length of a message in octets (RFC 4271 section 4.1). The Extended Message capability (RFC 8654) is not
+/// advertised, so no peer may send a longer message.
 pub const MAX_MESSAGE_LENGTH: usize = 4096;
 
-/// The marker that every message begins with.
+/// The marker at the start of every message.
 const MARKER: [u8; 16] = [0xff; 16];
 /// The message types (RFC 4271 section 4.1; RFC 2918 for ROUTE-REFRESH).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageType {
-    /// Begins a session: see [`crate::Open`].
+    /// Starts a session: see [`crate::Open`].
     Open = 1,
     /// Announces and withdraws routes: see [`crate::Update`].
     Update = 2,
@@ -22,7 +22,7 @@
     Notification = 3,
     /// Restarts the peer's hold timer.
     Keepalive = 4,
-    /// Asks for all routes again: see [`RouteRefresh`].
+    /// Requests all routes again: see [`RouteRefresh`].
     RouteRefresh = 5,
 }
 
@@ -39,7 +39,7 @@
     }
 
     /// Whether a message of this type may have this length, header included (RFC 4271 section 6.1).
-    fn permits(self, length: usize) -> bool {
+    fn permits_length(self, length: usize) -> bool {
         match self {
             MessageType::Open => (29..=MAX_MESSAGE_LENGTH).contains(&length),
             MessageType::Update => (23..=MAX_MESSAGE_LENGTH).contains(&length),
@@ -50,54 +50,57 @@
     }
 }
 
-/// A whole message.
+/// One complete message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// The type in its header.
+    /// The message type from the header.
     pub message_type: MessageType,
-    /// What follows the header.
+    /// The bytes after the header.
     pub body: &'a [u8],
 }
 
 impl Frame<'_> {
-    /// Octets of the message, header included.
+    /// The length of the message in octets, header included.
     pub fn length(&self) -> usize {
         HEADER_LENGTH + self.body.len()
     }
 }
 
-/// The message that the input begins with; `None` while it is not there whole. What can't become a message is reported
-/// as early as its first wrong octet, so that endless bytes of a stranger are never collected.
+/// The message at the start of the input; `None` while it is incomplete. Invalid input is reported at the first wrong
+/// octet, so that input from a sender that does not speak BGP is never buffered without limit.
 ///
 /// # Errors
-/// RFC 4271 section 6.1: a wrong marker, length or type.
+/// The marker, length or type in the header is invalid (RFC 4271 section 6.1).
 pub fn frame(input: &[u8]) -> Result<Option<Frame<'_>>, MessageError> {
     if input.iter().zip(MARKER).any(|(&octet, expected)| octet != expected) {
-        let reason = "connection not synchronised: the marker is wrong";
+        let reason = "connection not synchronized: invalid marker";
         return Err(MessageError::new(HeaderError::ConnectionNotSynchronized, reason));
     }
     let Some(&[high, low, code]) = input.get(MARKER.len()..HEADER_LENGTH) else { return Ok(None) };
     let Some(message_type) = MessageType::from_code(code) else {
-        return Err(MessageError::new(HeaderError::BadMessageType, "bad message type").with(&[code]));
+        return Err(MessageError::new(HeaderError::BadMessageType, "bad message type").with_data(&[code]));
     };
     let length = usize::from(u16::from_be_bytes([high, low]));
-    if !message_type.permits(length) {
+    if !message_type.permits_length(length) {
         let error = MessageError::new(HeaderError::BadMessageLength, "bad message length");
-        return Err(error.with(&[high, low]));
+        return Err(error.with_data(&[high, low]));
     }
     Ok(input.get(HEADER_LENGTH..length).map(|body| Frame { message_type, body }))
 }
 
-/// Appends one message. `body` writes what follows the header; with it the message must not grow past
-/// [`MAX_MESSAGE_LENGTH`].
+/// Appends one message to `out`. `body` appends the bytes after the header; the message including the header must not
+/// exceed [`MAX_MESSAGE_LENGTH`].
 pub fn encode(out: &mut Vec<u8>, message_type: MessageType, body: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     out.extend(MARKER);
-    // The length is filled in once it is known.
+    // Placeholder: the length is filled in after the body is written.
     out.extend([0, 0, message_type as u8]);
     body(out);
     let length = out.len() - start;
-    debug_assert!(length <= MAX_MESSAGE_LENGTH, "a message of {length} bytes");
+    debug_assert!(
+        length <= MAX_MESSAGE_LENGTH,
+        "message of {length} bytes exceeds the maximum of {MAX_MESSAGE_LENGTH}"
+    );
     let length_field = start + MARKER.len()..start + MARKER.len() + 2;
     out[length_field].copy_from_slice(&(length as u16).to_be_bytes());
 }
@@ -110,20 +113,20 @@
 /// A ROUTE-REFRESH (RFC 2918) with its subtype (RFC 7313).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteRefresh {
-    /// Asks for all routes of the family.
+    /// Requests all routes of the family.
     Request(Family),
-    /// All routes of the family follow.
+    /// The beginning of all routes of the family.
     BeginOfRefresh(Family),
-    /// All routes of the family have been sent.
+    /// The end of all routes of the family.
     EndOfRefresh(Family),
-    /// A family or subtype that is not spoken: ignored (RFC 7313 section 5).
+    /// A malformed message, or one with an unsupported family or subtype; it is ignored (RFC 7313 section 5).
     Unknown,
 }
 
-/// Reads the body of a ROUTE-REFRESH.
+/// Decodes the body of a ROUTE-REFRESH.
 pub fn decode_route_refresh(body: &[u8]) -> RouteRefresh {
     let &[high, low, subtype, safi] = body else { return RouteRefresh::Unknown };
-    match (Family::of(u16::from_be_bytes([high, low]), safi), subtype) {
+    match (Family::from_afi_safi(u16::from_be_bytes([high, low]), safi), subtype) {
         (Some(family), 0) => RouteRefresh::Request(family),
         (Some(family), 1) => RouteRefresh::BeginOfRefresh(family),
         (Some(family), 2) => RouteRefresh::EndOfRefresh(family),
@@ -131,7 +134,7 @@
     }
 }
 
-/// Appends a ROUTE-REFRESH; nothing for an unknown one.
+/// Appends a ROUTE-REFRESH to `out`; appends nothing for [`RouteRefresh::Unknown`].
 pub fn encode_route_refresh(out: &mut Vec<u8>, refresh: RouteRefresh) {
     let (family, subtype) = match refresh {
         RouteRefresh::Request(family) => (family, 0),
--- a/crates/bgp/src/message/tests.rs
+++ b/crates/bgp/src/message/tests.rs
@@ -1,9 +1,9 @@
-//! Frames and ROUTE-REFRESH, written and read.
+//! Tests of message framing and of the ROUTE-REFRESH codec.
 
 use super::*;
 
 #[test]
-fn returns_a_frame_once_whole_and_rejects_it_at_the_first_wrong_byte() {
+fn returns_a_complete_frame_and_rejects_invalid_input_at_the_first_wrong_byte() {
     let mut bytes = Vec::new();
     encode_keepalive(&mut bytes);
     for length in 0..bytes.len() {
@@ -17,20 +17,20 @@
     {
         bytes[16..18].copy_from_slice(&length.to_be_bytes());
         bytes[18] = code;
-        assert_eq!(frame(&bytes).unwrap_err().subcode(), subcode, "{length} {code}");
+        assert_eq!(frame(&bytes).unwrap_err().subcode(), subcode, "length {length}, type {code}");
     }
 }
 
 #[test]
 fn a_route_refresh_round_trips_and_an_unknown_one_is_ignored() {
-    for what in [
+    for refresh in [
         RouteRefresh::Request(Family::Ipv4),
         RouteRefresh::BeginOfRefresh(Family::Ipv6),
         RouteRefresh::EndOfRefresh(Family::Ipv6),
     ] {
         let mut bytes = Vec::new();
-        encode_route_refresh(&mut bytes, what);
-        assert_eq!(decode_route_refresh(frame(&bytes).unwrap().unwrap().body), what);
+        encode_route_refresh(&mut bytes, refresh);
+        assert_eq!(decode_route_refresh(frame(&bytes).unwrap().unwrap().body), refresh);
     }
     assert_eq!(decode_route_refresh(&[0, 9, 0, 1]), RouteRefresh::Unknown);
     assert_eq!(decode_route_refresh(&[0, 1, 7, 1]), RouteRefresh::Unknown);
--- a/crates/bgp/src/notification.rs
+++ b/crates/bgp/src/notification.rs
@@ -1,31 +1,33 @@
-//! NOTIFICATION (RFC 4271 section 4.5), with the shutdown communication of RFC 9003 and the hard reset of RFC 8538.
+//! The NOTIFICATION message (RFC 4271 section 4.5), with the shutdown communication of RFC 9003 and the hard reset of
+//! RFC 8538.
 
 use crate::error::{CeaseSubcode, ErrorKind, MessageError};
 use crate::message::{self, MessageType};
 use std::fmt;
 
-/// The longest shutdown communication, in octets of UTF-8 (RFC 9003 section 2).
+/// The maximum length of a shutdown communication, in octets of UTF-8 (RFC 9003 section 2).
 const MAX_SHUTDOWN_COMMUNICATION: usize = 255;
-/// Error codes that are only ever matched against what a peer sent.
+/// The error code of a Cease.
 const CEASE: u8 = 6;
+/// The Cease subcode of a hard reset (RFC 8538).
 const HARD_RESET: u8 = CeaseSubcode::HardReset as u8;
 
-/// Why a session ends. A peer may send codes that are unknown here, so they are numbers.
+/// The message that reports why a session ends. Codes are plain numbers because a peer may send unknown ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification {
-    /// The error code; within a hard reset the one that it carries.
+    /// The error code; in a hard reset, the code that is encapsulated in its data.
     pub code: u8,
-    /// The subcode that belongs to `code`.
+    /// The subcode of `code`.
     pub subcode: u8,
-    /// What follows the codes.
+    /// The bytes after code and subcode.
     pub data: Vec<u8>,
-    /// It is sent, or was received, within a hard reset.
+    /// Whether code, subcode and data are encapsulated in a hard reset.
     pub hard_reset: bool,
 }
 
 impl Notification {
-    /// A Cease with a shutdown communication for the operator of the other side, cut to 255 octets at the end of a
-    /// character.
+    /// A Cease with a shutdown communication for the operator of the other side, truncated to at most 255 octets at a
+    /// character boundary.
     pub fn cease(subcode: CeaseSubcode, communication: &str, hard_reset: bool) -> Notification {
         let mut length = communication.len().min(MAX_SHUTDOWN_COMMUNICATION);
         while !communication.is_char_boundary(length) {
@@ -36,8 +38,8 @@
         Notification { code: CEASE, subcode: subcode as u8, data, hard_reset }
     }
 
-    /// Reads the body of a NOTIFICATION, which the framing has found to hold two octets or more. A malformed one is
-    /// taken as it is (RFC 4271 section 6.4): there is no answer to it.
+    /// Decodes the body of a NOTIFICATION; [`message::frame`] has checked that it holds two octets or more. A malformed
+    /// NOTIFICATION is accepted as it is, because an error in it can't be reported to the peer (RFC 4271 section 6.4).
     pub fn decode(body: &[u8]) -> Notification {
         let code = body.first().copied().unwrap_or(0);
         let subcode = body.get(1).copied().unwrap_or(0);
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Appends the message.
+    /// Appends the message to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         message::encode(out, MessageType::Notification, |out| {
             if self.hard_reset {
@@ -62,9 +64,9 @@
         });
     }
 
-    /// What the operator of the other side says of a shutdown or reset; `None` where nothing is said or its length is
-    /// wrong. Octets that are no UTF-8 and control characters are replaced: it goes into a log line, and nothing in it
-    /// may look like another one.
+    /// The text that the operator of the other side sent with an administrative shutdown or reset; `None` if there is no
+    /// text or its length field is wrong. Invalid UTF-8 and control characters are replaced, because the text is written
+    /// to a log line and must not be able to forge another log line.
     pub fn shutdown_communication(&self) -> Option<String> {
         let shutdown = CeaseSubcode::AdministrativeShutdown as u8;
         let reset = CeaseSubcode::AdministrativeReset as u8;
@@ -78,7 +80,7 @@
         Some(communication).filter(|communication| !communication.is_empty())
     }
 
-    /// The name of the code and subcode.
+    /// The name of the error with this code and subcode, for the log.
     fn name(&self) -> &'static str {
         match (self.code, self.subcode) {
             (1, _) => "message header error",
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -1,21 +1,23 @@
-//! OPEN (RFC 4271 section 4.2) and capabilities (RFC 5492).
+//! The OPEN message (RFC 4271 section 4.2) and its capabilities (RFC 5492).
 
 use crate::error::{MessageError, OpenError};
 use crate::family::{Family, SAFI_UNICAST};
 use crate::message::{self, MessageType};
-use crate::Bytes;
+use crate::ByteReader;
 use std::net::Ipv4Addr;
 
-/// Stands for an AS number that two octets can't hold (RFC 6793).
+/// The AS number that replaces one that does not fit in two octets (RFC 6793).
 pub const AS_TRANS: u16 = 23456;
-/// The longest restart time that the Graceful Restart capability has room for, in seconds (RFC 4724 section 3).
+/// The maximum restart time that the 12-bit field of the Graceful Restart capability can hold, in seconds (RFC 4724
+/// section 3).
 pub const MAX_RESTART_TIME: u16 = 4095;
 
-/// The version of BGP that is spoken.
+/// The supported version of BGP.
 const VERSION: u8 = 4;
-/// The optional parameter that holds capabilities (RFC 5492 section 4); no other is known.
+/// The type of the optional parameter that holds capabilities (RFC 5492 section 4), the only supported one.
 const CAPABILITIES_PARAMETER: u8 = 2;
-/// In place of a length and a parameter type: longer parameters follow (RFC 9072).
+/// The value of the length octet and of the first parameter type octet that announces extended optional parameters,
+/// whose lengths take two octets (RFC 9072).
 const EXTENDED_PARAMETERS: u8 = 255;
 
 /// Capability codes.
@@ -34,24 +36,25 @@
     pub const ENHANCED_ROUTE_REFRESH: u8 = 70;
 }
 
-/// Flags of the Graceful Restart capability, ahead of its restart time (RFC 4724 section 3, RFC 8538 section 2).
+/// The R bit, in the flags before the restart time of the Graceful Restart capability (RFC 4724 section 3).
 const RESTART_STATE_BIT: u16 = 0x8000;
+/// The N bit, in the same flags (RFC 8538 section 2).
 const NOTIFICATION_BIT: u16 = 0x4000;
-/// The flag of one family in it (RFC 4724 section 3).
+/// The F bit, in the flags of one address family of that capability (RFC 4724 section 3).
 const FORWARDING_STATE_BIT: u8 = 0x80;
 
-/// What a speaker is to its peer (RFC 9234 section 3), in the order of the codes.
+/// The BGP Role of a speaker towards its peer (RFC 9234 section 3), in the order of the role codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Sells transit to the peer.
     Provider,
     /// A route server of an exchange.
     RouteServer,
-    /// A client of such a route server.
+    /// A client of a route server.
     RouteServerClient,
     /// Buys transit from the peer.
     Customer,
-    /// Exchanges its own and its customers' routes.
+    /// A lateral peer: exchanges its own and its customers' routes.
     Peer,
 }
 
@@ -61,7 +64,7 @@
         [Provider, RouteServer, RouteServerClient, Customer, Peer].get(usize::from(code)).copied()
     }
 
-    /// The one that the other side must have (RFC 9234 section 4.2).
+    /// The role that the other side must have (RFC 9234 section 4.2).
     pub fn counterpart(self) -> Role {
         match self {
             Role::Provider => Role::Customer,
@@ -76,24 +79,24 @@
 /// The Graceful Restart capability (RFC 4724 section 3) with the N bit of RFC 8538.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GracefulRestart {
-    /// The R bit: the speaker has restarted.
+    /// The Restart State (R) bit: the speaker has restarted.
     pub restart_state: bool,
-    /// The N bit: routes are also kept over a NOTIFICATION, unless it is a hard reset.
+    /// The N bit: routes are also preserved when a NOTIFICATION ends the session, unless it is a hard reset.
     pub notification_support: bool,
-    /// How long routes are to be kept for the speaker, in seconds: 0 to 4095.
+    /// How long the peer shall keep the speaker's routes after the session is lost, in seconds: 0 to 4095.
     pub restart_time: u16,
-    /// By [`Family`]: `None` where its routes are not kept, else the F bit, whether forwarding went on while the
-    /// speaker restarted.
+    /// Indexed by [`Family`]: `None` if routes of the family are not preserved, otherwise the Forwarding State (F) bit:
+    /// whether the speaker preserved its forwarding state during the restart.
     pub families: [Option<bool>; 2],
 }
 
 impl GracefulRestart {
-    /// Routes of some family are kept.
-    pub fn keeps_any(&self) -> bool {
+    /// Whether routes of at least one family are preserved.
+    pub fn preserves_any_family(&self) -> bool {
         self.families.iter().any(Option::is_some)
     }
 
-    /// Reads its value; `None` where it is malformed.
+    /// Decodes the value of the capability; `None` if it is malformed.
     fn decode(value: &[u8]) -> Option<GracefulRestart> {
         let (flags, families) = value.split_at_checked(2)?;
         if !families.len().is_multiple_of(4) {
@@ -107,7 +110,7 @@
             families: [None; 2],
         };
         for entry in families.chunks_exact(4) {
-            if let Some(family) = Family::of(u16::from_be_bytes([entry[0], entry[1]]), entry[2]) {
+            if let Some(family) = Family::from_afi_safi(u16::from_be_bytes([entry[0], entry[1]]), entry[2]) {
                 let forwarding = entry[3] & FORWARDING_STATE_BIT != 0;
                 graceful_restart.families[family as usize] = Some(forwarding);
             }
@@ -136,16 +139,16 @@
     }
 }
 
-/// The capabilities of a speaker that are of use here (RFC 5492); others are ignored.
+/// The supported capabilities of a speaker (RFC 5492); others are ignored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Capabilities {
-    /// By [`Family`], whether it is spoken; where no family is named, IPv4 is meant.
+    /// Indexed by [`Family`]: whether the speaker supports the family. IPv4 is assumed if the OPEN lists no family.
     pub families: [bool; 2],
-    /// The speaker's AS number, where it writes AS numbers in four octets (RFC 6793).
+    /// The speaker's AS number, if it supports four-octet AS numbers (RFC 6793).
     pub four_octet_as: Option<u32>,
     /// ROUTE-REFRESH (RFC 2918).
     pub route_refresh: bool,
-    /// ROUTE-REFRESH with marks of its beginning and end (RFC 7313).
+    /// ROUTE-REFRESH with markers of its beginning and end (RFC 7313).
     pub enhanced_route_refresh: bool,
     /// Graceful Restart (RFC 4724).
     pub graceful_restart: Option<GracefulRestart>,
@@ -153,16 +156,16 @@
     pub role: Option<Role>,
 }
 
-/// The message that begins a session.
+/// The first message that each side sends on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Open {
-    /// The speaker's AS number; from the capability, where that is there.
+    /// The speaker's AS number; taken from the four-octet AS capability if it is present.
     pub asn: u32,
-    /// The hold time that it offers, in seconds: 0, or 3 and more.
+    /// The hold time that the speaker proposes, in seconds: 0, or at least 3.
     pub hold_time: u16,
     /// The BGP identifier.
     pub identifier: Ipv4Addr,
-    /// What it can do beside RFC 4271.
+    /// The speaker's capabilities, which extend RFC 4271.
     pub capabilities: Capabilities,
 }
 
@@ -171,39 +174,41 @@
 }
 
 fn truncated() -> MessageError {
-    malformed("an OPEN that ends too soon")
+    malformed("OPEN is truncated")
 }
 
 impl Open {
-    /// Reads the body of an OPEN.
+    /// Decodes the body of an OPEN.
     ///
     /// # Errors
-    /// RFC 4271 section 6.2, RFC 9234 section 4.2 (two roles that differ).
+    /// The OPEN is malformed, its version is not 4, its hold time is 1 or 2 seconds, its BGP identifier is zero, its AS
+    /// number is 0, or it has an optional parameter other than capabilities (RFC 4271 section 6.2); or it contains two
+    /// different roles (RFC 9234 section 4.2).
     pub fn decode(body: &[u8]) -> Result<Open, MessageError> {
-        let mut bytes = Bytes(body);
+        let mut bytes = ByteReader(body);
         if bytes.u8().ok_or_else(truncated)? != VERSION {
-            let error = MessageError::new(OpenError::UnsupportedVersion, "unsupported version");
-            return Err(error.with(&u16::from(VERSION).to_be_bytes()));
+            let error = MessageError::new(OpenError::UnsupportedVersion, "unsupported BGP version");
+            return Err(error.with_data(&u16::from(VERSION).to_be_bytes()));
         }
         let two_octet_as = bytes.u16().ok_or_else(truncated)?;
         let hold_time = bytes.u16().ok_or_else(truncated)?;
         if matches!(hold_time, 1 | 2) {
-            let error = MessageError::new(OpenError::UnacceptableHoldTime, "a hold time of 1 or 2 seconds");
-            return Err(error.with(&hold_time.to_be_bytes()));
+            let error = MessageError::new(OpenError::UnacceptableHoldTime, "hold time is 1 or 2 seconds");
+            return Err(error.with_data(&hold_time.to_be_bytes()));
         }
         let identifier = Ipv4Addr::from(bytes.u32().ok_or_else(truncated)?);
         if identifier.is_unspecified() {
-            return Err(MessageError::new(OpenError::BadIdentifier, "a BGP identifier of zero"));
+            return Err(MessageError::new(OpenError::BadIdentifier, "BGP identifier is zero"));
         }
         let capabilities = decode_parameters(&mut bytes)?;
         let asn = capabilities.four_octet_as.unwrap_or(two_octet_as.into());
         if asn == 0 {
-            return Err(MessageError::new(OpenError::BadPeerAs, "AS 0 (RFC 7607)"));
+            return Err(MessageError::new(OpenError::BadPeerAs, "AS number is 0 (RFC 7607)"));
         }
         Ok(Open { asn, hold_time, identifier, capabilities })
     }
 
-    /// Appends the message.
+    /// Appends the message to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         message::encode(out, MessageType::Open, |out| {
             out.push(VERSION);
@@ -212,7 +217,7 @@
             out.extend(self.identifier.octets());
             let mut capabilities = Vec::new();
             self.capabilities.encode(&mut capabilities);
-            // All of ours take less than a hundred octets.
+            // The capabilities that are encoded here take less than 100 octets in total, so one octet holds the length.
             let length = capabilities.len() as u8;
             out.extend([length + 2, CAPABILITIES_PARAMETER, length]);
             out.extend(capabilities);
@@ -220,19 +225,19 @@
     }
 }
 
-/// The optional parameters, which end the OPEN.
-fn decode_parameters(bytes: &mut Bytes) -> Result<Capabilities, MessageError> {
+/// Decodes the optional parameters, which must end the OPEN.
+fn decode_parameters(bytes: &mut ByteReader) -> Result<Capabilities, MessageError> {
     let mut length = usize::from(bytes.u8().ok_or_else(truncated)?);
-    // RFC 9072: longer parameters are announced by two octets of 255.
+    // RFC 9072: two octets of 255 announce the extended format, where lengths take two octets.
     let extended =
         length == usize::from(EXTENDED_PARAMETERS) && bytes.0.first() == Some(&EXTENDED_PARAMETERS);
     if extended {
         bytes.take(1).ok_or_else(truncated)?;
         length = usize::from(bytes.u16().ok_or_else(truncated)?);
     }
-    let mut parameters = Bytes(bytes.take(length).ok_or_else(truncated)?);
+    let mut parameters = ByteReader(bytes.take(length).ok_or_else(truncated)?);
     if !bytes.is_empty() {
-        return Err(malformed("bytes behind the parameters of an OPEN"));
+        return Err(malformed("bytes after the optional parameters of the OPEN"));
     }
     let mut capabilities = Capabilities::default();
     while !parameters.is_empty() {
@@ -240,9 +245,9 @@
         let value = if extended {
             parameters.u16().and_then(|length| parameters.take(length.into()))
         } else {
-            parameters.part()
+            parameters.length_prefixed()
         };
-        let value = value.ok_or_else(|| malformed("a parameter longer than its OPEN"))?;
+        let value = value.ok_or_else(|| malformed("optional parameter is truncated"))?;
         if parameter_type != CAPABILITIES_PARAMETER {
             let reason = "unsupported optional parameter";
             return Err(MessageError::new(OpenError::UnsupportedParameter, reason));
@@ -256,12 +261,12 @@
 }
 
 impl Capabilities {
-    /// Adds those of one capabilities parameter; unknown ones are ignored (RFC 5492 section 3).
+    /// Adds the capabilities of one optional parameter; unknown capabilities are ignored (RFC 5492 section 3).
     fn decode(&mut self, parameter: &[u8]) -> Result<(), MessageError> {
-        let mut bytes = Bytes(parameter);
+        let mut bytes = ByteReader(parameter);
         while !bytes.is_empty() {
-            let code = bytes.u8().ok_or_else(|| malformed("a capability that ends too soon"))?;
-            let value = bytes.part().ok_or_else(|| malformed("a capability longer than its parameter"))?;
+            let code = bytes.u8().ok_or_else(|| malformed("capability has no code"))?;
+            let value = bytes.length_prefixed().ok_or_else(|| malformed("capability is truncated"))?;
             self.decode_one(code, value)?;
         }
         Ok(())
@@ -270,7 +275,7 @@
     fn decode_one(&mut self, code: u8, value: &[u8]) -> Result<(), MessageError> {
         match (code, value) {
             (capability::MULTIPROTOCOL, &[high, low, _, safi]) => {
-                if let Some(family) = Family::of(u16::from_be_bytes([high, low]), safi) {
+                if let Some(family) = Family::from_afi_safi(u16::from_be_bytes([high, low]), safi) {
                     self.families[family as usize] = true;
                 }
             }
@@ -282,11 +287,14 @@
             (capability::ROLE, &[code]) => {
                 let role = Role::from_code(code);
                 if self.role.is_some() && self.role != role {
-                    return Err(MessageError::new(OpenError::RoleMismatch, "two roles that differ"));
+                    return Err(MessageError::new(
+                        OpenError::RoleMismatch,
+                        "OPEN contains two different roles",
+                    ));
                 }
                 self.role = role;
             }
-            // RFC 4724 section 3: a malformed one is as good as none.
+            // A malformed Graceful Restart capability is ignored (RFC 4724 section 3).
             (capability::GRACEFUL_RESTART, value) => {
                 self.graceful_restart = GracefulRestart::decode(value).or(self.graceful_restart);
             }
@@ -297,7 +305,7 @@
                 | capability::FOUR_OCTET_AS
                 | capability::ROLE,
                 _,
-            ) => return Err(malformed("a capability of the wrong length")),
+            ) => return Err(malformed("capability has the wrong length")),
             _ => {}
         }
         Ok(())
--- a/crates/bgp/src/session/config.rs
+++ b/crates/bgp/src/session/config.rs
@@ -1,10 +1,10 @@
-//! The configuration of one peer, and the attributes with which a prefix is announced to it.
+//! The configuration of one peer, and the attributes with which prefixes are announced to it.
 
 use crate::open::Role;
 use ipnet::IpNet;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// What is configured for one peer. Times are seconds.
+/// The configuration of one peer. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerConfig {
     /// Our AS number.
@@ -13,54 +13,54 @@
     pub peer_as: u32,
     /// Our BGP identifier.
     pub identifier: Ipv4Addr,
-    /// The peer's BGP identifier, if only one will do.
+    /// The BGP identifier that the peer must send; `None` if any is accepted.
     pub peer_identifier: Option<Ipv4Addr>,
-    /// The hold time that we offer: 0 for none, or 3 and more.
+    /// The hold time that we propose: 0 for none, or at least 3.
     pub hold_time: u16,
-    /// By [`crate::Family`], whether it is spoken.
+    /// Indexed by [`crate::Family`]: whether the family is enabled.
     pub families: [bool; 2],
-    /// By [`crate::Family`]; without a next hop no prefix of the family is announced.
+    /// Indexed by [`crate::Family`]: our next hop; without one no prefix of the family is announced.
     pub next_hops: [Option<IpAddr>; 2],
     /// Our role towards this peer (RFC 9234).
     pub role: Option<Role>,
-    /// The peer must send its role, too; means nothing without `role`.
+    /// Whether the peer must send its role, too; has no effect without `role`.
     pub strict_role: bool,
-    /// How long the peer is asked to keep our routes when the session is lost (RFC 4724), 1 to 4095. Without it none are
-    /// kept, and we still keep the routes of a peer that restarts.
+    /// How long the peer is asked to retain our routes after the session is lost (RFC 4724), 1 to 4095. If absent, the
+    /// peer retains none of our routes; we still retain the routes of a peer that restarts.
     pub restart_time: Option<u16>,
-    /// The peer's stale routes are kept for this long at most, whatever restart time it asks for.
+    /// The maximum time for which the peer's stale routes are retained, even if the peer's restart time is longer.
     pub max_stale_time: f64,
-    /// We never begin a connection.
+    /// Whether we never open a connection and only accept the peer's.
     pub passive: bool,
-    /// How long a TCP connection may take to come up.
+    /// The time limit for establishing a TCP connection.
     pub connect_timeout: f64,
-    /// ConnectRetryTime: the pause after an attempt that met no answer, up to a quarter less by jitter.
+    /// ConnectRetryTime: the pause after a failed connection attempt; jitter shortens it by up to a quarter.
     pub connect_retry_time: f64,
-    /// DelayOpenTime; 0 sends OPEN at once.
+    /// DelayOpenTime: how long we wait for the peer's OPEN before we send ours; with 0, OPEN is sent at once.
     pub delay_open_time: f64,
-    /// How long the peer's OPEN is waited for; RFC 4271 suggests 240.
+    /// The time limit for receiving the peer's OPEN; RFC 4271 suggests 240.
     pub open_timeout: f64,
-    /// IdleHoldTime after the first failure; it doubles with each.
+    /// IdleHoldTime after the first failure; it doubles with each further failure.
     pub idle_hold_time: f64,
-    /// The longest that IdleHoldTime grows to.
+    /// The maximum of IdleHoldTime.
     pub max_idle_hold_time: f64,
-    /// After a session that lasted for this long, IdleHoldTime begins anew.
+    /// After a session that lasted for at least this time, IdleHoldTime is reset to its initial value.
     pub stable_time: f64,
-    /// How often our own AS may stand in a learned path: instances that share an AS see each other with 1.
+    /// How often our own AS may occur in a learned path. With 1, instances that share an AS can see each other's routes.
     pub allowed_own_as: usize,
-    /// The most routes that are learned from the peer.
+    /// The maximum number of routes that are learned from the peer.
     pub max_learned_routes: usize,
     /// The prefixes that we may announce; routes to others are not learned.
     pub service_prefixes: Vec<IpNet>,
 }
 
 impl PeerConfig {
-    /// Both sides are of one AS (iBGP).
-    pub fn internal(&self) -> bool {
+    /// Whether both sides are in the same AS (iBGP).
+    pub fn is_internal(&self) -> bool {
         self.local_as == self.peer_as
     }
 
-    /// Both are alike but for the service prefixes.
+    /// Whether the two configurations differ at most in the service prefixes.
     pub(super) fn equals_except_services(&self, other: &PeerConfig) -> bool {
         let without_services =
             |config: &PeerConfig| PeerConfig { service_prefixes: Vec::new(), ..config.clone() };
@@ -68,14 +68,15 @@
     }
 }
 
-/// The attributes with which a prefix is announced; prefixes with the same ones share UPDATEs.
+/// The attributes with which a prefix is announced; prefixes with the same attributes share UPDATEs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Advertisement {
     /// MULTI_EXIT_DISC.
     pub med: Option<u32>,
-    /// How often our AS is prepended beside the once that it must stand in the path; means nothing within one AS.
+    /// How many additional times our AS is prepended to the path, which contains it once anyway; has no effect in iBGP
+    /// sessions.
     pub prepend: u8,
-    /// LOCAL_PREF; means nothing between two ASes. Without it 100 is sent.
+    /// LOCAL_PREF; sent only in iBGP sessions, as 100 if absent.
     pub local_pref: Option<u32>,
     /// COMMUNITIES (RFC 1997).
     pub communities: Vec<u32>,
--- a/crates/bgp/src/session/connection.rs
+++ b/crates/bgp/src/session/connection.rs
@@ -1,4 +1,5 @@
-//! One TCP connection of a peer, from its attempt to its last message, with the Adj-RIB-Out that was sent on it.
+//! The state of one TCP connection to a peer, from the connection attempt to the last message, with the Adj-RIB-Out of
+//! the routes announced on it.
 
 use super::Advertisement;
 use crate::family::Family;
@@ -7,15 +8,16 @@
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
-/// RFC 9687: seconds for which a peer may accept no byte, at the least. Twice the hold time if that is longer.
+/// The minimum send hold time in seconds (RFC 9687): the session ends if the peer accepts no data for this long, or for
+/// twice the hold time if that is longer.
 const MIN_SEND_HOLD_TIME: f64 = 30.0;
 
-/// Who began a connection (RFC 4271 section 8.2.1).
+/// Which side opened a connection (RFC 4271 section 8.2.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Direction {
-    /// We did.
+    /// We opened it.
     Outgoing,
-    /// The peer did.
+    /// The peer opened it.
     Incoming,
 }
 
@@ -30,44 +32,45 @@
     }
 }
 
-/// The states of RFC 4271 section 8.2.2; of two connections the further one counts.
+/// The states of RFC 4271 section 8.2.2, in order of progress. The state of a peer with two connections is the later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// Connections are refused until IdleHoldTimer expires, or for good.
+    /// Connections are refused until IdleHoldTimer expires, or permanently if the session was stopped.
     Idle,
-    /// The peer may connect; ConnectRetryTimer runs.
+    /// ConnectRetryTimer runs; a connection that the peer opens is accepted.
     Active,
-    /// A TCP connection is under way, or up without an OPEN of ours (DelayOpen).
+    /// A TCP connection is being established, or is established but our OPEN is not sent yet (DelayOpen).
     Connect,
-    /// Our OPEN is sent, the peer's awaited.
+    /// Our OPEN was sent; the peer's OPEN has not arrived yet.
     OpenSent,
-    /// The peer's OPEN is accepted, its KEEPALIVE awaited.
+    /// The peer's OPEN was accepted; its first KEEPALIVE has not arrived yet.
     OpenConfirm,
     /// Routes are exchanged.
     Established,
 }
 
-/// How far a connection has come. Deadlines are seconds on the host's clock.
+/// The phase of one connection. Deadlines are in seconds of the host's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// The TCP connection is under way.
+    /// The TCP connection is being established.
     Connecting {
         deadline: f64,
     },
-    /// It is up; OPEN is sent at the deadline, or when the peer's arrives (DelayOpenTimer).
+    /// The TCP connection is established. Our OPEN is sent at the deadline (DelayOpenTimer), or when the peer's OPEN
+    /// arrives.
     DelayOpen {
         deadline: f64,
     },
     OpenSent,
     OpenConfirm,
     Established,
-    /// Its last message is being written; it is closed then, or at the deadline.
+    /// The last message is being sent. The connection is closed once it is written, or at the deadline.
     Closing {
         deadline: f64,
     },
 }
 
-/// What is owed to the peer in one address family beside the difference in routes.
+/// What must be sent to the peer for one address family in addition to changed routes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct RefreshState {
     /// The peer asked for a route refresh (RFC 2918).
@@ -79,26 +82,28 @@
 #[derive(Clone, Debug)]
 pub(super) struct Connection {
     pub phase: Phase,
-    /// When the hold timer expires; infinite while it does not run.
+    /// When the hold timer expires, in seconds; infinite while it does not run.
     pub hold_deadline: f64,
-    /// The negotiated hold time; 0 is none.
+    /// The negotiated hold time in seconds; 0 means that there is none.
     pub hold_time: f64,
-    /// When the next KEEPALIVE is due; infinite while none is.
+    /// When the next KEEPALIVE is due, in seconds; infinite if none is.
     pub keepalive_deadline: f64,
-    /// Infinite before Established.
+    /// When the connection became Established, in seconds; infinite before that.
     pub established_at: f64,
     /// Bytes that the host has not written yet.
     pub output: Vec<u8>,
-    /// When the peer last accepted a byte, or nothing was owed.
+    /// The last time, in seconds, at which the peer accepted data or there was no unsent data.
     pub last_progress: f64,
     /// The OPEN that the peer sent.
     pub peer_open: Option<Open>,
     /// The capabilities in our own OPEN.
     pub local_capabilities: Capabilities,
+    /// The routes that are announced on the connection.
     pub adj_rib_out: BTreeMap<IpNet, Advertisement>,
-    /// Some route was announced on it, also if it was withdrawn since: a written withdrawal may be lost with it.
+    /// Whether a route was ever announced on the connection. This stays true after the route is withdrawn, because a
+    /// written withdrawal may be lost with the connection.
     pub has_announced: bool,
-    /// By [`Family`].
+    /// Indexed by [`Family`].
     pub refresh: [RefreshState; 2],
 }
 
@@ -138,7 +143,8 @@
         self.phase == Phase::Established
     }
 
-    /// When the peer is given up if it accepts no byte until then; infinite where nothing is owed.
+    /// When the send hold timer expires (RFC 9687): the session ends if the peer accepts no data until then. Infinite if
+    /// there is no unsent data.
     pub fn send_hold_deadline(&self) -> f64 {
         match self.output.is_empty() {
             true => f64::INFINITY,
@@ -146,7 +152,7 @@
         }
     }
 
-    /// The earliest of its timers.
+    /// The earliest deadline of the timers of the connection.
     pub fn due(&self) -> f64 {
         let phase = match self.phase {
             Phase::Connecting { deadline } | Phase::DelayOpen { deadline } | Phase::Closing { deadline } => {
@@ -162,15 +168,16 @@
         self.peer_open.as_ref().map(|open| &open.capabilities)
     }
 
-    /// The family is spoken on both sides.
-    pub fn speaks(&self, family: Family) -> bool {
+    /// Whether both sides have advertised the family.
+    pub fn has_negotiated(&self, family: Family) -> bool {
         let index = family as usize;
         let peer = self.peer_capabilities().is_some_and(|capabilities| capabilities.families[index]);
         peer && self.local_capabilities.families[index]
     }
 
-    /// How UPDATEs are written on it, in both directions; `internal` tells whether both sides are of one AS.
-    pub fn encoding(&self, internal: bool) -> UpdateContext {
+    /// The encoding of UPDATEs on the connection, in both directions; `internal` tells whether both sides are in the same
+    /// AS.
+    pub fn update_context(&self, internal: bool) -> UpdateContext {
         let four_octet_as =
             self.peer_capabilities().is_some_and(|capabilities| capabilities.four_octet_as.is_some());
         UpdateContext { four_octet_as, internal }
@@ -180,8 +187,8 @@
         self.peer_capabilities().and_then(|capabilities| capabilities.graceful_restart)
     }
 
-    /// RFC 8538: both sides keep routes over a NOTIFICATION.
-    pub fn keeps_over_notification(&self) -> bool {
+    /// Whether both sides preserve routes when a NOTIFICATION ends the session (RFC 8538).
+    pub fn keeps_routes_over_notification(&self) -> bool {
         let supported = |graceful: Option<GracefulRestart>| {
             graceful.is_some_and(|graceful| graceful.notification_support)
         };
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -1,4 +1,5 @@
-//! How sessions end: the drain, NOTIFICATIONs of ours, and what is kept and when the next attempt begins after a loss.
+//! The end of sessions: the drain, sending NOTIFICATIONs, and what happens after a loss: which routes are retained, and
+//! when the next attempt starts.
 
 use super::connection::{Connection, Phase};
 use super::loss::{Loss, DRAIN_STEP_TIMEOUT};
@@ -8,34 +9,37 @@
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 
-/// Seconds that a connection may take to send its last message.
+/// The time limit in seconds for sending the last message of a connection.
 const CLOSE_TIMEOUT: f64 = 1.0;
-/// Seconds between attempts to reach a peer that may keep routes of ours past a drain.
+/// The pause in seconds between attempts to reach a peer that may retain our routes during a drain.
 const DRAIN_RETRY_TIME: f64 = 0.05;
 
 impl Peer {
-    /// Withdraws all routes for good, except those of `lead` that are announced on the established session: they change
-    /// once more, and are withdrawn by the next call or go with the session. A peer that may keep routes of a lost
-    /// session is connected to, told that there are none, and left.
-    pub fn drain(&mut self, lead: BTreeMap<IpNet, Advertisement>, now: f64) {
+    /// Withdraws all routes permanently, except those in `lead_advertisements` that are announced on the established
+    /// session. These change to the given attributes during the shutdown lead; they are withdrawn by a later call that
+    /// does not contain them, or with the end of the session. If the peer may retain our routes from a lost session, a
+    /// new session is opened to make it remove them.
+    pub fn drain(&mut self, lead_advertisements: BTreeMap<IpNet, Advertisement>, now: f64) {
         if self.admin_state != AdminState::Running {
-            self.wanted.retain(|net, _| lead.contains_key(net));
+            self.advertisements.retain(|net, _| lead_advertisements.contains_key(net));
             return self.write_updates(now);
         }
         self.admin_state = AdminState::Draining;
         let announced: Vec<IpNet> = self.adj_rib_out().map(|(net, _)| *net).collect();
-        self.wanted = lead.into_iter().filter(|(net, _)| announced.contains(net)).collect();
+        self.advertisements =
+            lead_advertisements.into_iter().filter(|(net, _)| announced.contains(net)).collect();
         self.retry_timer = RetryTimer::Active { deadline: now };
         if !self.may_retain_routes() {
             for direction in Direction::BOTH {
-                self.leave_unless_established(direction, "drained before the session was up", now);
+                self.end_unless_established(direction, "drained before the session was up", now);
             }
         }
         self.shorten_attempts(now);
         self.write_updates(now);
     }
 
-    /// An attempt from before the drain, that may take its time, must not use up what is left of ours.
+    /// Shortens the deadlines of connections that are still being opened, so that an attempt from before the drain does not
+    /// use up the time of the drain.
     fn shorten_attempts(&mut self, now: f64) {
         let latest = now + DRAIN_STEP_TIMEOUT;
         for connection in self.connections.iter_mut().flatten() {
@@ -50,31 +54,38 @@
         }
     }
 
-    fn leave_unless_established(&mut self, direction: Direction, words: &str, now: f64) {
+    /// Ends a connection that is not established yet. `reason` is logged, or sent as the shutdown communication.
+    fn end_unless_established(&mut self, direction: Direction, reason: &str, now: f64) {
         match self.connection(direction).map(|connection| &connection.phase) {
             Some(Phase::Connecting { .. } | Phase::DelayOpen { .. }) => {
                 self.close(direction);
-                self.lost(direction, words.to_string(), Loss::HardReset, now);
+                self.connection_lost(direction, reason.to_string(), Loss::HardReset, now);
             }
             Some(Phase::OpenSent | Phase::OpenConfirm) => {
-                let cease = Notification::cease(CeaseSubcode::AdministrativeShutdown, words, false);
-                self.end(direction, cease, None, now);
+                let cease = Notification::cease(CeaseSubcode::AdministrativeShutdown, reason, false);
+                self.end_with_notification(direction, cease, None, now);
             }
             _ => {}
         }
     }
 
-    /// Ends the session with a Cease that removes our routes, also where they would be kept over a lost connection.
-    pub fn shut_down(&mut self, subcode: CeaseSubcode, words: &str, now: f64) {
+    /// Ends the session with a Cease that makes the peer remove our routes, even if it would retain them after a lost
+    /// connection (hard reset, RFC 8538). `communication` is the shutdown communication.
+    pub fn shut_down(&mut self, subcode: CeaseSubcode, communication: &str, now: f64) {
         self.drain(BTreeMap::new(), now);
         self.admin_state = AdminState::Stopped;
         self.retained_until = f64::NEG_INFINITY;
         for direction in Direction::BOTH {
-            self.leave_unless_established(direction, words, now);
+            self.end_unless_established(direction, communication, now);
         }
         if let Some((direction, connection)) = self.established_connection() {
-            let hard = connection.keeps_over_notification();
-            self.end(direction, Notification::cease(subcode, words, hard), None, now);
+            let hard_reset = connection.keeps_routes_over_notification();
+            self.end_with_notification(
+                direction,
+                Notification::cease(subcode, communication, hard_reset),
+                None,
+                now,
+            );
         }
     }
 
@@ -86,85 +97,98 @@
         }
     }
 
-    /// Ends the connection over an error of the peer.
-    pub(super) fn report(&mut self, direction: Direction, error: MessageError, now: f64) {
-        let why = error.reason;
-        self.end(direction, error.into(), Some(why), now);
+    /// Ends the connection because of a protocol error of the peer.
+    pub(super) fn end_with_error(&mut self, direction: Direction, error: MessageError, now: f64) {
+        let reason = error.reason;
+        self.end_with_notification(direction, error.into(), Some(reason), now);
     }
 
-    /// Sends a last message; the connection is closed once it is written.
-    pub(super) fn end(&mut self, direction: Direction, last: Notification, why: Option<&str>, now: f64) {
-        let words = match why {
-            Some(why) if !why.is_empty() => format!("sent {last}: {why}"),
-            _ => format!("sent {last}"),
+    /// Sends a NOTIFICATION as the last message; the connection is closed once it is written.
+    pub(super) fn end_with_notification(
+        &mut self,
+        direction: Direction,
+        notification: Notification,
+        reason: Option<&str>,
+        now: f64,
+    ) {
+        let description = match reason {
+            Some(reason) if !reason.is_empty() => format!("sent {notification}: {reason}"),
+            _ => format!("sent {notification}"),
         };
         let Some(connection) = self.connection_mut(direction) else { return };
-        last.encode(&mut connection.output);
+        notification.encode(&mut connection.output);
         let output = std::mem::take(&mut connection.output);
         self.counters.notifications_out += 1;
-        self.lost(direction, words, Loss::of(&last), now);
+        self.connection_lost(direction, description, Loss::from_notification(&notification), now);
         let closing = Phase::Closing { deadline: now + CLOSE_TIMEOUT };
         self.connections[direction as usize] = Some(Connection { output, ..Connection::new(closing, now) });
     }
 
-    /// The connection counts no more: what becomes of the routes of both sides, and when the next may begin.
-    pub(super) fn lost(&mut self, direction: Direction, why: String, loss: Loss, now: f64) {
+    /// Removes a lost or ended connection: decides which routes of both sides are retained, logs the loss, and starts the
+    /// timer for the next connection.
+    pub(super) fn connection_lost(&mut self, direction: Direction, reason: String, loss: Loss, now: f64) {
         let Some(connection) = self.connections[direction as usize].take() else { return };
         let was_established = connection.is_established();
         if was_established {
             self.counters.lost += 1;
-            self.keep_routes(&connection, loss, now);
+            self.retain_routes(&connection, loss, now);
             if now >= connection.established_at + self.config.stable_time {
                 self.idle_hold_time = self.config.idle_hold_time;
             }
         }
-        self.log_loss(&connection, &why);
-        self.last_error = Some(why);
+        self.log_loss(&connection, &reason);
+        self.last_error = Some(reason);
         if was_established && self.admin_state != AdminState::Running {
-            // What was out went with the session, and does not come back with another one.
-            self.wanted.clear();
+            // The announced routes ended with the session, and must not be announced again on another one.
+            self.advertisements.clear();
         }
         if !self.is_live(direction.other()) {
             self.start_retry_timer(&connection, now);
         }
     }
 
-    /// RFC 4724 section 4: which routes outlive a lost session, the peer's here and ours there.
-    fn keep_routes(&mut self, connection: &Connection, loss: Loss, now: f64) {
-        let kept = match loss {
+    /// Determines which routes are retained after a lost session (RFC 4724 section 4): the peer's routes here, and our
+    /// routes at the peer.
+    fn retain_routes(&mut self, connection: &Connection, loss: Loss, now: f64) {
+        let is_retained = match loss {
             Loss::Connection => true,
-            Loss::Notification => connection.keeps_over_notification(),
+            Loss::Notification => connection.keeps_routes_over_notification(),
             Loss::HardReset => false,
         };
-        let peer = connection.peer_graceful_restart().filter(|_| kept);
-        match peer.filter(|graceful| graceful.keeps_any()) {
+        let peer = connection.peer_graceful_restart().filter(|_| is_retained);
+        match peer.filter(|graceful| graceful.preserves_any_family()) {
             Some(graceful) => {
                 let until = now + f64::from(graceful.restart_time).min(self.config.max_stale_time);
                 self.adj_rib_in.mark_stale(graceful.families.map(|family| family.is_some()), until);
             }
             None => self.adj_rib_in.clear(),
         }
-        let local = connection.local_capabilities.graceful_restart.filter(|graceful| graceful.keeps_any());
+        let local =
+            connection.local_capabilities.graceful_restart.filter(|graceful| graceful.preserves_any_family());
         if let (Some(graceful), Some(_), true) = (local, peer, connection.has_announced) {
             self.retained_until = now + f64::from(graceful.restart_time);
         }
     }
 
-    fn log_loss(&mut self, connection: &Connection, why: &str) {
+    fn log_loss(&mut self, connection: &Connection, reason: &str) {
         let was_established = connection.is_established();
-        // Notable once while it lasts: each attempt would fill the log.
-        let repeated = self.last_error.as_deref() == Some(why);
-        let importance = if was_established || !repeated { Importance::Notable } else { Importance::Routine };
-        let what = if was_established { "lost" } else { "no session" };
-        self.log(importance, format!("{what} in {:?}: {why}", connection.state()));
+        // A failed attempt is notable only the first time, while the reason stays the same: repeated attempts would fill
+        // the log.
+        let is_repeated = self.last_error.as_deref() == Some(reason);
+        let importance =
+            if was_established || !is_repeated { Importance::Notable } else { Importance::Routine };
+        let event = if was_established { "session lost" } else { "session attempt failed" };
+        self.log(importance, format!("{event} in {:?}: {reason}", connection.state()));
     }
 
-    /// A failed session waits for IdleHoldTime, which doubles; an attempt that met no answer for ConnectRetryTime.
+    /// Starts the timer for the next connection: IdleHoldTimer, whose duration doubles, if OPEN was sent on the connection;
+    /// otherwise ConnectRetryTimer; and a short fixed pause during a drain.
     fn start_retry_timer(&mut self, connection: &Connection, now: f64) {
-        let opened = matches!(connection.phase, Phase::OpenSent | Phase::OpenConfirm | Phase::Established);
+        let was_open_sent =
+            matches!(connection.phase, Phase::OpenSent | Phase::OpenConfirm | Phase::Established);
         self.retry_timer = if self.admin_state != AdminState::Running {
             RetryTimer::Active { deadline: now + DRAIN_RETRY_TIME }
-        } else if opened {
+        } else if was_open_sent {
             let wait = self.idle_hold_time * self.jitter();
             self.idle_hold_time = (2.0 * self.idle_hold_time).min(self.config.max_idle_hold_time);
             RetryTimer::Idle { deadline: now + wait }
--- a/crates/bgp/src/session/inbound.rs
+++ b/crates/bgp/src/session/inbound.rs
@@ -1,4 +1,4 @@
-//! What the peer sends: messages by state, and the routes of its UPDATEs.
+//! Received messages: their handling in each state, and the routes in UPDATEs.
 
 use super::connection::Phase;
 use super::loss::Loss;
@@ -10,8 +10,12 @@
 use crate::update::{PathAttributes, RouteError, Update};
 
 impl Peer {
-    /// Takes one message. An error ends the connection with its NOTIFICATION.
-    pub(super) fn message(
+    /// Handles one message.
+    ///
+    /// # Errors
+    /// The message is malformed, not acceptable, or not allowed in the current state. The caller ends the connection with
+    /// the NOTIFICATION for the error.
+    pub(super) fn receive_message(
         &mut self,
         direction: Direction,
         message_type: MessageType,
@@ -22,7 +26,7 @@
             return Ok(());
         }
         if message_type == MessageType::Notification {
-            self.notification(direction, body, now);
+            self.receive_notification(direction, body, now);
             return Ok(());
         }
         let Some(connection) = self.connection_mut(direction) else { return Ok(()) };
@@ -32,18 +36,18 @@
         match (&connection.phase, message_type) {
             (Phase::DelayOpen { .. }, MessageType::Open) => {
                 self.send_open(direction, now);
-                self.open(direction, body, now)
+                self.receive_open(direction, body, now)
             }
-            (Phase::OpenSent, MessageType::Open) => self.open(direction, body, now),
+            (Phase::OpenSent, MessageType::Open) => self.receive_open(direction, body, now),
             (Phase::OpenConfirm, MessageType::Keepalive) => {
-                self.established(direction, now);
+                self.enter_established(direction, now);
                 Ok(())
             }
             (Phase::Established, MessageType::Keepalive) => Ok(()),
-            (Phase::Established, MessageType::Update) => self.update(direction, body),
+            (Phase::Established, MessageType::Update) => self.receive_update(direction, body),
             (Phase::Established, MessageType::RouteRefresh) => {
                 if let RouteRefresh::Request(family) = message::decode_route_refresh(body) {
-                    connection.refresh[family as usize].requested = connection.speaks(family);
+                    connection.refresh[family as usize].requested = connection.has_negotiated(family);
                 }
                 Ok(())
             }
@@ -51,23 +55,28 @@
         }
     }
 
-    fn notification(&mut self, direction: Direction, body: &[u8], now: f64) {
+    fn receive_notification(&mut self, direction: Direction, body: &[u8], now: f64) {
         let received = Notification::decode(body);
         self.counters.notifications_in += 1;
         self.close(direction);
-        self.lost(direction, format!("received {received}"), Loss::of(&received), now);
+        self.connection_lost(
+            direction,
+            format!("received {received}"),
+            Loss::from_notification(&received),
+            now,
+        );
     }
 
-    fn update(&mut self, direction: Direction, body: &[u8]) -> Result<(), MessageError> {
+    fn receive_update(&mut self, direction: Direction, body: &[u8]) -> Result<(), MessageError> {
         let Some(connection) = self.connection(direction) else { return Ok(()) };
-        let update = Update::decode(body, connection.encoding(self.config.internal()))?;
+        let update = Update::decode(body, connection.update_context(self.config.is_internal()))?;
         self.counters.updates_in += 1;
         self.counters.attributes_discarded += u64::from(update.discarded);
         let attributes = &update.attributes;
         let route_error = match update.treated_as_withdrawn {
             Some(error) => Some(error),
             None if update.announced.is_empty() => None,
-            None if self.is_foreign(attributes) => Some(RouteError::FirstAsMismatch),
+            None if self.has_wrong_first_as(attributes) => Some(RouteError::FirstAsMismatch),
             None => None,
         };
         if let Some(error) = route_error {
@@ -76,8 +85,8 @@
         for net in &update.withdrawn {
             self.adj_rib_in.remove(net);
         }
-        let loops = attributes.occurrences(self.config.local_as) > self.config.allowed_own_as;
-        let usable = route_error.is_none() && !loops && !self.is_leaked(attributes);
+        let has_loop = attributes.occurrences(self.config.local_as) > self.config.allowed_own_as;
+        let usable = route_error.is_none() && !has_loop && !self.is_route_leak(attributes);
         for net in &update.announced {
             match usable {
                 true => self.adj_rib_in.insert(*net, attributes),
@@ -90,15 +99,18 @@
         Ok(())
     }
 
-    /// RFC 4271 section 6.3: a path of another AS begins with the peer's, but for one that a route server passes on
-    /// (RFC 7947 section 2.2.2.1).
-    fn is_foreign(&self, attributes: &PathAttributes) -> bool {
-        let route_server = self.config.role == Some(Role::RouteServerClient);
-        !self.config.internal() && !route_server && attributes.first_as() != Some(self.config.peer_as)
+    /// Whether the AS_PATH wrongly does not begin with the peer's AS (RFC 4271 section 6.3). This is not checked in iBGP
+    /// sessions, nor for a route server, which does not prepend its own AS (RFC 7947 section 2.2.2.1).
+    fn has_wrong_first_as(&self, attributes: &PathAttributes) -> bool {
+        let is_from_route_server = self.config.role == Some(Role::RouteServerClient);
+        !self.config.is_internal()
+            && !is_from_route_server
+            && attributes.first_as() != Some(self.config.peer_as)
     }
 
-    /// RFC 9234 section 5: a route that must not come from this direction has leaked.
-    fn is_leaked(&self, attributes: &PathAttributes) -> bool {
+    /// Whether the route is a route leak: its ONLY_TO_CUSTOMER attribute does not permit it from a peer with this role (RFC
+    /// 9234 section 5).
+    fn is_route_leak(&self, attributes: &PathAttributes) -> bool {
         match (self.config.role, attributes.only_to_customer) {
             (Some(Role::Provider | Role::RouteServer), Some(_)) => true,
             (Some(Role::Peer), Some(asn)) => asn != self.config.peer_as,
@@ -106,7 +118,8 @@
         }
     }
 
-    /// Logged at each power of two: a peer that keeps on sending such routes must not fill the log.
+    /// Counts an UPDATE whose routes are treated as withdrawn. It is logged only when the count is a power of two, so that a
+    /// peer that keeps sending such routes does not fill the log.
     fn count_treated_as_withdrawn(&mut self, error: RouteError) {
         self.counters.treated_as_withdrawn += 1;
         let count = self.counters.treated_as_withdrawn;
@@ -119,7 +132,7 @@
     }
 }
 
-/// RFC 6608: the subcode tells the state that the message came in.
+/// The error for a message that is not allowed in the state; the subcode identifies the state (RFC 6608).
 fn unexpected_message(phase: &Phase) -> MessageError {
     let subcode = match phase {
         Phase::OpenSent => FsmError::OpenSent,
@@ -127,5 +140,5 @@
         Phase::Established => FsmError::Established,
         _ => FsmError::Unspecified,
     };
-    MessageError::new(subcode, "a message that has no place in this state")
+    MessageError::new(subcode, "message not allowed in this state")
 }
--- a/crates/bgp/src/session/loss.rs
+++ b/crates/bgp/src/session/loss.rs
@@ -1,24 +1,24 @@
-//! How a session was lost, and how long a step may take while it drains.
+//! The ways in which a session is lost, and the time limit for the steps of opening a session during a drain.
 
 use crate::notification::Notification;
 
-/// While draining, seconds that each step towards a session may take: a peer that keeps routes of ours must be reached
-/// within the drain or not at all.
+/// The time limit in seconds for each step of opening a session during a drain. A peer that retains our routes can only
+/// be told to remove them before the drain ends, so no step may use up that time.
 pub(super) const DRAIN_STEP_TIMEOUT: f64 = 0.3;
 
-/// How a session was lost, as far as kept routes go.
+/// How a session was lost; this determines whether its routes are retained.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Loss {
-    /// The connection broke off.
+    /// The connection was lost without a NOTIFICATION.
     Connection,
-    /// One direction sent a NOTIFICATION.
+    /// One side sent a NOTIFICATION that is not a hard reset.
     Notification,
-    /// For good: a hard reset (RFC 8538), or no session that could keep anything.
+    /// No routes are retained: one side sent a hard reset (RFC 8538), or the session had not opened yet.
     HardReset,
 }
 
 impl Loss {
-    pub fn of(notification: &Notification) -> Loss {
+    pub fn from_notification(notification: &Notification) -> Loss {
         match notification.hard_reset {
             true => Loss::HardReset,
             false => Loss::Notification,
--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -1,13 +1,16 @@
-//! One peer: the state machine of RFC 4271 section 8 over up to two connections (ours and the peer's, until section
-//! 6.8 has settled which stays), and the routes announced on the one that is established (Adj-RIB-Out).
+//! The session with one peer: the state machine of RFC 4271 section 8 over up to two connections, and the routes that are
+//! announced on the established one (Adj-RIB-Out). There are two connections if both sides opened one, until the
+//! collision detection of section 6.8 has closed one of them.
 //!
-//! The routes to announce are a set, not a queue: however often it changes while a peer does not read, the next UPDATE
-//! holds the difference between what was announced on this connection and what is wanted now. A new connection begins
-//! with an empty Adj-RIB-Out, so a withdrawal that was lost with the last one can't be missed.
+//! The routes to announce are a set, not a queue: however often the set changes while a peer does not read, the next
+//! UPDATEs contain only the difference between the routes announced on this connection and the current set. A new
+//! connection starts with an empty Adj-RIB-Out, so a withdrawal that was lost with the previous connection still takes
+//! effect.
 //!
-//! `config` is the configuration, `connection` the state of one connection. The methods of [`Peer`] stand by job:
-//! `timers`, `transport` (what the host reports of a connection), `opening` (OPEN, collisions, Established), `inbound`
-//! and `outbound` (messages and routes of each direction), `ending` (drain, NOTIFICATION, loss).
+//! `config` is the configuration, `connection` the state of one connection. The methods of [`Peer`] are grouped by
+//! purpose: `timers`, `transport` (events that the host reports of a connection), `opening` (OPEN, collisions, the change
+//! to Established), `inbound` (received messages and routes), `outbound` (announced routes), `ending` (drain,
+//! NOTIFICATION, loss of a session), and `loss` (the ways in which a session is lost).
 
 mod config;
 mod connection;
@@ -21,7 +24,7 @@
 
 pub use config::{Advertisement, PeerConfig};
 pub use connection::{Direction, State};
-pub use transport::Received;
+pub use transport::ReceiveOutcome;
 
 use crate::adj_rib_in::AdjRibIn;
 use crate::family::Family;
@@ -31,44 +34,44 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Log entries kept until the host takes them; further ones are dropped.
+/// The maximum number of log entries that are kept until the host takes them; further entries are dropped.
 const MAX_LOG_ENTRIES: usize = 64;
 
-/// What the host has to do.
+/// An action that the host must perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Begin a connection; [`Peer::connected`] or [`Peer::closed`] tells what became of it.
+    /// Open a TCP connection to the peer. The host reports the result with [`Peer::connected`] or [`Peer::closed`].
     Connect,
-    /// End the connection at once; what is unsent on it is lost.
+    /// Close the connection at once; its unsent bytes are lost.
     Close(Direction),
 }
 
-/// How much an operator needs to see a log entry.
+/// How important a log entry is for an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Importance {
-    /// It repeats what is known, such as one more attempt without an answer.
+    /// The entry repeats known information, for example another failed connection attempt.
     Routine,
-    /// It changes what is known of the session.
+    /// The entry reports a change of the session.
     Notable,
 }
 
-/// One line for the log.
+/// One log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// How much an operator needs to see it.
+    /// How important the entry is for an operator.
     pub importance: Importance,
-    /// What happened.
+    /// The text of the entry.
     pub message: String,
 }
 
-/// Events since the peer was configured.
+/// Counts of events since the peer was configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounters {
     /// Sessions that reached Established.
     pub established: u64,
     /// Established sessions that ended.
     pub lost: u64,
-    /// UPDATEs written; announcements that take several messages count once.
+    /// Announcements and withdrawals sent as UPDATEs; one that takes several messages counts once.
     pub updates_out: u64,
     /// UPDATEs received.
     pub updates_in: u64,
@@ -82,17 +85,18 @@
     pub notifications_in: u64,
 }
 
-/// What the host wants of the session.
+/// The administrative state that the host has set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AdminState {
     Running,
-    /// Nothing is announced any more; a peer that may keep routes of ours is still sought.
+    /// No new routes are announced. Connections are still opened if the peer may retain our routes from a lost session.
     Draining,
-    /// No new connection.
+    /// No connection is opened or accepted.
     Stopped,
 }
 
-/// When the next connection may begin, while there is none: IdleHoldTimer or ConnectRetryTimer.
+/// The timer that runs while there is no connection; the next one may be opened at `deadline` (seconds). `Idle` is
+/// IdleHoldTimer, `Active` is ConnectRetryTimer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RetryTimer {
     Idle { deadline: f64 },
@@ -107,7 +111,8 @@
     }
 }
 
-/// One peer with its connections and routes. The host calls it with its clock, whose seconds must not go back.
+/// One peer with its connections and routes. The host passes the current time to its methods as `now`, in seconds of a
+/// monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Peer {
     config: PeerConfig,
@@ -115,28 +120,29 @@
     random_draws: u64,
     admin_state: AdminState,
     retry_timer: RetryTimer,
-    /// IdleHoldTime after the next failure.
+    /// The IdleHoldTime that applies after the next failure, in seconds.
     idle_hold_time: f64,
-    /// By [`Direction`].
+    /// Indexed by [`Direction`].
     connections: [Option<Connection>; 2],
-    /// The routes to announce, which the Adj-RIB-Out follows.
-    wanted: BTreeMap<IpNet, Advertisement>,
-    /// Until when the peer may keep routes of ours from a lost session; minus infinity where there are none.
+    /// The routes to announce; the Adj-RIB-Out is updated to match them.
+    advertisements: BTreeMap<IpNet, Advertisement>,
+    /// The time until which the peer may retain our routes from a lost session, in seconds; minus infinity if it retains
+    /// none.
     retained_until: f64,
-    /// No session has been established since the start (the Restart State bit of RFC 4724).
+    /// Whether no session has been established since the start: the Restart State bit that our OPEN sends (RFC 4724).
     restart_state: bool,
     /// The routes learned from the peer.
     pub adj_rib_in: AdjRibIn,
     actions: VecDeque<Action>,
-    /// Why the last session or attempt ended.
+    /// Why the last session or attempt to establish one ended; `None` after a session was established.
     pub last_error: Option<String>,
-    /// Events since the peer was configured.
+    /// Counts of events since the peer was configured.
     pub counters: SessionCounters,
     log: VecDeque<LogEntry>,
 }
 
 impl Peer {
-    /// A peer without connections; the first may begin at once. Jitter is drawn from `seed`.
+    /// A peer without connections; the first connection may be opened at once. `seed` determines the jitter of timers.
     pub fn new(config: PeerConfig, seed: u64, now: f64) -> Peer {
         Peer {
             adj_rib_in: AdjRibIn::new(&config.service_prefixes, config.max_learned_routes),
@@ -147,7 +153,7 @@
             admin_state: AdminState::Running,
             retry_timer: RetryTimer::Idle { deadline: now },
             connections: [None, None],
-            wanted: BTreeMap::new(),
+            advertisements: BTreeMap::new(),
             retained_until: f64::NEG_INFINITY,
             restart_state: true,
             actions: VecDeque::new(),
@@ -157,8 +163,8 @@
         }
     }
 
-    /// Takes over another configuration where the session need not end for it: other service prefixes of the families
-    /// that are spoken. The routes of the peer are asked for again (RFC 2918). False: nothing was done.
+    /// Applies a new configuration if only the service prefixes differ, so that the session need not end. If they differ,
+    /// the peer's routes are requested again (RFC 2918). Returns false, and changes nothing, if anything else differs.
     pub fn reconfigure(&mut self, config: &PeerConfig) -> bool {
         if !self.config.equals_except_services(config) {
             return false;
@@ -171,14 +177,14 @@
         true
     }
 
-    /// Asks the peer for all its routes again, where a session is established and the peer can do it.
+    /// Requests all routes from the peer again, if a session is established and the peer supports route refresh.
     fn request_refresh(&mut self) {
         let Some((_, connection)) = self.established_connection() else { return };
         if !connection.peer_capabilities().is_some_and(|capabilities| capabilities.route_refresh) {
             return;
         }
         for family in Family::ALL {
-            if connection.speaks(family) {
+            if connection.has_negotiated(family) {
                 message::encode_route_refresh(&mut connection.output, RouteRefresh::Request(family));
             }
         }
@@ -189,12 +195,12 @@
         self.actions.pop_front()
     }
 
-    /// The next line for the log.
+    /// The next log entry.
     pub fn next_log_entry(&mut self) -> Option<LogEntry> {
         self.log.pop_front()
     }
 
-    /// The state of the furthest connection.
+    /// The most advanced state among the connections; Active if there is none and the ConnectRetryTimer runs.
     pub fn state(&self) -> State {
         let furthest = self.connections.iter().flatten().map(Connection::state).max().unwrap_or(State::Idle);
         match (furthest, self.retry_timer) {
@@ -205,32 +211,32 @@
         }
     }
 
-    /// The routes that were announced to the peer on the established connection.
+    /// The routes that are announced to the peer on the established connection.
     pub fn adj_rib_out(&self) -> impl Iterator<Item = (&IpNet, &Advertisement)> {
         let established = self.connections.iter().flatten().find(|connection| connection.is_established());
         established.into_iter().flat_map(|connection| &connection.adj_rib_out)
     }
 
-    /// No route of ours is left at the peer, as far as can be known: all withdrawals are written, and nothing is kept
-    /// from a lost session.
+    /// Whether the peer holds none of our routes, as far as can be known: all withdrawals are written, and no routes are
+    /// retained from a lost session.
     pub fn all_withdrawn(&self, now: f64) -> bool {
-        let owes = |connection: &Connection| match connection.phase {
+        let has_pending = |connection: &Connection| match connection.phase {
             Phase::Established => !connection.adj_rib_out.is_empty() || !connection.output.is_empty(),
             Phase::Closing { .. } => !connection.output.is_empty(),
             _ => false,
         };
-        now >= self.retained_until && !self.connections.iter().flatten().any(owes)
+        now >= self.retained_until && !self.connections.iter().flatten().any(has_pending)
     }
 
-    /// No connection is left, and none will begin.
+    /// Whether no connection is left and none will be opened or accepted.
     pub fn is_finished(&self) -> bool {
         self.admin_state != AdminState::Running
             && self.connections.iter().all(Option::is_none)
-            && !self.seeks_connection()
+            && !self.wants_connection()
     }
 
-    /// A connection is still sought.
-    fn seeks_connection(&self) -> bool {
+    /// Whether a connection to the peer is wanted.
+    fn wants_connection(&self) -> bool {
         match self.admin_state {
             AdminState::Running => true,
             AdminState::Draining => self.may_retain_routes(),
@@ -238,7 +244,7 @@
         }
     }
 
-    /// The peer may keep routes of ours from a lost session.
+    /// Whether the peer may retain our routes from a lost session.
     fn may_retain_routes(&self) -> bool {
         self.retained_until > f64::NEG_INFINITY
     }
@@ -251,7 +257,7 @@
         self.connections[direction as usize].as_mut()
     }
 
-    /// There is a connection, and it is not about to be closed.
+    /// Whether there is a connection that is not closing.
     fn is_live(&self, direction: Direction) -> bool {
         self.connection(direction).is_some_and(|connection| !connection.is_closing())
     }
@@ -263,7 +269,8 @@
         Some((direction, self.connection_mut(direction)?))
     }
 
-    /// RFC 4271 section 10: a factor of 0.75 to 1, so that peers do not move in step.
+    /// A random factor from 0.75 to 1 for timer values, so that the timers of different peers do not synchronize (RFC 4271
+    /// section 10).
     fn jitter(&mut self) -> f64 {
         self.random_draws += 1;
         let mut hasher = DefaultHasher::new();
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -1,4 +1,4 @@
-//! From a TCP connection to Established: OPEN, what is negotiated, and collisions of two connections.
+//! The steps from a TCP connection to Established: OPEN, negotiation of parameters, and collisions of two connections.
 
 use super::connection::{Connection, Phase};
 use super::loss::{Loss, DRAIN_STEP_TIMEOUT};
@@ -10,11 +10,13 @@
 use crate::open::{Capabilities, GracefulRestart, Open};
 
 impl Peer {
-    fn capabilities(&self) -> Capabilities {
-        // Where nothing is to be kept, no family is named: the peer then drops at once what it kept.
+    /// The capabilities that our OPEN advertises.
+    fn local_capabilities(&self) -> Capabilities {
+        // Without a restart time, and while draining, Graceful Restart lists no family, so the peer at once removes the
+        // routes that it retained.
         let restart_time = self.config.restart_time.filter(|_| self.admin_state == AdminState::Running);
         let preserved_families =
-            self.config.families.map(|spoken| (spoken && restart_time.is_some()).then_some(true));
+            self.config.families.map(|enabled| (enabled && restart_time.is_some()).then_some(true));
         Capabilities {
             families: self.config.families,
             four_octet_as: Some(self.config.local_as),
@@ -30,8 +32,9 @@
         }
     }
 
+    /// Sends our OPEN and starts the wait for the peer's OPEN.
     pub(super) fn send_open(&mut self, direction: Direction, now: f64) {
-        let capabilities = self.capabilities();
+        let capabilities = self.local_capabilities();
         let open = Open {
             asn: self.config.local_as,
             hold_time: self.config.hold_time,
@@ -50,8 +53,16 @@
         connection.last_progress = now;
     }
 
-    /// The peer's OPEN: checked, and answered with a KEEPALIVE if this connection stays.
-    pub(super) fn open(&mut self, direction: Direction, body: &[u8], now: f64) -> Result<(), MessageError> {
+    /// Handles the peer's OPEN: checks it, resolves a collision, and answers with a KEEPALIVE if this connection is kept.
+    ///
+    /// # Errors
+    /// The OPEN is malformed or not acceptable for this peer.
+    pub(super) fn receive_open(
+        &mut self,
+        direction: Direction,
+        body: &[u8],
+        now: f64,
+    ) -> Result<(), MessageError> {
         let open = Open::decode(body)?;
         check_open(&open, &self.config)?;
         if !self.resolve_collision(direction, &open, now) {
@@ -74,36 +85,45 @@
         Ok(())
     }
 
-    /// RFC 4271 section 6.8: of two connections one stays, the one that the higher identifier began (the higher AS
-    /// where identifiers are alike, RFC 6286). Tells whether it is this one; the other one is ended.
+    /// Resolves a collision of two connections (RFC 4271 section 6.8): the one opened by the side with the higher BGP
+    /// identifier is kept (the higher AS number if the identifiers are equal, RFC 6286), and the other is ended. Returns
+    /// whether this connection is kept. An established connection is kept instead, unless the peer supports Graceful
+    /// Restart.
     fn resolve_collision(&mut self, direction: Direction, open: &Open, now: f64) -> bool {
         let other = direction.other();
-        let cease = |words| Notification::cease(CeaseSubcode::ConnectionCollisionResolution, words, false);
+        let cease = |communication| {
+            Notification::cease(CeaseSubcode::ConnectionCollisionResolution, communication, false)
+        };
         match self.connection(other).map(Connection::state) {
             Some(State::Established) => {
                 if self.connection(other).and_then(Connection::peer_graceful_restart).is_some() {
-                    // RFC 4724 section 5: it restarted, and we have not heard of the end of the old one.
+                    // RFC 4724 section 5: the peer restarted, and we did not notice that the old connection was lost.
                     self.close(other);
-                    self.lost(other, "the peer has connected anew".to_string(), Loss::Connection, now);
+                    self.connection_lost(
+                        other,
+                        "the peer opened a new connection".to_string(),
+                        Loss::Connection,
+                        now,
+                    );
                     return true;
                 }
-                self.end(direction, cease("a session is up"), None, now);
+                self.end_with_notification(direction, cease("a session is up"), None, now);
                 false
             }
             Some(State::OpenConfirm) => {
                 let local = (u32::from(self.config.identifier), self.config.local_as);
                 let remote = (u32::from(open.identifier), open.asn);
-                let stays = if local > remote { Direction::Outgoing } else { Direction::Incoming };
-                self.end(stays.other(), cease("the other connection stays"), None, now);
-                stays == direction
+                let kept = if local > remote { Direction::Outgoing } else { Direction::Incoming };
+                self.end_with_notification(kept.other(), cease("the other connection stays"), None, now);
+                kept == direction
             }
             _ => true,
         }
     }
 
-    /// The peer's first KEEPALIVE: the session is up.
-    pub(super) fn established(&mut self, direction: Direction, now: f64) {
-        self.give_up_other(direction.other(), now);
+    /// Changes the connection to Established after the peer's first KEEPALIVE.
+    pub(super) fn enter_established(&mut self, direction: Direction, now: f64) {
+        self.end_other_connection(direction.other(), now);
         self.counters.established += 1;
         self.restart_state = false;
         let Some(connection) = self.connections[direction as usize].as_mut() else { return };
@@ -112,15 +132,19 @@
         let graceful = connection.peer_graceful_restart();
         for family in Family::ALL {
             connection.refresh[family as usize].end_of_rib_due =
-                connection.speaks(family) && graceful.is_some();
-            // RFC 4724 section 4.2: what it did not keep, or does not speak any more, is gone.
-            let keeps = graceful.is_some_and(|graceful| graceful.families[family as usize] == Some(true));
-            if !keeps {
+                connection.has_negotiated(family) && graceful.is_some();
+            // RFC 4724 section 4.2: stale routes are removed if the peer did not preserve its forwarding state or no
+            // longer lists the family.
+            let is_preserved =
+                graceful.is_some_and(|graceful| graceful.families[family as usize] == Some(true));
+            if !is_preserved {
                 self.adj_rib_in.remove_stale(family);
             }
         }
-        let own_state_preserved =
-            connection.local_capabilities.graceful_restart.is_some_and(|graceful| graceful.keeps_any());
+        let own_state_preserved = connection
+            .local_capabilities
+            .graceful_restart
+            .is_some_and(|graceful| graceful.preserves_any_family());
         if !own_state_preserved || graceful.is_none() {
             self.retained_until = f64::NEG_INFINITY;
         }
@@ -130,8 +154,8 @@
         self.write_updates(now);
     }
 
-    /// Ends what the other connection still tries: it leads nowhere once a session is up.
-    fn give_up_other(&mut self, other: Direction, now: f64) {
+    /// Ends the other connection if it is not established yet; it is not needed once this session is established.
+    fn end_other_connection(&mut self, other: Direction, now: f64) {
         match self.connection(other).map(Connection::state) {
             Some(State::Connect) => {
                 self.close(other);
@@ -143,38 +167,48 @@
                     "a session is up",
                     false,
                 );
-                self.end(other, cease, None, now);
+                self.end_with_notification(other, cease, None, now);
             }
             _ => {}
         }
     }
 }
 
-/// RFC 4271 section 6.2, RFC 5492 section 3, RFC 9234 section 4.2: whether a session may begin with this OPEN.
+/// Checks whether a session may be established with this OPEN.
+///
+/// # Errors
+/// The AS number or BGP identifier is not the expected one (RFC 4271 section 6.2), no address family is in common (RFC
+/// 5492 section 3), or the peer's role does not match ours or is missing though required (RFC 9234 section 4.2).
 fn check_open(open: &Open, config: &PeerConfig) -> Result<(), MessageError> {
     if open.asn != config.peer_as {
-        return Err(MessageError::new(OpenError::BadPeerAs, "the peer is of another AS")
-            .with(&open.asn.to_be_bytes()));
+        return Err(MessageError::new(
+            OpenError::BadPeerAs,
+            "the peer's AS number is not the configured one",
+        )
+        .with_data(&open.asn.to_be_bytes()));
     }
-    let same_id = open.identifier == config.identifier && config.internal();
-    if same_id || config.peer_identifier.is_some_and(|id| id != open.identifier) {
-        return Err(MessageError::new(OpenError::BadIdentifier, "the peer has another BGP identifier")
-            .with(&open.identifier.octets()));
+    let is_own_identifier = open.identifier == config.identifier && config.is_internal();
+    if is_own_identifier || config.peer_identifier.is_some_and(|id| id != open.identifier) {
+        return Err(MessageError::new(
+            OpenError::BadIdentifier,
+            "the peer's BGP identifier is not the expected one",
+        )
+        .with_data(&open.identifier.octets()));
     }
     match (config.role, open.capabilities.role) {
         (Some(ours), Some(theirs)) if ours.counterpart() != theirs => {
-            return Err(MessageError::new(OpenError::RoleMismatch, "the peer's role does not go with ours"))
+            return Err(MessageError::new(OpenError::RoleMismatch, "the peer's role does not match ours"))
         }
         (Some(_), None) if config.strict_role => {
-            return Err(MessageError::new(OpenError::RoleMismatch, "the peer tells no role"))
+            return Err(MessageError::new(OpenError::RoleMismatch, "the peer sent no role"))
         }
         _ => {}
     }
-    let common = |family: &Family| {
+    let is_common = |family: &Family| {
         let index = *family as usize;
         config.families[index] && open.capabilities.families[index]
     };
-    if !Family::ALL.iter().any(common) {
+    if !Family::ALL.iter().any(is_common) {
         return Err(MessageError::new(OpenError::UnsupportedCapability, "no address family in common"));
     }
     Ok(())
--- a/crates/bgp/src/session/timers.rs
+++ b/crates/bgp/src/session/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of a session: when the next one is due, and what happens when it expires.
+//! The timers of a session: when the next one expires, and what happens then.
 
 use super::connection::{Connection, Phase};
 use super::loss::{Loss, DRAIN_STEP_TIMEOUT};
@@ -8,7 +8,7 @@
 use crate::notification::Notification;
 
 impl Peer {
-    /// When [`Peer::run_timers`] is to be called at the latest.
+    /// The latest time at which the host must call [`Peer::run_timers`], in seconds.
     pub fn due(&self) -> f64 {
         let retry = if self.may_connect() { self.retry_timer.deadline() } else { f64::INFINITY };
         let retained = if self.may_retain_routes() { self.retained_until } else { f64::INFINITY };
@@ -16,7 +16,7 @@
         connections.chain([retry, retained, self.adj_rib_in.due()]).fold(f64::INFINITY, f64::min)
     }
 
-    /// Acts on all timers that have expired, and writes what is due.
+    /// Handles all expired timers, and queues due UPDATEs for sending.
     pub fn run_timers(&mut self, now: f64) {
         self.adj_rib_in.expire_stale(now);
         if now >= self.retained_until {
@@ -31,12 +31,14 @@
         self.write_updates(now);
     }
 
-    /// A connection of ours may begin as soon as the retry timer expires.
+    /// Whether we may open a connection once the retry timer expires.
     fn may_connect(&self) -> bool {
-        let free = self.connection(Direction::Outgoing).is_none() && !self.is_live(Direction::Incoming);
-        free && self.seeks_connection() && !self.config.passive
+        let has_no_connection =
+            self.connection(Direction::Outgoing).is_none() && !self.is_live(Direction::Incoming);
+        has_no_connection && self.wants_connection() && !self.config.passive
     }
 
+    /// Asks the host to open a connection.
     fn connect(&mut self, now: f64) {
         let timeout = match self.admin_state {
             AdminState::Draining => DRAIN_STEP_TIMEOUT,
@@ -47,7 +49,7 @@
         self.actions.push_back(Action::Connect);
     }
 
-    /// Acts on what has expired on one connection.
+    /// Handles the expired timers of one connection.
     fn expire_timers(&mut self, direction: Direction, now: f64) {
         let Some(connection) = self.connection(direction) else { return };
         match connection.phase {
@@ -55,20 +57,21 @@
             Phase::Closing { .. } => return,
             Phase::Connecting { deadline } if now >= deadline => {
                 self.close(direction);
-                return self.lost(direction, "no connection came up".to_string(), Loss::Connection, now);
+                let reason = "TCP connection was not established in time".to_string();
+                return self.connection_lost(direction, reason, Loss::Connection, now);
             }
             Phase::DelayOpen { deadline } if now >= deadline => return self.send_open(direction, now),
             _ => {}
         }
         if now >= connection.hold_deadline {
             let expired = Notification::from(ErrorKind::HoldTimerExpired);
-            return self.end(direction, expired, None, now);
+            return self.end_with_notification(direction, expired, None, now);
         }
         if now >= connection.send_hold_deadline() {
-            // RFC 9687: no NOTIFICATION could get through.
+            // No NOTIFICATION is sent, because the peer accepts no data (RFC 9687).
             self.close(direction);
-            let why = "takes no byte: send hold timer expired".to_string();
-            return self.lost(direction, why, Loss::Connection, now);
+            let reason = "send hold timer expired: the peer accepted no data".to_string();
+            return self.connection_lost(direction, reason, Loss::Connection, now);
         }
         if now >= connection.keepalive_deadline {
             self.send_keepalive(direction, now);
--- a/crates/bgp/src/update/as_path.rs
+++ b/crates/bgp/src/update/as_path.rs
@@ -1,15 +1,16 @@
-//! AS_PATH and AS4_PATH on the wire, in two octets for each AS and in four (RFC 6793).
+//! The codec of AS_PATH and AS4_PATH, with two or four octets for each AS number (RFC 6793).
 
 use super::{AsPathSegment, SegmentType};
 use crate::open::AS_TRANS;
-use crate::Bytes;
+use crate::ByteReader;
 
-/// Reads the value of an AS_PATH; none where it is malformed (RFC 7606 section 7.2).
+/// Decodes the value of an AS_PATH; `None` if it is malformed (RFC 7606 section 7.2).
 pub(super) fn decode(value: &[u8], four_octet_as: bool) -> Option<Vec<AsPathSegment>> {
-    let mut bytes = Bytes(value);
+    let mut bytes = ByteReader(value);
     let mut segments = Vec::new();
     while !bytes.is_empty() {
-        // Confederations (3, 4) end at our borders: none may come (RFC 5065 section 4).
+        // Confederation segments (types 3 and 4) must not cross the border of a confederation, so a peer must not
+        // send them (RFC 5065 section 4).
         let segment_type = match bytes.u8()? {
             1 => SegmentType::Set,
             2 => SegmentType::Sequence,
@@ -21,13 +22,14 @@
         }
         let size = if four_octet_as { 4 } else { 2 };
         let numbers = bytes.take(count * size)?.chunks_exact(size);
-        let number = |octets: &[u8]| octets.iter().fold(0, |sum, &octet| sum << 8 | u32::from(octet));
-        segments.push(AsPathSegment { segment_type, numbers: numbers.map(number).collect() });
+        let as_number =
+            |octets: &[u8]| octets.iter().fold(0, |number, &octet| number << 8 | u32::from(octet));
+        segments.push(AsPathSegment { segment_type, numbers: numbers.map(as_number).collect() });
     }
     Some(segments)
 }
 
-/// The value of an AS_PATH. In two octets AS_TRANS stands for what they can't hold.
+/// Encodes the value of an AS_PATH. With two-octet AS numbers, AS_TRANS replaces those that do not fit.
 pub(super) fn encode(path: &[AsPathSegment], four_octet_as: bool) -> Vec<u8> {
     let mut value = Vec::new();
     for segment in path {
@@ -42,7 +44,8 @@
     value
 }
 
-/// RFC 6793 section 4.2.3: what an old speaker could not write in its AS_PATH stands at the end of AS4_PATH.
+/// Merges AS4_PATH into AS_PATH (RFC 6793 section 4.2.3): AS4_PATH replaces the last hops of AS_PATH, where a speaker
+/// with two-octet AS numbers had to write AS_TRANS. An AS4_PATH that is longer than AS_PATH is ignored.
 pub(super) fn merge_as4(
     as_path: Vec<AsPathSegment>,
     as4_path: Option<Vec<AsPathSegment>>,
@@ -60,18 +63,18 @@
     merged
 }
 
-/// So many hops off the front of a path that has as many or more.
+/// The first `count` hops of a path that has at least `count` hops.
 fn first_hops(path: Vec<AsPathSegment>, count: usize) -> Vec<AsPathSegment> {
-    let mut missing = count;
+    let mut remaining = count;
     let mut first = Vec::new();
     for mut segment in path {
-        if missing == 0 {
+        if remaining == 0 {
             break;
         }
         if is_sequence(&segment) {
-            segment.numbers.truncate(missing);
+            segment.numbers.truncate(remaining);
         }
-        missing -= segment.hops();
+        remaining -= segment.hops();
         first.push(segment);
     }
     first
--- a/crates/bgp/src/update/attributes.rs
+++ b/crates/bgp/src/update/attributes.rs
@@ -1,43 +1,43 @@
-//! The path attributes of an UPDATE: their types, their flags, and the values that are of use here.
+//! The path attributes of an UPDATE: their types, their flags, and the values that are used.
 
 use std::fmt;
 use std::net::IpAddr;
 
-/// The types of path attributes that are checked (RFC 4271 section 5 unless another document is named), with their
-/// codes. Others are ignored where they are optional.
+/// The types of path attributes that are checked, with their codes; from RFC 4271 section 5 unless another RFC is named.
+/// Other types are ignored if they are optional.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttributeType {
-    /// How the route came into BGP.
+    /// How the route was introduced into BGP.
     Origin = 1,
-    /// The autonomous systems that the route passed.
+    /// The autonomous systems that the route passed through.
     AsPath = 2,
-    /// Where packets for the prefixes of the NLRI field are sent.
+    /// The address to which packets for the prefixes of the NLRI field are forwarded.
     NextHop = 3,
-    /// MULTI_EXIT_DISC: which of several links into one AS is preferred; lower is better.
+    /// The preference among several links into one AS; lower is better.
     MultiExitDisc = 4,
     /// The preference of a route within one AS; higher is better.
     LocalPref = 5,
-    /// Parts of the path were left out by an aggregation.
+    /// An aggregation omitted ASes of the path.
     AtomicAggregate = 6,
-    /// Who aggregated the route.
+    /// The speaker that aggregated the route.
     Aggregator = 7,
-    /// RFC 1997.
+    /// COMMUNITIES (RFC 1997).
     Communities = 8,
-    /// RFC 4456.
+    /// ORIGINATOR_ID (RFC 4456).
     OriginatorId = 9,
-    /// RFC 4456.
+    /// CLUSTER_LIST (RFC 4456).
     ClusterList = 10,
-    /// RFC 4760: announced prefixes of another family than IPv4.
+    /// Announced prefixes of any family (RFC 4760); used here for IPv6.
     MpReachNlri = 14,
-    /// RFC 4760: withdrawn prefixes of another family than IPv4.
+    /// Withdrawn prefixes of any family (RFC 4760); used here for IPv6.
     MpUnreachNlri = 15,
-    /// RFC 6793: the AS_PATH in four octets each, for a speaker of two.
+    /// The AS_PATH with four-octet AS numbers, sent to a speaker that supports only two-octet AS numbers (RFC 6793).
     As4Path = 17,
-    /// RFC 6793.
+    /// AS4_AGGREGATOR (RFC 6793).
     As4Aggregator = 18,
-    /// RFC 8092.
+    /// LARGE_COMMUNITIES (RFC 8092).
     LargeCommunities = 32,
-    /// RFC 9234.
+    /// ONLY_TO_CUSTOMER (RFC 9234).
     OnlyToCustomer = 35,
 }
 
@@ -72,7 +72,7 @@
         AttributeType::ALL.into_iter().find(|attribute_type| *attribute_type as u8 == code)
     }
 
-    /// The OPTIONAL and TRANSITIVE flags that it must have.
+    /// The OPTIONAL and TRANSITIVE flags that an attribute of this type must have.
     pub(super) fn required_flags(self) -> u8 {
         use AttributeType::*;
         match self {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// It names prefixes itself: where it is malformed, the routes that are meant are unknown.
+    /// Whether the attribute contains prefixes itself, as MP_REACH_NLRI and MP_UNREACH_NLRI do. If it is malformed, the
+    /// affected routes are unknown, so the session must end.
     pub(super) fn is_reachability(self) -> bool {
         matches!(self, AttributeType::MpReachNlri | AttributeType::MpUnreachNlri)
     }
@@ -120,9 +121,9 @@
     AttributeFlags,
     /// An attribute is longer than what is left of the UPDATE.
     AttributeTooLong,
-    /// The value of an attribute can't be read.
+    /// The value of an attribute is malformed.
     Malformed(AttributeType),
-    /// An attribute that every such route must have is missing.
+    /// An attribute that is mandatory for announced routes is missing.
     MissingMandatoryAttribute,
     /// The AS_PATH of a route from another AS does not begin with that AS (RFC 4271 section 6.3).
     FirstAsMismatch,
@@ -131,11 +132,15 @@
 impl fmt::Display for RouteError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RouteError::AttributeFlags => write!(formatter, "the flags of an attribute"),
-            RouteError::AttributeTooLong => write!(formatter, "an attribute longer than its UPDATE"),
+            RouteError::AttributeFlags => {
+                write!(formatter, "attribute flags do not match the attribute type")
+            }
+            RouteError::AttributeTooLong => {
+                write!(formatter, "an attribute extends past the attributes of the UPDATE")
+            }
             RouteError::Malformed(attribute_type) => write!(formatter, "malformed {attribute_type}"),
             RouteError::MissingMandatoryAttribute => write!(formatter, "a mandatory attribute is missing"),
-            RouteError::FirstAsMismatch => write!(formatter, "the path does not begin with the peer's AS"),
+            RouteError::FirstAsMismatch => write!(formatter, "AS_PATH does not begin with the peer's AS"),
         }
     }
 }
@@ -143,10 +148,10 @@
 /// The values of ORIGIN (RFC 4271 section 4.3).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Origin {
-    /// The route began within its AS.
+    /// The route originates within the originating AS (IGP).
     #[default]
     Igp = 0,
-    /// Learned by EGP, the protocol before BGP.
+    /// Learned by EGP, the predecessor of BGP.
     Egp = 1,
     /// Learned by other means.
     Incomplete = 2,
@@ -166,33 +171,33 @@
 /// The types of AS_PATH segments, with their codes (RFC 4271 section 4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SegmentType {
-    /// AS numbers without an order, from an aggregation.
+    /// An unordered set of AS numbers, created by an aggregation.
     Set = 1,
-    /// AS numbers in the order of the path, the nearest first.
+    /// AS numbers in the order of the path, the nearest AS first.
     Sequence = 2,
 }
 
 /// One segment of an AS_PATH.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AsPathSegment {
-    /// Whether the numbers have an order.
+    /// Whether the AS numbers are ordered.
     pub segment_type: SegmentType,
-    /// AS numbers; 255 at most fit a message.
+    /// AS numbers; at most 255, because their count is encoded in one octet.
     pub numbers: Vec<u32>,
 }
 
 impl AsPathSegment {
-    /// AS numbers in the order of the path.
+    /// An AS_SEQUENCE segment.
     pub fn sequence(numbers: Vec<u32>) -> AsPathSegment {
         AsPathSegment { segment_type: SegmentType::Sequence, numbers }
     }
 
-    /// AS numbers without an order.
+    /// An AS_SET segment.
     pub fn set(numbers: Vec<u32>) -> AsPathSegment {
         AsPathSegment { segment_type: SegmentType::Set, numbers }
     }
 
-    /// Hops, a set counted as one (RFC 4271 section 9.1.2.2).
+    /// The number of hops; a set counts as one (RFC 4271 section 9.1.2.2).
     pub(super) fn hops(&self) -> usize {
         match self.segment_type {
             SegmentType::Set => 1,
@@ -201,18 +206,18 @@
     }
 }
 
-/// The attributes of one path that are of use here; others are checked and ignored.
+/// The used attributes of one path; other known attributes are checked and ignored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PathAttributes {
     /// ORIGIN.
     pub origin: Origin,
-    /// AS_PATH, the nearest AS first; AS4_PATH is merged into it.
+    /// AS_PATH, the nearest AS first, after AS4_PATH was merged into it.
     pub as_path: Vec<AsPathSegment>,
     /// NEXT_HOP, or the next hop in MP_REACH_NLRI.
     pub next_hop: Option<IpAddr>,
     /// MULTI_EXIT_DISC.
     pub med: Option<u32>,
-    /// LOCAL_PREF; within one AS only.
+    /// LOCAL_PREF; only in iBGP sessions.
     pub local_pref: Option<u32>,
     /// COMMUNITIES (RFC 1997).
     pub communities: Vec<u32>,
@@ -223,18 +228,18 @@
 }
 
 impl PathAttributes {
-    /// The length of the AS_PATH in hops, a set counted as one (RFC 4271 section 9.1.2.2).
+    /// The length of the AS_PATH in hops; a set counts as one (RFC 4271 section 9.1.2.2).
     pub fn path_length(&self) -> usize {
         self.as_path.iter().map(AsPathSegment::hops).sum()
     }
 
-    /// How often an AS stands in the AS_PATH.
+    /// How often an AS number occurs in the AS_PATH.
     pub fn occurrences(&self, asn: u32) -> usize {
         let numbers = self.as_path.iter().flat_map(|segment| &segment.numbers);
         numbers.filter(|&&number| number == asn).count()
     }
 
-    /// The nearest AS; `None` where the path is empty or begins with a set.
+    /// The nearest AS; `None` if the path is empty or begins with a set.
     pub fn first_as(&self) -> Option<u32> {
         let first = self.as_path.first().filter(|segment| segment.segment_type == SegmentType::Sequence)?;
         first.numbers.first().copied()
--- a/crates/bgp/src/update/mod.rs
+++ b/crates/bgp/src/update/mod.rs
@@ -1,8 +1,9 @@
-//! UPDATE (RFC 4271 section 4.3): path attributes, IPv4 in its own fields and IPv6 in those of RFC 4760, and errors
-//! handled by attribute (RFC 7606): the session, the routes or the attribute alone is given up.
+//! The UPDATE message (RFC 4271 section 4.3). IPv4 prefixes are sent in the message's own fields, IPv6 prefixes in
+//! MP_REACH_NLRI and MP_UNREACH_NLRI (RFC 4760). Errors are handled by attribute (RFC 7606): depending on the attribute,
+//! an error ends the session, withdraws the routes, or discards only the attribute.
 //!
-//! `attributes` holds the path attributes, `as_path` the form of AS_PATH on the wire, `prefixes` that of prefixes;
-//! `decode` reads a message, `encode` writes them.
+//! `attributes` defines the path attributes, `as_path` and `prefixes` are the codecs of AS_PATH and of prefixes, `decode`
+//! reads UPDATEs and `encode` writes them.
 
 mod as_path;
 mod attributes;
@@ -16,30 +17,32 @@
 use crate::family::Family;
 use ipnet::IpNet;
 
-/// What the form of an UPDATE depends on, settled by the OPENs of both sides.
+/// The session parameters that determine the encoding of an UPDATE; the OPENs of both sides settle them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpdateContext {
-    /// AS numbers have four octets (RFC 6793).
+    /// AS numbers are encoded in four octets (RFC 6793).
     pub four_octet_as: bool,
-    /// Both sides are of one AS (iBGP).
+    /// Both sides are in the same AS (iBGP).
     pub internal: bool,
 }
 
-/// What an UPDATE says.
+/// The content of a decoded UPDATE.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Update {
-    /// Prefixes whose routes are gone, of both families.
+    /// Withdrawn prefixes of both families, including those treated as withdrawn.
     pub withdrawn: Vec<IpNet>,
-    /// Prefixes that are announced with `attributes`, of both families.
+    /// Prefixes of both families that are announced with `attributes`.
     pub announced: Vec<IpNet>,
     /// The path attributes of `announced`.
     pub attributes: PathAttributes,
-    /// The End-of-RIB marker: all routes of the family have been sent (RFC 4724 section 2).
-    pub end_of_rib: Option<Family>,
-    /// Why the announced prefixes are treated as withdrawn, where they are: they then stand in `withdrawn` (RFC 7606
+    /// The family of the End-of-RIB marker, if the UPDATE is one: the peer has sent all its routes of the family (RFC 4724
     /// section 2).
+    pub end_of_rib: Option<Family>,
+    /// The error for which the announced prefixes are treated as withdrawn (RFC 7606 section 2); they are then in
+    /// `withdrawn`. `None` if there is no such error.
     pub treated_as_withdrawn: Option<RouteError>,
-    /// Attributes that were malformed, or came twice, and were discarded (RFC 7606 section 2).
+    /// The number of attributes that were discarded (RFC 7606 section 2) because they were malformed, repeated, or not
+    /// valid on this session.
     pub discarded: u32,
 }
 
--- a/crates/bgp/src/update/prefixes.rs
+++ b/crates/bgp/src/update/prefixes.rs
@@ -1,18 +1,18 @@
-//! Prefixes on the wire: withdrawn routes and NLRI, each a length in bits and as many octets as it needs (RFC 4271
-//! section 4.3).
+//! The codec of prefixes in withdrawn routes and NLRI. Each prefix is its length in bits, followed by the minimum number
+//! of octets that hold these bits (RFC 4271 section 4.3).
 
 use crate::family::Family;
-use crate::Bytes;
+use crate::ByteReader;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// The octets that the longest prefix takes: its length, and an IPv6 address.
+/// The octets that the longest encoded prefix takes: a length octet and an IPv6 address.
 pub(super) const MAX_PREFIX_SIZE: usize = 17;
 
-/// Reads prefixes to the end of the bytes, and appends them; none where they are malformed. What lies beyond the length
-/// in the last octet does not count.
+/// Decodes all prefixes in `bytes` and appends them to `prefixes`; `None` if one is malformed. Bits beyond the prefix
+/// length in the last octet are ignored.
 pub(super) fn decode(bytes: &[u8], family: Family, prefixes: &mut Vec<IpNet>) -> Option<()> {
-    let mut bytes = Bytes(bytes);
+    let mut bytes = ByteReader(bytes);
     while !bytes.is_empty() {
         let length = bytes.u8()?;
         let octets = bytes.take(usize::from(length).div_ceil(8))?;
@@ -24,7 +24,7 @@
     Some(())
 }
 
-/// An address of `SIZE` octets that begins with these, and goes on with zeros; none where there are too many.
+/// An address of `SIZE` octets: `octets`, padded with zeros; `None` if there are more than `SIZE`.
 fn padded<const SIZE: usize>(octets: &[u8]) -> Option<[u8; SIZE]> {
     let mut address = [0; SIZE];
     address.get_mut(..octets.len())?.copy_from_slice(octets);
--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -156,7 +156,7 @@
         loop {
             let received = self.peer.receive(side, rest, self.now);
             rest = &rest[received.consumed..];
-            if !received.more {
+            if !received.may_have_more {
                 break;
             }
         }
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -129,7 +129,7 @@
         let mut world = World::new(&service_file(&[&peering], ""));
         match (name, mode) {
             (_, Mode::Well) => peering.wait("announced for good", |peering| announced(peering) == 2),
-            (_, Mode::Resets) => drop(world.router.log.wait("no session", 1)),
+            (_, Mode::Resets) => drop(world.router.log.wait("session attempt failed", 1)),
             _ => peering.wait("connected", Peering::connected),
         }
         if deaf {
@@ -176,7 +176,7 @@
     peering.wait("announced for good", |peering| announced(peering) == 2);
     peering.mode(Mode::Resets);
     peering.reset();
-    world.router.log.wait("bgp lost", 1);
+    world.router.log.wait("bgp session lost", 1);
     assert!(has_route(&peering), "kept, as agreed");
     world.router.fail();
     world.router.log.wait("stopping", 1);
@@ -367,7 +367,7 @@
     let (close, distant) = (World::new(&text(&near)), World::new(&text(&far)));
     near.wait("announced for good", |peering| announced(peering) == 2);
     close.serves();
-    distant.router.log.wait("no connection came up", 1);
+    distant.router.log.wait("TCP connection was not established in time", 1);
     assert_eq!(announced(&far), 0);
 }
 
