--- a/crates/bgp/tests/golden_bytes.rs
+++ b/crates/bgp/tests/golden_bytes.rs
@@ -1,4 +1,5 @@
-//! Golden bytes: each BGP message, written by the version before the code was reshaped.
+//! Golden bytes: messages of each type must be encoded to the same bytes as by the version of the code before its
+//! restructuring.
 
 use cleatgw_bgp::message::{self, RouteRefresh};
 use cleatgw_bgp::update::{self, AsPathSegment, Origin, UpdateContext};
@@ -13,15 +14,19 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A line for each message of the bytes.
+/// One line for each message in `bytes`.
 fn lines(name: &str, bytes: &[u8]) -> String {
     let mut text = String::new();
-    let mut at = 0;
-    while let Some(found) = frame(&bytes[at..]).expect("it is well-formed") {
-        text += &format!("{name} {:?} {}\n", found.message_type, hex(&bytes[at..at + found.length()]));
-        at += found.length();
+    let mut offset = 0;
+    while let Some(message) = frame(&bytes[offset..]).expect("the messages are valid") {
+        text += &format!(
+            "{name} {:?} {}\n",
+            message.message_type,
+            hex(&bytes[offset..offset + message.length()])
+        );
+        offset += message.length();
     }
-    assert_eq!(at, bytes.len(), "{name}: bytes behind the last message");
+    assert_eq!(offset, bytes.len(), "{name}: bytes after the last message");
     text
 }
 
@@ -50,7 +55,7 @@
     PathAttributes {
         origin: Origin::Igp,
         as_path: vec![AsPathSegment::sequence(vec![64_500, 4_200_000_001]), AsPathSegment::set(vec![7, 8])],
-        next_hop: Some(next_hop.parse().expect("an address")),
+        next_hop: Some(next_hop.parse().expect("a valid address")),
         med: Some(50),
         local_pref: Some(10),
         communities: vec![cleatgw_bgp::GRACEFUL_SHUTDOWN, 0xfde8_0001],
@@ -59,12 +64,12 @@
     }
 }
 
-fn prefixes(words: &[&str]) -> Vec<IpNet> {
-    words.iter().map(|word| word.parse().expect("a prefix")).collect()
+fn prefixes(texts: &[&str]) -> Vec<IpNet> {
+    texts.iter().map(|text| text.parse().expect("a valid prefix")).collect()
 }
 
 #[test]
-fn messages_of_every_type_have_the_bytes_of_the_former_version() {
+fn messages_of_every_type_have_the_bytes_of_the_previous_version() {
     let mut text = String::new();
     let mut add = |name: &str, write: &dyn Fn(&mut Vec<u8>)| {
         let mut bytes = Vec::new();
@@ -86,17 +91,17 @@
         Notification::cease(CeaseSubcode::AdministrativeShutdown, "planned stop", false).encode(out)
     });
     add("hard-reset", &|out| Notification::cease(CeaseSubcode::PeerDeconfigured, "", true).encode(out));
-    let four = prefixes(&["198.51.100.7/32", "10.0.0.0/8", "0.0.0.0/0"]);
-    let six = prefixes(&["2001:db8::7/128", "2001:db8::/33"]);
+    let ipv4 = prefixes(&["198.51.100.7/32", "10.0.0.0/8", "0.0.0.0/0"]);
+    let ipv6 = prefixes(&["2001:db8::7/128", "2001:db8::/33"]);
     for (four_octet_as, internal) in [(true, false), (false, false), (true, true)] {
         let context = UpdateContext { four_octet_as, internal };
-        add("announce", &|out| update::announce(out, Family::Ipv4, &four, &attributes("192.0.2.7"), context));
+        add("announce", &|out| update::announce(out, Family::Ipv4, &ipv4, &attributes("192.0.2.7"), context));
         add("announce", &|out| {
-            update::announce(out, Family::Ipv6, &six, &attributes("2001:db8::1"), context)
+            update::announce(out, Family::Ipv6, &ipv6, &attributes("2001:db8::1"), context)
         });
     }
-    add("withdraw", &|out| update::withdraw(out, Family::Ipv4, &four));
-    add("withdraw", &|out| update::withdraw(out, Family::Ipv6, &six));
+    add("withdraw", &|out| update::withdraw(out, Family::Ipv4, &ipv4));
+    add("withdraw", &|out| update::withdraw(out, Family::Ipv6, &ipv6));
     add("end-of-rib", &|out| update::end_of_rib(out, Family::Ipv4));
     add("end-of-rib", &|out| update::end_of_rib(out, Family::Ipv6));
     expect_file!["golden/messages.txt"].assert_eq(&text);
--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -1,4 +1,4 @@
-//! A host for one peer in virtual time, with the far end of the test bed behind it.
+//! A host for one [`Peer`] in virtual time. The other end of the session is the `Far` of the test bed.
 
 use cleatgw_bgp::{Action, Advertisement, Capabilities, Direction, GracefulRestart, Open, Peer, PeerConfig};
 use cleatgw_testbed::routers::bgp_peer::Far;
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-pub const OURS: u32 = 64_512;
-pub const THEIRS: u32 = 64_500;
+pub const LOCAL_AS: u32 = 64_512;
+pub const FAR_AS: u32 = 64_500;
 
-pub fn net(word: &str) -> IpNet {
-    word.parse().unwrap()
+pub fn net(text: &str) -> IpNet {
+    text.parse().unwrap()
 }
 
 pub fn config() -> PeerConfig {
     PeerConfig {
-        local_as: OURS,
-        peer_as: THEIRS,
+        local_as: LOCAL_AS,
+        peer_as: FAR_AS,
         identifier: Ipv4Addr::new(192, 0, 2, 1),
         peer_identifier: None,
         hold_time: 9,
@@ -40,23 +40,23 @@
     }
 }
 
-pub fn graceful(time: u16) -> Option<GracefulRestart> {
+pub fn graceful_restart(restart_time: u16) -> Option<GracefulRestart> {
     Some(GracefulRestart {
         restart_state: false,
         notification_support: true,
-        restart_time: time,
+        restart_time,
         families: [Some(true), Some(true)],
     })
 }
 
 pub fn far_open() -> Open {
     Open {
-        asn: THEIRS,
+        asn: FAR_AS,
         hold_time: 30,
         identifier: Ipv4Addr::new(192, 0, 2, 99),
         capabilities: Capabilities {
             families: [true, true],
-            four_octet_as: Some(THEIRS),
+            four_octet_as: Some(FAR_AS),
             route_refresh: true,
             enhanced_route_refresh: true,
             graceful_restart: None,
@@ -65,20 +65,22 @@
     }
 }
 
-pub fn wanted(words: &[&str]) -> BTreeMap<IpNet, Advertisement> {
-    words.iter().map(|word| (net(word), Advertisement::default())).collect()
+/// These prefixes with default attributes.
+pub fn default_advertisements(prefixes: &[&str]) -> BTreeMap<IpNet, Advertisement> {
+    prefixes.iter().map(|prefix| (net(prefix), Advertisement::default())).collect()
 }
 
-pub fn both() -> BTreeMap<IpNet, Advertisement> {
-    wanted(&["198.51.100.7/32", "2001:db8::7/128"])
+/// Both service prefixes with default attributes.
+pub fn both_prefixes() -> BTreeMap<IpNet, Advertisement> {
+    default_advertisements(&["198.51.100.7/32", "2001:db8::7/128"])
 }
 
-/// What becomes of connections that are begun.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Net {
+pub enum Network {
     Up,
     Refuses,
-    /// Neither comes up nor fails.
+    /// A connection attempt neither succeeds nor fails.
     Silent,
 }
 
@@ -87,21 +89,28 @@
     pub peer: Peer,
     pub far: Far,
     pub now: f64,
-    pub net: Net,
-    /// The connection that the far end is on.
-    pub on: Option<Direction>,
-    /// Bytes are carried, both ways.
-    pub carries: bool,
+    pub network: Network,
+    /// The direction of the connection that the far end has open; `None` if it has none.
+    pub far_connection: Option<Direction>,
+    /// Whether bytes are delivered, in both directions.
+    pub delivers_bytes: bool,
 }
 
 impl Host {
     pub fn new(config: PeerConfig, open: Open) -> Host {
         let peer = Peer::new(config, 1, 0.0);
-        Host { peer, far: Far::new(open), now: 0.0, net: Net::Up, on: None, carries: true }
+        Host {
+            peer,
+            far: Far::new(open),
+            now: 0.0,
+            network: Network::Up,
+            far_connection: None,
+            delivers_bytes: true,
+        }
     }
 
-    /// A session that is up, with these announced.
-    pub fn up(config: PeerConfig, open: Open, announced: BTreeMap<IpNet, Advertisement>) -> Host {
+    /// A host whose session is established, with these routes announced.
+    pub fn with_session(config: PeerConfig, open: Open, announced: BTreeMap<IpNet, Advertisement>) -> Host {
         let mut host = Host::new(config, open);
         host.peer.announce(announced, 0.0);
         host.run(0.1);
@@ -109,52 +118,52 @@
         host
     }
 
-    /// Does what the peer asks.
-    pub fn acts(&mut self) -> bool {
-        let mut moved = false;
-        while let Some(act) = self.peer.next_action() {
-            moved = true;
-            match act {
-                Action::Connect => match self.net {
-                    Net::Up => {
+    /// Performs the actions that the peer requests. Returns whether there were any.
+    pub fn perform_actions(&mut self) -> bool {
+        let mut acted = false;
+        while let Some(action) = self.peer.next_action() {
+            acted = true;
+            match action {
+                Action::Connect => match self.network {
+                    Network::Up => {
                         assert!(self.peer.connected(Direction::Outgoing, self.now));
-                        self.begin(Direction::Outgoing);
+                        self.connect_far(Direction::Outgoing);
                     }
-                    Net::Refuses => self.peer.closed(Direction::Outgoing, "refused", self.now),
-                    Net::Silent => {}
+                    Network::Refuses => self.peer.closed(Direction::Outgoing, "refused", self.now),
+                    Network::Silent => {}
                 },
-                Action::Close(side) if self.on == Some(side) => {
-                    self.on = None;
+                Action::Close(direction) if self.far_connection == Some(direction) => {
+                    self.far_connection = None;
                     self.far.ended(None);
                 }
                 Action::Close(_) => {}
             }
         }
-        moved
+        acted
     }
 
-    /// Carries what the peer has written.
-    pub fn carry_out(&mut self) -> bool {
-        let Some(side) = self.on else { return false };
-        let out = self.peer.unsent(side).to_vec();
-        if !out.is_empty() {
-            let goes_on = self.far.bytes(&out);
-            self.peer.written(side, out.len(), self.now);
-            if !goes_on {
-                self.on = None;
-                self.peer.closed(side, "closed", self.now);
+    /// Delivers the peer's unsent bytes to the far end. Returns whether there were any.
+    pub fn deliver_output(&mut self) -> bool {
+        let Some(direction) = self.far_connection else { return false };
+        let output = self.peer.unsent(direction).to_vec();
+        if !output.is_empty() {
+            let is_open = self.far.bytes(&output);
+            self.peer.written(direction, output.len(), self.now);
+            if !is_open {
+                self.far_connection = None;
+                self.peer.closed(direction, "closed", self.now);
             }
         }
-        !out.is_empty()
+        !output.is_empty()
     }
 
-    /// Carries what the far end has written.
-    pub fn carry_in(&mut self) -> bool {
-        let Some(side) = self.on else { return false };
+    /// Delivers the far end's bytes to the peer. Returns whether the peer consumed any.
+    pub fn deliver_input(&mut self) -> bool {
+        let Some(direction) = self.far_connection else { return false };
         let input = std::mem::take(&mut self.far.out);
         let mut rest = &input[..];
         loop {
-            let received = self.peer.receive(side, rest, self.now);
+            let received = self.peer.receive(direction, rest, self.now);
             rest = &rest[received.consumed..];
             if !received.may_have_more {
                 break;
@@ -164,45 +173,47 @@
         rest.len() < input.len()
     }
 
-    /// A connection that the far end knows nothing of any more is reset by what is written on it.
-    pub fn forgotten(&mut self) -> bool {
-        let forgotten = [Direction::Outgoing, Direction::Incoming]
-            .into_iter()
-            .find(|side| self.on != Some(*side) && !self.peer.unsent(*side).is_empty());
-        forgotten.inspect(|side| self.peer.closed(*side, "reset", self.now)).is_some()
+    /// Resets a connection that the far end no longer has, if the peer has unsent bytes on it. Returns whether there was
+    /// one.
+    pub fn reset_forgotten_connection(&mut self) -> bool {
+        let forgotten = [Direction::Outgoing, Direction::Incoming].into_iter().find(|direction| {
+            self.far_connection != Some(*direction) && !self.peer.unsent(*direction).is_empty()
+        });
+        forgotten.inspect(|direction| self.peer.closed(*direction, "reset", self.now)).is_some()
     }
 
-    /// Does what the peer asks and carries what was written, until nothing is left.
+    /// Performs the peer's actions and delivers bytes until nothing is left to do.
     pub fn settle(&mut self) {
         self.peer.run_timers(self.now);
         for _ in 0..100 {
-            let acted = self.acts();
-            let carried = self.carries && (self.carry_out() | self.carry_in() | self.forgotten());
-            if !acted && !carried {
+            let acted = self.perform_actions();
+            let delivered = self.delivers_bytes
+                && (self.deliver_output() | self.deliver_input() | self.reset_forgotten_connection());
+            if !acted && !delivered {
                 return;
             }
         }
-        panic!("never comes to rest");
+        panic!("still active after 100 rounds");
     }
 
-    /// The far end is on this connection now.
-    pub fn begin(&mut self, side: Direction) {
-        self.on = Some(side);
+    /// Makes this connection the one that the far end has open.
+    pub fn connect_far(&mut self, direction: Direction) {
+        self.far_connection = Some(direction);
         self.far.connected();
     }
 
-    /// The far end connects; tells whether that is taken.
-    pub fn arrives(&mut self) -> bool {
-        let taken = self.peer.connected(Direction::Incoming, self.now);
-        if taken {
-            self.begin(Direction::Incoming);
+    /// Opens a connection from the far end. Returns whether the peer accepts it.
+    pub fn connect_from_far(&mut self) -> bool {
+        let is_accepted = self.peer.connected(Direction::Incoming, self.now);
+        if is_accepted {
+            self.connect_far(Direction::Incoming);
         }
-        taken
+        is_accepted
     }
 
-    /// Time passes from due time to due time.
-    pub fn run(&mut self, time: f64) {
-        let until = self.now + time;
+    /// Advances the clock by `duration` seconds, and stops at each time at which a timer is due.
+    pub fn run(&mut self, duration: f64) {
+        let until = self.now + duration;
         self.settle();
         for _ in 0..10_000 {
             let due = self.peer.due();
@@ -211,27 +222,28 @@
                 self.settle();
                 return;
             }
-            assert!(due > self.now - 1e-9, "due in the past: {due} at {}", self.now);
+            assert!(due > self.now - 1e-9, "timer due at {due}, before the current time {}", self.now);
             self.now = due.max(self.now);
             self.settle();
         }
-        panic!("too many due times within {time} s");
+        panic!("more than 10000 timers within {duration} s");
     }
 
-    /// The connection breaks off, with what was under way.
-    pub fn reset(&mut self) {
-        if let Some(side) = self.on.take() {
+    /// Resets the connection; bytes that are not delivered yet are lost.
+    pub fn reset_connection(&mut self) {
+        if let Some(direction) = self.far_connection.take() {
             self.far.ended(None);
-            self.peer.closed(side, "reset", self.now);
+            self.peer.closed(direction, "reset", self.now);
         }
     }
 
-    pub fn has(&self, word: &str) -> bool {
-        self.far.table.contains_key(&net(word))
+    /// Whether the far end holds a route to this prefix, including a retained one.
+    pub fn far_has_route(&self, prefix: &str) -> bool {
+        self.far.table.contains_key(&net(prefix))
     }
 
-    /// Routes of ours at the far end, kept ones too.
-    pub fn held(&self) -> usize {
+    /// The number of our routes that the far end holds, including retained ones.
+    pub fn far_route_count(&self) -> usize {
         self.far.table.len()
     }
 }
