--- a/crates/bgp/src/family.rs
+++ b/crates/bgp/src/family.rs
@@ -18,7 +18,7 @@
     /// All families, in the order of arrays that are indexed by family.
     pub const ALL: [Family; 2] = [Family::Ipv4, Family::Ipv6];
 
-    /// The family with this AFI and SAFI; `None` where it is not supported.
+    /// The family with this AFI and SAFI; `None` if it is not supported.
     pub fn from_afi_safi(afi: u16, safi: u8) -> Option<Family> {
         match (afi, safi) {
             (1, SAFI_UNICAST) => Some(Family::Ipv4),
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -16,9 +16,9 @@
 
 impl Peer {
     /// Withdraws all routes permanently, except those in `lead_advertisements` that are announced on the established
-    /// session. These change to the given attributes during the shutdown lead; they are withdrawn by a later call that
-    /// does not contain them, or with the end of the session. If the peer may retain our routes from a lost session, a
-    /// new session is opened to make it remove them.
+    /// session. These are announced once more with the given attributes (for example GRACEFUL_SHUTDOWN, as a lead before
+    /// they are withdrawn). A later call that does not contain them withdraws them, and so does the end of the session. If
+    /// the peer may retain our routes from a lost session, a new session is opened to make it remove them.
     pub fn drain(&mut self, lead_advertisements: BTreeMap<IpNet, Advertisement>, now: f64) {
         if self.admin_state != AdminState::Running {
             self.advertisements.retain(|net, _| lead_advertisements.contains_key(net));
--- a/crates/bgp/src/update/attributes.rs
+++ b/crates/bgp/src/update/attributes.rs
@@ -119,7 +119,7 @@
 pub enum RouteError {
     /// The flags of an attribute are not those of its type.
     AttributeFlags,
-    /// An attribute is longer than what is left of the UPDATE.
+    /// An attribute extends past the end of the attributes field of the UPDATE.
     AttributeTooLong,
     /// The value of an attribute is malformed.
     Malformed(AttributeType),
--- a/crates/bgp/src/update/mod.rs
+++ b/crates/bgp/src/update/mod.rs
@@ -33,7 +33,7 @@
     pub withdrawn: Vec<IpNet>,
     /// Prefixes of both families that are announced with `attributes`.
     pub announced: Vec<IpNet>,
-    /// The path attributes of `announced`.
+    /// The path attributes of the announced prefixes.
     pub attributes: PathAttributes,
     /// The family of the End-of-RIB marker, if the UPDATE is one: the peer has sent all its routes of the family (RFC 4724
     /// section 2).
