--- a/crates/router/src/transport/client_session.rs
+++ b/crates/router/src/transport/client_session.rs
@@ -1,4 +1,5 @@
-//! A client session: one request at a time, its answer, and what drivers ask beside.
+//! A client session of the MySQL protocol. It handles one request at a time and its answer, and the other commands that
+//! drivers send.
 
 mod commands;
 
@@ -12,53 +13,61 @@
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
 
-/// How long a client may take from connecting to being logged in, in seconds.
+/// How long a client may take from connecting to the end of its login, in seconds.
 const LOGIN_TIMEOUT: f64 = 2.5;
-/// How long it may take from a packet's first byte to its last, in seconds.
+/// How long a client may take from the first byte of a packet to its last, in seconds.
 const PACKET_TIMEOUT: f64 = 2.5;
-/// How long it may take to read a byte of its answer, in seconds.
-const STALLED_AFTER: f64 = 10.0;
-/// How long it may take to read its whole answer, however many bytes it reads now and then, in seconds: longer than any
-/// client waits for it.
+/// How long a client may go without reading any byte of its answer, in seconds.
+const WRITE_STALL_TIMEOUT: f64 = 10.0;
+/// How long a client may take to read its whole answer, even if it makes progress, in seconds. This is longer than any
+/// client waits for its answer.
 const ANSWER_TIMEOUT: f64 = 30.0;
-/// How long it may take to close after its last answer, in seconds.
+/// How long a client may take to close the connection after its last answer, in seconds.
 const CLOSE_TIMEOUT: f64 = 1.0;
-/// What has begun and not come further for so long is closed for others before any other session, in seconds.
-const DAWDLES_AFTER: f64 = 0.5;
-/// So many packets are taken in one turn.
-const MAX_PACKETS: usize = 16;
-/// Bytes of the challenge in the greeting, which are printable characters from this one on.
-const CHALLENGE: usize = 20;
+/// A session whose login, packet or closing began this long ago and is not complete is the first to be closed when a
+/// place is needed for a new session, in seconds.
+const INCOMPLETE_STEP_AGE: f64 = 0.5;
+/// Packets that one session handles in one turn, at most.
+const MAX_PACKETS_PER_TURN: usize = 16;
+/// Length of the challenge in the greeting, in bytes.
+const CHALLENGE_LENGTH: usize = 20;
+/// The challenge consists of printable ASCII characters other than the space: this many, starting with this one.
 const FIRST_PRINTABLE: u8 = 33;
-const PRINTABLE: u64 = 94;
+const PRINTABLE_COUNT: u64 = 94;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
+    /// The client has not logged in yet.
     Login,
+    /// Logged in, and no request is open.
     Idle,
-    /// Its request is open.
+    /// A request is open and has no answer yet.
     Waiting,
-    /// It ends once its last answer is written and it has closed its side.
+    /// No more packets are handled. The session ends once its last answer is written and the client has closed its side.
     Closing,
     Closed,
 }
 
-/// What a session's bytes ask of the rest of the router.
+/// A client's command that the session can't answer by itself.
 pub enum SessionEvent {
     Query(ParsedStatement),
-    /// A query that nothing can be made of, and why.
-    Refused(StatementError),
+    /// A query that could not be parsed.
+    InvalidQuery(StatementError),
     Kill {
         session: SessionId,
         query_only: bool,
     },
+    /// The client asks for the router's counters.
     Counters,
+    /// The client asks for a status table of the router.
     Question(Question),
 }
 
-/// How little would be lost with a session, the least first.
+/// Rank of a session among those that may be closed to free a place. The lowest rank, with which the least is lost, is
+/// closed first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvictionRank {
+    /// 0 to 2, as `ClientSession::eviction_rank` lists them. Within a class the longest inactive session comes first.
     class: u8,
     active_at: f64,
 }
@@ -71,49 +80,52 @@
 
 pub struct ClientSession {
     pub token: RegistrationToken,
-    /// Its bytes were no protocol.
+    /// The client sent bytes that are not valid in the protocol.
     pub is_malformed: bool,
-    /// When it last did something.
+    /// When the session was last ready, or was last answered.
     pub active_at: f64,
     id: SessionId,
     stream: Rc<TcpStream>,
     buffer: Buffer,
     state: State,
+    /// The sequence number of the next packet that is sent.
     sequence: u8,
+    /// The longest packet body that is accepted, in bytes.
     max_packet: usize,
+    /// Whether more bytes may be available to read.
     readable: bool,
-    /// Its client has gone: it sends nothing more, by an end of its stream or a hang-up.
-    has_ended: bool,
-    /// Complete packets may be left of what was read.
-    has_unread_packets: bool,
+    /// Whether the client has closed: its stream has ended, or a hang-up was seen.
+    is_client_closed: bool,
+    /// Whether the buffer may hold complete packets that were not handled.
+    has_unhandled_packets: bool,
     closes_after_answer: bool,
-    /// When bytes last came in.
+    /// When bytes were last read.
     read_at: f64,
-    /// Since when an answer is seen not to be read in full.
+    /// The first check for time-outs that found bytes of an answer unsent; none while everything is sent.
     unsent_since: Option<f64>,
-    /// When its login, the packet that is coming in, or its closing began.
-    began_at: Option<f64>,
+    /// When the step in progress began: the login, the packet that is being received, or the closing. None if there is none.
+    step_began_at: Option<f64>,
 }
 
-/// The client has closed its side or reset the connection, whatever is still unread of it.
+/// Whether the client has closed its side or reset the connection, even if bytes that it sent are still unread.
 fn has_hung_up(stream: &TcpStream) -> bool {
-    let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
-    poll(&mut polled, Some(&Timespec::default())).is_ok() && polled[0].revents().intersects(over)
+    poll(&mut polled, Some(&Timespec::default())).is_ok() && polled[0].revents().intersects(hang_up)
 }
 
-/// A challenge that nobody can foretell.
-fn random_challenge() -> [u8; CHALLENGE] {
+/// An unpredictable challenge for the greeting.
+fn random_challenge() -> [u8; CHALLENGE_LENGTH] {
     use std::hash::{BuildHasher, RandomState};
-    let mut challenge = [0; CHALLENGE];
+    let mut challenge = [0; CHALLENGE_LENGTH];
     for (index, byte) in challenge.iter_mut().enumerate() {
-        *byte = (RandomState::new().hash_one(index) % PRINTABLE) as u8 + FIRST_PRINTABLE;
+        *byte = (RandomState::new().hash_one(index) % PRINTABLE_COUNT) as u8 + FIRST_PRINTABLE;
     }
     challenge
 }
 
 impl ClientSession {
-    /// A session on a connection that was accepted, which is greeted.
+    /// A session on an accepted connection. It sends the greeting.
     pub fn new(
         token: RegistrationToken,
         id: SessionId,
@@ -132,12 +144,12 @@
             sequence: 0,
             max_packet,
             readable: true,
-            has_ended: false,
-            has_unread_packets: false,
+            is_client_closed: false,
+            has_unhandled_packets: false,
             closes_after_answer: false,
             read_at: now,
             unsent_since: None,
-            began_at: Some(now),
+            step_began_at: Some(now),
         };
         session.send(|out, _| mysql::greeting(out, id, random_challenge()));
         session
@@ -147,116 +159,126 @@
         self.state == State::Closed
     }
 
-    /// Its request is open.
+    /// Whether a request of the session is open.
     pub fn is_waiting(&self) -> bool {
         self.state == State::Waiting
     }
 
-    /// Its client has closed: nothing more is begun for it. One that only closes its sending side counts as gone as
-    /// well, since the two look alike from here and no MySQL client half-closes; it is told that its query was killed.
-    pub fn is_gone(&self) -> bool {
-        self.has_ended
+    /// Whether the client has closed. No new request is begun for it. A client that closes only its sending side counts as
+    /// closed too, since the two can't be told apart here and no MySQL client half-closes; it is answered that its query
+    /// was killed.
+    pub fn is_client_closed(&self) -> bool {
+        self.is_client_closed
     }
 
-    /// No request is open on it, and nothing is left to write.
-    fn is_at_rest(&self) -> bool {
+    /// Whether no request is open and nothing is left to write.
+    fn is_quiescent(&self) -> bool {
         matches!(self.state, State::Login | State::Idle | State::Closing) && self.buffer.unsent_len() == 0
     }
 
-    /// It may be closed without loss: it is at rest, and no complete packet of a client's waits for its turn.
+    /// Whether the session can be closed without loss: no request is open, nothing is left to write, and no complete
+    /// packet waits to be handled.
     pub fn can_be_closed(&self) -> bool {
-        self.is_at_rest() && (self.state == State::Closing || !self.has_unread_packets)
+        self.is_quiescent() && (self.state == State::Closing || !self.has_unhandled_packets)
     }
 
-    /// Whether nothing has come since it was last read. What has is kept for its next turn: a close over it would be a reset,
-    /// and cost its client the request.
-    pub fn has_nothing_unread(&mut self, now: f64) -> bool {
-        let Ok((came, reached)) = self.read(now) else { return true };
-        self.readable = reached == ReadOutcome::LimitReached;
-        self.has_ended = reached == ReadOutcome::EndOfStream;
-        self.has_unread_packets |= came;
-        self.state == State::Closing || !self.has_unread_packets
+    /// Reads the available bytes and returns whether the session can still be closed without loss. Bytes that have arrived
+    /// are kept for the next turn: closing a connection with unread bytes resets it, and the client would lose its request.
+    pub fn confirm_nothing_unread(&mut self, now: f64) -> bool {
+        let Ok((has_new_bytes, outcome)) = self.read(now) else { return true };
+        self.readable = outcome == ReadOutcome::LimitReached;
+        self.is_client_closed = outcome == ReadOutcome::EndOfStream;
+        self.has_unhandled_packets |= has_new_bytes;
+        self.state == State::Closing || !self.has_unhandled_packets
     }
 
-    /// Reads what is ready; tells whether anything was.
+    /// Reads the available bytes. Returns whether there were any, and why reading stopped.
     fn read(&mut self, now: f64) -> io::Result<(bool, ReadOutcome)> {
         let before = self.buffer.input().len();
-        let reached = self.buffer.read(&*self.stream, self.max_packet + mysql::HEADER)?;
-        let came = self.buffer.input().len() > before;
-        if came {
+        let outcome = self.buffer.read(&*self.stream, self.max_packet + mysql::HEADER)?;
+        let has_new_bytes = self.buffer.input().len() > before;
+        if has_new_bytes {
             self.read_at = now;
         }
-        Ok((came, reached))
+        Ok((has_new_bytes, outcome))
     }
 
-    /// How long before this time what is taken now had come: it lay here, behind the request before it.
-    pub fn lay_unread_for(&self, until: f64) -> f64 {
+    /// How long before `until` the last bytes were read, in seconds. A request that is handled now may have waited in the
+    /// buffer that long, behind the request before it.
+    pub fn time_in_buffer(&self, until: f64) -> f64 {
         (until - self.read_at).max(0.0)
     }
 
-    /// Ends this side of the session, so that its client reads the last answer and closes; what still comes is not taken any more.
-    /// What has come before is: an end over it would cost its client the request. Tells whether that has just been done.
+    /// Closes this side of the session, so that the client reads its last answer and closes its own side. What the client
+    /// sends after that is not handled. A session with input that arrived before is left open, since closing it would lose
+    /// the client's request. Returns whether this call has closed the session.
     pub fn close_gracefully(&mut self, now: f64) -> bool {
-        let closes = self.state != State::Closing && self.can_be_closed() && self.has_nothing_unread(now);
+        let closes = self.state != State::Closing && self.can_be_closed() && self.confirm_nothing_unread(now);
         if closes {
             self.close_after_writing();
         }
         closes
     }
 
-    pub fn unsent(&self) -> usize {
+    /// The number of bytes that still have to be written.
+    pub fn unsent_len(&self) -> usize {
         self.buffer.unsent_len()
     }
 
-    /// More may be ready than was read or taken: no readiness will tell of it again.
+    /// Whether bytes may be left to read or packets to handle. Neither will be reported as readiness again.
     pub fn is_unfinished(&self) -> bool {
-        (self.readable || self.has_unread_packets) && self.is_at_rest()
+        (self.readable || self.has_unhandled_packets) && self.is_quiescent()
     }
 
-    /// Its rank among those that may be closed for others: what has begun and does not go on, then the longest idle, and last
-    /// what has only just begun. So strangers that connect and say nothing, or half of something, go before clients that
-    /// have asked and keep their connection.
+    /// The rank among the sessions that may be closed to free a place. Sessions whose current step has been incomplete for
+    /// `INCOMPLETE_STEP_AGE` come first, then those that have been idle for longest, and last those whose step has only
+    /// just begun. So connections that send nothing, or a part of a packet, are closed before those of clients that have
+    /// sent requests and keep their connection.
     pub fn eviction_rank(&self, now: f64) -> EvictionRank {
-        let class = match self.began_at {
-            Some(began) if now > began + DAWDLES_AFTER => 0,
+        let class = match self.step_began_at {
+            Some(began_at) if now > began_at + INCOMPLETE_STEP_AGE => 0,
             None => 1,
             Some(_) => 2,
         };
         EvictionRank { class, active_at: self.active_at }
     }
 
-    /// Its stream is ready.
+    /// Records that the event loop has reported the stream as ready.
     pub fn note_ready(&mut self, readable: bool, now: f64) {
         self.readable |= readable;
         self.active_at = now;
     }
 
-    /// Closes it where it has stalled. Times count from the beginning of each step, so that a byte now and then does not keep
-    /// it open.
-    pub fn sweep(&mut self, now: f64) {
+    /// Closes the session if the client has exceeded a time-out. The time is counted from the beginning of each step, so
+    /// that a client can't keep its session open by sending or reading a byte now and then.
+    pub fn check_timeouts(&mut self, now: f64) {
         let timeout = match self.state {
             State::Login => LOGIN_TIMEOUT,
             State::Closing => CLOSE_TIMEOUT,
             State::Idle | State::Waiting | State::Closed => PACKET_TIMEOUT,
         };
-        let is_late = self.began_at.is_some_and(|began| now > began + timeout);
+        let is_step_late = self.step_began_at.is_some_and(|began_at| now > began_at + timeout);
         let has_unsent = self.buffer.unsent_len() > 0;
         self.unsent_since = has_unsent.then(|| self.unsent_since.unwrap_or(now));
-        let is_deaf = self.unsent_since.is_some_and(|since| now > since + ANSWER_TIMEOUT);
-        if is_late || is_deaf || has_unsent && now > self.active_at + STALLED_AFTER {
+        let is_answer_late = self.unsent_since.is_some_and(|since| now > since + ANSWER_TIMEOUT);
+        if is_step_late || is_answer_late || has_unsent && now > self.active_at + WRITE_STALL_TIMEOUT {
             self.state = State::Closed;
         }
     }
 
-    /// Writes what is left, reads what is ready and takes it apart, up to the next request.
-    pub fn work(&mut self, is_serving: bool, now: f64) -> io::Result<Option<SessionEvent>> {
+    /// Writes unsent bytes, reads the available bytes, and handles packets up to the next command that the session can't
+    /// answer by itself, which is returned.
+    ///
+    /// # Errors
+    /// Reading or writing fails; the connection is lost.
+    pub fn process(&mut self, is_serving: bool, now: f64) -> io::Result<Option<SessionEvent>> {
         self.flush()?;
         self.read_if_readable(now)?;
         let mut event = None;
-        self.has_unread_packets = true;
-        for _ in 0..MAX_PACKETS {
-            self.has_unread_packets = self.takes_packets() && event.is_none();
-            if !self.has_unread_packets {
+        self.has_unhandled_packets = true;
+        for _ in 0..MAX_PACKETS_PER_TURN {
+            self.has_unhandled_packets = self.may_handle_packets() && event.is_none();
+            if !self.has_unhandled_packets {
                 break;
             }
             match mysql::packet(self.buffer.input(), self.max_packet) {
@@ -267,10 +289,10 @@
                         self.leave_ping_unanswered();
                         return Ok(None);
                     }
-                    event = self.take_packet(sequence, &body);
+                    event = self.handle_packet(sequence, &body);
                 }
                 Ok(None) => {
-                    self.has_unread_packets = false;
+                    self.has_unhandled_packets = false;
                     break;
                 }
                 Err(bad) => {
@@ -280,25 +302,25 @@
             }
             self.flush()?;
         }
-        self.finish_work(event.is_some(), now);
+        self.finish_processing(event.is_some(), now);
         Ok(event)
     }
 
     fn read_if_readable(&mut self, now: f64) -> io::Result<()> {
-        if self.readable && !self.has_ended {
+        if self.readable && !self.is_client_closed {
             match self.read(now)?.1 {
                 ReadOutcome::WouldBlock => self.readable = false,
                 ReadOutcome::LimitReached => {}
                 ReadOutcome::EndOfStream => {
                     self.readable = false;
-                    self.has_ended = true;
+                    self.is_client_closed = true;
                 }
             }
         }
         Ok(())
     }
 
-    fn takes_packets(&self) -> bool {
+    fn may_handle_packets(&self) -> bool {
         matches!(self.state, State::Login | State::Idle) && self.buffer.unsent_len() == 0
     }
 
@@ -306,79 +328,80 @@
         self.state == State::Idle && mysql::command(body) == Ok(Command::Ping)
     }
 
-    /// A ping is answered once engines are known.
+    /// Leaves a ping in the buffer. It is answered once the engines are known.
     fn leave_ping_unanswered(&mut self) {
-        self.has_unread_packets = false;
-        self.began_at = None;
-        if self.has_ended {
+        self.has_unhandled_packets = false;
+        self.step_began_at = None;
+        if self.is_client_closed {
             self.state = State::Closed;
         }
     }
 
-    fn take_packet(&mut self, sequence: u8, body: &[u8]) -> Option<SessionEvent> {
+    fn handle_packet(&mut self, sequence: u8, body: &[u8]) -> Option<SessionEvent> {
         self.buffer.consume(mysql::HEADER + body.len());
-        self.began_at = self.began_at.filter(|_| self.state == State::Login);
+        self.step_began_at = self.step_began_at.filter(|_| self.state == State::Login);
         self.sequence = sequence.wrapping_add(1);
-        let taken = match self.state {
+        let result = match self.state {
             State::Login if sequence == 1 => self.login(body).map(|()| None),
             State::Idle if sequence == 0 => self.command(body),
             _ => Err(mysql::Bad { code: mysql::OUT_OF_ORDER, why: "packets out of order" }),
         };
-        taken.unwrap_or_else(|bad| {
+        result.unwrap_or_else(|bad| {
             self.refuse_packet(bad);
             None
         })
     }
 
-    /// What is left to do once no more packets are taken.
-    fn finish_work(&mut self, has_event: bool, now: f64) {
-        // Behind bytes that the buffer has no room for, its end can't be read.
-        if self.readable && !self.has_ended && self.state == State::Waiting {
-            self.has_ended = has_hung_up(&self.stream);
+    /// Updates the state after the last packet of a turn.
+    fn finish_processing(&mut self, has_event: bool, now: f64) {
+        // If the buffer is full, the end of the stream can't be read, as it comes after the unread bytes.
+        if self.readable && !self.is_client_closed && self.state == State::Waiting {
+            self.is_client_closed = has_hung_up(&self.stream);
         }
-        self.began_at = match self.state {
-            State::Idle if self.buffer.input().is_empty() || self.has_unread_packets => None,
-            State::Idle | State::Login | State::Closing => self.began_at.or(Some(now)),
+        self.step_began_at = match self.state {
+            State::Idle if self.buffer.input().is_empty() || self.has_unhandled_packets => None,
+            State::Idle | State::Login | State::Closing => self.step_began_at.or(Some(now)),
             State::Waiting | State::Closed => None,
         };
         if self.state == State::Closing {
-            // What it still sends is not read any more; its end is awaited, so that it can read the last answer.
+            // Further input is discarded. The session stays until the client has closed, so that the client can read its
+            // last answer.
             let length = self.buffer.input().len();
             self.buffer.consume(length);
         }
-        if self.has_ended && !self.has_unread_packets && !has_event && self.is_at_rest() {
+        if self.is_client_closed && !self.has_unhandled_packets && !has_event && self.is_quiescent() {
             self.state = State::Closed;
         }
     }
 
     fn refuse_packet(&mut self, bad: mysql::Bad) {
-        log::debug!("session {}: {}", self.id, bad.why);
+        log::debug!("session {}: invalid packet, closing the session: {}", self.id, bad.why);
         self.is_malformed = true;
         self.error_and_close(bad.code, bad.why);
     }
 
-    fn error_and_close(&mut self, code: mysql::Code, words: &str) {
-        self.send(|out, sequence| mysql::error(out, sequence, code, words));
+    fn error_and_close(&mut self, code: mysql::Code, message: &str) {
+        self.send(|out, sequence| mysql::error(out, sequence, code, message));
         self.close_after_writing();
     }
 
-    /// No more is read; the session ends when its last answer is written.
+    /// Stops handling packets, and shuts down this side of the connection once the last answer is written.
     fn close_after_writing(&mut self) {
         self.state = State::Closing;
-        self.began_at = None;
+        self.step_began_at = None;
         if self.buffer.unsent_len() == 0 {
-            // Where that fails the connection is gone already.
+            // If this fails, the connection is already closed.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// Packets are written with the sequence that has come so far.
+    /// Sends packets, numbered from the session's current sequence number.
     fn send(&mut self, write: impl FnOnce(&mut Vec<u8>, &mut u8)) {
         let mut out = Vec::new();
         write(&mut out, &mut self.sequence);
         self.buffer.queue_output(&out);
         if let Err(error) = self.flush() {
-            log::debug!("session {}: {error}", self.id);
+            log::debug!("session {}: writing failed, closing the session: {error}", self.id);
             self.state = State::Closed;
         }
     }
--- a/crates/router/src/transport/client_session/commands.rs
+++ b/crates/router/src/transport/client_session/commands.rs
@@ -1,4 +1,4 @@
-//! What a client's packets ask for, and the packets that answer them.
+//! Handles the commands of a client session and writes the packets that answer them.
 
 use super::{ClientSession, SessionEvent, State};
 use crate::protocol::engine::{columns, rows, COLUMNS};
@@ -11,8 +11,8 @@
     pub(super) fn login(&mut self, body: &[u8]) -> Result<(), mysql::Bad> {
         let login = mysql::login(body)?;
         if login.with_password {
-            let words = format!("access denied for {}: it has no password here", login.user);
-            self.error_and_close(mysql::DENIED, &words);
+            let message = format!("access denied for {}: it has no password here", login.user);
+            self.error_and_close(mysql::DENIED, &message);
         } else {
             self.ok();
         }
@@ -45,7 +45,7 @@
                 self.ok();
                 return None;
             }
-            Err(error) => SessionEvent::Refused(error),
+            Err(error) => SessionEvent::InvalidQuery(error),
         };
         self.wait_for(event)
     }
@@ -55,30 +55,31 @@
         Some(event)
     }
 
-    /// Answers of the session's own, after which it is idle again.
+    /// Answers with OK; the session is idle again, as after each of the answers below.
     pub fn ok(&mut self) {
-        self.answer_and_rest(mysql::ok);
+        self.answer_and_become_idle(mysql::ok);
     }
 
-    pub fn error(&mut self, code: mysql::Code, words: &str) {
-        self.answer_and_rest(|out, sequence| mysql::error(out, sequence, code, words));
+    pub fn error(&mut self, code: mysql::Code, message: &str) {
+        self.answer_and_become_idle(|out, sequence| mysql::error(out, sequence, code, message));
     }
 
-    pub fn text(&mut self, words: &str) {
-        self.answer_and_rest(|out, sequence| mysql::text(out, sequence, words));
+    /// Answers with a plain text, as the command for statistics expects.
+    pub fn text(&mut self, text: &str) {
+        self.answer_and_become_idle(|out, sequence| mysql::text(out, sequence, text));
     }
 
-    /// A result set of the router's own.
+    /// Answers with a status table of the router as a result set.
     pub fn table(&mut self, rows: &[StatusRow]) {
         let names = StatusRow::COLUMNS.map(str::to_string);
         let rows = rows.iter().map(|row| row.cells().into_iter().map(str::as_bytes));
-        self.answer_and_rest(|out, sequence| mysql::result(out, sequence, &names, rows));
+        self.answer_and_become_idle(|out, sequence| mysql::result(out, sequence, &names, rows));
     }
 
-    fn answer_and_rest(&mut self, write: impl FnOnce(&mut Vec<u8>, &mut u8)) {
+    fn answer_and_become_idle(&mut self, write: impl FnOnce(&mut Vec<u8>, &mut u8)) {
         self.state = State::Idle;
-        // What came behind the request is still to be looked at.
-        self.has_unread_packets = !self.buffer.input().is_empty();
+        // Packets that arrived after the request have not been handled yet.
+        self.has_unhandled_packets = !self.buffer.input().is_empty();
         self.unsent_since = None;
         self.send(write);
         if self.closes_after_answer {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The session itself is killed: it ends with the answer to what it has open.
+    /// Kills the session. If a request is open, the session closes after the answer to it.
     pub fn kill(&mut self) {
         match self.state {
             State::Waiting => self.closes_after_answer = true,
@@ -94,10 +95,10 @@
         }
     }
 
-    /// The final answer to its request.
+    /// Sends the final answer to the open request.
     pub fn answer(&mut self, answer: Answer, now: f64) {
         self.active_at = now;
-        self.answer_and_rest(|out, sequence| match answer {
+        self.answer_and_become_idle(|out, sequence| match answer {
             Answer::Completed(pages) => {
                 let names: Vec<String> = (1..=COLUMNS).map(|number| format!("column_{number}")).collect();
                 mysql::result(out, sequence, &names, rows(&pages).map(columns));
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -1,4 +1,4 @@
-//! All client sessions: the listener, how many there may be, and what each of them asks.
+//! All client sessions: accepts connections, limits the number of sessions, and passes their requests on.
 
 mod kills;
 mod questions;
@@ -18,61 +18,66 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// So many connections are accepted in one turn.
-const MAX_ACCEPTED: usize = 64;
-/// So many sessions are looked at for one to close for others.
+/// Connections that are accepted in one turn, at most.
+const MAX_ACCEPTED_PER_TURN: usize = 64;
+/// When a place is needed, this many sessions are checked at most for unread input before one is closed.
 const MAX_EVICTION_CANDIDATES: usize = 8;
-/// At the end of the router, clients have this long to read their last answer and close, in seconds: longer than a request may
-/// cross a close and be asked elsewhere.
-const GOODBYE_TIMEOUT: f64 = 0.1;
-/// A statement may be as long as its part of the memory, between these, in bytes.
+/// At a planned stop, clients have this long to read their last answer and close, in seconds. This is longer than it takes
+/// until a client whose request crossed the close on the way can send it to another router.
+const CLIENT_CLOSE_TIMEOUT: f64 = 0.1;
+/// Bounds of the longest packet that a session accepts, in bytes. Between them the limit is the session's share of the
+/// memory.
 const MIN_MAX_PACKET: usize = 16 * 1024;
 const MAX_MAX_PACKET: usize = 1024 * 1024;
-/// The parts of the descriptors and of the memory that clients may take.
-const DESCRIPTOR_PART: usize = 2;
-const MEMORY_PART: usize = 4;
+/// Client sessions may take the router's file descriptors divided by this.
+const DESCRIPTOR_DIVISOR: usize = 2;
+/// The packets of client sessions may take the router's memory divided by this.
+const MEMORY_DIVISOR: usize = 4;
 
-/// A session asks for another one to be killed.
-struct Kill {
-    asked_by: SessionId,
-    victim: SessionId,
+/// A session's request to kill another session, or only its query.
+struct KillRequest {
+    requested_by: SessionId,
+    target: SessionId,
     query_only: bool,
 }
 
-/// A session asks how something stands.
-struct AskedQuestion {
-    asked_by: SessionId,
+/// A session's request for a status table, which is not answered yet.
+struct PendingQuestion {
+    requested_by: SessionId,
     question: Question,
 }
 
 pub struct ClientSessions {
     handle: LoopHandle,
-    /// None once no more connections are taken.
+    /// None once a planned stop has ended the accepting of connections.
     listener: Option<Listener>,
     sessions: HashMap<SessionId, ClientSession>,
     max_sessions: usize,
+    /// The longest packet that a session accepts, in bytes.
     max_packet: usize,
-    /// Accepted, and waits for room.
-    waiting: Option<TcpStream>,
+    /// An accepted connection that waits until there is a place for its session.
+    waiting_stream: Option<TcpStream>,
     next_id: SessionId,
-    /// Accepted, and not looked at yet.
+    /// Sessions that were accepted in this turn and whose input was not read yet.
     new_sessions: Vec<SessionId>,
-    /// Connections may be waiting to be accepted.
+    /// Whether connections may be waiting to be accepted.
     may_accept: bool,
-    /// None is accepted until the next sweep, after one could not be.
+    /// Whether accepting is paused until the next check for time-outs, since it failed.
     is_paused: bool,
-    /// Those to be looked at again.
+    /// Sessions that must be processed again in the next turn although they will not be reported as ready.
     unfinished: Vec<SessionId>,
-    kills: Vec<Kill>,
-    asked_for_counters: Vec<SessionId>,
-    questions: Vec<AskedQuestion>,
-    /// When this side of the sessions began to be ended.
-    goodbye_at: Option<f64>,
+    kill_requests: Vec<KillRequest>,
+    /// Sessions that have asked for the counters.
+    counter_requests: Vec<SessionId>,
+    pending_questions: Vec<PendingQuestion>,
+    /// When a planned stop began to close the sessions; begins anew after each answer.
+    closing_since: Option<f64>,
     counters: Counters,
 }
 
 impl ClientSessions {
-    /// Listens on an address, with these bounds of the whole router.
+    /// Listens on an address. `descriptors` and `memory` are the file descriptors and the bytes of memory that the whole
+    /// router may use.
     ///
     /// # Errors
     /// The address can't be listened on.
@@ -83,44 +88,45 @@
         memory: usize,
     ) -> io::Result<ClientSessions> {
         let listener = Listener::open(handle, listen)?;
-        let max_sessions = (descriptors / DESCRIPTOR_PART).max(1);
-        let max_packet = (memory / MEMORY_PART / max_sessions).clamp(MIN_MAX_PACKET, MAX_MAX_PACKET);
+        let max_sessions = (descriptors / DESCRIPTOR_DIVISOR).max(1);
+        let max_packet = (memory / MEMORY_DIVISOR / max_sessions).clamp(MIN_MAX_PACKET, MAX_MAX_PACKET);
         Ok(ClientSessions {
             handle: handle.clone(),
             listener: Some(listener),
             sessions: HashMap::new(),
             max_sessions,
             max_packet,
-            waiting: None,
-            // A kill meant for a session of the router before this one must not meet one of its own.
+            waiting_stream: None,
+            // Ids start at a random number: a kill that is meant for a session of the router's former process must not hit
+            // a session of this one.
             next_id: RandomState::new().hash_one(listen) as SessionId,
             new_sessions: Vec::new(),
             may_accept: false,
             is_paused: false,
             unfinished: Vec::new(),
-            kills: Vec::new(),
-            asked_for_counters: Vec::new(),
-            questions: Vec::new(),
-            goodbye_at: None,
+            kill_requests: Vec::new(),
+            counter_requests: Vec::new(),
+            pending_questions: Vec::new(),
+            closing_since: None,
             counters: Counters::default(),
         })
     }
 
-    /// Accepts what waits, as far as one turn goes.
+    /// Accepts waiting connections, at most `MAX_ACCEPTED_PER_TURN`.
     pub fn accept(&mut self, now: f64) {
         self.may_accept = true;
-        for _ in 0..MAX_ACCEPTED {
+        for _ in 0..MAX_ACCEPTED_PER_TURN {
             if self.is_paused || !self.accept_one(now) {
                 return;
             }
         }
     }
 
-    /// Accepts one connection; false where no more may be accepted now.
+    /// Accepts one connection. Returns whether accepting may go on.
     fn accept_one(&mut self, now: f64) -> bool {
         let Some(listener) = &self.listener else { return false };
-        // Room is made for one that is there, not for one that may come.
-        let accepted = match self.waiting.take() {
+        // The connection is accepted before a place is freed: no session is closed for a connection that may not exist.
+        let accepted = match self.waiting_stream.take() {
             Some(stream) => Ok(stream),
             None => listener.socket.accept().map(|(stream, _)| stream),
         };
@@ -130,17 +136,20 @@
         }
     }
 
+    /// Begins a session for an accepted connection, or keeps the connection waiting if no place can be freed. Returns
+    /// whether accepting may go on.
     fn admit(&mut self, stream: TcpStream, now: f64) -> bool {
-        if self.sessions.len() >= self.max_sessions && !self.make_room(now) {
-            self.waiting = Some(stream);
+        if self.sessions.len() >= self.max_sessions && !self.evict_session(now) {
+            self.waiting_stream = Some(stream);
             return false;
         }
-        if let Err(error) = self.begin(stream, now) {
-            log::debug!("a session that did not begin: {error}");
+        if let Err(error) = self.begin_session(stream, now) {
+            log::debug!("can't set up a session for an accepted connection, which is closed: {error}");
         }
         true
     }
 
+    /// Handles a failed accept. Returns whether accepting may go on.
     fn accept_failed(&mut self, error: &io::Error, now: f64) -> bool {
         match error.kind() {
             ErrorKind::WouldBlock => {
@@ -149,18 +158,20 @@
             }
             _ if is_out_of_descriptors(error) => {
                 self.counters.descriptors_short += 1;
-                self.is_paused = !self.make_room(now);
+                self.is_paused = !self.evict_session(now);
             }
             ErrorKind::ConnectionAborted => {}
             _ => {
-                log::debug!("accept: {error}");
+                log::debug!(
+                    "can't accept a connection, trying again after the next check for time-outs: {error}"
+                );
                 self.is_paused = true;
             }
         }
         true
     }
 
-    fn begin(&mut self, stream: TcpStream, now: f64) -> io::Result<()> {
+    fn begin_session(&mut self, stream: TcpStream, now: f64) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
@@ -176,14 +187,15 @@
         Ok(())
     }
 
-    /// Closes the session that loses least by it; false where none may be closed.
-    fn make_room(&mut self, now: f64) -> bool {
+    /// Closes the session with the lowest eviction rank, to free a place and a file descriptor. Returns false if no session
+    /// may be closed.
+    fn evict_session(&mut self, now: f64) -> bool {
         for _ in 0..MAX_EVICTION_CANDIDATES {
             let closable = self.sessions.iter_mut().filter(|(_, session)| session.can_be_closed());
-            let least =
+            let lowest =
                 closable.min_by(|(_, a), (_, b)| a.eviction_rank(now).total_cmp(&b.eviction_rank(now)));
-            let Some((&id, session)) = least else { return false };
-            if session.has_nothing_unread(now) {
+            let Some((&id, session)) = lowest else { return false };
+            if session.confirm_nothing_unread(now) {
                 self.counters.sessions_closed_for_room += 1;
                 self.remove(id);
                 return true;
@@ -193,31 +205,31 @@
         false
     }
 
-    /// The router ends: no connection is taken any more, and every session at rest is ended on this side. True once all
-    /// clients have closed theirs, or have had the time to.
+    /// Closes the listener and every session that can be closed without loss, at a planned stop. Returns true once all
+    /// clients have closed their side, or have had `CLIENT_CLOSE_TIMEOUT` to do so.
     pub fn close_gracefully(&mut self, now: f64) -> bool {
         if self.listener.is_some() {
-            // What has connected until now is still let in, and what it sent ahead is read.
+            // Clients that have connected until now still get a session, and the requests that they have sent are read.
             self.accept(now);
-            if !self.new_sessions.is_empty() || self.accepts_more() {
+            if !self.new_sessions.is_empty() || self.can_accept_now() {
                 return false;
             }
         }
         if let Some(listener) = self.listener.take() {
             self.handle.remove(listener.token);
         }
-        let began = *self.goodbye_at.get_or_insert(now);
+        let closing_since = *self.closing_since.get_or_insert(now);
         for (id, session) in &mut self.sessions {
             if session.close_gracefully(now) || session.is_unfinished() {
                 self.unfinished.push(*id);
             }
         }
-        self.sessions.is_empty() || now >= began + GOODBYE_TIMEOUT
+        self.sessions.is_empty() || now >= closing_since + CLIENT_CLOSE_TIMEOUT
     }
 
-    /// A connection is still to be accepted, or an answer to be written.
+    /// Whether a connection waits to be accepted or an answer to be written.
     pub fn is_busy(&self) -> bool {
-        self.accepts_more() || self.sessions.values().any(|session| session.unsent() > 0)
+        self.can_accept_now() || self.sessions.values().any(|session| session.unsent_len() > 0)
     }
 
     fn remove(&mut self, id: SessionId) {
@@ -226,15 +238,16 @@
         }
     }
 
-    /// Reads what new sessions sent ahead: a kill that came before the turn is to be known to its decisions.
+    /// Processes the input that clients sent right after connecting, so that a kill which arrived before the turn is known
+    /// to the turn's decisions.
     pub fn read_new_sessions(&mut self, is_serving: bool, now: f64, input: &mut TurnInput) {
         for id in std::mem::take(&mut self.new_sessions) {
-            self.work(id, Readiness::EMPTY, is_serving, now, input);
+            self.process_session(id, Readiness::EMPTY, is_serving, now, input);
         }
     }
 
-    /// Reads and writes one session; what it asks goes into `input`.
-    pub fn work(
+    /// Reads and writes one session. Its request or its withdrawal goes into `input`.
+    pub fn process_session(
         &mut self,
         id: SessionId,
         readiness: Readiness,
@@ -246,17 +259,17 @@
         if readiness.readable || readiness.writable {
             session.note_ready(readiness.readable, now);
         }
-        let worked = catch_panic("a session", || session.work(is_serving, now));
+        let result = catch_panic("a client session", || session.process(is_serving, now));
         let mut is_closed = session.is_closed();
         if session.is_unfinished() {
             self.unfinished.push(id);
         }
         self.counters.sessions_malformed += u64::from(std::mem::take(&mut session.is_malformed));
-        match worked {
+        match result {
             Some(Ok(None)) => {}
             Some(Ok(Some(event))) => self.handle_event(id, event, now, input),
             Some(Err(error)) => {
-                log::debug!("session {id}: {error}");
+                log::debug!("session {id}: reading or writing failed, closing the session: {error}");
                 is_closed = true;
             }
             None => {
@@ -264,44 +277,53 @@
                 is_closed = true;
             }
         }
-        let has_left = |session: &ClientSession| session.is_gone() && session.is_waiting();
+        let has_abandoned_request =
+            |session: &ClientSession| session.is_client_closed() && session.is_waiting();
         if is_closed {
-            self.end(id, input);
-        } else if self.sessions.get(&id).is_some_and(has_left) {
+            self.close_session(id, input);
+        } else if self.sessions.get(&id).is_some_and(has_abandoned_request) {
             input.withdrawn.push(id);
         }
     }
 
     fn handle_event(&mut self, id: SessionId, event: SessionEvent, now: f64, input: &mut TurnInput) {
         match event {
-            SessionEvent::Query(statement) => self.receive(id, statement, now, input),
-            SessionEvent::Refused(error) => self.refuse_statement(id, &error, now),
+            SessionEvent::Query(statement) => self.submit_statement(id, statement, now, input),
+            SessionEvent::InvalidQuery(error) => self.refuse_statement(id, &error, now),
             SessionEvent::Kill { session, query_only } => {
-                self.kills.push(Kill { asked_by: id, victim: session, query_only });
+                self.kill_requests.push(KillRequest { requested_by: id, target: session, query_only });
             }
-            SessionEvent::Counters => self.asked_for_counters.push(id),
+            SessionEvent::Counters => self.counter_requests.push(id),
             SessionEvent::Question(question) => {
-                self.questions.push(AskedQuestion { asked_by: id, question });
+                self.pending_questions.push(PendingQuestion { requested_by: id, question });
             }
         }
     }
 
-    fn receive(&mut self, id: SessionId, mut statement: ParsedStatement, now: f64, input: &mut TurnInput) {
+    /// Adds a statement to the turn's input.
+    fn submit_statement(
+        &mut self,
+        id: SessionId,
+        mut statement: ParsedStatement,
+        now: f64,
+        input: &mut TurnInput,
+    ) {
         let Some(session) = self.sessions.get(&id) else { return };
-        if session.is_gone() {
-            // It asked and left at once: nothing is begun for it.
+        if session.is_client_closed() {
+            // The client closed right after sending the request, so the request is not begun.
             self.counters.taken += 1;
             self.counters.withdrawn += 1;
             self.answer(id, Answer::Withdrawn, now);
             return;
         }
-        // Its time runs from its last byte, also where that came long before its turn.
-        let waited = session.lay_unread_for(input.received_since.unwrap_or(now));
+        // The time to live counts from the arrival of the request's last byte, even if that was long before this turn.
+        let waited = session.time_in_buffer(input.received_since.unwrap_or(now));
         statement.time_to_live = (statement.time_to_live - waited).max(0.0);
         input.statements.push(SessionStatement { session: id, statement });
     }
 
-    fn end(&mut self, id: SessionId, input: &mut TurnInput) {
+    /// Removes a session and withdraws its open request.
+    fn close_session(&mut self, id: SessionId, input: &mut TurnInput) {
         if self.sessions.get(&id).is_some_and(ClientSession::is_waiting) {
             input.withdrawn.push(id);
         }
@@ -310,23 +332,23 @@
 
     /// Gives a session the final answer to its request.
     pub fn answer(&mut self, id: SessionId, answer: Answer, now: f64) {
-        // Its client is to have the time to read it, also at the end.
-        self.goodbye_at = None;
+        // At a planned stop the client gets the full time to read this answer.
+        self.closing_since = None;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.answer(answer, now);
             self.unfinished.push(id);
         }
     }
 
-    /// An answer could not be made for a panic: its session ends, so that its client can tell.
+    /// Closes a session after a panic while its answer was written, so that the client notices the failure.
     pub fn drop_failed(&mut self, id: SessionId) {
         self.counters.panics += 1;
         self.remove(id);
     }
 
-    /// Tells a session that no request could be made of its statement.
+    /// Answers a session that its statement can't be parsed or used as a request.
     pub fn refuse_statement(&mut self, id: SessionId, error: &StatementError, now: f64) {
-        log::debug!("session {id}: {error}");
+        log::debug!("session {id}: statement refused: {error}");
         self.counters.unusable += 1;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.active_at = now;
@@ -335,20 +357,20 @@
         }
     }
 
-    /// Connections that wait to be accepted find room.
-    pub fn has_room(&self) -> bool {
-        !self.may_accept || self.accepts_more()
+    /// Whether no connection waits to be accepted, or one that waits can be.
+    pub fn can_admit(&self) -> bool {
+        !self.may_accept || self.can_accept_now()
     }
 
-    /// Closes what has stalled, and accepts what had to wait for room.
+    /// Closes sessions that have exceeded a time-out, and accepts connections that had to wait for a place.
     pub fn sweep(&mut self, now: f64, input: &mut TurnInput) {
         for session in self.sessions.values_mut() {
-            session.sweep(now);
+            session.check_timeouts(now);
         }
         let closed = self.sessions.iter().filter(|(_, session)| session.is_closed());
         let closed: Vec<SessionId> = closed.map(|(&id, _)| id).collect();
         for id in closed {
-            self.end(id, input);
+            self.close_session(id, input);
         }
         self.is_paused = false;
         if self.may_accept {
@@ -356,21 +378,21 @@
         }
     }
 
-    /// Connections wait to be accepted, and there is room for them.
-    pub fn accepts_more(&self) -> bool {
-        let has_room = || {
+    /// Whether connections may wait to be accepted, and there is a place for a session or one can be freed.
+    pub fn can_accept_now(&self) -> bool {
+        let has_place = || {
             self.sessions.len() < self.max_sessions
                 || self.sessions.values().any(ClientSession::can_be_closed)
         };
-        self.may_accept && !self.is_paused && has_room()
+        self.may_accept && !self.is_paused && has_place()
     }
 
-    /// The sources of all sessions.
+    /// The event sources of all sessions.
     pub fn sources(&self) -> impl Iterator<Item = EventSource> + '_ {
         self.sessions.keys().map(|&id| EventSource::ClientSession(id))
     }
 
-    /// What is to be looked at in the next turn, though nothing becomes ready.
+    /// Takes the sessions that must be processed again in the next turn although they will not be reported as ready.
     pub fn unfinished(&mut self) -> Vec<EventSource> {
         std::mem::take(&mut self.unfinished).into_iter().map(EventSource::ClientSession).collect()
     }
--- a/crates/router/src/transport/client_sessions/kills.rs
+++ b/crates/router/src/transport/client_sessions/kills.rs
@@ -1,30 +1,30 @@
-//! Sessions that ask for others to be killed.
+//! Carries out clients' requests to kill other sessions or their queries.
 
-use super::{ClientSessions, Kill};
+use super::{ClientSessions, KillRequest};
 use crate::protocol::mysql;
 use crate::routing::{SessionId, TurnInput};
 use calloop::Readiness;
 
 impl ClientSessions {
-    /// Kills what was asked for, once all that was ready has been read, and once more what the victims sent before the kill: it may
-    /// have come since, or wait for its turn.
+    /// Carries out the kill requests of this turn, after all ready sources have been read. Each target is processed once
+    /// more before its kill, since a request that it sent before may have arrived meanwhile or still wait in its buffer.
     pub fn carry_out_kills(&mut self, is_serving: bool, now: f64, input: &mut TurnInput) {
-        for Kill { asked_by, victim, query_only } in std::mem::take(&mut self.kills) {
+        for KillRequest { requested_by, target, query_only } in std::mem::take(&mut self.kill_requests) {
             let readable = Readiness { readable: true, ..Readiness::EMPTY };
-            self.work(victim, readable, is_serving, now, input);
-            let was_there = self.kill(victim, query_only, input);
-            if let Some(session) = self.sessions.get_mut(&asked_by) {
-                if was_there {
+            self.process_session(target, readable, is_serving, now, input);
+            let was_open = self.kill(target, query_only, input);
+            if let Some(session) = self.sessions.get_mut(&requested_by) {
+                if was_open {
                     session.ok();
                 } else {
-                    session.error(mysql::NO_SUCH_SESSION, &format!("unknown connection id: {victim}"));
+                    session.error(mysql::NO_SUCH_SESSION, &format!("unknown connection id: {target}"));
                 }
             }
-            self.unfinished.extend([asked_by, victim]);
+            self.unfinished.extend([requested_by, target]);
         }
     }
 
-    /// Kills a session, or its query alone; false where there is no such session.
+    /// Kills a session, or only its query. Returns false if there is no such session.
     fn kill(&mut self, id: SessionId, query_only: bool, input: &mut TurnInput) -> bool {
         let Some(session) = self.sessions.get_mut(&id) else { return false };
         if session.is_waiting() {
--- a/crates/router/src/transport/client_sessions/questions.rs
+++ b/crates/router/src/transport/client_sessions/questions.rs
@@ -1,20 +1,20 @@
-//! What clients ask of the router itself: its counters, and how its parts stand.
+//! Answers clients' questions about the router itself: its counters and the status of its parts.
 
-use super::{AskedQuestion, ClientSessions};
+use super::{ClientSessions, PendingQuestion};
 use crate::protocol::mysql;
 use crate::protocol::statement::Question;
 use crate::routing::Counters;
 use crate::status_row::StatusRow;
 
 impl ClientSessions {
-    pub fn has_asked_for_counters(&self) -> bool {
-        !self.asked_for_counters.is_empty()
+    pub fn has_counter_requests(&self) -> bool {
+        !self.counter_requests.is_empty()
     }
 
-    /// Answers those that asked for the counters, in the form that drivers take apart.
+    /// Answers the sessions that asked for the counters, in the form that drivers parse.
     pub fn answer_counters(&mut self, counters: &Counters, now: f64) {
         let counters = counters.to_string().replace(' ', "  ").replace('=', ": ");
-        for id in std::mem::take(&mut self.asked_for_counters) {
+        for id in std::mem::take(&mut self.counter_requests) {
             if let Some(session) = self.sessions.get_mut(&id) {
                 session.active_at = now;
                 session.text(&counters);
@@ -23,31 +23,32 @@
         }
     }
 
-    /// What was asked in this turn, each question once.
+    /// The questions that were asked in this turn, without duplicates.
     pub fn questions(&self) -> Vec<Question> {
         let mut questions: Vec<Question> = Vec::new();
-        for asked in &self.questions {
-            if !questions.contains(&asked.question) {
-                questions.push(asked.question);
+        for pending in &self.pending_questions {
+            if !questions.contains(&pending.question) {
+                questions.push(pending.question);
             }
         }
         questions
     }
 
-    /// Answers those that asked this; none where there is nothing of the kind.
+    /// Answers the sessions that asked this question. `rows` is none if the router does not have what was asked for.
     pub fn answer_status(&mut self, question: Question, rows: Option<&[StatusRow]>, now: f64) {
-        let (asked, others) =
-            std::mem::take(&mut self.questions).into_iter().partition(|asked| asked.question == question);
-        self.questions = others;
-        let asked: Vec<AskedQuestion> = asked;
-        for AskedQuestion { asked_by, .. } in asked {
-            let Some(session) = self.sessions.get_mut(&asked_by) else { continue };
+        let (answered, others) = std::mem::take(&mut self.pending_questions)
+            .into_iter()
+            .partition(|pending| pending.question == question);
+        self.pending_questions = others;
+        let answered: Vec<PendingQuestion> = answered;
+        for PendingQuestion { requested_by, .. } in answered {
+            let Some(session) = self.sessions.get_mut(&requested_by) else { continue };
             session.active_at = now;
             match rows {
                 Some(rows) => session.table(rows),
                 None => session.error(mysql::NOT_UNDERSTOOD, "there is nothing of the kind here"),
             }
-            self.unfinished.push(asked_by);
+            self.unfinished.push(requested_by);
         }
     }
 }
--- a/crates/router/src/transport/clients_and_engines.rs
+++ b/crates/router/src/transport/clients_and_engines.rs
@@ -1,22 +1,22 @@
-//! The connections that routing's actions are carried out on.
+//! Carries out the actions that routing decides on: on client sessions and on engine connections.
 
 use super::client_sessions::ClientSessions;
 use super::connection_pool::ConnectionPool;
 use super::panic_guard::catch_panic;
 use crate::routing::{Answer, AttemptId, Connections, Dispatch, SessionId};
 
-/// The connections that routing's actions are carried out on.
+/// The client sessions and engine connections on which routing's actions are carried out.
 pub(super) struct ClientsAndEngines {
     pub sessions: ClientSessions,
     pub pool: ConnectionPool,
-    /// The time of this turn.
+    /// The time of the current turn, on the wall clock in seconds.
     pub now: f64,
 }
 
 impl Connections for ClientsAndEngines {
     fn answer(&mut self, session: SessionId, answer: Answer) {
         let ClientsAndEngines { sessions, now, .. } = self;
-        if catch_panic("an answer", || sessions.answer(session, answer, *now)).is_none() {
+        if catch_panic("an answer to a client", || sessions.answer(session, answer, *now)).is_none() {
             sessions.drop_failed(session);
         }
     }
@@ -24,7 +24,7 @@
     fn dispatch(&mut self, dispatch: Dispatch) {
         let ClientsAndEngines { pool, now, .. } = self;
         let attempt = dispatch.attempt;
-        if catch_panic("an attempt", || pool.dispatch(dispatch, *now)).is_none() {
+        if catch_panic("the dispatch of an attempt", || pool.dispatch(dispatch, *now)).is_none() {
             pool.drop_failed(attempt, *now);
         }
     }
--- a/crates/router/src/transport/clock.rs
+++ b/crates/router/src/transport/clock.rs
@@ -1,4 +1,4 @@
-//! The two clocks of the router.
+//! The two clocks of the router: a wall clock that never goes back, and a monotonic clock.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -7,20 +7,23 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64())
 }
 
-/// The Unix clock, on which requests have their deadlines; where that is set back, time goes on from where it was.
+/// The Unix clock, on which the deadlines of requests are measured. After the Unix clock was set back, this clock
+/// continues from its last reading.
 #[derive(Default)]
 pub struct WallClock {
     last: f64,
+    /// Seconds added to the Unix time so that no reading is earlier than the one before.
     set_back_by: f64,
 }
 
 impl WallClock {
+    /// The current time in seconds.
     pub fn read(&mut self) -> f64 {
-        self.at(unix_time())
+        self.read_at(unix_time())
     }
 
-    /// What it reads while the Unix clock reads this.
-    pub fn at(&mut self, unix: f64) -> f64 {
+    /// The reading of this clock while the Unix clock reads `unix`.
+    pub fn read_at(&mut self, unix: f64) -> f64 {
         if unix + self.set_back_by < self.last {
             self.set_back_by = self.last - unix;
         }
@@ -29,8 +32,8 @@
     }
 }
 
-/// Seconds since the start. Sessions with peers, leases and what is announced must not depend on how the Unix clock is set,
-/// either way.
+/// Seconds since the start of the router. It is used for BGP sessions, leases and announcements, which must not depend
+/// on the Unix clock being set forward or back.
 pub struct MonotonicClock(Instant);
 
 impl MonotonicClock {
@@ -42,7 +45,8 @@
         self.0.elapsed().as_secs_f64()
     }
 
-    /// A due time on this clock, on the Unix one that reads `unix` when this one reads `now`.
+    /// Converts the time `due` of a monotonic clock to Unix time, where the monotonic clock reads `now` and the Unix
+    /// clock reads `unix`. A time in the past becomes `unix`.
     pub fn to_unix(due: f64, now: f64, unix: f64) -> f64 {
         unix + (due - now).max(0.0)
     }
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -149,7 +149,7 @@
                     self.socket = socket;
                 }
                 Err(error) => {
-                    log::warn!("the cluster file is not taken, the running one stands: {address}: {error}");
+                    log::warn!("the cluster file is not applied, the running one stays in effect: {address}: {error}");
                     return;
                 }
             }
--- a/crates/router/src/transport/event_loop.rs
+++ b/crates/router/src/transport/event_loop.rs
@@ -1,4 +1,4 @@
-//! Waiting for events.
+//! Waiting for events between two turns of the server.
 
 use super::clock::WallClock;
 use super::event_source::ReadyEvents;
@@ -6,13 +6,17 @@
 use std::io;
 use std::time::Duration;
 
-/// The loop turns at least so often, in seconds, so that it can tell when it had no turn.
+/// The longest time between two turns, in seconds. A longer gap tells that the process was not running.
 pub const TURN_INTERVAL: f64 = 0.02;
-/// How often the system is asked what is ready, at most, where each answer came late.
+/// How often one wait polls the system at most, where each poll returned late.
 const MAX_POLLS: usize = 3;
 
-/// Waits until something is ready, or until `wake_at`. Where this process stood still behind the system's answer, what has come
-/// meanwhile is asked for once more: the next turn would decide without it, and take it for new in the turn after.
+/// Waits until a source is ready, or until `wake_at`. A poll that returns late means that the process did not run for a
+/// while after the system had reported what is ready. Then the system is polled again: otherwise the next turn would
+/// decide without the events that arrived meanwhile, and the turn after it would take them for new ones.
+///
+/// # Errors
+/// The event loop fails for another reason than an interrupted call.
 pub fn wait(
     event_loop: &mut EventLoop<ReadyEvents>,
     clock: &mut WallClock,
@@ -21,18 +25,18 @@
 ) -> io::Result<()> {
     let mut due = wake_at;
     for _ in 0..MAX_POLLS {
-        let began = clock.read();
-        let wait = (due - began).max(0.0);
-        match event_loop.dispatch(Some(Duration::from_secs_f64(wait)), ready) {
+        let started_at = clock.read();
+        let timeout = (due - started_at).max(0.0);
+        match event_loop.dispatch(Some(Duration::from_secs_f64(timeout)), ready) {
             Ok(()) => {}
             Err(calloop::Error::IoError(error)) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(calloop::Error::IoError(error)) => return Err(error),
             Err(error) => return Err(io::Error::other(error)),
         }
-        if clock.read() < began + wait + TURN_INTERVAL {
+        if clock.read() < started_at + timeout + TURN_INTERVAL {
             break;
         }
-        due = began;
+        due = started_at;
     }
     Ok(())
 }
--- a/crates/router/src/transport/health.rs
+++ b/crates/router/src/transport/health.rs
@@ -1,20 +1,21 @@
-//! How the router does, for the decisions on what is announced.
+//! Collects the readings of the router's health from which it is decided what is announced.
 
 use crate::routing::Routing;
 use cleatgw_announce::{InTimeShare, Readings};
 
-/// What has to be remembered for that.
+/// The state that is kept between two readings.
 #[derive(Default)]
 pub struct Health {
-    /// Requests answered in time of late.
+    /// The recent share of requests that were answered in time.
     in_time: InTimeShare,
-    /// How often the decisions have failed, and when they last did.
+    /// How many panics of the decision core have been counted.
     panics: u64,
+    /// When the last of these panics was noticed; none if there was none.
     last_panic_at: Option<f64>,
 }
 
 impl Health {
-    /// The present readings.
+    /// The current readings. `discovery_silence` is the time in seconds since the discovery service was last heard.
     pub fn readings(
         &mut self,
         now: f64,
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop, the sockets, and what is read from and written to them.
+//! The event loop of the router, its sockets and connections, and the reading and writing of them.
 
 mod bgp_connection;
 mod bgp_speaker;
--- a/crates/router/src/transport/panic_guard.rs
+++ b/crates/router/src/transport/panic_guard.rs
@@ -1,9 +1,9 @@
-//! A panic in the work on one connection stops there.
+//! Contains a panic in the code that handles one connection, so that it does not end the process.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Does work on one connection; none where it panicked. `what` names the connection in the log.
+/// Runs `work` on one connection; none if it panicked. `what` names the connection or the work in the log.
 pub fn catch_panic<T>(what: &str, work: impl FnOnce() -> T) -> Option<T> {
-    let done = catch_unwind(AssertUnwindSafe(work));
-    done.inspect_err(|_| log::error!("{what} failed, its connection is closed")).ok()
+    let result = catch_unwind(AssertUnwindSafe(work));
+    result.inspect_err(|_| log::error!("{what}: panic in its code, its connection is closed")).ok()
 }
--- a/crates/router/src/transport/reload.rs
+++ b/crates/router/src/transport/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration and the operators' files are read again. One that can't be used changes nothing.
+//! SIGHUP: reads the configuration and the operators' files again. A file that can't be used changes nothing.
 
 use super::cluster_socket::JoinedCluster;
 use super::server::Server;
@@ -10,13 +10,15 @@
 /// Reads a file again.
 pub type Reload<T> = Box<dyn Fn() -> Result<T, FileError>>;
 
-/// What a new configuration changes while the router runs.
+/// The fields of a new configuration that are applied while the router runs.
 pub struct ReloadedConfig {
+    /// The address of the discovery service, if there is one.
     pub discovery: Option<SocketAddr>,
+    /// The events of the discovery service that the configuration lists.
     pub known: Vec<Event>,
 }
 
-/// How each file is read again; none for those that were not given at the start.
+/// How each file is read again; none for a file that was not given at the start.
 pub struct Reloaders {
     pub config: Reload<ReloadedConfig>,
     pub service: Option<Reload<ServiceFile>>,
@@ -25,7 +27,7 @@
 }
 
 impl Server {
-    /// Reads everything again.
+    /// Reads all files again and applies those that can be used.
     pub(super) fn reload(&mut self, now: f64) {
         self.counters.reloads += 1;
         self.reload_teams();
@@ -38,7 +40,7 @@
         let Some(reload) = &self.reloaders.teams else { return };
         match reload() {
             Ok(file) => {
-                log::info!(teams = file.teams.len(); "teams file taken");
+                log::info!(teams = file.teams.len(); "teams file applied");
                 self.routing.set_tenants(file);
             }
             Err(error) => self.refuse("teams file", &error),
@@ -48,7 +50,7 @@
     fn reload_cluster(&mut self) {
         let Some(reload) = &self.reloaders.cluster else { return };
         match reload() {
-            Ok(cluster) => self.subsystems.change_cluster(cluster),
+            Ok(cluster) => self.subsystems.apply_cluster_file(cluster),
             Err(error) => self.refuse("cluster file", &error),
         }
     }
@@ -56,7 +58,7 @@
     fn reload_service(&mut self) {
         let Some(reload) = &self.reloaders.service else { return };
         match reload() {
-            Ok(file) => self.subsystems.change_service(file),
+            Ok(file) => self.subsystems.apply_service_file(file),
             Err(error) => self.refuse("service file", &error),
         }
     }
@@ -64,8 +66,8 @@
     fn reload_config(&mut self, now: f64) {
         match (self.reloaders.config)() {
             Ok(ReloadedConfig { discovery, known }) => {
-                let former = self.discovery.reconfigure(discovery, known, now, &mut self.input.list_events);
-                if let Some(token) = former {
+                let replaced = self.discovery.reconfigure(discovery, known, now, &mut self.input.list_events);
+                if let Some(token) = replaced {
                     self.handle.remove(token);
                 }
             }
@@ -73,8 +75,8 @@
         }
     }
 
-    fn refuse(&mut self, what: &str, error: &FileError) {
+    fn refuse(&mut self, file: &str, error: &FileError) {
         self.counters.reloads_refused += 1;
-        log::warn!("the {what} is not taken, the running one stands: {error}");
+        log::warn!("the {file} is not applied, the running one stays in effect: {error}");
     }
 }
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -1,4 +1,5 @@
-//! The server: one turn reads all that is ready, hands it to routing in one go, and writes what came of it.
+//! The server. Each turn of its loop reads all ready sources, passes their input to routing as one batch, and writes
+//! the results.
 
 use super::client_sessions::ClientSessions;
 use super::clients_and_engines::ClientsAndEngines;
@@ -21,34 +22,38 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Sessions and connections are looked over so often for what has stalled, in seconds.
+/// How often sessions and connections are checked for time-outs, in seconds.
 const SWEEP_INTERVAL: f64 = 0.05;
-/// A gap between turns is a pause from so many intervals on.
+/// A gap between two turns that is longer than this many turn intervals counts as a pause of the process.
 const PAUSE_INTERVALS: f64 = 1.5;
-/// A line of the discovery service may take this part of the memory, and at least so many bytes: a list of 1,024 engines of
-/// 1 KiB each, which is held only while it is read.
-const LIST_LINE_PART: usize = 16;
+/// A line from the discovery service may be as long as the router's memory divided by this. A line is held only while
+/// it is read.
+const LIST_LINE_MEMORY_DIVISOR: usize = 16;
+/// The limit on a line from the discovery service is at least this many bytes: a list of 1,024 engines of 1 KiB each.
 const MIN_LIST_LINE: usize = 1024 * 1024;
-/// The parts of the descriptors that engines may take.
-const ENGINE_DESCRIPTOR_PART: usize = 4;
+/// Engine connections may take the router's file descriptors divided by this.
+const ENGINE_DESCRIPTOR_DIVISOR: usize = 4;
 const MICROSECONDS: f64 = 1e6;
 
-/// What a router is told at its start, beside what its decisions are told.
+/// The settings of the server. Those of the decision core are separate.
 pub struct RouterSettings {
+    /// The address that clients connect to.
     pub listen: SocketAddr,
+    /// The address of the discovery service, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// The last event of discovery that is known.
+    /// The number of the last discovery event that is known.
     pub last_event: u64,
-    /// Descriptors that it may use.
+    /// The number of file descriptors that the router may use.
     pub descriptors: usize,
-    /// Bytes of memory that it may use.
+    /// The memory that the router may use, in bytes.
     pub memory: usize,
+    /// Limits of the connections to engines.
     pub connections: ConnectionLimits,
-    /// How long a client waits for a request at most.
+    /// The longest time that a client waits for a request, in seconds; none if the configuration does not state it.
     pub longest_request: Option<f64>,
 }
 
-/// Everything that a running router holds.
+/// The state of a running router.
 pub(super) struct Server {
     pub(super) handle: LoopHandle,
     pub(super) routing: Routing,
@@ -56,28 +61,31 @@
     pub(super) subsystems: Subsystems,
     pub(super) reloaders: Reloaders,
     pub(super) counters: Counters,
-    /// What the next round of routing is told.
+    /// The input that is collected for the next turn of routing.
     pub(super) input: TurnInput,
     connections: ClientsAndEngines,
-    /// What is to be looked at in the next turn, though nothing becomes ready.
+    /// The sources that must be processed again in the next turn although they will not be reported as ready.
     unfinished: Vec<EventSource>,
     clock: WallClock,
-    /// When the last turn began.
+    /// When the last turn began; during a turn, when that turn began.
     last_turn_at: f64,
-    /// When this turn was due, if nothing became ready before.
+    /// When the next turn is due if no source becomes ready before.
     wake_at: f64,
+    /// When sessions and connections are next checked for time-outs.
     sweep_at: f64,
-    /// Engines are known, and clients are served.
+    /// Whether clients are served: since the engines were first known.
     is_serving: bool,
+    /// As in `RouterSettings`.
     longest_request: Option<f64>,
+    /// None until a planned stop begins.
     shutdown: Option<Shutdown>,
     health: Health,
 }
 
-/// Serves until the router is told to stop and every request has its answer.
+/// Serves clients until a planned stop, which a signal begins, is finished. Returns the final counters.
 ///
 /// # Errors
-/// An address can't be listened on, or the event loop fails.
+/// An address can't be listened on, a thread can't be started, or the event loop fails.
 pub fn serve(
     settings: RouterSettings,
     routing: Routing,
@@ -92,7 +100,7 @@
     let mut ready = ReadyEvents::default();
     loop {
         server.turn(&mut ready);
-        if server.has_stopped() {
+        if server.try_finish_shutdown() {
             return Ok(server.all_counters());
         }
         wait(&mut event_loop, &mut server.clock, server.wake_at, &mut ready)?;
@@ -112,9 +120,10 @@
         let now = clock.read();
         let RouterSettings { descriptors, memory, .. } = settings;
         let sessions = ClientSessions::open(&handle, settings.listen, descriptors, memory)?;
-        let pool = ConnectionPool::new(&handle, settings.connections, descriptors / ENGINE_DESCRIPTOR_PART);
+        let pool =
+            ConnectionPool::new(&handle, settings.connections, descriptors / ENGINE_DESCRIPTOR_DIVISOR);
         let subsystems = Subsystems::open(&handle, subsystems, &routing, now)?;
-        let longest_line = (memory / LIST_LINE_PART).max(MIN_LIST_LINE);
+        let longest_line = (memory / LIST_LINE_MEMORY_DIVISOR).max(MIN_LIST_LINE);
         Ok(Server {
             discovery: DiscoveryClient::new(settings.discovery, settings.last_event, longest_line, now),
             connections: ClientsAndEngines { sessions, pool, now },
@@ -136,10 +145,10 @@
         })
     }
 
-    /// One turn.
+    /// Runs one turn: reads, decides, answers, and schedules the next turn.
     fn turn(&mut self, ready: &mut ReadyEvents) {
         let now = self.clock.read();
-        let overslept = (now - self.wake_at).max(0.0);
+        let wake_delay = (now - self.wake_at).max(0.0);
         self.begin_turn(now);
         let sources = self.take_sources(ready);
         for signal in std::mem::take(&mut ready.signals) {
@@ -154,11 +163,12 @@
         self.answer_questions(now);
         self.start_serving_if_ready();
         self.note_unfinished();
-        self.count_turn(overslept);
+        self.count_turn(wake_delay);
         self.schedule_next_turn(wake_at, now);
     }
 
-    /// What has come in while there was no turn came after the last one, and its time runs from then.
+    /// Input that arrived during a pause can have arrived at any time since the last turn, so its time is counted from
+    /// that turn on.
     fn begin_turn(&mut self, now: f64) {
         let paused = now - self.last_turn_at > PAUSE_INTERVALS * TURN_INTERVAL;
         self.input.received_since = paused.then_some(self.last_turn_at);
@@ -166,7 +176,7 @@
         self.connections.now = now;
     }
 
-    /// What is ready, and what was left unfinished in the last turn.
+    /// Takes the sources that are ready and those that the last turn left unfinished.
     fn take_sources(&mut self, ready: &mut ReadyEvents) -> Vec<(EventSource, Readiness)> {
         let mut sources = std::mem::take(&mut ready.sources);
         let unfinished = std::mem::take(&mut self.unfinished);
@@ -175,25 +185,26 @@
     }
 
     fn read_sources(&mut self, sources: Vec<(EventSource, Readiness)>, now: f64) {
-        let mut accepts = false;
+        let mut has_connections_to_accept = false;
         for (source, readiness) in sources {
             match source {
-                EventSource::ClientListener => accepts = true,
+                EventSource::ClientListener => has_connections_to_accept = true,
                 EventSource::ClientSession(id) => {
                     let sessions = &mut self.connections.sessions;
-                    sessions.work(id, readiness, self.is_serving, now, &mut self.input);
+                    sessions.process_session(id, readiness, self.is_serving, now, &mut self.input);
                 }
                 EventSource::EngineConnection(id) => {
                     self.connections.pool.work(id, readiness.readable, self.clock.read());
                 }
                 EventSource::Discovery => self.read_discovery(readiness.readable, now),
                 EventSource::BgpConnection(_) | EventSource::BgpListener | EventSource::Cluster => {
-                    self.subsystems.ready(source, readiness);
+                    self.subsystems.handle_ready(source, readiness);
                 }
             }
         }
-        // Last, as those that are closed to make room must have nothing unread.
-        if accepts {
+        // Connections are accepted last: accepting may close a session to free a place, and only a session without
+        // unread input may be closed.
+        if has_connections_to_accept {
             self.connections.sessions.accept(now);
         }
     }
@@ -201,19 +212,20 @@
     fn read_discovery(&mut self, readable: bool, now: f64) {
         let discovery = &mut self.discovery;
         let events = &mut self.input.list_events;
-        let worked =
+        let result =
             catch_panic("the connection to the discovery service", || discovery.work(readable, now, events));
-        let lost = match worked {
+        let closed_token = match result {
             Some(Ok(())) => None,
             Some(Err(error)) => self.discovery.lost(&error.to_string(), now),
-            None => self.discovery.lost("failed", now),
+            None => self.discovery.lost("panic while reading", now),
         };
-        if let Some(token) = lost {
+        if let Some(token) = closed_token {
             self.handle.remove(token);
         }
     }
 
-    /// What falls due without anything becoming ready.
+    /// Runs the tasks whose time has come: reconnecting to the discovery service, the timers of the connection pool, and
+    /// the checks for time-outs.
     fn run_due(&mut self, now: f64) {
         if now >= self.discovery.due() {
             match self.discovery.wants_connection(now) {
@@ -232,30 +244,30 @@
     fn connect_to_discovery(&mut self, address: SocketAddr, now: f64) {
         let connection = begin_connect(&self.handle, address, EventSource::Discovery);
         if let Err(error) = &connection {
-            log::debug!("discovery service {address}: {error}");
+            log::debug!("can't connect to discovery service {address}: {error}");
         }
         self.discovery.connecting(connection.ok(), now);
     }
 
     fn run_subsystems(&mut self, now: f64) {
         let Server { subsystems, routing, discovery, connections, health, .. } = self;
-        let is_listening = self.is_serving && connections.sessions.has_room();
-        let silence = discovery.silent_for(now);
-        subsystems.run_speaker_turn(|| health.readings(now, is_listening, silence, routing));
+        let is_listening = self.is_serving && connections.sessions.can_admit();
+        let discovery_silence = discovery.silent_for(now);
+        subsystems.run_speaker_turn(|| health.readings(now, is_listening, discovery_silence, routing));
         subsystems.run_cluster_turn(now, routing);
-        subsystems.run_recovery_turn(now, routing);
+        subsystems.run_store_turn(now, routing);
     }
 
-    /// Routing's turn; returns when it wants the next one.
+    /// Runs the turn of routing. Returns when routing needs its next turn.
     fn run_routing(&mut self, now: f64) -> f64 {
         let mut input = std::mem::take(&mut self.input);
         self.connections.pool.take_ended(&mut input.ended_attempts);
         self.connections.sessions.carry_out_kills(self.is_serving, now, &mut input);
-        // Reading may have taken long: what is decided now leaves now.
+        // Reading may have taken long. The decisions are made with the time at which their attempts are sent.
         let now = self.clock.read();
         self.connections.now = now;
         let output = self.routing.turn(now, input, &mut self.connections);
-        // On the clock as it is: a connection that has come up takes only what may still leave.
+        // The clock is read again: a newly established connection takes only the attempts that may still be sent.
         self.connections.pool.send_queued(self.clock.read());
         for RefusedStatement { session, error } in output.refused {
             self.connections.sessions.refuse_statement(session, &error, now);
@@ -263,9 +275,9 @@
         output.wake_at
     }
 
-    /// Answers what clients asked of the router itself.
+    /// Answers the questions that clients asked about the router itself: its counters and its status tables.
     fn answer_questions(&mut self, now: f64) {
-        if self.connections.sessions.has_asked_for_counters() {
+        if self.connections.sessions.has_counter_requests() {
             let counters = self.all_counters();
             self.connections.sessions.answer_counters(&counters, now);
         }
@@ -292,18 +304,19 @@
         if self.discovery.is_unfinished() {
             self.unfinished.push(EventSource::Discovery);
         }
-        if sessions.accepts_more() {
+        if sessions.can_accept_now() {
             self.unfinished.push(EventSource::ClientListener);
         }
         self.unfinished.extend(self.subsystems.unfinished());
     }
 
-    fn count_turn(&mut self, overslept: f64) {
-        let spent = self.clock.read() - self.last_turn_at;
+    /// Updates the counters of turns. `wake_delay` is how late the turn began, in seconds.
+    fn count_turn(&mut self, wake_delay: f64) {
+        let duration = self.clock.read() - self.last_turn_at;
         let counters = self.routing.counters();
         counters.turns += 1;
-        counters.longest_turn_us = counters.longest_turn_us.max((spent * MICROSECONDS) as u64);
-        counters.latest_wake_us = counters.latest_wake_us.max((overslept * MICROSECONDS) as u64);
+        counters.longest_turn_us = counters.longest_turn_us.max((duration * MICROSECONDS) as u64);
+        counters.latest_wake_us = counters.latest_wake_us.max((wake_delay * MICROSECONDS) as u64);
     }
 
     fn schedule_next_turn(&mut self, routing_wakes_at: f64, now: f64) {
@@ -323,7 +336,7 @@
         self.wake_at = due.into_iter().fold(now + TURN_INTERVAL, f64::min);
     }
 
-    /// The counters of all parts.
+    /// The sum of the counters of all parts of the router.
     fn all_counters(&mut self) -> Counters {
         let mut counters = self.routing.counters().clone();
         counters.add(&self.connections.sessions.counters());
@@ -348,30 +361,31 @@
 
     fn begin_shutdown(&mut self, signal: Signal, now: f64) {
         let shutdown = Shutdown::begin(now, self.longest_request);
-        let open = self.routing.open_requests();
-        log::info!(requests = open, signal:? = signal; "{signal:?}: stopping, {open} requests open");
+        let open_requests = self.routing.open_requests();
+        log::info!(requests = open_requests, signal:? = signal; "{signal:?}: stopping, {open_requests} requests open");
         self.routing.stop_at(shutdown.answered_by());
-        // Nothing new within the second, whatever routing peers do; what is announced goes at once.
+        // New requests are refused within a second, whatever the BGP peers do; announced addresses are withdrawn at once.
         let new_work_ends_in = self.routing.drain(now) - now;
         self.subsystems.begin_shutdown(new_work_ends_in);
         self.shutdown = Some(shutdown);
     }
 
-    /// All requests have their answers, or the time is over. Then clients and routing peers are told goodbye, those peers first
-    /// that may keep routes to this router, for as long as there is time.
-    fn has_stopped(&mut self) -> bool {
+    /// Advances a planned stop, and returns whether the router may exit: once its time is over, or once every request has
+    /// its answer and the sessions with clients and BGP peers are closed. Before these sessions are closed, the stop waits
+    /// until BGP peers have no routes to this router left, for as long as there is time.
+    fn try_finish_shutdown(&mut self) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
         let now = self.connections.now;
-        if shutdown.is_over(now) {
+        if shutdown.must_exit(now) {
             return true;
         }
-        let is_cleared = self.subsystems.is_cleared_of_routes() || shutdown.is_late(now);
+        let may_close = self.subsystems.are_routes_cleared() || shutdown.is_answer_time_over(now);
         let is_busy = self.routing.open_requests() > 0 || self.connections.sessions.is_busy();
-        if shutdown.expects_requests(now) || !is_cleared || is_busy {
+        if shutdown.expects_requests(now) || !may_close || is_busy {
             return false;
         }
-        let closed = self.connections.sessions.close_gracefully(now);
-        let said_goodbye = self.subsystems.say_goodbye();
-        closed && said_goodbye
+        let clients_closed = self.connections.sessions.close_gracefully(now);
+        let bgp_closed = self.subsystems.close_bgp_sessions();
+        clients_closed && bgp_closed
     }
 }
--- a/crates/router/src/transport/shutdown.rs
+++ b/crates/router/src/transport/shutdown.rs
@@ -1,34 +1,35 @@
-//! A planned stop, from the signal to the exit.
+//! The schedule of a planned stop, from the signal to the exit.
 
-/// After a planned stop, requests come for this long, in seconds.
-const REQUESTS_COME_FOR: f64 = 0.75;
-/// The router is killed so long after its longest request, in seconds.
-const KILLED_AFTER: f64 = 0.7;
-/// The longest request counts for no more than this, in seconds.
+/// How long after the signal new requests may still arrive, in seconds.
+const REQUEST_ARRIVAL_WINDOW: f64 = 0.75;
+/// The router is killed this long after the longest time that a request may take, in seconds.
+const KILL_DELAY: f64 = 0.7;
+/// Upper bound of the longest time that a request may take, in seconds.
 const MAX_LONGEST_REQUEST: f64 = 3.0;
-/// The last answers are out so much sooner, in seconds.
+/// The last answers are sent this long before the router is killed, in seconds.
 const MARGIN: f64 = 0.3;
 
 /// The times of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    /// Requests may come until then.
+    /// New requests may arrive until this time.
     requests_come_until: f64,
-    /// Every request has its answer by then.
+    /// Every request has its answer by this time.
     answered_by: f64,
 }
 
 impl Shutdown {
-    /// A stop that begins now, where a client waits for `longest_request` at most, if that is stated.
+    /// A stop that begins at `now`. `longest_request` is the longest time that a client waits for a request, in
+    /// seconds; none if the configuration does not state it.
     pub fn begin(now: f64, longest_request: Option<f64>) -> Shutdown {
         let longest = longest_request.map_or(MAX_LONGEST_REQUEST, |longest| longest.min(MAX_LONGEST_REQUEST));
         Shutdown {
-            requests_come_until: now + REQUESTS_COME_FOR,
-            answered_by: now + longest + KILLED_AFTER - MARGIN,
+            requests_come_until: now + REQUEST_ARRIVAL_WINDOW,
+            answered_by: now + longest + KILL_DELAY - MARGIN,
         }
     }
 
-    /// When every request has its answer.
+    /// The time by which every request has its answer.
     pub fn answered_by(&self) -> f64 {
         self.answered_by
     }
@@ -37,24 +38,25 @@
         self.answered_by + MARGIN / 2.0
     }
 
-    /// The next of its times; `now` once all have passed.
+    /// The next of the scheduled times; `now` once all of them have passed.
     pub fn next_time(&self, now: f64) -> f64 {
         let times = [self.requests_come_until, self.answered_by, self.exits_at()];
         times.into_iter().find(|time| now < *time).unwrap_or(now)
     }
 
-    /// Requests may still come.
+    /// Whether new requests may still arrive.
     pub fn expects_requests(&self, now: f64) -> bool {
         now < self.requests_come_until
     }
 
-    /// Nothing is waited for any more but answers.
-    pub fn is_late(&self, now: f64) -> bool {
+    /// Whether the time by which every request has its answer has passed. From then on the stop waits for nothing but
+    /// answers that are not yet written.
+    pub fn is_answer_time_over(&self, now: f64) -> bool {
         now >= self.answered_by
     }
 
-    /// The time is over, whatever is left.
-    pub fn is_over(&self, now: f64) -> bool {
+    /// Whether the router exits now, even if requests or sessions are left.
+    pub fn must_exit(&self, now: f64) -> bool {
         now >= self.exits_at()
     }
 }
--- a/crates/router/src/transport/subsystems.rs
+++ b/crates/router/src/transport/subsystems.rs
@@ -1,5 +1,5 @@
-//! The parts of the router that may be absent: service addresses, the cluster, the store. Each has its turn and its due time
-//! here, on the monotonic clock.
+//! The optional parts of the router: the BGP speaker for service addresses, the cluster, and the store. Their turns are
+//! run and their due times are kept here, on the monotonic clock.
 
 use super::bgp_speaker::BgpSpeaker;
 use super::clock::{unix_time, MonotonicClock};
@@ -14,24 +14,24 @@
 use cleatgw_operator_config::{ServiceFile, StoreFile};
 use std::io;
 
-/// Other routers are told of engines, and heard, so often, in seconds.
+/// How often observations of engines are exchanged with the other routers, in seconds.
 const GOSSIP_INTERVAL: f64 = 0.25;
 
-/// The service addresses that follow this router.
+/// The service addresses that are announced by BGP according to this router's health.
 pub struct ServiceSettings {
     pub file: ServiceFile,
-    /// What its chance is drawn from.
+    /// Seed of the speaker's random numbers.
     pub seed: u64,
 }
 
-/// Where this router persists what it needs after a restart.
+/// Where this router persists the state that it needs after a restart.
 pub struct StoreSettings {
     pub file: StoreFile,
-    /// Whose file it is.
+    /// Identifies the router that the store's file belongs to.
     pub owner: u64,
 }
 
-/// The operators' files at the start, each of which may be absent.
+/// The operators' files as read at the start; none for a file that was not given.
 #[derive(Default)]
 pub struct SubsystemSettings {
     pub service: Option<ServiceSettings>,
@@ -39,19 +39,21 @@
     pub store: Option<StoreSettings>,
 }
 
+/// The running subsystems; none for those that are not configured.
 pub struct Subsystems {
     speaker: Option<BgpSpeaker>,
     cluster: Option<ClusterSocket>,
     store: Option<StoreWriter>,
     clock: MonotonicClock,
+    /// When observations of engines are next exchanged, on the wall clock.
     next_gossip_at: f64,
 }
 
 impl Subsystems {
-    /// Opens what is set up. Its clock begins with the end of that.
+    /// Opens the configured subsystems. Their monotonic clock starts once all are open.
     ///
     /// # Errors
-    /// A socket can't be listened on, or no thread can be had.
+    /// A socket can't be listened on, or a thread can't be started.
     pub fn open(
         handle: &LoopHandle,
         settings: SubsystemSettings,
@@ -71,8 +73,8 @@
         Ok(Subsystems { speaker, cluster, store, clock: MonotonicClock::start(), next_gossip_at: now })
     }
 
-    /// One of their sources is ready.
-    pub fn ready(&mut self, source: EventSource, readiness: Readiness) {
+    /// Passes a ready source to the subsystem that it belongs to.
+    pub fn handle_ready(&mut self, source: EventSource, readiness: Readiness) {
         let now = self.clock.read();
         match (source, &mut self.speaker, &mut self.cluster) {
             (EventSource::BgpConnection(id), Some(speaker), _) => speaker.ready(id, readiness, now),
@@ -82,14 +84,15 @@
         }
     }
 
-    /// The speaker's turn; what it says goes out before this turn's requests are weighed.
+    /// Runs the speaker's turn. Its announcements are sent before routing decides on this turn's requests.
     pub fn run_speaker_turn(&mut self, readings: impl FnOnce() -> Readings) {
         if let Some(speaker) = &mut self.speaker {
             speaker.turn(self.clock.read(), readings);
         }
     }
 
-    /// The cluster's turn. What others say of engines is handed on as often as the decisions look at such things.
+    /// Runs the cluster's turn. Observations of engines are exchanged with the other routers every `GOSSIP_INTERVAL`, as
+    /// often as the decision core uses them.
     pub fn run_cluster_turn(&mut self, now: f64, routing: &mut Routing) {
         let Some(cluster) = &mut self.cluster else { return };
         let monotonic = self.clock.read();
@@ -101,8 +104,8 @@
         cluster.turn(monotonic);
     }
 
-    /// The store's turn, ahead of the decisions'.
-    pub fn run_recovery_turn(&mut self, now: f64, routing: &mut Routing) {
+    /// Runs the store's turn, which comes before the turn of the decision core.
+    pub fn run_store_turn(&mut self, now: f64, routing: &mut Routing) {
         let Some(store) = &mut self.store else { return };
         let epoch_seen = self.cluster.as_ref().and_then(ClusterSocket::store_epoch_seen);
         let epoch = store.turn(self.clock.read(), now, epoch_seen, routing);
@@ -111,7 +114,7 @@
         }
     }
 
-    /// When the next of their turns is due, on the Unix clock that reads `now`.
+    /// When the next turn of a subsystem is due, as wall clock time. `now` is the current wall clock time.
     pub fn due(&self, now: f64) -> f64 {
         let speaker = self.speaker.as_ref().map_or(f64::INFINITY, BgpSpeaker::due);
         let cluster = self.cluster.as_ref().map_or(f64::INFINITY, ClusterSocket::due);
@@ -119,7 +122,7 @@
         MonotonicClock::to_unix(speaker.min(cluster).min(store), self.clock.read(), now)
     }
 
-    /// What is to be looked at in the next turn, though nothing becomes ready.
+    /// The sources that must be processed again in the next turn although they will not be reported as ready.
     pub fn unfinished(&mut self) -> Vec<EventSource> {
         let mut sources = self.speaker.as_mut().map_or(Vec::new(), BgpSpeaker::unfinished);
         if self.cluster.as_ref().is_some_and(ClusterSocket::is_unfinished) {
@@ -140,9 +143,10 @@
         }
     }
 
-    /// How something of theirs stands; none where it is absent, or not theirs.
+    /// The rows that answer a status question; none if the subsystem is absent, or if the question concerns none of them.
     pub fn status(&self, question: Question) -> Option<Vec<StatusRow>> {
-        // Read ahead of the monotonic clock, so that no pause between the two lets a row claim too much.
+        // The Unix clock is read before the monotonic clock, so that a pause between the two readings can't make a row
+        // claim too much.
         let unix = unix_time();
         let now = self.clock.read();
         match question {
@@ -154,7 +158,7 @@
         }
     }
 
-    /// A planned stop begins; new work ends in so many seconds.
+    /// Begins a planned stop. New requests are refused after `new_work_ends_in` seconds.
     pub fn begin_shutdown(&mut self, new_work_ends_in: f64) {
         let now = self.clock.read();
         if let Some(speaker) = &mut self.speaker {
@@ -165,26 +169,26 @@
         }
     }
 
-    /// No route to this router is left at any routing peer, as far as can be known.
-    pub fn is_cleared_of_routes(&self) -> bool {
+    /// Whether no BGP peer has a route to this router any more, as far as this router can know.
+    pub fn are_routes_cleared(&self) -> bool {
         self.speaker.as_ref().is_none_or(|speaker| speaker.is_cleared(self.clock.read()))
     }
 
-    /// Says goodbye to routing peers, once; tells whether that is done, or has had its time.
-    pub fn say_goodbye(&mut self) -> bool {
+    /// Closes the sessions with BGP peers; the first call begins that. Returns whether it is done or its time is over.
+    pub fn close_bgp_sessions(&mut self) -> bool {
         let now = self.clock.read();
         self.speaker.as_mut().is_none_or(|speaker| speaker.say_goodbye(now))
     }
 
-    /// A new cluster file.
-    pub fn change_cluster(&mut self, joined: JoinedCluster) {
+    /// Applies a new cluster file.
+    pub fn apply_cluster_file(&mut self, joined: JoinedCluster) {
         if let Some(cluster) = &mut self.cluster {
             cluster.change(joined, self.clock.read());
         }
     }
 
-    /// A new service file.
-    pub fn change_service(&mut self, file: ServiceFile) {
+    /// Applies a new service file.
+    pub fn apply_service_file(&mut self, file: ServiceFile) {
         if let Some(speaker) = &mut self.speaker {
             speaker.change(file, self.clock.read());
         }
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -128,7 +128,11 @@
     let bad = good.replace(r#""tenants":[{"name":"town"}]"#, &format!(r#""tenants":[{tenants}]"#));
     assert_ne!(bad, good);
     router.reload(&bad);
-    let told = router.log.wait("the configuration is not taken, the running one stands", 1).pop().unwrap();
+    let told = router
+        .log
+        .wait("the configuration is not applied, the running one stays in effect", 1)
+        .pop()
+        .unwrap();
     assert!(told.contains("field settings: setting tenants.count: expected 0 to 10000, got 10001"), "{told}");
     assert_eq!(client.ask(&request("look", 5000, "x")), row());
     client.counters("reloads_refused", 1);
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -187,7 +187,7 @@
     };
     std::fs::write(cluster.file(0), "{\"name\": \"lab\"}").unwrap();
     cluster.router(0).signal(Signal::HUP);
-    cluster.router(0).log.wait("the cluster file is not taken", 1);
+    cluster.router(0).log.wait("the cluster file is not applied", 1);
     cluster.stands(0, "whole");
     for router in 0..3 {
         std::fs::write(cluster.file(router), grown(router)).unwrap();
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -277,7 +277,7 @@
     let mut world = World::with(&service_file(&[&first], ""), &["--log-format", "json"]);
     first.wait("announced for good", |peering| announced(peering) == 2);
     world.reload(&service_file(&[&first], "\"guard\":7,"));
-    world.router.log.wait("the service file is not taken, the running one stands", 1);
+    world.router.log.wait("the service file is not applied, the running one stays in effect", 1);
     world.router.log.wait("field guard: invalid type: integer `7`, expected a boolean", 1);
     // Another identifier can't be had; another peer can.
     let new = service_file(&[&second], "").replace("192.0.2.1\",\"peers", "192.0.2.9\",\"peers");
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -86,10 +86,10 @@
     Client::new(&world.router).counters("taken", 15);
     std::fs::write(&world.file, r#"{"teams":[{"name":"modest","weight":0}]}"#).unwrap();
     world.router.signal(Signal::HUP);
-    world.router.log.wait("the teams file is not taken, the running one stands", 1);
+    world.router.log.wait("the teams file is not applied, the running one stays in effect", 1);
     std::fs::write(&world.file, r#"{"teams":[{"name":"modest","weight":1}]}"#).unwrap();
     world.router.signal(Signal::HUP);
-    world.router.log.wait("teams file taken", 1);
+    world.router.log.wait("teams file applied", 1);
     let shown = rows(&world);
     assert!(shown.contains("team others-") && !shown.contains("team greedy"), "{shown}");
     std::thread::sleep(Duration::from_millis(100));
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -435,7 +435,7 @@
         ["", "{\"name\":", &router.configuration(&old, "{}").replace("\"gain\":1.0", "\"gain\":\"much\"")]
     {
         router.reload(bad);
-        router.log.wait("the configuration is not taken, the running one stands", 1);
+        router.log.wait("the configuration is not applied, the running one stays in effect", 1);
         router.log.forget();
     }
     let known = |number, entry| {
--- a/crates/testbed/src/capacity/configuration.rs
+++ b/crates/testbed/src/capacity/configuration.rs
@@ -150,7 +150,7 @@
         change_s,
         burst_s,
         cpu_ms: 1e3 * spent.max(0.0) / changes as f64,
-        seen: fleet.lines("teams file taken") as f64 / changes as f64,
+        seen: fleet.lines("teams file applied") as f64 / changes as f64,
         refused: fleet.lines("not taken"),
     }
 }
@@ -241,7 +241,7 @@
     };
     let none = || None;
     let fixed = |field: &str| format!("configuration: {field} can't change while running");
-    plays("teams file", "teams file taken", &in_file("teams", tenants(11)), &none);
+    plays("teams file", "teams file applied", &in_file("teams", tenants(11)), &none);
     let text_of_three = cluster_file(
         "lab",
         &["n1".into(), "n2".into(), "n3".into()],
