--- a/src/actions.rs
+++ b/src/actions.rs
@@ -13,7 +13,8 @@
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64);
     /// Cancels an attempt. `attempt` is its number among the attempts of its request.
     fn cancel(&mut self, request: usize, attempt: u32);
-    /// Answers that the request was not run and that sending it again is harmless. `retry_after` is in seconds.
+    /// Answers that the request was not completed and that sending it again is harmless. It may have run if a second
+    /// run has no effect. `retry_after` is in seconds.
     fn reject(&mut self, request: usize, retry_after: Option<f64>);
     /// Answers that the request was not completed. It may have run.
     fn fail(&mut self, request: usize);
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -41,8 +41,9 @@
     pace: f64,
     /// The pace as evidence of the load of other gateways; absent if it is no such evidence.
     peer_load_pace: Option<f64>,
-    /// The work of the class is estimated but never measured, and there are few gateways.
-    is_never_measured: bool,
+    /// The pace as evidence is relative to the lowest recent pace of the class. This holds if the work of the class is
+    /// estimated but has never been measured, and there are few gateways.
+    uses_relative_pace: bool,
     /// This gateway did not run for a while, so the time of the answer is not known.
     is_stalled: bool,
 }
@@ -87,8 +88,8 @@
         let class = request.incoming.class;
         let threads = self.deployment.classes[class].threads;
         let has_estimate = request.incoming.estimated_work.is_some();
-        // If the work is neither measured nor estimated, the elapsed thread time is a safe value for the slow-start
-        // budget.
+        // If the work is neither measured nor estimated, the elapsed thread time takes its place. It is an upper bound
+        // of the work, and so is safe for the slow-start budget, which it enters by the mean work of the class.
         let unmeasured = if has_estimate { request.work } else { end.elapsed * threads };
         let work = end.measured.map_or(unmeasured, |measured| measured.work);
         let memory = end.measured.map_or(request.memory, |measured| measured.memory_mb);
@@ -96,13 +97,14 @@
         let is_stalled = now > self.next_tick + TICK;
         let model = &mut self.classes[class];
         let pace = if is_stalled { model.pace() } else { end.elapsed * threads / work.max(MIN_WORK) };
-        // Among few gateways this one's threads are a large part of an engine's load, and the lowest pace is soon
-        // observed. Many gateways that each know little must rather assume load that does not exist than none.
+        // If work is never measured, a gateway among few compares the pace with the lowest recent one. It soon observes
+        // that one, because its own threads are a large part of an engine's load. A gateway among many, which knows
+        // little, takes the pace as it is: assuming load that does not exist is safer for it than missing load.
         let cores = self.engines.states.get(end.engine).map_or(0.0, |engine| engine.cores);
-        let is_never_measured =
+        let uses_relative_pace =
             model.work_fit.is_unmeasured() && has_estimate && self.deployment.gateways <= cores;
         let is_evidence = end.outcome == AttemptOutcome::Completed && !is_quarter_grant && !is_stalled;
-        let peer_load_pace = match (is_never_measured, is_evidence) {
+        let peer_load_pace = match (uses_relative_pace, is_evidence) {
             (true, true) => model.pace_over_baseline(pace, work),
             (true, false) => None,
             (false, _) => Some(pace),
@@ -117,7 +119,7 @@
             threads,
             pace,
             peer_load_pace,
-            is_never_measured,
+            uses_relative_pace,
             is_stalled,
         })
     }
@@ -136,6 +138,8 @@
         );
         let shows_peer_load =
             ran && !sample.is_quarter_grant && !sample.is_stalled && self.deployment.gateways > 1.0;
+        // The threads per core on the engine are assumed to be proportional to the pace: at pace 1 they are the
+        // usual ones. Without this gateway's own threads, those of its peers remain.
         let estimated = sample
             .peer_load_pace
             .filter(|_| shows_peer_load)
@@ -143,10 +147,11 @@
         engine.concurrency.reports_load |= reported.is_some();
         self.load.record_pace(sample.pace);
         if let Some(threads) = reported.or(estimated) {
-            // A single estimate that no measurement corrects may be wrong by a factor of ten; a sum of many is not.
-            let is_never_measured = sample.is_never_measured;
+            // A single estimate that no measurement corrects may be wrong by a factor of ten; a sum of many
+            // is not. Such answers are weighted by their work, so that the mean is a ratio of sums.
+            let uses_relative_pace = sample.uses_relative_pace;
             let weight =
-                if is_never_measured { (sample.work / usual_work).min(MAX_ESTIMATE_WEIGHT) } else { 1.0 };
+                if uses_relative_pace { (sample.work / usual_work).min(MAX_ESTIMATE_WEIGHT) } else { 1.0 };
             self.load.record_peer_threads(engine, threads, weight);
         }
         if end.load.memory_waits.is_some_and(|waits| waits >= 1.0) {
@@ -154,7 +159,7 @@
         }
 
         let evidence = attempt_evidence(end, sample, class_pace, engine.last_answer_at);
-        engine.failures.add(sample.class, evidence);
+        engine.reliability.add(sample.class, evidence);
         let is_success = evidence.success > 0.0;
         if is_success {
             engine.record_success(sample.peer_load_pace, sample.pace, sample.work, now);
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -7,9 +7,9 @@
 pub(super) const INITIAL_LIMIT: f64 = 1.0;
 /// The threads per core that engines are assumed to run in a deployment of many gateways if no engine reports its load.
 pub(super) const USUAL_THREADS: f64 = 0.75;
-/// The fraction of the evidence about peers that is kept at each tick. With a smaller value, gateways react in step
-/// with each other.
-pub(super) const KEEP: f64 = 0.98;
+/// The fraction of the evidence about peers, and of the work by table group, that is kept at each tick. With a smaller
+/// value, gateways react in step with each other.
+pub(super) const KEEP_PER_TICK: f64 = 0.98;
 
 /// The bounds of the limit.
 const MIN_LIMIT: f64 = 0.6 * INITIAL_LIMIT;
@@ -26,8 +26,8 @@
 /// engine. It is larger if requests cannot make the engine page.
 const LIGHT_FACTOR: f64 = 2.0;
 const LIGHT_FACTOR_PAGING: f64 = 1.5;
-/// The largest multiple of its fair share of an engine that one gateway may use. Reports are delayed, so gateways that
-/// all see the same free capacity would overfill it together.
+/// The largest multiple of an equal share of the limit that one gateway may use on an engine. Reports are delayed, so
+/// gateways that all see the same free capacity would overfill it together.
 const MAX_SHARES: f64 = 2.0;
 /// The share of the limit that one gateway may use on an engine that does not report its load: most of the load may be
 /// its own.
@@ -56,7 +56,7 @@
 
     /// Adjusts the limit to the pace of answers at a tick. `used` is the load of all gateways, in threads per core.
     pub fn tick(&mut self, pace: f64, used: f64) {
-        self.peer_threads.decay(KEEP);
+        self.peer_threads.decay(KEEP_PER_TICK);
         if pace > SLOW_PACE {
             self.limit = (self.limit * SHRINK).max(MIN_LIMIT);
         } else if pace < FAST_PACE && used > self.limit * MIN_USED_SHARE {
@@ -71,12 +71,12 @@
         let threads = self.deployment.classes[class].threads;
         let limit = self.limit_for(engine, is_light);
         if engine.attempts == 0 {
-            // Without own attempts and load reports, the gateway would long remember a period of slow answers. A light
-            // request probes the engine.
-            let is_probe = is_light && self.deployment.gateways * threads <= engine.cores;
+            // Without own attempts and load reports, the gateway would long remember a period of slow answers. So a
+            // light request is sent as a trial, provided that the engine could run one from every gateway at once.
+            let is_trial = is_light && self.deployment.gateways * threads <= engine.cores;
             // The work sent to an engine in slow start is bounded by its budget, and the load that is estimated from
             // other engines does not exist there yet.
-            if is_probe || engine.in_slow_start {
+            if is_trial || engine.in_slow_start {
                 return true;
             }
         }
--- a/src/decision/cost_model.rs
+++ b/src/decision/cost_model.rs
@@ -21,11 +21,12 @@
 /// The factor by which a quarter grant slows a request: the value that is assumed until it is known, and its maximum.
 const INITIAL_SPILL_FACTOR: f64 = 2.0;
 const MAX_SPILL_FACTOR: f64 = 8.0;
-/// The spill factor is known from this many answers with the best grant and with a quarter grant, weighted by work.
-const MIN_SPILL_FACTOR_WEIGHT: f64 = 3.0;
+/// The spill factor is known once this many seconds of work (older work counts less) have completed with the best
+/// grant, and as many with a quarter grant.
+const MIN_SPILL_FACTOR_WORK: f64 = 3.0;
 
-/// The relation between estimates and measurements, as a line fitted through their logarithms: estimates far from the
-/// mean deviate more than the true values do.
+/// The relation between estimates and measurements, as a line fitted through their logarithms: an estimate far from the
+/// mean overstates how far the true value lies from the mean.
 #[derive(Clone, Copy, Default)]
 pub(super) struct CostFit {
     line: FittedLine,
@@ -155,7 +156,7 @@
 
     /// The factor by which a quarter grant slows a request.
     pub fn spill_factor(&self) -> f64 {
-        if self.quarter_pace.weight.min(self.pace.weight) < MIN_SPILL_FACTOR_WEIGHT {
+        if self.quarter_pace.weight.min(self.pace.weight) < MIN_SPILL_FACTOR_WORK {
             return INITIAL_SPILL_FACTOR;
         }
         let ratio = self.quarter_pace.mean_or(2.0) / self.pace.mean_or(1.0);
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -77,7 +77,7 @@
             let engine = &self.engines.states[index];
             for (class, indexed) in by_class.iter_mut().enumerate() {
                 let is_allowed = self.engines.orders.is_ready(index) && self.is_allowed_on(class, engine);
-                let success_rate = is_allowed.then(|| engine.failures.success_rate_for(class));
+                let success_rate = is_allowed.then(|| engine.reliability.success_rate_for(class));
                 indexed.success_rates.set(index, success_rate);
                 for (is_light, with_capacity) in [false, true].into_iter().zip(&mut indexed.with_capacity) {
                     with_capacity.set(index, is_allowed && self.has_capacity(class, engine, is_light));
@@ -115,8 +115,9 @@
         }
     }
 
-    /// The number of engines among which the best is chosen. Among many gateways, each with few requests, no gateway's
-    /// own threads show that an engine is overloaded. The number of a hot group's engines then follows its share of the
+    /// The number of engines among which the best is chosen. There are many gateways if one request of this class from
+    /// each would need more threads than the largest engine has cores. Each then has few requests, and no gateway's own
+    /// threads show that an engine is overloaded. The number of a hot group's engines then follows its share of the
     /// work.
     fn candidate_count(&self, table_group: u64, has_many_gateways: bool) -> usize {
         let ready = self.engines.orders.ready_count();
@@ -174,7 +175,7 @@
         let mut candidates = Candidates::default();
         walk.visit(orders, &mut |index| {
             let engine = &self.engines.states[index];
-            if may_run(index) && Self::is_reliable_or_probed(criteria, engine, min_success_rate) {
+            if may_run(index) && Self::is_reliable_or_on_trial(criteria, engine, min_success_rate) {
                 candidates.eligible.push(index);
                 if engine.ledger.fits(preferred_memory, criteria.now) {
                     candidates.fitting.push(index);
@@ -193,14 +194,14 @@
         can_wait && self.engines.states[engine].locked_table_groups.contains(&criteria.table_group)
     }
 
-    /// Whether an engine is reliable enough for the request, or the request probes it. An unreliable engine gets only
-    /// one light request at a time, and one per sample of its success rate, so that failures do not attract more
-    /// requests.
-    fn is_reliable_or_probed(criteria: &Criteria, engine: &EngineState, min_success_rate: f64) -> bool {
-        let is_probe = criteria.is_light
+    /// Whether an engine is reliable enough for the request, or the request may be its trial request. An unreliable
+    /// engine gets only one light request at a time, and one per sample of its success rate, so that failures do not
+    /// attract more requests.
+    fn is_reliable_or_on_trial(criteria: &Criteria, engine: &EngineState, min_success_rate: f64) -> bool {
+        let is_trial = criteria.is_light
             && engine.attempts == 0
-            && engine.failures.sampled_success_rate >= min_success_rate;
-        engine.failures.success_rate_for(criteria.class) >= min_success_rate || is_probe
+            && engine.reliability.sampled_success_rate >= min_success_rate;
+        engine.reliability.success_rate_for(criteria.class) >= min_success_rate || is_trial
     }
 
     /// Chooses the best of the engines whose ledger fits the preferred grant. If there is none, chooses among the
@@ -227,8 +228,9 @@
     ///
     /// - whether the request was attempted there before, because the cause of the failure may persist;
     /// - this gateway's threads per core;
-    /// - among many gateways, whether the engine has never answered this gateway: each gateway has so little traffic that it
-    ///   would otherwise open connections to all engines;
+    /// - whether the engine has never answered this gateway, if one request of this class from each gateway would need more
+    ///   threads than this engine has cores: each gateway then has so little traffic that it would otherwise open
+    ///   connections to all engines;
     /// - the estimated threads of other gateways;
     /// - a random number.
     fn rank(&self, criteria: &Criteria, index: usize) -> (bool, u64, bool, u64, u64) {
@@ -276,7 +278,7 @@
         self.load.threads += class.threads;
         self.engines.changed.push(index);
         let engine = &mut self.engines.states[index];
-        engine.failures.sampled_success_rate = 0.0;
+        engine.reliability.sampled_success_rate = 0.0;
         engine.threads += class.threads;
         engine.attempts += 1;
         if class.locks_tables {
--- a/src/decision/engine_state.rs
+++ b/src/decision/engine_state.rs
@@ -2,13 +2,13 @@
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::memory_ledger::MemoryLedger;
-use super::outlier_detection::FailureEstimate;
+use super::outlier_detection::ReliabilityEstimate;
 use crate::engine_index::{ClassIndex, HashOrders};
 use crate::statistics::{TimeWindow, WeightedMean};
 use crate::{EngineKind, EngineListing, EngineStage};
 
 /// The fraction of the evidence on an engine's pace that is kept at each tick, and at each answer.
-const KEEP_PACE: f64 = super::peer_load::KEEP_OVERALL;
+const KEEP_PACE_PER_TICK: f64 = super::peer_load::KEEP_OVERALL_PER_TICK;
 const KEEP_PACE_PER_ANSWER: f64 = 0.9;
 /// An engine's best pace rises by this factor at each answer, so that an old best is eventually forgotten.
 const BEST_PACE_DECAY: f64 = 1.001;
@@ -23,7 +23,7 @@
     /// This gateway's memory grants on the engine.
     pub ledger: MemoryLedger,
     /// The estimated success rate of attempts.
-    pub failures: FailureEstimate,
+    pub reliability: ReliabilityEstimate,
     /// The limit on the engine's threads per core.
     pub concurrency: ConcurrencyLimit,
     /// The threads that this gateway's attempts occupy on the engine.
@@ -36,9 +36,9 @@
     pub best_pace: Option<f64>,
     /// When the engine last gave a successful answer or a status message, or when it restarted.
     pub last_answer_at: f64,
-    /// The work recently sent to the engine, in which each request counts as its class's usual work.
+    /// The work recently sent to the engine, in seconds of one core. Each request counts as its class's usual work.
     pub slow_start_work: TimeWindow,
-    /// The work that peers report having sent to the engine during its slow start.
+    /// The work that peers report having sent to the engine during its slow start, in seconds of one core.
     pub peers_slow_start_work: f64,
     /// The table groups that requests of this gateway have locked on the engine.
     pub locked_table_groups: Vec<u64>,
@@ -52,7 +52,7 @@
     pub fn restart(&mut self, kind: Option<&EngineKind>, gateways: f64, now: f64) {
         let memory = kind.map_or(0.0, |kind| kind.memory_mb);
         self.ledger.restart(memory, memory / gateways);
-        self.failures = FailureEstimate::default();
+        self.reliability = ReliabilityEstimate::default();
         self.concurrency = ConcurrencyLimit::initial();
         self.pace = WeightedMean::default();
         self.best_pace = None;
@@ -73,8 +73,8 @@
         self.listing.stage == EngineStage::Ready && self.cores > 0.0
     }
 
-    /// Records a successful answer. `pace` is its pace as evidence on the engine's pace, if it is evidence at all;
-    /// `work` is the weight of that evidence; `measured_pace` is the pace as measured.
+    /// Records a successful answer. `pace` updates the engine's mean pace, with the weight `work`; it is absent if the
+    /// answer is no evidence on the engine's pace. `measured_pace` is the elapsed time per second of work per thread.
     pub fn record_success(&mut self, pace: Option<f64>, measured_pace: f64, work: f64, now: f64) {
         self.last_answer_at = now;
         if let Some(pace) = pace {
@@ -86,7 +86,7 @@
 
     /// Decays the evidence on the engine's pace by one tick.
     pub fn decay_pace(&mut self) {
-        self.pace.decay(KEEP_PACE);
+        self.pace.decay(KEEP_PACE_PER_TICK);
     }
 }
 
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -16,13 +16,13 @@
 };
 use cleatgw_tenant_queue::TenantQueue;
 
-/// How long new requests are still accepted after a drain began, in seconds. It must stay within the one second that is
-/// promised, with an allowance for a slow round of the host.
+/// How long new requests are still accepted after a drain began, in seconds. A drain promises that requests received
+/// more than one second after its start are not attempted; this is less, to allow for a slow round of the host.
 const ACCEPTS_WHILE_DRAINING: f64 = 0.95;
 /// How long after a failure the engine list is requested again, in seconds.
 const LIST_RETRY_DELAY: f64 = 1.0;
-/// The upper bound, in seconds, of the shortest latency objective, which scales the time allowed for everything but
-/// work.
+/// The upper bound, in seconds, of the shortest latency objective. That objective scales the allowance for delays other
+/// than the run time, in time-outs and in the time after which an attempt is overdue.
 const MAX_SHORTEST_OBJECTIVE: f64 = 0.8;
 /// A round stops placing requests after this many have found no engine.
 const MAX_FAILED_PLACEMENTS: usize = 12;
@@ -70,8 +70,8 @@
 #[derive(Default)]
 pub struct Gateway {
     pub(super) deployment: Deployment,
-    /// The shortest latency objective of all classes, in seconds. It scales the time allowed for everything but work,
-    /// because deployments differ in their time scales.
+    /// The shortest latency objective of all classes, in seconds, at most [`MAX_SHORTEST_OBJECTIVE`]. It scales the
+    /// allowance for delays other than the run time, because deployments differ in their time scales.
     pub(super) shortest_objective: f64,
     pub(super) random: RandomDraws,
     pub(super) threshold: GrantThreshold,
@@ -210,7 +210,7 @@
     /// Sets the recent evidence of all peers on an engine, in which each peer counts for at most one attempt.
     pub fn peer_evidence_received(&mut self, index: usize, evidence: EngineEvidence) {
         let Some(engine) = self.engines.states.get_mut(index) else { return };
-        engine.failures.set_peers(evidence.successes, evidence.failures);
+        engine.reliability.set_peers(evidence.successes, evidence.failures);
         engine.peers_slow_start_work = evidence.slow_start_work;
         self.engines.changed.push(index);
     }
@@ -219,7 +219,7 @@
     pub fn evidence(&self, index: usize, now: f64) -> Option<EngineEvidence> {
         let engine = self.engines.states.get(index)?;
         let window = self.deployment.slow_start.window;
-        let own = engine.failures.own;
+        let own = engine.reliability.own;
         Some(EngineEvidence {
             successes: own.sum,
             failures: own.weight - own.sum,
@@ -240,7 +240,7 @@
 
     /// The number of engines that are ready and not ejected.
     pub fn usable_engines(&self) -> usize {
-        self.engines.ready().filter(|engine| !engine.failures.ejected).count()
+        self.engines.ready().filter(|engine| !engine.reliability.ejected).count()
     }
 
     /// Sets when this instance stops. Requests with a later deadline get this time as their deadline.
@@ -346,7 +346,7 @@
         while failed_placements < MAX_FAILED_PLACEMENTS {
             let Some(id) = self.queue.next(now) else { break };
             self.round.earlier_request_unplaced = failed_placements > 0 && self.queue.has_tenants();
-            if !self.is_first_of_key(id, now) || self.retries_exhausted(id, now) {
+            if !self.is_first_of_key(id, now) || self.attempts_exhausted(id, now) {
                 continue;
             }
             if self.place(now, id, out) {
--- a/src/decision/grant_threshold.rs
+++ b/src/decision/grant_threshold.rs
@@ -42,7 +42,7 @@
     upwards: bool,
     climbing: bool,
     reversals: u32,
-    /// Waits for memory since the last review.
+    /// Waits for memory since the last review, in seconds.
     memory_waits: WeightedMean,
     /// The pace of completed attempts since the last review, weighted by work per thread.
     run_pace: WeightedMean,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Records that an engine reported that an attempt waits for memory.
+    /// Records that an engine reported that an attempt waits for memory. Each report counts as one second of waiting.
     pub fn record_memory_wait(&mut self) {
         self.memory_waits.add(1.0, 1.0, 1.0);
     }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -5,8 +5,8 @@
 use crate::statistics::fraction;
 use crate::ActionWriter;
 
-/// A request that is worth running after its objective stays queued until this many seconds before the last start that
-/// meets its deadline.
+/// A request that is worth running after its objective is kept until the last start that meets its deadline, provided
+/// that this is more than this many seconds away.
 const LATE_MARGIN: f64 = 0.05;
 /// Load shedding ends after this many seconds without a rejection.
 const SHEDDING_ENDS_AFTER: f64 = 5.0;
@@ -20,7 +20,7 @@
 /// The load-shedding mode, which lasts from one rejection until there has been none for a while.
 #[derive(Default)]
 pub(super) struct LoadShedding {
-    /// When the last request was rejected; absent while no load is shed.
+    /// When a request was last rejected for lack of capacity; absent while no load is shed.
     last_rejection: Option<f64>,
 }
 
@@ -51,7 +51,7 @@
         self.shed(now, id, out);
     }
 
-    /// Rejects a request because capacity is lacking.
+    /// Rejects a request for lack of capacity, or fails it if sending it again could do harm.
     pub(super) fn shed(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
         if self.shedding.record_rejection(now) {
             let queued = self.queue.len();
--- a/src/decision/memory_grant.rs
+++ b/src/decision/memory_grant.rs
@@ -3,12 +3,13 @@
 
 use super::Gateway;
 
-/// The smaller of the two grants that are considered, as a share of the request's need.
+/// The smaller of the two grants that are considered, the quarter grant, as a share of the request's memory including
+/// headroom.
 const QUARTER: f64 = 0.25;
 /// The largest share of an engine's memory that one request is granted, whatever the deployment allows.
 const MAX_MEMORY_SHARE: f64 = 0.5;
-/// The largest factor by which a grant exceeds the expected need. An engine that pages charges a request only for what
-/// it needs, so a larger grant costs nothing there.
+/// The largest headroom: the factor by which a grant exceeds the expected need. An engine that pages charges a request
+/// only for what it needs, so a larger grant costs nothing there.
 const MAX_HEADROOM: f64 = 1.6;
 const MAX_HEADROOM_PAGING: f64 = 4.0;
 
@@ -17,7 +18,7 @@
 pub(super) struct MemoryGrant {
     /// Megabytes.
     pub memory: f64,
-    /// The grant is a quarter of the request's need.
+    /// The grant is a quarter of the request's memory including headroom.
     pub is_quarter_grant: bool,
 }
 
@@ -30,7 +31,7 @@
 }
 
 impl Gateway {
-    /// The largest factor by which a grant exceeds the expected need.
+    /// The largest headroom: the factor by which a grant exceeds the expected need.
     pub(super) fn max_headroom(&self) -> f64 {
         if self.deployment.pages_memory {
             MAX_HEADROOM_PAGING
@@ -46,28 +47,28 @@
         largest * self.deployment.max_memory_share.min(MAX_MEMORY_SHARE)
     }
 
-    /// Chooses the best grant if its return on consumption exceeds θ, and a quarter of the need otherwise.
+    /// Chooses the best grant if its return on consumption exceeds θ, and the quarter grant otherwise.
     pub(super) fn grant(&mut self, id: usize) -> GrantChoice {
         let request = &self.requests.open[&id];
         let cap = self.memory_cap();
-        let full = if cap > 0.0 { request.memory.min(cap) } else { request.memory };
+        let best = if cap > 0.0 { request.memory.min(cap) } else { request.memory };
         let quarter = request.memory * QUARTER;
         let spill_factor = self.classes[request.incoming.class].spill_factor();
         let run_time = |grant: f64| {
             let missing = (1.0 - grant / request.memory.max(1e-9)).max(0.0) / (1.0 - QUARTER);
             request.work * (1.0 + (spill_factor - 1.0) * missing)
         };
-        let full_time = run_time(full);
+        let best_time = run_time(best);
         let quarter_time = run_time(quarter);
-        let extra_consumption = full_time * full - quarter_time * quarter;
-        if extra_consumption <= 0.0 || full <= quarter {
-            let preferred = MemoryGrant { memory: full, is_quarter_grant: false };
-            return GrantChoice { preferred, minimum: full };
+        let extra_consumption = best_time * best - quarter_time * quarter;
+        if extra_consumption <= 0.0 || best <= quarter {
+            let preferred = MemoryGrant { memory: best, is_quarter_grant: false };
+            return GrantChoice { preferred, minimum: best };
         }
-        let return_on_consumption = (quarter_time - full_time) / extra_consumption;
-        self.threshold.record_best_grant(return_on_consumption, full);
+        let return_on_consumption = (quarter_time - best_time) / extra_consumption;
+        self.threshold.record_best_grant(return_on_consumption, best);
         let preferred = if return_on_consumption > self.threshold.theta {
-            MemoryGrant { memory: full, is_quarter_grant: false }
+            MemoryGrant { memory: best, is_quarter_grant: false }
         } else {
             MemoryGrant { memory: quarter, is_quarter_grant: true }
         };
--- a/src/decision/memory_ledger.rs
+++ b/src/decision/memory_ledger.rs
@@ -20,7 +20,9 @@
     /// The memory that may be granted while the engine is under pressure, in megabytes.
     pub limit: f64,
     open_grants: u32,
+    /// Megabytes.
     initial_limit: f64,
+    /// Megabytes.
     engine_memory: f64,
     pressure_until: f64,
     shrunk_at: f64,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -10,6 +10,7 @@
 //! | `priority_lane`, `load_shedding` | which requests engines prefer, and which the gateway rejects |
 //! | `retry` | attempt time-outs, overdue attempts, the retry budget |
 //! | `slow_start`, `outlier_detection`, `cost_model` | one estimate each, with the evidence for it |
+//! | `engine_state` | nothing: it holds the state of each engine, and the indices over the engines |
 //! | `attempt_end` | nothing: it updates the estimates when an attempt ends |
 //! | `history` | nothing: it restores the state that rules 4 and 7 need after a restart |
 //! | `periodic` | nothing: it decays and reviews the estimates at a fixed interval |
@@ -17,9 +18,16 @@
 //! The basic algorithm is that of Yu and Cornell, "Buffer Management Based on Return on Consumption In a Multi-Query
 //! Environment" (1992); `docs/design.md` describes what was kept and what was changed.
 //!
-//! Two terms recur in these modules. The *pace* of an attempt is its elapsed time divided by its work per thread: the
-//! time that a second of work takes, so a larger pace is slower. The *value density* of a request is its value per
-//! second of its work; a request is *light* if its value density is at least the mean, and *heavy* otherwise.
+//! These terms recur in the modules:
+//!
+//! - The *pace* of an attempt is its elapsed time divided by its work per thread: the time that a second of work takes, so
+//!   a larger pace is slower.
+//! - The *value density* of a request is its value per second of its work. A request is *light* if its value density is at
+//!   least the mean, and *heavy* otherwise.
+//! - The *best grant* of a request is the memory that it is expected to need, including headroom, up to the largest grant
+//!   allowed. Its *quarter grant* is a quarter of that memory, before the limit.
+//! - This gateway's *fair share* of cores is one thread per core, divided by the number of gateways.
+//! - A *tick* is one run of the periodic work.
 
 mod attempt_end;
 mod concurrency_limit;
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -1,5 +1,6 @@
-//! Estimates the success rate of each engine. An engine whose posterior mean falls too low is ejected: it gets only
-//! single trial requests.
+//! Estimates the success rate of each engine. An engine whose posterior mean falls too low is ejected: it no longer
+//! counts as usable. Engine selection avoids an engine whose success rate is far below the best one; such an engine
+//! gets only single trial requests.
 
 use crate::statistics::WeightedMean;
 
@@ -7,7 +8,7 @@
 /// this fraction of the best one.
 pub(super) const MIN_SUCCESS_RATE: f64 = 0.75;
 /// The fraction of the evidence that is kept at each tick: its half-life is four seconds.
-const KEEP: f64 = 0.9576;
+const KEEP_PER_TICK: f64 = 0.9576;
 /// The weight of peers' evidence relative to this gateway's own, so that a single peer that reports wrongly or is
 /// faulty itself cannot eject an engine.
 const PEER_WEIGHT: f64 = 0.5;
@@ -47,7 +48,7 @@
 /// The evidence on one engine, which decays with time. It is also kept by class, because some faults affect only one
 /// class.
 #[derive(Default)]
-pub(super) struct FailureEstimate {
+pub(super) struct ReliabilityEstimate {
     /// The success rate of this gateway's own attempts.
     pub own: WeightedMean,
     /// The engine is ejected.
@@ -59,7 +60,7 @@
     by_class: Vec<WeightedMean>,
 }
 
-impl FailureEstimate {
+impl ReliabilityEstimate {
     /// Adds the evidence of an attempt.
     pub fn add(&mut self, class: usize, evidence: AttemptEvidence) {
         let AttemptEvidence { success, failure, failure_for_class } = evidence;
@@ -96,9 +97,9 @@
     /// Decays the evidence by one tick.
     pub fn decay(&mut self) {
         for mean in &mut self.by_class {
-            mean.decay(KEEP);
+            mean.decay(KEEP_PER_TICK);
         }
-        self.own.decay(KEEP);
+        self.own.decay(KEEP_PER_TICK);
     }
 
     /// Samples the success rate from the posterior, approximated by a uniform distribution with the posterior's mean
--- a/src/decision/peer_load.rs
+++ b/src/decision/peer_load.rs
@@ -1,12 +1,13 @@
 //! Estimates of the load: the threads that other gateways occupy on engines, the recent pace of answers, and the work
 //! requested.
 
-use super::concurrency_limit::{KEEP, USUAL_THREADS};
+use super::concurrency_limit::{KEEP_PER_TICK, USUAL_THREADS};
 use super::EngineState;
 use crate::statistics::{DecayingShares, WeightedMean};
 
-/// The fraction of the evidence about peers on all engines that is kept at each tick.
-pub(super) const KEEP_OVERALL: f64 = 0.9;
+/// The fraction of the evidence about peers on all engines, and of the evidence on an engine's pace, that is kept at
+/// each tick.
+pub(super) const KEEP_OVERALL_PER_TICK: f64 = 0.9;
 /// The fraction of the evidence about peers that is kept at each answer: on one engine, and on all engines.
 const KEEP_PER_ANSWER: f64 = 0.8;
 const KEEP_PER_ANSWER_OVERALL: f64 = 0.9;
@@ -16,7 +17,7 @@
 const MIN_MEDIAN_PACE: f64 = 0.5;
 /// The fraction of the mean value density that is kept at each request.
 const KEEP_DENSITY: f64 = 0.995;
-/// The fraction of the mean of threads per attempt that is kept with each engine sampled.
+/// The fraction of the mean of threads per attempt that is kept with each engine that is added at a tick.
 const KEEP_THREADS: f64 = 0.99;
 
 /// This gateway's estimates of the load on all engines.
@@ -86,7 +87,7 @@
     pub fn tick(&mut self, gateways: f64, own_threads_per_core: f64) {
         let prior = ((gateways - 1.0) * own_threads_per_core).min(USUAL_THREADS);
         self.assumed_peer_threads = self.observed_peer_threads.mean_with_prior(prior, 1.0);
-        self.observed_peer_threads.decay(KEEP_OVERALL);
-        self.table_group_work.decay(KEEP);
+        self.observed_peer_threads.decay(KEEP_OVERALL_PER_TICK);
+        self.table_group_work.decay(KEEP_PER_TICK);
     }
 }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -11,7 +11,7 @@
 /// A time-out is at least this many expected run times plus this fraction of the shortest latency objective, and at
 /// least this fraction of the time left until the request's own objective.
 const MIN_TIME_OUT_RUN_TIMES: f64 = 2.8;
-const MIN_TIME_OUT_SHORTEST_OBJECTIVES: f64 = 0.1;
+const MIN_TIME_OUT_SHARE_OF_SHORTEST_OBJECTIVE: f64 = 0.1;
 const TIME_OUT_SHARE_OF_OBJECTIVE: f64 = 0.5;
 /// An attempt of a request that locks its tables times out after this many times its overdue time, or when this many
 /// expected run times are left until its objective, whichever is later.
@@ -19,11 +19,11 @@
 const LOCKING_RUN_TIMES_LEFT: f64 = 1.5;
 /// An attempt is overdue after this fraction of the shortest latency objective plus this many expected run times, the
 /// latter multiplied by the factor by which the request may exceed its estimate.
-const OVERDUE_SHORTEST_OBJECTIVES: f64 = 0.5;
+const OVERDUE_SHARE_OF_SHORTEST_OBJECTIVE: f64 = 0.5;
 const OVERDUE_RUN_TIMES: f64 = 2.0;
-/// The factor by which a request without an estimate is assumed to exceed the class mean, and the logarithm of the
-/// factor by which one with an estimate is assumed to exceed it until the scatter is known.
+/// The factor by which a request without an estimate is assumed to exceed the mean of its class.
 const EXCESS_WITHOUT_ESTIMATE: f64 = 2.0;
+/// The logarithm of the factor by which a request is assumed to exceed its estimate until the scatter is known.
 const INITIAL_SCATTER: f64 = 0.5;
 /// The interval at which an overdue attempt counts against its engine again, in seconds.
 const OVERDUE_INTERVAL: f64 = 2.0;
@@ -93,7 +93,7 @@
             Some(_) => scatter.mean_or(INITIAL_SCATTER).exp(),
             None => EXCESS_WITHOUT_ESTIMATE,
         };
-        OVERDUE_SHORTEST_OBJECTIVES * self.shortest_objective
+        OVERDUE_SHARE_OF_SHORTEST_OBJECTIVE * self.shortest_objective
             + OVERDUE_RUN_TIMES * excess * self.expected_run_time(request)
     }
 
@@ -102,7 +102,7 @@
     /// continues after a time-out, so only attempts on engines with a low success rate get one.
     pub(super) fn attempt_time_out(&self, now: f64, id: usize, engine: usize) -> Option<f64> {
         let request = &self.requests.open[&id];
-        let success_rate = self.engines.states[engine].failures.success_rate();
+        let success_rate = self.engines.states[engine].reliability.success_rate();
         if !self.deployment.can_cancel && success_rate > MIN_SUCCESS_RATE {
             return None;
         }
@@ -117,7 +117,7 @@
             min_time_out.max(to_objective - LOCKING_RUN_TIMES_LEFT * run_time)
         } else {
             let min_time_out = MIN_TIME_OUT_RUN_TIMES * run_time
-                + MIN_TIME_OUT_SHORTEST_OBJECTIVES * self.shortest_objective;
+                + MIN_TIME_OUT_SHARE_OF_SHORTEST_OBJECTIVE * self.shortest_objective;
             min_time_out.max(TIME_OUT_SHARE_OF_OBJECTIVE * to_objective)
         };
         let to_deadline = request.incoming.deadline - now;
@@ -127,6 +127,7 @@
 
     /// Handles an attempt that takes too long. If its engine has answered nothing since the attempt was sent, this
     /// counts as a failure of the engine, repeatedly for as long as the attempt stays in flight and the engine silent.
+    /// If the engine's success rate is low, the attempt is cancelled where that is possible.
     pub(super) fn attempt_overdue(&mut self, now: f64, id: usize, number: usize, out: &mut dyn ActionWriter) {
         let Some(request) = self.requests.open.get_mut(&id) else { return };
         let attempt = &mut request.attempts[number];
@@ -134,9 +135,9 @@
         if !attempt.in_flight || engine.last_answer_at >= attempt.sent_at {
             return;
         }
-        engine.failures.add(request.incoming.class, AttemptEvidence::new(0.0, 1.0));
+        engine.reliability.add(request.incoming.class, AttemptEvidence::new(0.0, 1.0));
         self.engines.changed.push(attempt.engine);
-        let is_failing = engine.failures.success_rate() < CANCEL_BELOW_SUCCESS_RATE;
+        let is_failing = engine.reliability.success_rate() < CANCEL_BELOW_SUCCESS_RATE;
         let must_cancel = self.deployment.can_cancel && !request.done && !attempt.cancelled && is_failing;
         if must_cancel {
             attempt.cancelled = true;
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -1,14 +1,17 @@
 //! Rules 1 to 7, which every attempt and every answer must satisfy:
 //!
 //! 1. Each request gets one final answer.
-//! 2. A request is not run twice with a second effect, and has one attempt in flight unless hedging is allowed.
+//! 2. A request is not run a second time if that would have a second effect, and it has at most one attempt in flight
+//!    unless hedging is allowed.
 //! 3. Engines that drain or are gone get nothing new.
 //! 4. An engine in slow start is sent no more work than its budget allows.
-//! 5. Requests with the same key run in order.
+//! 5. Requests with the same key, of a class that runs in key order, run one at a time and in order of arrival. A quiet
+//!    period follows an attempt that may still be running.
 //! 6. A request runs only in the zones and on the kinds of engine that its class allows.
 //! 7. Retries stay within a budget.
 //!
-//! The rules hold whatever the other gateways do, because budgets are divided by the number of gateways.
+//! No rule relies on what other gateways do: the slow-start budget is divided by the number of gateways, and the retry
+//! budget is that of one gateway. Reports of peers can only reduce the slow-start allowance.
 
 use super::{EngineState, Gateway};
 use crate::request_state::{Attempt, DueEvent, RequestState};
@@ -31,7 +34,7 @@
             return false;
         }
         // Rule 2: no second effect, and one attempt in flight unless hedging is allowed.
-        if self.retries_exhausted(id, now) || (request.in_flight() && !self.deployment.allows_hedging) {
+        if self.attempts_exhausted(id, now) || (request.in_flight() && !self.deployment.allows_hedging) {
             return false;
         }
         // Rule 5: the order of keys, and the quiet period after an attempt that may still be running.
@@ -91,8 +94,8 @@
         queue.requests.front() == Some(&id) && (is_retry || now >= queue.quiet_until)
     }
 
-    /// Whether no further attempt can ever be made for the request.
-    pub(super) fn retries_exhausted(&self, id: usize, now: f64) -> bool {
+    /// Whether no attempt can be made for the request any more.
+    pub(super) fn attempts_exhausted(&self, id: usize, now: f64) -> bool {
         let request = &self.requests.open[&id];
         now >= self.attempts_allowed_until(request)
             || request.attempts.len() as u32 >= self.deployment.max_attempts
@@ -101,14 +104,15 @@
     /// Until when a further attempt may leave, given the earlier attempts that may have run.
     pub(super) fn attempts_allowed_until(&self, request: &RequestState) -> f64 {
         let class = &self.deployment.classes[request.incoming.class];
-        // How long a repeat may leave after an attempt of this gateway, and after an attempt under another index.
+        // How long a repeat may leave after an attempt of this gateway, and after an earlier attempt that the host
+        // reported (`IncomingRequest::earlier_attempt_at`).
         let (after_own, after_earlier) = match class.idempotency {
             Idempotency::Idempotent => return f64::INFINITY,
             Idempotency::NonIdempotent => (f64::NEG_INFINITY, f64::NEG_INFINITY),
             Idempotency::Deduplicated { window, scope: DeduplicationScope::All } => {
                 (window - DELIVERY_MARGIN, window - DELIVERY_MARGIN)
             }
-            // For an attempt under another index only the time is known, not the engine.
+            // For an earlier attempt that the host reported, only the time is known, not the engine.
             Idempotency::Deduplicated { window, .. } => (window - DELIVERY_MARGIN, f64::NEG_INFINITY),
         };
         let mut until = f64::INFINITY;
@@ -129,16 +133,16 @@
         }
     }
 
-    /// Answers a queued request for which no further attempt can be made.
+    /// Answers a queued request for which no attempt can be made any more.
     pub(super) fn reject_or_fail_if_exhausted(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
         let is_queued = self.requests.open.get(&id).is_some_and(RequestState::is_queued);
-        if is_queued && self.retries_exhausted(id, now) {
+        if is_queued && self.attempts_exhausted(id, now) {
             self.reject_or_fail(now, id, out);
         }
     }
 
-    /// Rule 1: answers the request unless it is done: rejects it if its client may safely send it again, and fails it
-    /// otherwise. Only here does this gateway answer a request that no engine has answered.
+    /// Rule 1: answers the request, unless it is done. Rejects it if its client may safely send it again, and fails it
+    /// otherwise. Every request that gets no answer from an engine is answered by this function.
     pub(super) fn reject_or_fail(&mut self, now: f64, id: usize, out: &mut dyn ActionWriter) {
         let Some(request) = self.requests.open.get(&id).filter(|request| !request.done) else { return };
         if self.is_safe_to_resend(request, now) {
@@ -150,7 +154,8 @@
         self.request_finished(id);
     }
 
-    /// Whether the client may send the request again without harm.
+    /// Whether the client may send the request again without harm. If all engines recognise repeats, only an earlier
+    /// attempt that the host reported is compared with the window, not the attempts of this gateway.
     fn is_safe_to_resend(&self, request: &RequestState, now: f64) -> bool {
         let earlier = request.incoming.earlier_attempt_at;
         match self.deployment.classes[request.incoming.class].idempotency {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,5 +1,6 @@
 //! Limits the work that is sent to an engine while it warms up after its start (rule 4). The gateways together stay
-//! within the engine's budget without communicating: each uses an equal share.
+//! within the engine's budget, and need not communicate for that: each uses an equal share or takes part in a lottery.
+//! Reports of peers may only reduce what a gateway sends.
 
 use super::{EngineState, Gateway};
 use crate::deployment::SlowStart;
@@ -56,7 +57,9 @@
     }
 
     /// This gateway's draw in the lottery for an engine's budget. Among many gateways no request fits an equal share,
-    /// so each draws once per window, and together they send about [`LOTTERY_SHARE`] of the budget.
+    /// so each draws once per window. A draw is at least `w` with probability `LOTTERY_SHARE * share / w`, so a request
+    /// of work `w` is sent by `LOTTERY_SHARE * budget / w` gateways on average: together they send about
+    /// [`LOTTERY_SHARE`] of the budget.
     fn slow_start_draw(&self, engine: &EngineState, budget: f64, share: f64, now: f64) -> f64 {
         let window_number = (now / self.deployment.slow_start.window) as u64;
         let draw = hash_of((self.random.seed, engine.listing.name_hash, window_number));
--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -63,12 +63,12 @@
     let engine = |index: &usize| &gateway.engines.states[*index];
     let would_wait = |index: &usize| can_wait_for_lock && engine(index).locked_table_groups.contains(&group);
     candidates.retain(|index| gateway.may_attempt(id, *index, now) && !would_wait(index));
-    let success_rate = |index: &usize| engine(index).failures.success_rate_for(class_index);
+    let success_rate = |index: &usize| engine(index).reliability.success_rate_for(class_index);
     let min_rate = MIN_SUCCESS_RATE * candidates.iter().map(success_rate).fold(0.0, f64::max);
-    let is_probe = |engine: &EngineState| {
-        is_light && engine.attempts == 0 && engine.failures.sampled_success_rate >= min_rate
+    let is_trial = |engine: &EngineState| {
+        is_light && engine.attempts == 0 && engine.reliability.sampled_success_rate >= min_rate
     };
-    candidates.retain(|index| success_rate(index) >= min_rate || is_probe(engine(index)));
+    candidates.retain(|index| success_rate(index) >= min_rate || is_trial(engine(index)));
     let may_use_fair_share = gateway.classes[class_index].work_fit.is_unmeasured()
         && gateway.fits_fair_share(gateway.load.threads + class.threads, gateway.load.usable_cores);
     let is_fair_share_free = |index: &usize| {
@@ -245,7 +245,7 @@
         self.gateway.engines_listed(self.now, &listings, is_complete);
     }
 
-    /// Receives a random request for one of so many table groups.
+    /// Receives a random request for one of `groups` table groups.
     fn receive_request(&mut self, groups: usize) {
         let class = [0, 0, 0, 1, 2, 3][self.random(6)];
         let work = [0.05, 1.0, 0.6, 0.1][class] * (1 + self.random(8)) as f64 / 4.0;
@@ -303,7 +303,7 @@
         while failures < 12 {
             let Some(id) = gateway.queue.next(self.now) else { break };
             gateway.round.earlier_request_unplaced = failures > 0 && gateway.queue.has_tenants();
-            if !gateway.is_first_of_key(id, self.now) || gateway.retries_exhausted(id, self.now) {
+            if !gateway.is_first_of_key(id, self.now) || gateway.attempts_exhausted(id, self.now) {
                 continue;
             }
             let expected = choice_without_index(gateway, self.now, id);
@@ -332,9 +332,8 @@
         gateway.queue.return_offers(self.now);
     }
 
-    /// Runs so many steps, each with fewer than `load` new requests and ended attempts. The engine list changes in one
-    /// of
-    /// `list_interval` steps on average, or never if that is 0.
+    /// Runs `steps` steps, each with fewer than `load` new requests and fewer than `load` ended attempts. The engine
+    /// list changes once every `list_interval` steps on average, or never if that is 0.
     fn run(&mut self, steps: usize, groups: usize, load: usize, list_interval: usize) {
         for _ in 0..steps {
             for _ in 0..self.random(load) {
@@ -406,7 +405,7 @@
 }
 
 /// The mean number of engines that the choice for a request examines. The requests use all table groups equally. With
-/// `has_faulty_engines`, a third of the engines lose the connection of each attempt. The engine list changes every
+/// `has_faulty_engines`, a third of the engines lose the connection of each attempt. The number of gateways is in the ratio of 550 to 690 engines. The engine list changes every
 /// `list_interval` steps, or never if that is 0.
 fn mean_examined_engines(
     engines: usize,
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -132,7 +132,7 @@
     pub slow_start: SlowStart,
     /// The configured retry budget; absent if the default applies.
     pub retry_budget: Option<RetryBudget>,
-    /// How long no other request with the same key is started after an attempt that may still be running ended, in
-    /// seconds.
+    /// The quiet period of a key, in seconds. After an attempt that has ended for the gateway but may still be running
+    /// on its engine, no other request with the same key is started for this long.
     pub key_quiet_period: f64,
 }
--- a/src/engine_index.rs
+++ b/src/engine_index.rs
@@ -1,5 +1,6 @@
-//! Indices over the engines, so that placing a request examines only a few of them. This module makes no decision and
-//! holds no tuned value: the decision modules fill the indices and rank the engines that they return.
+//! Indices over the engines, so that placing a request examines only a few of them. This module makes no decision, and
+//! none of its constants affects which engine is chosen: the decision modules fill the indices and rank the engines
+//! that they return.
 
 use crate::statistics::hash_of;
 use std::cell::Cell;
@@ -234,7 +235,7 @@
     /// The first positions of a group's order: all positions if no more than [`Self::CACHED_POSITIONS`] engines are
     /// ready, otherwise more than [`Self::REBUILD_AT`] and at most [`Self::CACHED_POSITIONS`].
     fn first_positions(&mut self, group: u64) -> Rc<Vec<Position>> {
-        self.evict_order_for(group);
+        self.make_space_for(group);
         if let Some(first) = self.cached_positions(group) {
             return first;
         }
@@ -258,9 +259,9 @@
         self.first_change + self.changes.len() as u64
     }
 
-    /// If the cache is full, evicts one order before a new group is added: that of the next group by number. Groups are
+    /// Evicts one cached order if the cache is full and this group is new: that of the next group by number. Groups are
     /// numbered independently of how often they are used, so the choice is arbitrary.
-    fn evict_order_for(&mut self, group: u64) {
+    fn make_space_for(&mut self, group: u64) {
         if self.cached.len() < Self::MAX_CACHED_ORDERS || self.cached.contains_key(&group) {
             return;
         }
@@ -287,7 +288,8 @@
 
     /// A walk over a subset of the engines in a group's order, which is likely to end after `expected_visits` engines.
     /// If the subset is large, the walk starts with the order's cached first positions; if it is small, only its
-    /// engines are sorted.
+    /// engines are sorted. To meet the expected engines of the subset, a walk over the complete order passes about
+    /// `expected_visits * ready_count / len` engines; sorting the subset costs about `len`.
     pub fn walk(&mut self, group: u64, subset: IndexSet, expected_visits: usize) -> OrderWalk {
         let is_sparse = subset.len().pow(2) < expected_visits * self.ready_count;
         let first = if is_sparse { Rc::default() } else { self.first_positions(group) };
--- a/src/request_state.rs
+++ b/src/request_state.rs
@@ -12,7 +12,7 @@
     pub sent_at: f64,
     /// The memory granted to the attempt, in megabytes.
     pub grant: f64,
-    /// The grant is a quarter of the request's need.
+    /// The grant is a quarter of the request's memory including headroom.
     pub is_quarter_grant: bool,
     pub in_flight: bool,
     /// It is certain that the engine never ran the attempt.
@@ -74,7 +74,8 @@
 pub(crate) enum DueEvent {
     /// The request's deadline passes.
     Deadline(usize),
-    /// An attempt that starts later can't meet the request's latency objective.
+    /// An attempt that starts later can't meet the request's latency objective or, for a request that is kept after its
+    /// objective, its deadline.
     LastStart(usize),
     /// The attempt with this number has been in flight for longer than expected.
     AttemptOverdue(usize, usize),
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,5 +1,5 @@
 //! Statistics that the decisions use: decaying means, a fitted line, random draws, hashes. This module makes no
-//! decision and holds no tuned value.
+//! decision. Its only tuned value is the share below which [`DecayingShares`] drops a key.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
