--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,6 +1,7 @@
-//! What routers report to each other of engines: short digests of what each has observed itself. Nothing that came from others
-//! is passed on, so no rumour comes back as evidence; each source counts once for an engine, by its latest digest; and what
-//! was reported of a former incarnation of an engine does not count.
+//! Digests: what routers report to each other about engines. A digest contains only what its sender has observed
+//! itself. Reports of others are not passed on, so that a report can't come back as independent evidence. Each source
+//! counts once for an engine, by its latest digest, and reports about an earlier incarnation of an engine are
+//! ignored.
 
 mod rounds;
 
@@ -9,42 +10,42 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A digest is no longer than this, in bytes: it rides on heartbeats.
+/// The longest digest, in bytes. Digests are sent within heartbeats.
 pub const MAX_DIGEST: usize = 256;
-/// Engines that one digest reports on: as many as fit, with their longest numbers.
+/// The most engines in one digest: as many as fit when all numbers have their longest encoding.
 pub const MAX_OBSERVATIONS: usize = 12;
-/// An observation is worth nothing after this, in seconds: an engine that was ill then may be well.
+/// The age at which an observation no longer counts, in seconds: an engine that failed then may have recovered.
 pub const OBSERVATION_LIFETIME: f64 = 4.0;
-/// Engines of which one source is remembered.
+/// The most engines for which observations of one source are kept.
 const MAX_ENGINES_OF_SOURCE: usize = 64;
-/// What one source can weigh at most against an engine, so that a lying or frozen one convinces nobody alone.
+/// The largest weight of one source's report on an engine, so that one faulty or frozen source can't decide alone.
 const MAX_WEIGHT_OF_SOURCE: f64 = 1.0;
-/// Attempts are reported in quarters.
+/// Numbers of attempts are reported in units of a quarter.
 const QUARTERS: f64 = 4.0;
 /// Work is reported in milliseconds.
 const MS_PER_S: f64 = 1e3;
 
-/// An engine in one incarnation.
+/// One incarnation of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EngineIncarnation {
-    /// A hash of its name.
+    /// A hash of the engine's name.
     pub name: u64,
-    /// A hash of its start.
+    /// A hash that tells the engine's starts apart.
     pub incarnation: u32,
 }
 
-/// What a router has observed of one engine of late, in its own traffic: faded with age.
+/// What a router has recently observed of one engine in its own traffic, reduced with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OwnEvidence {
     /// Attempts that succeeded.
     pub successes: f64,
     /// Attempts that failed.
     pub failures: f64,
-    /// Work that was sent to it during its slow start, in the window in which that counts. Seconds.
+    /// Work that was sent to the engine within the window of its slow start, in seconds.
     pub slow_start_work: f64,
 }
 
-/// The same as it is reported. The order of the fields is the wire format.
+/// [`OwnEvidence`] as it is reported to others. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// The engine.
@@ -53,7 +54,7 @@
     pub successes: u8,
     /// Attempts that failed, in quarters.
     pub failures: u8,
-    /// Work that was sent to it during its slow start. Milliseconds.
+    /// Work that was sent to the engine during its slow start, in milliseconds.
     pub slow_start_work: u16,
 }
 
@@ -74,16 +75,19 @@
     }
 }
 
-/// What is reported of what was observed. Engines with the most failures come first, then those with the most work.
+/// The observations to report. Engines with the most failures come first, then those with the most work in their slow
+/// start.
 pub fn observations(evidence: impl Iterator<Item = (EngineIncarnation, OwnEvidence)>) -> Vec<Observation> {
     let observed = evidence.map(|(engine, evidence)| Observation::new(engine, &evidence));
     let mut observations: Vec<Observation> = observed.filter(|observation| !observation.is_empty()).collect();
-    observations.sort_by_key(|seen| (Reverse((seen.failures, seen.slow_start_work)), seen.engine));
+    observations.sort_by_key(|observation| {
+        (Reverse((observation.failures, observation.slow_start_work)), observation.engine)
+    });
     observations.truncate(MAX_OBSERVATIONS);
     observations
 }
 
-/// Writes the observations that fit, the first ones first; all of one digest are of one time.
+/// Encodes as many of the first observations as fit. All observations of one digest count as made at the same time.
 pub fn write(observations: &[Observation]) -> Vec<u8> {
     let mut count = observations.len().min(MAX_OBSERVATIONS);
     loop {
@@ -95,7 +99,7 @@
     }
 }
 
-/// Reads a digest; `None` where the bytes are none.
+/// Decodes a digest; `None` if the bytes are not a valid digest.
 pub fn read(bytes: &[u8]) -> Option<Vec<Observation>> {
     if bytes.is_empty() {
         return Some(Vec::new());
@@ -103,42 +107,44 @@
     if bytes.len() > MAX_DIGEST {
         return None;
     }
-    // Each observation takes some bytes, so a count that promises more than there are is refused.
+    // Each observation takes some bytes, so a count that exceeds the bytes that follow is rejected.
     let observations: Vec<Observation> = postcard::from_bytes(bytes).ok()?;
     (observations.len() <= MAX_OBSERVATIONS).then_some(observations)
 }
 
-/// What all sources together report of an engine.
+/// What all sources together report about an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerEvidence {
-    /// How many report more failures than successes.
+    /// The number of sources that report more failures than successes.
     pub reporting_failures: usize,
-    /// How many report no more failures than successes.
+    /// The number of sources that report at least as many successes as failures.
     pub reporting_successes: usize,
-    /// Evidence against it, each source no more than one, faded with age.
+    /// Failures: the sum over all sources, each of which weighs at most 1 and less with the age of its report.
     pub failures: f64,
-    /// Evidence for it, likewise.
+    /// Successes, weighted in the same way.
     pub successes: f64,
-    /// What they sent it during its slow start, in seconds of work: it does not fade, as it makes quotas smaller.
+    /// Work that the sources sent to the engine during its slow start, in seconds. It is not reduced with age, as it
+    /// only makes quotas smaller.
     pub slow_start_work: f64,
 }
 
 impl PeerEvidence {
-    /// Adds what one source has observed, which is worth less with age: `fresh` is 1 for now and 0 for [`OBSERVATION_LIFETIME`] ago.
-    fn add(&mut self, seen: &Observation, fresh: f64) {
-        if fresh <= 0.0 {
+    /// Adds the observation of one source. `freshness` is its weight by age: 1 for now, 0 for
+    /// [`OBSERVATION_LIFETIME`] ago.
+    fn add(&mut self, observation: &Observation, freshness: f64) {
+        if freshness <= 0.0 {
             return;
         }
-        self.slow_start_work += f64::from(seen.slow_start_work) / MS_PER_S;
-        let failures = f64::from(seen.failures) / QUARTERS;
-        let successes = f64::from(seen.successes) / QUARTERS;
-        let all = failures + successes;
-        if all == 0.0 {
+        self.slow_start_work += f64::from(observation.slow_start_work) / MS_PER_S;
+        let failures = f64::from(observation.failures) / QUARTERS;
+        let successes = f64::from(observation.successes) / QUARTERS;
+        let attempts = failures + successes;
+        if attempts == 0.0 {
             return;
         }
-        let weight = fresh * all.min(MAX_WEIGHT_OF_SOURCE);
-        self.failures += weight * failures / all;
-        self.successes += weight * successes / all;
+        let weight = freshness * attempts.min(MAX_WEIGHT_OF_SOURCE);
+        self.failures += weight * failures / attempts;
+        self.successes += weight * successes / attempts;
         if failures > successes {
             self.reporting_failures += 1;
         } else {
@@ -147,21 +153,21 @@
     }
 }
 
-/// An observation, and when it was received, in seconds.
+/// An observation, and when this router received it, in seconds.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedObservation {
     at: f64,
     observation: Observation,
 }
 
-/// The digests that were received, by source.
+/// The observations that were received in digests, by source.
 #[derive(Debug, Default)]
 pub struct PeerDigests {
     by_source: BTreeMap<u16, BTreeMap<EngineIncarnation, ReceivedObservation>>,
 }
 
 impl PeerDigests {
-    /// Takes a source's digest in place of its former one, engine by engine.
+    /// Stores the observations of a source's digest. For each engine they replace the source's previous observation.
     pub fn receive(&mut self, source: u16, observations: Vec<Observation>, now: f64) {
         let engines = self.by_source.entry(source).or_default();
         engines.retain(|_, received| now < received.at + OBSERVATION_LIFETIME);
@@ -172,12 +178,12 @@
         }
     }
 
-    /// Forgets a source that has failed, or reports from a new incarnation.
+    /// Forgets all observations of a source, when it has failed or reports from a new incarnation.
     pub fn forget(&mut self, source: u16) {
         self.by_source.remove(&source);
     }
 
-    /// What those sources that are `trusted` report of an engine.
+    /// What the sources for which `trusted` returns true report about an engine.
     pub fn evidence_on(
         &self,
         engine: &EngineIncarnation,
--- a/crates/membership/src/digest/rounds.rs
+++ b/crates/membership/src/digest/rounds.rs
@@ -1,13 +1,13 @@
-//! Digests among many instances whose host only carries messages.
+//! Rounds of digests between instances whose host delivers messages but runs no membership, such as the simulator.
 
 use super::{read, write, EngineIncarnation, Observation, PeerDigests, PeerEvidence, QUARTERS};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Between two rounds, in seconds.
+/// The time between two rounds, in seconds.
 const ROUND_INTERVAL: f64 = 0.5;
-/// How many others receive a digest in each round.
+/// How many other instances receive a digest in each round.
 const FANOUT: usize = 2;
-/// Failures that are worth a message, in quarters of an attempt: each message is paid for.
+/// The fewest failures for which an engine is reported, in quarters of an attempt, as each message has a cost.
 const MIN_FAILURES: u8 = QUARTERS as u8;
 
 /// A digest that is to be sent.
@@ -19,36 +19,44 @@
     pub bytes: Vec<u8>,
 }
 
-/// Digests among many instances whose host only carries messages, as the simulator does: the receivers are drawn at random, a
-/// few a second, and only while there are failures to report.
+/// Exchanges digests between instances whose host only delivers messages, as the simulator does. Each round goes to a
+/// few receivers chosen at random, and is skipped while there are no failures to report.
 #[derive(Debug)]
 pub struct DigestRounds {
     received: PeerDigests,
     me: u16,
     instances: u64,
     seed: u64,
-    draws: u64,
+    /// How many random numbers have been derived from the seed.
+    random_draws: u64,
     next_round: f64,
 }
 
 impl DigestRounds {
-    /// Instance `me` of so many.
+    /// The state of instance `me` of `instances`.
     pub fn new(me: u16, instances: u64, seed: u64, now: f64) -> DigestRounds {
-        DigestRounds { received: PeerDigests::default(), me, instances, seed, draws: 0, next_round: now }
+        DigestRounds {
+            received: PeerDigests::default(),
+            me,
+            instances,
+            seed,
+            random_draws: 0,
+            next_round: now,
+        }
     }
 
-    /// Takes the digest of another instance; `None` where the bytes are no digest.
+    /// Handles the digest of another instance; `None` if the bytes are not a valid digest.
     pub fn receive(&mut self, from: u16, bytes: &[u8], now: f64) -> Option<()> {
         self.received.receive(from, read(bytes)?, now);
         Some(())
     }
 
-    /// What the others report of an engine.
+    /// What the other instances report about an engine.
     pub fn evidence_on(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
         self.received.evidence_on(engine, now, |_| true)
     }
 
-    /// The digest that is to be sent now: a round is due, and there is something to report.
+    /// The digest to send now; `None` if no round is due, or there are no failures to report.
     pub fn due(&mut self, now: f64, observations: impl FnOnce() -> Vec<Observation>) -> Option<DueDigest> {
         if now < self.next_round || self.instances < 2 {
             return None;
@@ -59,15 +67,15 @@
         if observations.is_empty() {
             return None;
         }
-        let receivers = (0..FANOUT).map(|_| self.draw_other()).collect();
+        let receivers = (0..FANOUT).map(|_| self.random_other()).collect();
         Some(DueDigest { receivers, bytes: write(&observations) })
     }
 
-    /// Any instance but this one.
-    fn draw_other(&mut self) -> u16 {
-        self.draws += 1;
+    /// A random instance other than this one.
+    fn random_other(&mut self) -> u16 {
+        self.random_draws += 1;
         let mut hasher = DefaultHasher::new();
-        (self.seed, self.draws).hash(&mut hasher);
+        (self.seed, self.random_draws).hash(&mut hasher);
         let other = hasher.finish() % (self.instances - 1);
         (other + u64::from(other >= u64::from(self.me))) as u16
     }
--- a/crates/membership/src/direct_probe.rs
+++ b/crates/membership/src/direct_probe.rs
@@ -1,45 +1,50 @@
-//! Direct probes of many silent routers at once. The failure detector probes one router a period, which is enough while few
-//! fail; where many fail together, they would be found one after another, and the news of each would be gossiped to the dead.
+//! Direct probes of many silent routers at once. The failure detector probes one router per period, which is enough
+//! while few routers fail. If many failed together, it would find them one after another, and much of its gossip
+//! would go to dead routers.
 //!
-//! A router that was not heard for long, or for a moment while others are being suspected, is probed directly, and some of
-//! the others are asked whether they hear it (SWIM's indirect probe, for many at a time). Where nobody answers, though this
-//! router hears somebody, it is suspected, which it may refute like any suspicion. So a link that is cut between two
-//! routers accuses neither of them.
+//! A router is probed directly when it has not been heard for long, or after a shorter silence while many others are
+//! being suspected. Some of the other routers are also asked whether they hear it (SWIM's indirect probe, for many
+//! routers at a time). If there is no answer although this router hears others, the silent router is suspected, which
+//! it may refute like any suspicion. A broken link between two routers therefore makes neither of them suspected, as
+//! others still hear both.
 
 use std::collections::BTreeMap;
 
-/// Between two probes of the same router, in seconds.
+/// The time between two probes of the same router, in seconds.
 const PROBE_INTERVAL: f64 = 0.25;
-/// A probe is due again after this part of the interval, so that a turn that comes a little early is not lost.
+/// The next probe is due after this fraction of the interval, so that a turn that comes slightly early is not wasted.
 const INTERVAL_TOLERANCE: f64 = 0.9;
-/// So many probes go unanswered before a router is suspected: one or two may be lost by a bad link.
+/// How many probes must go unanswered before a router is suspected: a bad link may lose one or two.
 const PROBES_BEFORE_SUSPICION: u32 = 3;
-/// Routers that are probed in one turn, so that a great silence does not become a burst of datagrams.
+/// The most routers that are probed in one turn, so that many silent routers do not cause a burst of datagrams.
 const MAX_PROBES: usize = 32;
-/// While others are suspected, a router that was not heard for so long is probed, in seconds.
-const SILENCE_DURING_FAILURES: f64 = 0.5;
-/// A suspicion counts as recent for so long, in seconds.
-const RECENT: f64 = 2.0;
-/// Recent suspicions that tell of a common fault: one for so many routers, and at least the second number.
+/// While many routers are being suspected, a router that was not heard for this long is probed, in seconds.
+const MAX_SILENCE_DURING_FAILURES: f64 = 0.5;
+/// How long a suspicion counts as recent, in seconds.
+const SUSPICION_WINDOW: f64 = 2.0;
+/// Recent suspicions indicate a common fault if there is one for each `ROUTERS_PER_SUSPICION` present routers, and at
+/// least `MIN_RECENT_SUSPICIONS`.
 const ROUTERS_PER_SUSPICION: usize = 50;
 const MIN_RECENT_SUSPICIONS: usize = 2;
-/// A router that others have heard within this time is alive, whatever is heard here. Seconds.
+/// A router that others have heard within this time is alive, even if this router does not hear it. Seconds.
 const HEARD_RECENTLY: f64 = 1.0;
 
-/// Routers that one indirect probe, or the answer to it, names at most.
+/// The most routers that one indirect probe, or the answer to it, may name.
 pub const MAX_NAMED: usize = MAX_PROBES;
 
-/// What is known of one router that counts as present.
+/// The input about one router that counts as present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Peer {
-    /// Its place in the cluster file.
+    /// Its index in the cluster file.
     pub router: u16,
     /// When it was last heard directly, in seconds.
     pub heard_at: f64,
-    /// It is suspected already. It is still probed, so that one that is alive is heard before the suspicion times out.
+    /// Whether it is suspected already. A suspected router is still probed, so that a live one is heard before the
+    /// suspicion times out.
     pub suspected: bool,
 }
 
+/// The unanswered probes of one router.
 #[derive(Clone, Copy, Debug)]
 struct Probed {
     probes: u32,
@@ -53,32 +58,32 @@
     }
 }
 
-/// Which routers were probed, and how often.
+/// Which silent routers have been probed, and how often.
 #[derive(Clone, Debug, Default)]
 pub struct DirectProbes {
     probed: BTreeMap<u16, Probed>,
-    /// When routers were suspected, or failed, of late.
+    /// When routers were recently suspected, or failed without a suspicion.
     suspicions: Vec<f64>,
     next_turn: f64,
 }
 
-/// What is to be done now.
+/// What the caller is to do now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProbeActions {
-    /// Routers to be probed, directly and through others.
+    /// Routers to probe, directly and through other routers.
     pub probe: Vec<u16>,
-    /// Routers that have not answered.
+    /// Routers to suspect, as they have not answered.
     pub suspect: Vec<u16>,
 }
 
 impl DirectProbes {
-    /// Notes that a router was newly suspected, or failed.
-    pub fn suspected(&mut self, now: f64) {
-        self.suspicions.retain(|at| now < at + RECENT);
+    /// Records that a router was newly suspected, or failed without a suspicion.
+    pub fn note_suspicion(&mut self, now: f64) {
+        self.suspicions.retain(|at| now < at + SUSPICION_WINDOW);
         self.suspicions.push(now);
     }
 
-    /// This router was frozen: what went unanswered meanwhile says nothing.
+    /// Forgets all probes and suspicions after a pause of this process: missing answers during a pause are no evidence.
     pub fn paused(&mut self) {
         self.probed.clear();
         self.suspicions.clear();
@@ -89,26 +94,28 @@
         self.next_turn
     }
 
-    /// Another router has heard this one so many seconds ago.
+    /// Handles the answer to an indirect probe: another router heard `router` so many seconds ago.
     pub fn heard_by_other(&mut self, router: u16, ago: f64) {
         if ago < HEARD_RECENTLY {
             self.probed.remove(&router);
         }
     }
 
-    /// Looks at the routers that count as present. `max_silence` is how long one that is alive is usually not heard at most,
-    /// in seconds; `heard_any_at` is when any router was last heard.
+    /// Decides which of the routers that count as present to probe and which to suspect. `max_silence` is the longest
+    /// time for which a live router is usually not heard, in seconds; `heard_any_at` is when any router was last
+    /// heard.
     pub fn turn(&mut self, peers: &[Peer], max_silence: f64, heard_any_at: f64, now: f64) -> ProbeActions {
         self.next_turn = now + PROBE_INTERVAL;
-        self.suspicions.retain(|at| now < at + RECENT);
-        let silence = if self.many_suspected(peers.len()) { SILENCE_DURING_FAILURES } else { max_silence };
+        self.suspicions.retain(|at| now < at + SUSPICION_WINDOW);
+        let silence =
+            if self.many_suspected(peers.len()) { MAX_SILENCE_DURING_FAILURES } else { max_silence };
         let mut actions = ProbeActions::default();
         let mut still_probed = BTreeMap::new();
         for peer in peers {
             let Some(mut probed) = self.probes_of(peer, silence, now) else { continue };
             let due = now >= probed.last_at + PROBE_INTERVAL * INTERVAL_TOLERANCE;
             if due && probed.probes >= PROBES_BEFORE_SUSPICION && !peer.suspected {
-                // Where nobody is heard, it may be this router that is cut off.
+                // If no router has been heard since the first probe, this router may be the one that is cut off.
                 if heard_any_at > probed.first_at {
                     actions.suspect.push(peer.router);
                 }
@@ -125,12 +132,13 @@
         actions
     }
 
+    /// Whether there are so many recent suspicions that a common fault is likely.
     fn many_suspected(&self, routers: usize) -> bool {
         let many = (routers / ROUTERS_PER_SUSPICION).max(MIN_RECENT_SUSPICIONS);
         self.suspicions.len() >= many
     }
 
-    /// The probes that a router has not answered; `None` for one that needs none.
+    /// The unanswered probes of a router that is to be probed; `None` if the router needs no probe.
     fn probes_of(&self, peer: &Peer, silence: f64, now: f64) -> Option<Probed> {
         let unanswered = self.probed.get(&peer.router).filter(|probed| peer.heard_at < probed.first_at);
         if let Some(probed) = unanswered {
--- a/crates/membership/src/direct_probe/tests.rs
+++ b/crates/membership/src/direct_probe/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 fn step(probes: &mut DirectProbes, heard: &[(u16, f64)], now: f64) -> ProbeActions {
-    let anyone = heard.iter().map(|(_, at)| *at).fold(0.0, f64::max);
+    let heard_any_at = heard.iter().map(|(_, at)| *at).fold(0.0, f64::max);
     let peer =
         |(router, heard_at): &(u16, f64)| Peer { router: *router, heard_at: *heard_at, suspected: false };
     let peers: Vec<Peer> = heard.iter().map(peer).collect();
-    probes.turn(&peers, 3.0, anyone, now)
+    probes.turn(&peers, 3.0, heard_any_at, now)
 }
 
 fn actions(probe: &[u16], suspect: &[u16]) -> ProbeActions {
@@ -30,9 +30,17 @@
     });
     probes.heard_by_other(3, 0.2);
     let heard = [(1, 12.0), (2, 11.9), (3, 8.0)];
-    assert_eq!(step(&mut probes, &heard, 12.0), actions(&[3], &[]), "the third is probed anew");
+    assert_eq!(
+        step(&mut probes, &heard, 12.0),
+        actions(&[3], &[]),
+        "probes of router 3 start anew after another router heard it"
+    );
     probes.heard_by_other(3, 5.0);
-    assert_eq!(step(&mut probes, &heard, 12.25), actions(&[3], &[]), "that it was heard long ago is no sign");
+    assert_eq!(
+        step(&mut probes, &heard, 12.25),
+        actions(&[3], &[]),
+        "an old contact of another router does not reset the probes"
+    );
 }
 
 #[test]
@@ -40,10 +48,14 @@
     let mut probes = DirectProbes::default();
     let heard = [(1, 9.9), (2, 9.2), (3, 9.2)];
     assert_eq!(step(&mut probes, &heard, 10.0), actions(&[], &[]));
-    probes.suspected(10.0);
-    probes.suspected(10.1);
+    probes.note_suspicion(10.0);
+    probes.note_suspicion(10.1);
     assert_eq!(step(&mut probes, &heard, 10.25), actions(&[2, 3], &[]));
-    assert_eq!(step(&mut probes, &[(1, 12.0), (2, 11.4), (3, 11.4)], 12.2), actions(&[], &[]), "old news");
+    assert_eq!(
+        step(&mut probes, &[(1, 12.0), (2, 11.4), (3, 11.4)], 12.2),
+        actions(&[], &[]),
+        "suspicions older than the window no longer shorten the tolerated silence"
+    );
 }
 
 #[test]
@@ -60,9 +72,9 @@
     }
 }
 
-/// Hard case: this router is the one that is cut off.
+/// Guards against a router that is cut off itself suspecting all others.
 #[test]
-fn suspects_nobody_while_hearing_nobody() {
+fn suspects_no_router_while_hearing_none() {
     let mut probes = DirectProbes::default();
     let heard = [(1, 8.0), (2, 8.0)];
     let all: Vec<ProbeActions> =
--- a/crates/membership/src/leader.rs
+++ b/crates/membership/src/leader.rs
@@ -1,39 +1,45 @@
-//! Leader roles: what one router at a time does for the whole cluster, each under a [`crate::lease`] of its own. Decides
-//! who requests the lease, and when; that no two routers hold one is up to the lease alone, whatever is decided here.
+//! Leader roles: tasks that one router at a time does for the whole cluster, each under a [`crate::lease`] of its
+//! own. This module decides which routers request the lease, and when. That no two routers hold a role at once is
+//! ensured by the lease alone, whatever is decided here.
 //!
-//! Routers are ranked for each role by rendezvous hashing (Thaler and Ravishankar, 1998), alike on all of them; the first few
-//! of those present request the lease, the better ranked sooner. So a role stays where it is while its holder lives, it has
-//! one natural successor when the holder does not, and the number of requests does not grow with that of routers.
+//! Routers are ranked for each role by rendezvous hashing (Thaler and Ravishankar, 1998), which gives the same order
+//! on every router. The first few of the present routers request the lease, the better ranked ones sooner. So a role
+//! stays with its holder while that is alive, has one expected successor when the holder fails, and the number of
+//! requests does not grow with the number of routers.
 
 use crate::lease::{Epoch, Leases, Resource, MAX_TERM};
 use crate::view::Permissions;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Roles of one cluster at most; more are left alone.
+/// The most roles of one cluster; further ones are ignored.
 pub const MAX_ROLES: usize = 64;
-/// How many of the routers that are present request the lease: two may fail together with the holder.
+/// How many of the present routers request the lease. With three, two candidates may fail together with the holder.
 const CANDIDATES: usize = 3;
-/// The first candidate requests so often while it holds nothing, each one behind it so much more seldom, in seconds.
+/// How often the first candidate requests a lease that it does not hold, in seconds. The interval of each next
+/// candidate is longer by the same time.
 const REQUEST_INTERVAL: f64 = 0.25;
-/// Beyond this rank the interval does not grow.
+/// The rank beyond which the interval no longer grows.
 const MAX_RANK_DELAY: usize = 8;
-/// A lease is extended once this part of its term has passed: two attempts may fail before it ends.
+/// A lease is extended once this fraction of its term has passed, which leaves time for two failed attempts before it
+/// expires.
 const RENEW_AFTER: f64 = 0.4;
 
-/// The resource of a role's lease. It depends on the name alone, so that routers whose files list roles in another order
-/// agree.
+/// The resource of a role's lease. It depends on the name alone, so that routers whose cluster files list the roles in
+/// different orders agree.
 pub fn role_resource(name: &str) -> Resource {
-    // The same in every build; other resources have the lower half of the numbers.
+    // CRC-32 gives the same number in every build. Roles use the upper half of the numbers, other resources the lower
+    // half.
     crc32fast::hash(name.as_bytes()) | 1 << 31
 }
 
+/// One role, and when its lease is requested or checked next, in seconds.
 #[derive(Clone, Debug)]
 struct Role {
     resource: Resource,
     next_request: f64,
 }
 
-/// The part of one router in all roles.
+/// The leader roles of the cluster, as one router requests and extends their leases.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderRoles {
     cluster: u64,
@@ -43,34 +49,34 @@
 /// Who holds a role, as far as this router knows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RoleStatus {
-    /// This router does.
+    /// This router holds the role.
     Held {
         /// The epoch of its lease.
         epoch: Epoch,
         /// How long the lease may still be used if it is not extended, in seconds.
         remaining: f64,
     },
-    /// Another router, by its place in the cluster file, to which this router has granted the lease.
+    /// Another router holds the role: the index of the router to which this router has granted the lease.
     HeldBy(u16),
-    /// Not granted by this router, or expired.
+    /// The holder is not known: this router has not granted the lease, or the grant has expired.
     Unknown,
 }
 
-/// What a router needs to know to request the leases of its roles.
+/// What decides whether this router requests the leases of roles.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// This router.
+    /// The index of this router.
     pub me: u16,
-    /// The routers that are present.
+    /// The indexes of the present routers.
     pub present: &'a [u16],
-    /// What the view of this router allows.
+    /// What the standing of this router allows.
     pub permissions: Permissions,
-    /// A draw from 0 to 1, which spreads the requests of many routers.
-    pub chance: f64,
+    /// A random fraction from 0 to 1, which spreads the requests of many routers over time.
+    pub random_fraction: f64,
 }
 
 impl LeaderRoles {
-    /// The roles of these resources, requested from `now` on.
+    /// The roles with these resources, requested from `now` on.
     pub fn new(cluster: u64, resources: &[Resource], now: f64) -> LeaderRoles {
         let resources = resources.iter().take(MAX_ROLES);
         let roles = resources.map(|&resource| Role { resource, next_request: now });
@@ -87,9 +93,9 @@
         self.roles.iter().map(|role| role.next_request).fold(f64::INFINITY, f64::min)
     }
 
-    /// Requests the leases that are due.
+    /// Requests or extends the leases that are due.
     pub fn turn(&mut self, candidate: Candidate, leases: &mut Leases, now: f64) {
-        let spread = 0.75 + 0.5 * candidate.chance;
+        let jitter = 0.75 + 0.5 * candidate.random_fraction;
         for role in self.roles.iter_mut().filter(|role| now >= role.next_request) {
             let remaining = leases.remaining(role.resource, now);
             let interval = match remaining {
@@ -103,7 +109,7 @@
                     REQUEST_INTERVAL * (1.0 + rank.min(MAX_RANK_DELAY) as f64)
                 }
             };
-            role.next_request = now + interval * spread;
+            role.next_request = now + interval * jitter;
         }
     }
 
@@ -119,15 +125,16 @@
     }
 }
 
-/// Requests an extension of a lease that is held. That needs no view, as a majority either grants it or does not.
+/// Requests an extension of a lease that is held, once it is due. Unlike a takeover, this needs no
+/// reliable view of the other routers, as a majority either grants it or does not.
 fn extend(resource: Resource, remaining: f64, permissions: Permissions, leases: &mut Leases, now: f64) {
-    let renews = remaining < MAX_TERM * (1.0 - RENEW_AFTER);
-    if renews && permissions.requests_leases {
+    let is_due = remaining < MAX_TERM * (1.0 - RENEW_AFTER);
+    if is_due && permissions.requests_leases {
         leases.request(resource, now);
     }
 }
 
-/// Requests a lease that, as far as this router knows, no other holds.
+/// Requests a lease if this router is one of the first candidates, may take over roles, and knows of no other holder.
 fn take_over(resource: Resource, rank: usize, candidate: Candidate, leases: &mut Leases, now: f64) {
     let other = leases.granted_to(resource, now).is_some_and(|holder| holder != candidate.me);
     if rank < CANDIDATES && candidate.permissions.takes_over && !other {
@@ -135,7 +142,7 @@
     }
 }
 
-/// How many of the routers that are present come before router `me` for a resource.
+/// How many of the present routers are ranked ahead of router `me` for a resource.
 pub fn rank(cluster: u64, resource: Resource, me: u16, present: &[u16]) -> usize {
     let weight = |router: u16| {
         let mut hasher = DefaultHasher::new();
--- a/crates/membership/src/leader/tests.rs
+++ b/crates/membership/src/leader/tests.rs
@@ -2,7 +2,7 @@
 use crate::view::{permissions, Standing};
 
 #[test]
-fn ranks_agree_on_all_routers_spread_and_skip_absent_ones() {
+fn ranks_are_distinct_vary_by_resource_and_skip_absent_routers() {
     let all: Vec<u16> = (0..9).collect();
     let mut first = std::collections::BTreeSet::new();
     for number in 0..40 {
@@ -19,14 +19,18 @@
     assert!(first.len() > 4, "{first:?}");
 }
 
-/// A router that may not take over never requests a lease; the only router of a cluster of one holds it at once.
+/// A router that may not take over never requests a lease. The only router of a cluster of one gets the lease at once.
 #[test]
 fn requests_only_where_the_view_allows_and_extends_what_it_holds() {
     let mut leases = Leases::new(0, 1, 10, 0.0);
     let mut roles = LeaderRoles::new(7, &[role_resource("nightly")], 3.0);
     let nightly = role_resource("nightly");
-    let candidate =
-        |standing| Candidate { me: 0, present: &[0], permissions: permissions(standing), chance: 0.5 };
+    let candidate = |standing| Candidate {
+        me: 0,
+        present: &[0],
+        permissions: permissions(standing),
+        random_fraction: 0.5,
+    };
     for standing in [Standing::Disagreeing, Standing::Minority, Standing::JustResumed, Standing::Leaving] {
         roles.turn(candidate(standing), &mut leases, 3.0);
         assert_eq!(roles.status(nightly, 0, &leases, 3.0), RoleStatus::Unknown, "{standing:?}");
@@ -34,7 +38,7 @@
     }
     roles.turn(candidate(Standing::Complete), &mut leases, 3.0);
     let RoleStatus::Held { epoch: first, remaining } = roles.status(nightly, 0, &leases, 3.0) else {
-        panic!("not held")
+        panic!("the role is not held after the request")
     };
     assert!(remaining > 1.8 && remaining < 2.0, "{remaining}");
     let mut now = 3.0;
@@ -43,7 +47,7 @@
         roles.turn(candidate(Standing::Complete), &mut leases, now);
         leases.turn(now);
         let RoleStatus::Held { epoch, remaining } = roles.status(nightly, 0, &leases, now) else {
-            panic!("lost")
+            panic!("the role was lost before it was extended")
         };
         assert!(epoch >= first && remaining > 0.7, "{remaining} at {now}");
     }
--- a/crates/membership/src/lease/grantor.rs
+++ b/crates/membership/src/lease/grantor.rs
@@ -1,4 +1,4 @@
-//! The grantor's part: what this router has promised and granted, to others and to itself.
+//! The grantor's side of a lease: what this router has promised and granted, to others and to itself.
 
 use super::{Epoch, InjectedFault, Leases, Message, Resource, MAX_RESOURCES, MAX_TERM};
 
@@ -7,15 +7,16 @@
 pub(super) struct Granted {
     epoch: Epoch,
     holder: u16,
-    /// On the grantor's clock, in seconds.
+    /// When the grant expires on the grantor's clock, in seconds.
     expires_at: f64,
 }
 
 /// What a grantor remembers of one resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Grant {
-    /// Nothing older than this is accepted.
+    /// Proposals of an older epoch than this are refused.
     promised: Epoch,
+    /// The latest grant; `None` if there is none, or it was released or found expired.
     granted: Option<Granted>,
 }
 
@@ -26,13 +27,13 @@
 }
 
 impl Leases {
-    /// The router to which this router itself has granted the lease, if that has not expired: the knowledge of one
-    /// grantor alone.
+    /// The router to which this router has granted the lease, if the grant has not expired. This is the knowledge of
+    /// one grantor only: a majority may have granted the lease to another router.
     pub fn granted_to(&self, resource: Resource, now: f64) -> Option<u16> {
         self.grants.get(&resource).and_then(|grant| grant.holder(now))
     }
 
-    /// The record to grant by. `None` while this router must not grant, or where it keeps too many resources.
+    /// The grant record of a resource. `None` while this router must not grant yet, or if it tracks too many resources.
     fn grant_mut(&mut self, resource: Resource, now: f64) -> Option<&mut Grant> {
         if now < self.grants_from && self.injected != InjectedFault::GrantsAtOnce {
             return None;
@@ -45,6 +46,7 @@
         Some(grant)
     }
 
+    /// Answers phase one of an attempt: promises the epoch unless the same or a later one was promised before.
     pub(super) fn on_prepare(&mut self, from: u16, resource: Resource, epoch: Epoch, now: f64) {
         let Some(grant) = self.grant_mut(resource, now) else { return };
         let reply = if epoch <= grant.promised {
@@ -56,6 +58,7 @@
         self.reply(from, reply, now);
     }
 
+    /// Answers phase two of an attempt: grants the lease unless a later epoch was promised.
     pub(super) fn on_propose(&mut self, from: u16, resource: Resource, epoch: Epoch, now: f64) {
         let Some(grant) = self.grant_mut(resource, now) else { return };
         let reply = if epoch < grant.promised {
@@ -68,7 +71,7 @@
         self.reply(from, reply, now);
     }
 
-    /// The sender no longer uses what it requested under this epoch or an older one.
+    /// Clears the sender's grant if it is of this epoch or an older one, as the sender no longer uses it.
     pub(super) fn on_release(&mut self, from: u16, resource: Resource, epoch: Epoch) {
         let Some(grant) = self.grants.get_mut(&resource) else { return };
         grant.granted = grant.granted.filter(|granted| granted.holder != from || granted.epoch > epoch);
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -1,13 +1,18 @@
-//! Leases on what only one router may do at a time, granted by a majority of the expected routers, each under an epoch
-//! that only grows. After PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) and Gray and Cheriton (1989): without a log and
-//! without a disk.
+//! Leases on resources that only one router may use at a time. A lease is granted by a majority of the expected
+//! routers, under an epoch that only increases. The protocol follows PaxosLease (Trencséni, Gazsó and Reinhardt,
+//! 2012) and Gray and Cheriton (1989). It needs no log and no disk.
 //!
-//! **Assumptions.** A clock is only ever compared with itself. Of two routers' clocks, one second of one is at most
-//! `1 + 2 * DRIFT` seconds of the other: a bound on their rates, not on what they show. Steps of the Unix clock do not matter,
-//! as it is not read. A grantor that has lost its memory grants nothing for [`MAX_TERM`] after its start. A holder checks
-//! [`Leases::held_epoch`] before each use, in the same turn, and a use takes effect within [`MAX_USE_DELAY`] of that check or
-//! never; what a freeze between the two lets through later is stopped by the epoch, where the other side checks it. Epochs
-//! go back only if a majority loses its memory at once *and* the Unix clocks that they start from were set back.
+//! **Assumptions**
+//!
+//! - Times of different routers' clocks are never compared. Only the rates of the clocks are bounded: one second of
+//!   one router's clock is at most `1 + 2 * DRIFT` seconds of another's.
+//! - Steps of the Unix clock do not matter, as leases do not read it.
+//! - A grantor that has lost its memory in a restart grants nothing for [`MAX_TERM`] (and the drift) after its start.
+//! - A holder checks [`Leases::held_epoch`] before each use, in the same turn, and a use takes effect within
+//!   [`MAX_USE_DELAY`] of that check or never. If the holder is frozen between check and use, a later effect is
+//!   stopped by the epoch, provided that the other side checks it.
+//! - Epochs decrease only if a majority loses its memory at the same time *and* the Unix clocks from which its
+//!   counters start were set back.
 
 mod grantor;
 mod message;
@@ -20,23 +25,27 @@
 use requester::Attempt;
 use std::collections::BTreeMap;
 
-/// By how much the rate of a clock may differ from true time.
+/// The fraction by which the rate of a clock may differ from true time.
 pub const DRIFT: f64 = 0.01;
-/// The term of a lease on the grantor's clock, in seconds: how long a resource stays unused after its holder has died.
+/// The term of a lease on the grantor's clock, in seconds. A resource stays unused for up to this time after its
+/// holder has died.
 pub const MAX_TERM: f64 = 2.0;
-/// The longest time from the holder's check to the effect of what it does, in seconds.
+/// The longest time from the holder's check to the effect of the use, in seconds.
 pub const MAX_USE_DELAY: f64 = 0.1;
-/// Resources that are kept at most, so that a faulty router can't fill the memory; more are refused.
+/// The most resources that are tracked, so that a faulty router can't exhaust the memory. Requests for more are
+/// ignored.
 const MAX_RESOURCES: usize = 1024;
-/// An attempt without a majority after this time is given up, in seconds: several round trips between far regions.
+/// A phase of an attempt that has found no majority after this time is abandoned, in seconds: several round trips
+/// between distant regions.
 const ATTEMPT_TIMEOUT: f64 = 0.5;
-/// The low bits of an epoch that hold the number of the router.
+/// The number of low bits of an epoch that hold the index of the router.
 const ROUTER_BITS: u32 = 16;
 
-/// What a lease is for.
+/// The number of the resource that a lease is for.
 pub type Resource = u32;
 
-/// Grows with each attempt: a counter, then the number of the router that made it, so that no two are alike.
+/// The number of an attempt to get a lease, which increases with each attempt: a counter in the high bits, then the
+/// index of the requesting router, so that no two routers use the same epoch.
 pub type Epoch = u64;
 
 fn epoch(counter: u64, router: u16) -> Epoch {
@@ -47,43 +56,44 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Held {
     epoch: Epoch,
-    /// On the holder's clock, in seconds.
+    /// When the lease expires on the holder's clock, in seconds.
     expires_at: f64,
 }
 
-/// The part of one router, as holder and as grantor.
+/// The lease state of one router, both as requester or holder and as grantor.
 #[derive(Clone, Debug)]
 pub struct Leases {
     me: u16,
     expected: usize,
-    /// Nothing is granted before this time: what was granted in a former incarnation has expired by then.
+    /// Nothing is granted before this time, in seconds: by then all grants of earlier incarnations have expired.
     grants_from: f64,
+    /// The high bits of the latest epoch that this router has used, or has seen promised.
     counter: u64,
     grants: BTreeMap<Resource, Grant>,
     attempts: BTreeMap<Resource, Attempt>,
     held: BTreeMap<Resource, Held>,
     outgoing: Vec<(u16, Message)>,
-    /// What is left out on purpose, so that a test of the model checker can see that it is found.
+    /// The fault that the model checker's test injects, to show that the checker finds it.
     pub injected: InjectedFault,
 }
 
 /// Faults for the model checker to find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// The code as it is.
+    /// No fault.
     #[default]
     None,
-    /// A holder counts its term from the grant in place of the request.
+    /// A holder counts its term from the grant instead of the request.
     CountsFromGrant,
-    /// A router that has lost its memory grants at once.
+    /// A router that has lost its memory in a restart grants leases at once.
     GrantsAtOnce,
-    /// The holder's clock is taken to run as the grantors' do.
+    /// The holder's term does not allow for drift between its clock and the grantors'.
     NoDrift,
 }
 
 impl Leases {
-    /// The part of router `me` among `expected` routers after its start. `counter` must be larger than in any former incarnation:
-    /// the Unix time of the start in milliseconds is.
+    /// The lease state of router `me`, of `expected` routers, at its start. `counter` must be larger than in any
+    /// earlier incarnation, as the Unix time of the start in milliseconds is.
     pub fn new(me: u16, expected: usize, counter: u64, now: f64) -> Leases {
         Leases {
             me,
@@ -106,11 +116,12 @@
         for router in (0..self.expected as u16).filter(|router| *router != self.me) {
             self.outgoing.push((router, message));
         }
-        // This router's own part as a grantor is asked like any other.
+        // This router is one of the grantors itself.
         self.receive(self.me, message, now);
     }
 
-    /// Requests a lease, or an extension of one that is held. One attempt at a time is made for a resource.
+    /// Requests a lease, or an extension of one that is held. Does nothing while an attempt for the resource is under
+    /// way, or if too many attempts are.
     pub fn request(&mut self, resource: Resource, now: f64) {
         if self.attempts.contains_key(&resource) || self.attempts.len() >= MAX_RESOURCES {
             return;
@@ -121,20 +132,22 @@
         self.broadcast(Message::Prepare { resource, epoch }, now);
     }
 
-    /// The epoch of a lease that is held and may be used now. To be checked before each use, in the same turn.
+    /// The epoch of a lease that this router holds and may use now; `None` otherwise. The caller checks this before
+    /// each use, in the same turn.
     pub fn held_epoch(&self, resource: Resource, now: f64) -> Option<Epoch> {
         let held = self.held.get(&resource)?;
         (now < held.expires_at - MAX_USE_DELAY).then_some(held.epoch)
     }
 
-    /// For how many seconds more a lease that is held may be used, if it may be used now.
+    /// For how many more seconds a held lease may be used; `None` if it may not be used now.
     pub fn remaining(&self, resource: Resource, now: f64) -> Option<f64> {
         let held = self.held.get(&resource)?;
         Some(held.expires_at - MAX_USE_DELAY - now).filter(|remaining| *remaining > 0.0)
     }
 
-    /// Gives up a lease, so that others need not wait for its end. What the grantors have granted may be later than what is
-    /// held, as an attempt is under way or its replies were lost: all that was requested until now is given up.
+    /// Gives up a lease, so that other routers need not wait until it expires. The grantors may have granted a later
+    /// epoch than the one held here, if an attempt is under way or its replies were lost. So the release covers all
+    /// epochs up to the latest that this router has requested.
     pub fn release(&mut self, resource: Resource, now: f64) {
         let attempt = self.attempts.remove(&resource);
         let held = self.held.remove(&resource);
@@ -144,18 +157,18 @@
         }
     }
 
-    /// Gives up attempts that have timed out, and forgets leases that have expired.
+    /// Abandons attempts that have timed out, and forgets leases that have expired.
     pub fn turn(&mut self, now: f64) {
         self.attempts.retain(|_, attempt| now < attempt.began() + ATTEMPT_TIMEOUT);
         self.held.retain(|_, held| now < held.expires_at);
     }
 
-    /// The messages to send, each with its receiver.
+    /// Takes the messages to send, each with its receiver.
     pub fn take_outgoing(&mut self) -> Vec<(u16, Message)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes a message of another router, or of this one.
+    /// Handles a message from router `from`, which may be this router itself.
     pub fn receive(&mut self, from: u16, message: Message, now: f64) {
         match message {
             Message::Prepare { resource, epoch } => self.on_prepare(from, resource, epoch, now),
@@ -175,7 +188,7 @@
         }
     }
 
-    /// The whole state that later behaviour depends on, as text for a model checker.
+    /// The whole state that later behaviour depends on, as text by which a model checker identifies states.
     pub fn digest(&self) -> String {
         format!("{:?}", (self.grants_from, self.counter, &self.grants, &self.attempts, &self.held))
     }
--- a/crates/membership/src/lease/requester.rs
+++ b/crates/membership/src/lease/requester.rs
@@ -1,11 +1,13 @@
-//! The requester's part: an attempt to get a lease, from the question to all grantors to a majority that accepts.
+//! The requester's side of a lease: an attempt, from the first message to all grantors to acceptance by a majority.
 
 use super::{Epoch, Held, InjectedFault, Leases, Message, Resource, DRIFT, MAX_TERM};
 
-/// An attempt of this router, and the phase that it is in.
+/// An attempt of this router to get a lease, in one of its two phases.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Attempt {
+    /// Phase one: collects promises.
     Preparing { epoch: Epoch, began: f64, promises: Vec<u16> },
+    /// Phase two: collects acceptances.
     Proposing { epoch: Epoch, began: f64, accepts: Vec<u16> },
 }
 
@@ -16,7 +18,7 @@
         }
     }
 
-    /// When its present phase began, on the requester's clock, in seconds.
+    /// When its current phase began on the requester's clock, in seconds.
     pub(super) fn began(&self) -> f64 {
         match self {
             Attempt::Preparing { began, .. } | Attempt::Proposing { began, .. } => *began,
@@ -24,8 +26,8 @@
     }
 }
 
-/// How long a lease lasts on the holder's clock, in seconds: shorter than on the grantors', by as much as the two clocks
-/// may drift apart.
+/// The term of a lease on the holder's clock, in seconds. It is shorter than on the grantors' clocks, by as much as
+/// the two clocks may drift apart.
 fn term(injected: InjectedFault) -> f64 {
     match injected {
         InjectedFault::NoDrift => MAX_TERM,
@@ -76,7 +78,7 @@
             accepts.push(from);
         }
         if accepts.len() >= majority {
-            // From when the grants were requested: each of them was given later than that.
+            // The term is counted from when the grants were requested, as each of them was given after that.
             let counted_from = if self.injected == InjectedFault::CountsFromGrant { now } else { *began };
             let expires_at = counted_from + term(self.injected);
             self.attempts.remove(&resource);
@@ -84,10 +86,11 @@
         }
     }
 
-    /// A later epoch was promised: the next attempt has to be later still.
+    /// Handles a refusal: raises the counter so that the next attempt has a later epoch than the promised one, and
+    /// abandons the refused attempt.
     pub(super) fn on_refuse(&mut self, resource: Resource, epoch: Epoch, promised: Epoch) {
-        let latest = promised >> super::ROUTER_BITS;
-        self.counter = self.counter.max(latest.min(crate::MAX_GENERATION >> super::ROUTER_BITS));
+        let promised_counter = promised >> super::ROUTER_BITS;
+        self.counter = self.counter.max(promised_counter.min(crate::MAX_GENERATION >> super::ROUTER_BITS));
         if self.attempts.get(&resource).is_some_and(|attempt| attempt.epoch() == epoch) {
             self.attempts.remove(&resource);
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,18 @@
-//! Cluster membership: which routers are present, suspected, failed or gone, in which incarnation, and on what evidence.
+//! Cluster membership: which routers are present, suspected, failed or have left, in which incarnation, and on what
+//! evidence.
 //!
-//! - [`Membership`] is one router's part; it ties the others together.
-//! - [`swim`] is the failure detector, [`direct_probe`] its complement where many routers fall silent at once.
-//! - [`view`] says what a router may do, by how many of those expected are present.
-//! - [`lease`] grants what only one router may do at a time, [`leader`] requests that for named roles.
-//! - [`digest`] is what routers report to each other of engines.
-//! - [`wire`] is the form of the datagrams.
+//! - [`Membership`] is the membership state machine of one router; it combines the modules below.
+//! - [`swim`] is the failure detector. [`direct_probe`] complements it when many routers fall silent at once.
+//! - [`view`] derives what this router may do from how many of the expected routers are present.
+//! - [`lease`] grants exclusive leases on resources; [`leader`] requests leases for named leader roles.
+//! - [`digest`] encodes what routers report to each other about engines.
+//! - [`wire`] defines the datagram format.
 //!
-//! No I/O: the host hands in bytes, a clock of its own that nobody sets (seconds), and a seed; it sends what
-//! [`Membership::take_outgoing`] gives, and calls [`Membership::turn`] when [`Membership::due`] says. Design: `docs/design/members.md`.
+//! This crate does no I/O. The host passes in received bytes, a seed, and the time in seconds of a monotonic clock. It
+//! sends what [`Membership::take_outgoing`] returns, and calls [`Membership::turn`], one pass over everything that is
+//! due, at the time that [`Membership::due`] returns. Design: `docs/design/members.md`.
 //!
-//! Nothing here says where a request goes, and no request waits for any of it.
+//! Membership takes no part in routing: it does not decide where a request goes, and no request waits for it.
 
 pub mod digest;
 pub mod direct_probe;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one router, how its state changes, and what is counted of all.
+//! The record that a router keeps of each member, changes of a member's state, and the membership counters.
 
 use crate::wire::DropReason;
 use std::collections::BTreeMap;
@@ -6,22 +6,22 @@
 /// The state of one router in this router's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// Never heard of.
+    /// Nothing has been heard of it since this router started.
     Unseen,
-    /// Alive, and heard here.
+    /// Alive, and this router receives its datagrams.
     Present,
-    /// Alive by the word of others, and not heard here.
+    /// Alive according to other routers, but this router does not receive its datagrams.
     SeenByOthers,
-    /// It has not answered; it is told so, and may refute it.
+    /// It has not answered probes. It is notified of the suspicion and may refute it.
     Suspected,
-    /// Its suspicion has timed out.
+    /// It was suspected, and did not refute the suspicion in time.
     Failed,
-    /// It left by plan.
+    /// It announced a planned leave.
     Left,
 }
 
 impl State {
-    /// The word for logs and status.
+    /// The label in logs and in the status output.
     pub fn as_str(self) -> &'static str {
         match self {
             State::Unseen => "unseen",
@@ -33,54 +33,54 @@
         }
     }
 
-    /// Whether it counts as present in this router's view.
+    /// Whether a router in this state counts as present in the view.
     pub fn counts_as_present(self) -> bool {
         matches!(self, State::Present | State::SeenByOthers | State::Suspected)
     }
 }
 
-/// Which routers one router holds present, in short, so that two views can be compared.
+/// A short digest of the set of routers that one router considers present, so that two views can be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ViewDigest {
-    /// How many they are.
+    /// The number of present routers.
     pub(crate) present: u16,
-    /// The hash of which they are.
+    /// A hash of their indexes.
     pub(crate) hash: u32,
 }
 
-/// What is known of one router. Times are in seconds of the host's clock, and minus infinity for never.
+/// What this router knows of one member. Times are in seconds of the host's clock; minus infinity means never.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
-    /// Its present state.
+    /// Its current state.
     pub state: State,
-    /// Its incarnation, 0 where none is known.
+    /// The generation of its latest known incarnation, 0 if none is known.
     pub generation: u64,
-    /// When it came to this state.
+    /// When it entered this state.
     pub state_since: f64,
-    /// When it was last heard here.
+    /// When this router last received a datagram from it.
     pub heard_at: f64,
-    /// When, by its own word, it last heard this router.
+    /// When it last received a datagram from this router, as it reports.
     pub heard_us_at: f64,
-    /// The view that it has told of.
+    /// The view that it last reported.
     pub(crate) view: ViewDigest,
-    /// When it told of that view.
+    /// When it reported that view.
     pub(crate) view_at: f64,
-    /// Since when its view differs from this router's.
+    /// Since when its view has differed from this router's; `None` while they agree.
     pub(crate) view_differs_since: Option<f64>,
-    /// It has said that it leaves.
+    /// Whether it has announced that it is leaving.
     pub(crate) leaving: bool,
-    /// When it was last told that it does not count as present.
+    /// When it was last notified that it does not count as present here.
     pub(crate) notified_at: f64,
-    /// When its direct probe was last answered.
+    /// When this router last answered a direct probe from it.
     pub(crate) probe_answered_at: f64,
-    /// When its indirect probe was last answered.
+    /// When this router last answered an indirect probe from it.
     pub(crate) indirect_probe_answered_at: f64,
-    /// The latest epoch of its store that this router was shown, over all its incarnations.
+    /// The latest store epoch that it has reported, over all its incarnations.
     pub(crate) store_epoch: u64,
 }
 
 impl Member {
-    /// A router that was never heard of.
+    /// The record of a router that has not been heard of yet.
     pub(crate) fn unseen(now: f64) -> Member {
         Member {
             state: State::Unseen,
@@ -100,42 +100,42 @@
     }
 }
 
-/// A router came to another state.
+/// A change of a router's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateChange {
-    /// When, in seconds of the host's clock.
+    /// When the state changed, in seconds of the host's clock.
     pub at: f64,
-    /// The router, by its place in the cluster file.
+    /// The router, by its index in the cluster file.
     pub router: usize,
-    /// The former state.
+    /// The previous state.
     pub from: State,
     /// The new state.
     pub to: State,
-    /// Its incarnation.
+    /// The generation of its incarnation.
     pub generation: u64,
-    /// Seconds since it was last heard here; infinite for never.
+    /// Seconds since this router last received a datagram from it; infinite if it never did.
     pub heard_ago: f64,
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams that came in.
+    /// Datagrams received.
     pub received: u64,
-    /// Datagrams that went out.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of those.
+    /// Bytes in the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that were dropped, by the reason.
+    /// Received datagrams that were dropped, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
-    /// Suspicions of others, by this router or by others.
+    /// Times that another router became suspected here, whichever router raised the suspicion.
     pub suspicions_of_others: u64,
-    /// Suspicions of this router that it refuted.
+    /// Suspicions of this router that it has refuted.
     pub refutations: u64,
-    /// Incarnations that it had to begin anew.
+    /// New incarnations that this router had to begin because others considered it down.
     pub new_incarnations: u64,
-    /// Words of others that a router is down which direct contact outweighed.
+    /// Reports from others that a router is down that were overruled because this router still hears it.
     pub contradicted: u64,
-    /// Pauses in which this router had no turn.
+    /// Pauses of this process: turns that came late by more than the tolerated delay.
     pub pauses: u64,
 }
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! One router's part in the cluster: what it knows of the others, and what its host asks of it.
+//! The membership state machine of one router: what it knows of the other routers, and the interface to its host.
 
 mod leases;
 mod observe;
@@ -14,56 +14,63 @@
 use crate::view::{self, Permissions, Standing};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Routers of one cluster at most; a file that names more is refused.
+/// The largest number of routers in one cluster; a cluster file with more is rejected.
 pub const MAX_ROUTERS: usize = 2000;
-/// Timers of the failure detector that one turn serves, so that a turn after a long pause is short.
+/// The most failure detector timers that one turn runs, so that the turn after a long pause stays short.
 const MAX_TIMERS: usize = 64;
-/// A turn that comes so much later than it was due tells of a pause, in seconds: the process was frozen, or had no core.
-const PAUSE: f64 = 0.75;
+/// A turn that comes later than this after its due time means that the process was paused: it was frozen, or got no CPU
+/// time. Seconds.
+const MIN_PAUSE: f64 = 0.75;
 
-/// One router's part in the cluster. Times are in seconds of the host's clock, which nobody sets.
+/// The membership state machine of one router. Times are in seconds of the host's monotonic clock.
 pub struct Membership {
+    /// The index of this router in the cluster file.
     me: u16,
+    /// The hash that ties datagrams to the cluster, see [`cluster_hash`].
     cluster: u64,
     members: Vec<Member>,
     swim: Swim,
     adopt_later_incarnation: bool,
-    /// The epoch of this router's own store.
+    /// The epoch of the last write to this router's own store.
     store_epoch: u64,
-    /// The latest epoch of it that another router says it was shown, once one has said anything.
+    /// The latest epoch of this router's store that another router has seen; `None` until one has reported it.
     store_epoch_seen_by_peers: Option<u64>,
     leases: Leases,
     roles: LeaderRoles,
     probes: DirectProbes,
-    /// What others said of engines.
+    /// What other routers have reported about engines.
     digests: PeerDigests,
-    /// What this router says of engines.
+    /// What this router reports about engines.
     observations: Vec<Observation>,
+    /// Datagrams to send, each with its receiver.
     outgoing: Vec<(u16, Vec<u8>)>,
     changes: Vec<StateChange>,
     counts: Counters,
-    started: f64,
-    /// When the last pause ended.
+    started_at: f64,
+    /// When the last pause ended; minus infinity if there was none.
     resumed_at: f64,
-    /// A majority was present once.
+    /// Whether a majority has been present since the start.
     formed: bool,
+    /// When the planned leave of this router began; `None` while it stays.
     leaving_since: Option<f64>,
-    /// When this router's name was found in a younger incarnation.
+    /// When this router learned that others know a later incarnation under its name. Only recent times are kept.
     later_incarnations_seen: Vec<f64>,
     seed: u64,
-    draws: u64,
-    /// The routers that are still to be sent a heartbeat in this round, the next one last.
+    /// How many random numbers have been derived from the seed.
+    random_draws: u64,
+    /// The routers that have not been sent a heartbeat in this round yet; the next one is at the end.
     heartbeat_round: Vec<u16>,
-    observe_at: f64,
+    update_states_at: f64,
     heartbeat_at: f64,
     announce_at: f64,
-    /// What `due` last returned.
-    promised: f64,
+    /// When the next turn is expected, as `due` last returned it. A later turn reveals a pause.
+    turn_expected_at: f64,
     standing: Standing,
     view: ViewDigest,
 }
 
-/// The hash that ties datagrams to a cluster: of its name, and of the routers that its file names, in their order.
+/// The hash that ties datagrams to a cluster: over the cluster's name and the names of its routers, in the order of the
+/// cluster file.
 pub fn cluster_hash<'a>(name: &str, routers: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
@@ -74,16 +81,16 @@
 }
 
 impl Membership {
-    /// A router's part after its start.
+    /// The state of router `me` at its start.
     ///
-    /// `me` is its place among the `routers` that the cluster file names, at most [`MAX_ROUTERS`]. `generation` has to be larger
-    /// than in any former incarnation: the Unix time of the start in milliseconds.
+    /// `me` is its index among the `routers` that the cluster file names, at most [`MAX_ROUTERS`]. `generation` must
+    /// be larger than in any earlier incarnation, as the Unix time of the start in milliseconds is.
     pub fn new(
         cluster: u64,
         routers: usize,
         me: usize,
         generation: u64,
-        pace: &DetectorSettings,
+        settings: &DetectorSettings,
         seed: u64,
         now: f64,
     ) -> Membership {
@@ -96,8 +103,8 @@
             me: me as u16,
             cluster,
             members,
-            swim: Swim::new(incarnation, routers, pace, seed, now),
-            adopt_later_incarnation: pace.defences.adopt_later_incarnation,
+            swim: Swim::new(incarnation, routers, settings, seed, now),
+            adopt_later_incarnation: settings.defences.adopt_later_incarnation,
             store_epoch: 0,
             store_epoch_seen_by_peers: None,
             leases: Leases::new(me as u16, routers, generation, now),
@@ -108,42 +115,42 @@
             outgoing: Vec::new(),
             changes: Vec::new(),
             counts: Counters::default(),
-            started: now,
+            started_at: now,
             resumed_at: f64::NEG_INFINITY,
             formed: false,
             leaving_since: None,
             later_incarnations_seen: Vec::new(),
             seed,
-            draws: 0,
+            random_draws: 0,
             heartbeat_round: Vec::new(),
-            observe_at: now,
+            update_states_at: now,
             heartbeat_at: now,
             announce_at: now,
-            promised: now,
+            turn_expected_at: now,
             standing: Standing::JustStarted,
             view: ViewDigest::default(),
         }
     }
 
-    /// A draw from all numbers.
-    fn draw(&mut self) -> u64 {
-        self.draws += 1;
+    /// The next pseudo-random number, derived from the seed.
+    fn random(&mut self) -> u64 {
+        self.random_draws += 1;
         let mut hasher = DefaultHasher::new();
-        (self.seed, self.draws).hash(&mut hasher);
+        (self.seed, self.random_draws).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// A draw from 0 to 1.
-    fn draw_fraction(&mut self) -> f64 {
-        self.draw() as f64 / u64::MAX as f64
+    /// A pseudo-random fraction from 0 to 1.
+    fn random_fraction(&mut self) -> f64 {
+        self.random() as f64 / u64::MAX as f64
     }
 
-    /// Notes whether this router had no turn for long.
+    /// Detects a pause: a call that comes much later than the next turn was expected.
     fn check_pause(&mut self, now: f64) {
-        let gap = now - self.promised;
-        if gap > PAUSE {
+        let gap = now - self.turn_expected_at;
+        if gap > MIN_PAUSE {
             self.resumed_at = now;
-            // At once, as what comes in ahead of the next turn is judged by it.
+            // Updated at once, as datagrams that are received before the next turn are handled by this standing.
             self.standing = view::standing(&self.view_inputs(now));
             self.counts.pauses += 1;
             self.probes.paused();
@@ -151,10 +158,10 @@
             self.heartbeat_at = self.heartbeat_at.max(now);
             self.announce_at = self.announce_at.max(now);
         }
-        self.promised = self.promised.max(now);
+        self.turn_expected_at = self.turn_expected_at.max(now);
     }
 
-    /// Does all that is due now. Datagrams that have come are handed in before.
+    /// Does everything that is due now. The host passes in the datagrams that have arrived before it calls this.
     pub fn turn(&mut self, now: f64) {
         self.check_pause(now);
         self.swim.turn(now, MAX_TIMERS);
@@ -162,10 +169,10 @@
         if now >= self.roles.due() {
             self.request_roles(now);
         }
-        if now >= self.observe_at {
-            self.observe_at = now + observe::OBSERVE_INTERVAL;
+        if now >= self.update_states_at {
+            self.update_states_at = now + observe::STATE_UPDATE_INTERVAL;
             self.swim.expire_suspicions(now);
-            self.observe(now);
+            self.update_states(now);
         }
         if now >= self.heartbeat_at {
             self.send_heartbeats(now);
@@ -176,31 +183,31 @@
         if now >= self.announce_at {
             self.announce_to_an_absent_router(now);
         }
-        self.send_messages_of_parts(now);
-        self.promised = self.promised.max(self.due());
+        self.send_component_messages(now);
+        self.turn_expected_at = self.turn_expected_at.max(self.due());
     }
 
-    /// How this router stands among those expected.
+    /// The standing of this router among the expected routers.
     pub fn standing(&self) -> Standing {
         self.standing
     }
 
-    /// What its standing allows.
+    /// What this router's standing allows.
     pub fn permissions(&self) -> Permissions {
         view::permissions(self.standing)
     }
 
-    /// All routers by their place in the cluster file, this router among them.
+    /// All routers, this one included, by their index in the cluster file.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The place of this router in the cluster file.
+    /// The index of this router in the cluster file.
     pub fn me(&self) -> usize {
         self.me.into()
     }
 
-    /// The routers that are held present; this router always is.
+    /// The routers that count as present; this router always does.
     pub fn present(&self) -> impl Iterator<Item = usize> + '_ {
         self.members
             .iter()
@@ -209,7 +216,7 @@
             .map(|(at, _)| at)
     }
 
-    /// This router leaves by plan, which others are told from now on.
+    /// Begins the planned leave of this router and announces it to the others from now on.
     pub fn leave(&mut self, now: f64) {
         if self.leaving_since.is_some() {
             return;
@@ -219,17 +226,18 @@
         self.swim.begin_incarnation(generation + 1, true, now);
         self.heartbeat_round.clear();
         self.heartbeat_at = now;
-        // At once, so that what is released below is not requested again in the next turn.
+        // Updated at once, so that the roles released below are not requested again in the next turn.
         self.standing = view::standing(&self.view_inputs(now));
         self.release_roles(now);
     }
 
-    /// Sets what this router has seen of engines, for the next digests; the first of them matter most.
+    /// Sets what this router has observed of engines, for the next digests. The most important come first, as a
+    /// digest is limited in size.
     pub fn set_observations(&mut self, observations: Vec<Observation>) {
         self.observations = observations;
     }
 
-    /// What others report of an engine: those that are present in this router's view.
+    /// What the routers that are present in this router's view report about an engine.
     pub fn evidence_on(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
         if !self.permissions().uses_peer_evidence {
             return PeerEvidence::default();
@@ -238,40 +246,41 @@
             .evidence_on(engine, now, |source| self.members[usize::from(source)].state.counts_as_present())
     }
 
-    /// The datagrams to send, each with its receiver.
+    /// Takes the datagrams to send, each with its receiver.
     pub fn take_outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// The changes of state since this was last called, the oldest first.
+    /// Takes the state changes since the last call, the oldest first.
     pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// When [`Membership::turn`] is to be called next, in seconds of the host's clock.
     pub fn due(&self) -> f64 {
-        let observed_at = self.observe_at + observe::OBSERVE_INTERVAL;
-        let own = self.heartbeat_at.min(self.announce_at).min(observed_at).min(self.probes.due());
+        let next_update_at = self.update_states_at + observe::STATE_UPDATE_INTERVAL;
+        let own = self.heartbeat_at.min(self.announce_at).min(next_update_at).min(self.probes.due());
         self.swim.due().min(own).min(self.roles.due())
     }
 
-    /// Sets the epoch of the last put of this router's store, which others are shown from now on.
+    /// Sets the epoch of the last write to this router's store, which is reported to others from now on.
     pub fn set_store_epoch(&mut self, epoch: u64) {
         self.store_epoch = self.store_epoch.max(epoch);
     }
 
-    /// The latest epoch of this router's store that another was shown by this incarnation or a former one; `None` until one has
-    /// said so.
+    /// The latest epoch of this router's store that another router has seen from this incarnation or an earlier one;
+    /// `None` until one has reported it.
     pub fn store_epoch_seen_by_peers(&self) -> Option<u64> {
         self.store_epoch_seen_by_peers
     }
 
-    /// How slow or deaf this router finds itself, from 0 to 4.
+    /// The local health score, from 0 (healthy) to 4: it grows with the evidence that this router is slow, or does
+    /// not receive its datagrams.
     pub fn local_health_score(&self) -> u32 {
         self.swim.local_health_score()
     }
 
-    /// What was counted since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         let DetectorCounters { refutations, new_incarnations, contradicted } = self.swim.counters();
         Counters { refutations, new_incarnations, contradicted, ..self.counts.clone() }
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What is received: each datagram is checked, what its envelope tells is noted, and its body goes to its part.
+//! Handles received datagrams: checks each one, records what its envelope reports, and dispatches its body.
 
 use super::send::HEARTBEAT_INTERVAL;
 use super::Membership;
@@ -9,53 +9,56 @@
 use crate::swim::MAX_GENERATION;
 use crate::wire::{self, DropReason, Envelope, Kind, LastHeard, HEARD_UNIT};
 
-/// The probes of one router are answered no more often than this, in seconds: several of one round are answered once.
+/// Probes from one router are answered no more often than this, in seconds, so that several of one round get one
+/// answer.
 const ANSWER_INTERVAL: f64 = 0.05;
-/// A router that has run so much longer than this one knows of former incarnations of it, in seconds. Those that were started
-/// together know no more than they tell each other.
-const STARTED_BEFORE: f64 = 1.0;
-/// So many younger incarnations under this router's name, the last of them within so many seconds: another process goes by it.
+/// A router that has run at least this much longer than this one knows of this router's earlier incarnations, in
+/// seconds. Routers that were started together know only what they report to each other.
+const MIN_HEAD_START: f64 = 1.0;
+/// If this many later incarnations of this router were reported, the last of them within the window (in seconds),
+/// another process uses this router's name.
 pub(super) const NAME_CONFLICT_INCARNATIONS: usize = 4;
-pub(super) const NAME_CONFLICT_WITHIN: f64 = 20.0;
+pub(super) const NAME_CONFLICT_WINDOW: f64 = 20.0;
 
 impl Membership {
-    /// Takes a datagram that came from the address of router `from`.
+    /// Handles a datagram that was received from the address of router `from`.
     ///
     /// # Errors
-    /// Why it was dropped, which is also counted.
+    /// The datagram was dropped, for the reason that is returned and counted: it is malformed, of another cluster or
+    /// version, not addressed to this router by that sender, or of an earlier incarnation of the sender.
     pub fn receive_datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
         self.check_pause(now);
         self.counts.received += 1;
-        let taken = self.take(from, bytes, now);
-        if let Err(reason) = taken {
+        let result = self.handle_datagram(from, bytes, now);
+        if let Err(reason) = result {
             *self.counts.dropped.entry(reason).or_default() += 1;
         }
-        taken
+        result
     }
 
-    fn take(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
+    fn handle_datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
         let (envelope, body) = wire::read(bytes)?;
-        self.check(from, &envelope)?;
+        self.check_addressing(from, &envelope)?;
         self.note_contact(from, &envelope, now)?;
         self.note_store_epochs(from, &envelope, now);
         self.note_view(from, &envelope, now);
         self.renew_incarnation(&envelope, now);
-        self.notify_absent(from, &envelope, now);
+        self.notify_absent_sender(from, &envelope, now);
         match envelope.kind {
             Kind::Swim => self.swim.receive(body, now).map_err(|_| DropReason::Body),
-            Kind::Heartbeat => self.take_heartbeat(from, body, now),
+            Kind::Heartbeat => self.handle_heartbeat(from, body, now),
             Kind::DirectProbe => {
                 self.answer_direct_probe(from, now);
                 Ok(())
             }
             Kind::IndirectProbe => self.answer_indirect_probe(from, body, now),
-            Kind::IndirectAck => self.take_indirect_ack(body),
-            Kind::Lease => self.take_lease(from, body, now),
+            Kind::IndirectAck => self.handle_indirect_ack(body),
+            Kind::Lease => self.handle_lease_message(from, body, now),
         }
     }
 
-    /// It is of this cluster, from this sender, and meant for this router.
-    fn check(&self, from: usize, envelope: &Envelope) -> Result<(), DropReason> {
+    /// Checks that the datagram belongs to this cluster, comes from this sender, and is addressed to this router.
+    fn check_addressing(&self, from: usize, envelope: &Envelope) -> Result<(), DropReason> {
         if envelope.cluster != self.cluster {
             return Err(DropReason::OtherCluster);
         }
@@ -69,7 +72,7 @@
         Ok(())
     }
 
-    /// Notes that the sender was heard, in which incarnation, and when it last heard this router.
+    /// Records that the sender was heard, in which incarnation, and when it last heard this router.
     fn note_contact(&mut self, from: usize, envelope: &Envelope, now: f64) -> Result<(), DropReason> {
         {
             let mut contacts = self.swim.contacts.borrow_mut();
@@ -91,19 +94,19 @@
         Ok(())
     }
 
-    /// Notes the epoch of the sender's store, and which epoch of this router's it was shown, where it was there before this
-    /// incarnation of it and knows this incarnation.
+    /// Records the sender's store epoch. Also records which epoch of this router's store the sender has seen, but
+    /// only if the sender was running before this incarnation started, and knows this incarnation.
     fn note_store_epochs(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
         member.store_epoch = member.store_epoch.max(envelope.store_epoch.min(MAX_GENERATION));
         let knows_this_incarnation = envelope.receiver_generation == self.swim.me().generation;
-        if knows_this_incarnation && f64::from(envelope.age) > now - self.started + STARTED_BEFORE {
+        if knows_this_incarnation && f64::from(envelope.age) > now - self.started_at + MIN_HEAD_START {
             let shown = envelope.receiver_store_epoch.min(MAX_GENERATION);
             self.store_epoch_seen_by_peers = Some(self.store_epoch_seen_by_peers.unwrap_or(0).max(shown));
         }
     }
 
-    /// Notes which routers the sender holds present, and since when that differs from this router's view.
+    /// Records which routers the sender considers present, and since when that has differed from this router's view.
     fn note_view(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
         member.view = ViewDigest { present: envelope.present, hash: envelope.present_hash };
@@ -115,12 +118,13 @@
         }
     }
 
-    /// Begins a new incarnation where others know this router in a younger one, or hold this one failed.
+    /// Begins a new incarnation if the sender knows a later one of this router, or considers the current one failed.
     fn renew_incarnation(&mut self, envelope: &Envelope, now: f64) {
         let leaving = self.leaving_since.is_some();
-        // Its name was in a younger incarnation: its clock was set back before its start, or another process goes by its name.
+        // The sender knows a later incarnation: this router's Unix clock was set back before its start, or another
+        // process uses its name.
         if envelope.receiver_generation > self.swim.me().generation && self.adopt_later_incarnation {
-            self.later_incarnations_seen.retain(|at| now < at + NAME_CONFLICT_WITHIN);
+            self.later_incarnations_seen.retain(|at| now < at + NAME_CONFLICT_WINDOW);
             if self.later_incarnations_seen.len() < NAME_CONFLICT_INCARNATIONS {
                 self.later_incarnations_seen.push(now);
                 self.swim.begin_incarnation(envelope.receiver_generation.saturating_add(1), leaving, now);
@@ -131,12 +135,13 @@
         }
     }
 
-    /// Answers a sender that does not count as present. In the incarnation that is held failed it can't know that, and is told at
-    /// once; in a younger one it is asked for all members, by which it learns of this router as well.
-    fn notify_absent(&mut self, from: usize, envelope: &Envelope, now: f64) {
+    /// Answers a sender that does not count as present. A sender in the incarnation that is considered failed does
+    /// not know that and is notified at once. A sender in a later incarnation is asked for its member list, by which
+    /// it also learns of this router.
+    fn notify_absent_sender(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
-        let notified = now < member.notified_at + HEARTBEAT_INTERVAL;
-        if member.state.counts_as_present() || envelope.leaving || notified {
+        let notified_recently = now < member.notified_at + HEARTBEAT_INTERVAL;
+        if member.state.counts_as_present() || envelope.leaving || notified_recently {
             return;
         }
         member.notified_at = now;
@@ -147,7 +152,7 @@
         }
     }
 
-    fn take_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
+    fn handle_heartbeat(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
         let observations = digest::read(body).ok_or(DropReason::Body)?;
         self.digests.receive(from as u16, observations, now);
         Ok(())
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Tells when the routers that are named were last heard here.
+    /// Answers an indirect probe: reports when this router last heard each of the routers that the probe names.
     fn answer_indirect_probe(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
         let named: Vec<u16> = postcard::from_bytes(body).map_err(|_| DropReason::Body)?;
         if named.len() > MAX_NAMED {
@@ -182,7 +187,7 @@
         LastHeard { router, ago: ago.min(f64::from(u8::MAX)) as u8 }
     }
 
-    fn take_indirect_ack(&mut self, body: &[u8]) -> Result<(), DropReason> {
+    fn handle_indirect_ack(&mut self, body: &[u8]) -> Result<(), DropReason> {
         let answer: Vec<LastHeard> = postcard::from_bytes(body).map_err(|_| DropReason::Body)?;
         if answer.len() > MAX_NAMED {
             return Err(DropReason::Body);
@@ -193,13 +198,13 @@
         Ok(())
     }
 
-    fn take_lease(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
+    fn handle_lease_message(&mut self, from: usize, body: &[u8], now: f64) -> Result<(), DropReason> {
         let (message, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| DropReason::Body)?;
         if !rest.is_empty() {
             return Err(DropReason::Body);
         }
-        let asks_for_grant = matches!(message, Message::Prepare { .. } | Message::Propose { .. });
-        if self.permissions().grants_leases || !asks_for_grant {
+        let requests_grant = matches!(message, Message::Prepare { .. } | Message::Propose { .. });
+        if self.permissions().grants_leases || !requests_grant {
             self.leases.receive(from as u16, message, now);
         }
         Ok(())
--- a/crates/membership/src/swim/codec.rs
+++ b/crates/membership/src/swim/codec.rs
@@ -1,4 +1,4 @@
-//! The codec of the library, which weighs the word of others against what this router hears.
+//! The message codec for the library, which checks reports from others against what this router itself receives.
 
 use super::{Contacts, Incarnation, MAX_GENERATION};
 use bytes::{Buf, BufMut};
@@ -6,11 +6,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Reads the word of others that a router is down as a suspicion, where that router is heard directly.
+/// Encodes as the library's own codec does. Decodes a report that a router is down as a mere suspicion while this
+/// router receives datagrams from it.
 pub(super) struct EvidenceCodec {
     pub(super) contacts: Rc<RefCell<Contacts>>,
     pub(super) me: u16,
-    /// How often the word of others was outweighed.
+    /// The number of such reports that were overruled.
     pub(super) contradicted: Rc<RefCell<u64>>,
 }
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// An incarnation beyond the youngest could never be followed by another.
+/// Rejects a generation above [`MAX_GENERATION`]: no later incarnation could follow it.
 fn check_incarnation(incarnation: &Incarnation) -> Result<(), postcard::Error> {
     if incarnation.generation > MAX_GENERATION {
         Err(postcard::Error::SerdeDeCustom)
--- a/crates/membership/src/swim/health.rs
+++ b/crates/membership/src/swim/health.rs
@@ -1,25 +1,28 @@
-//! Local health (Dadgar, Phillips and Currey, 2018): evidence that this router itself is slow or deaf.
+//! Local health (Dadgar, Phillips and Currey, 2018): a score of the evidence that this router itself is slow, or does
+//! not receive its datagrams.
 
-/// Evidence that this router itself is slow or deaf: a score from 0, well, to [`LocalHealth::WORST`].
+/// A score of the evidence that this router itself is slow, or does not receive its datagrams: from 0 (healthy) to
+/// [`LocalHealth::MAX_SCORE`].
 #[derive(Debug, Default)]
 pub(super) struct LocalHealth {
     pub(super) score: u32,
     /// Whether the score stretches timers.
     enabled: bool,
-    /// When anything was last heard, from any router.
+    /// When a datagram was last received from any router, in seconds.
     pub(super) heard_at: f64,
-    /// The router whose answer the probe under way waits for.
+    /// The router whose answer the current probe is waiting for.
     pub(super) awaited: Option<u16>,
-    /// The router whose answer the former probe missed, though it is alive.
+    /// The router that did not answer the previous probe although it is alive.
     missed: Option<u16>,
 }
 
-/// How a probe has ended.
+/// The outcome of one probe period.
 pub(super) struct ProbeEnd {
-    /// When the timer that ended it was due, and when it was served, in seconds.
+    /// When the timer that ends the period was due, in seconds.
     pub(super) due: f64,
+    /// When that timer was actually run, in seconds.
     pub(super) now: f64,
-    /// The probed router was heard of late.
+    /// Whether the probed router was heard recently.
     pub(super) target_alive: bool,
 }
 
@@ -28,37 +31,39 @@
         LocalHealth { enabled, ..LocalHealth::default() }
     }
 
-    const WORST: u32 = 4;
-    /// A timer that is served so much later than it was due tells of a loop that had no turn. Seconds.
-    const LATE: f64 = 0.1;
-    /// Heartbeats alone come several times as often. Seconds.
-    const DEAF: f64 = 1.0;
+    const MAX_SCORE: u32 = 4;
+    /// A timer that runs later than this after its due time shows that the event loop was delayed. Seconds.
+    const MAX_TIMER_DELAY: f64 = 0.1;
+    /// If nothing is received for longer than this, the fault is likely this router's own: heartbeats alone arrive
+    /// several times as often. Seconds.
+    const MAX_RECEIVE_GAP: f64 = 1.0;
 
     pub(super) fn worsen(&mut self) {
-        self.score = (self.score + 1).min(Self::WORST);
+        self.score = (self.score + 1).min(Self::MAX_SCORE);
     }
 
-    /// By which factor the timers of probes are stretched.
+    /// The factor by which probe timers are stretched.
     pub(super) fn probe_stretch(&self) -> f64 {
         1.0 + if self.enabled { f64::from(self.score) } else { 0.0 }
     }
 
-    /// By which factor suspicions last longer: half as much, as where most have died, all of their suspicions must still
-    /// time out.
+    /// The factor by which suspicion timeouts are stretched. The extension is half that of probes: when most routers
+    /// have died, the suspicions of all of them must still time out.
     pub(super) fn suspicion_stretch(&self) -> f64 {
         0.5 + 0.5 * self.probe_stretch()
     }
 
-    /// The time of a probe is over. Where nothing was heard for long, or the timer was late, or two routers in a row that are
-    /// not the same did not answer though they were heard of late, the fault may be this router's own. Routers that fell
-    /// silent altogether may be dead, however many they are.
+    /// Updates the score at the end of a probe period. The score worsens if nothing was received for long, if the
+    /// timer ran late, or if two different routers in a row did not answer although they were heard recently: in
+    /// these cases the fault may be this router's own. Routers that were not heard at all do not count, however many
+    /// they are, as they may be dead. The score improves if the probe was answered.
     pub(super) fn probe_ended(&mut self, end: ProbeEnd) {
-        let late = end.now - end.due > Self::LATE;
-        let deaf = end.now - self.heard_at > Self::DEAF;
+        let late = end.now - end.due > Self::MAX_TIMER_DELAY;
+        let receives_nothing = end.now - self.heard_at > Self::MAX_RECEIVE_GAP;
         let unanswered = self.awaited.take();
         let missed = unanswered.filter(|_| end.target_alive);
         let missed_two = missed.is_some() && self.missed.is_some() && self.missed != missed;
-        if late || deaf || missed_two {
+        if late || receives_nothing || missed_two {
             self.worsen();
         } else if unanswered.is_none() {
             self.score = self.score.saturating_sub(1);
--- a/crates/membership/src/swim/incarnation.rs
+++ b/crates/membership/src/swim/incarnation.rs
@@ -1,21 +1,22 @@
-//! The identity under which the failure detector knows a router: its number and its incarnation.
+//! The identity by which the failure detector knows a router: its index and its incarnation.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// One incarnation of a router. An incarnation begins when the router starts, or when others hold it failed though it is alive. The order
-/// of the fields is the wire format.
+/// One incarnation of a router. An incarnation begins when the router starts, and when others consider it failed
+/// although it is alive. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// The place of the router in the cluster file.
+    /// The index of the router in the cluster file.
     pub router: u16,
-    /// Grows with each incarnation: the Unix time of the start in milliseconds, or more where others know a later incarnation.
+    /// Increases with each incarnation: the Unix time of the start in milliseconds, or a larger number if others
+    /// already know a later incarnation.
     pub generation: u64,
-    /// In this incarnation it leaves by plan: its silence is no failure.
+    /// Whether the router leaves as planned in this incarnation, so that its silence is not a failure.
     pub leaving: bool,
 }
 
-/// No incarnation is younger than this, so that there is always a next one.
+/// No generation is larger than this, so that a next one can always be represented.
 pub const MAX_GENERATION: u64 = 1 << 62;
 
 impl Identity for Incarnation {
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,10 +1,11 @@
-//! SWIM with suspicion (Das, Gupta and Motivala, 2002) by the library `foca`, with what that leaves to its host: clock,
-//! bytes, chance. Two defences against false failures are added in what the library hands through its host:
+//! The failure detector: SWIM with suspicion (Das, Gupta and Motivala, 2002), implemented by the library `foca`. This
+//! module supplies what the library expects of its host: the time, message transport, and randomness. It also adds
+//! two defences against false failures, in the codec and the timers that the library leaves to its host:
 //!
-//! - **Local health** (Dadgar, Phillips and Currey, 2018): its timers are stretched while there is evidence that this router
-//!   itself is slow or deaf.
-//! - **Direct contact before rumour**: what is heard from a router directly outweighs the word of others that it is down. Such
-//!   a word is read as a suspicion, and a suspicion does not time out while its subject is heard.
+//! - **Local health** (Dadgar, Phillips and Currey, 2018): the timers are stretched while there is evidence that this
+//!   router itself is slow, or does not receive its datagrams.
+//! - **Direct contact overrides gossip**: a report from others that a router is down is treated as a mere suspicion
+//!   while this router receives datagrams from it, and a suspicion does not time out during that.
 
 mod codec;
 mod contacts;
@@ -27,18 +28,18 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The state of a router by the failure detector.
+/// The state of a router according to the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetectorState {
-    /// It answers, or has refuted a suspicion.
+    /// It answers probes, or has refuted a suspicion.
     Alive,
-    /// It has not answered.
+    /// It has not answered probes.
     Suspect,
-    /// Its suspicion has timed out, or it has left.
+    /// A suspicion of it has timed out, or it has left.
     Down,
 }
 
-/// The detector's part of a datagram can't be read.
+/// A message of the failure detector could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -46,27 +47,28 @@
 
 impl fmt::Display for Malformed {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str("a message of the failure detector can't be read")
+        to.write_str("malformed failure detector message")
     }
 }
 
-/// What the detector has counted.
+/// Counters of the failure detector.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DetectorCounters {
-    /// Suspicions of this router that it refuted.
+    /// Suspicions of this router that it has refuted.
     pub refutations: u64,
-    /// Incarnations that it had to begin anew.
+    /// New incarnations that this router had to begin because others considered it down.
     pub new_incarnations: u64,
-    /// Words of others that a router is down which direct contact outweighed.
+    /// Reports from others that a router is down that were overruled because this router still hears it.
     pub contradicted: u64,
 }
 
-/// A suspicion that this router has noted.
+/// A suspicion of one router, as recorded here.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     incarnation: Incarnation,
+    /// The library's own incarnation number, which the suspected router increments to refute a suspicion.
     swim_incarnation: foca::Incarnation,
-    /// By this router's clock, in seconds.
+    /// When the suspicion was first seen here, in seconds of this router's clock.
     since: f64,
 }
 
@@ -77,41 +79,43 @@
     pub(crate) contacts: Rc<RefCell<Contacts>>,
     contradicted: Rc<RefCell<u64>>,
     me: u16,
-    /// How long a suspicion lasts, in seconds.
+    /// How long a suspected router has to refute the suspicion, in seconds.
     suspicion_timeout: f64,
     suspicions: BTreeMap<u16, Suspicion>,
 }
 
 impl Swim {
-    /// The detector of the router with this incarnation, among so many.
-    pub fn new(me: Incarnation, routers: usize, pace: &DetectorSettings, seed: u64, now: f64) -> Swim {
-        let contacts = Rc::new(RefCell::new(Contacts::new(routers, pace.defences.trust_direct_contact, now)));
+    /// The failure detector of the router `me`, in a cluster of `routers` routers.
+    pub fn new(me: Incarnation, routers: usize, settings: &DetectorSettings, seed: u64, now: f64) -> Swim {
+        let contacts =
+            Rc::new(RefCell::new(Contacts::new(routers, settings.defences.trust_direct_contact, now)));
         let contradicted = Rc::new(RefCell::new(0));
         let codec =
             EvidenceCodec { contacts: contacts.clone(), me: me.router, contradicted: contradicted.clone() };
-        let health = LocalHealth::new(pace.defences.local_health);
+        let health = LocalHealth::new(settings.defences.local_health);
         Swim {
-            foca: Foca::new(me, pace.foca_config(routers), SmallRng::seed_from_u64(seed), codec),
+            foca: Foca::new(me, settings.foca_config(routers), SmallRng::seed_from_u64(seed), codec),
             runtime: HostRuntime::new(health, now),
             contacts,
             contradicted,
             me: me.router,
-            suspicion_timeout: pace.suspicion_timeout_for(routers),
+            suspicion_timeout: settings.suspicion_timeout_for(routers),
             suspicions: BTreeMap::new(),
         }
     }
 
-    /// The present incarnation of this router.
+    /// The current incarnation of this router.
     pub fn me(&self) -> Incarnation {
         *self.foca.identity()
     }
 
-    /// How slow or deaf this router finds itself, from 0 to 4.
+    /// The local health score, from 0 (healthy) to 4: it grows with the evidence that this router is slow, or does
+    /// not receive its datagrams.
     pub fn local_health_score(&self) -> u32 {
         self.runtime.health.score
     }
 
-    /// What was counted since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> DetectorCounters {
         DetectorCounters {
             refutations: self.runtime.refutations,
@@ -125,18 +129,18 @@
         self.contacts.borrow_mut().now = now;
     }
 
-    /// Asks a router for all members that it knows.
+    /// Asks a router for its full member list.
     pub fn announce(&mut self, router: u16, now: f64) {
         self.set_time(now);
         let to = Incarnation { router, generation: 0, leaving: false };
-        // An address is all that it takes; which incarnation answers is learned from the answer.
+        // Only the router number is needed as the address; its actual generation is learned from the answer.
         let _ = self.foca.announce(to, &mut self.runtime);
     }
 
-    /// Takes the detector's part of a datagram.
+    /// Handles a received failure detector message.
     ///
     /// # Errors
-    /// [`Malformed`]; what could be read of it may have been taken.
+    /// [`Malformed`] if the message can't be decoded. The updates decoded before the error may have been applied.
     pub fn receive(&mut self, bytes: &[u8], now: f64) -> Result<(), Malformed> {
         self.set_time(now);
         if let Ok((header, _)) = postcard::take_from_bytes::<Header<Incarnation>>(bytes) {
@@ -148,14 +152,14 @@
             self.runtime.health.awaited.take_if(|awaited| answers == Some(*awaited));
         }
         match self.foca.handle_data(bytes, &mut self.runtime) {
-            // It was meant for a former incarnation of this router, or tells what is known better.
+            // Not malformed: the message was for a previous incarnation of this router, or reports this router itself.
             Ok(()) | Err(foca::Error::DataFromOurselves) => Ok(()),
             Err(foca::Error::NotConnected) => Ok(()),
             Err(_) => Err(Malformed),
         }
     }
 
-    /// Notes that a router does not answer, which was found by other means than the detector's own probes.
+    /// Suspects a router that was found not to answer by other means than the detector's own probes.
     pub fn suspect(&mut self, router: u16, now: f64) {
         self.set_time(now);
         let known = self.foca.iter_membership_state().find(|member| member.id().router == router);
@@ -164,8 +168,9 @@
         let _ = self.foca.apply_many(std::iter::once(update), true, &mut self.runtime);
     }
 
-    /// Holds failed whoever was suspected here for as long as a suspicion lasts, whichever router suspected it first. The
-    /// library leaves that to the first, which may be dead by now, and whose news may be gossiped to the dead.
+    /// Declares down each router that has been suspected here for the whole suspicion timeout, whichever router
+    /// suspected it first. The library leaves this to the router that raised the suspicion, which may have died
+    /// since, or whose update may have been gossiped only to dead routers.
     pub fn expire_suspicions(&mut self, now: f64) {
         self.set_time(now);
         let timeout = self.suspicion_timeout * self.runtime.health.suspicion_stretch();
@@ -186,28 +191,29 @@
         }
     }
 
-    /// The suspicion of this member: the one that is noted, or a new one.
+    /// The recorded suspicion of this member, or a new one that starts now.
     fn suspicion_of(&self, member: &Member<Incarnation>, now: f64) -> Suspicion {
         let incarnation = *member.id();
         let swim_incarnation = member.incarnation();
-        let same = |noted: &&Suspicion| {
-            noted.incarnation == incarnation && noted.swim_incarnation == swim_incarnation
+        let same = |recorded: &&Suspicion| {
+            recorded.incarnation == incarnation && recorded.swim_incarnation == swim_incarnation
         };
-        let noted = self.suspicions.get(&incarnation.router).filter(same);
-        noted.copied().unwrap_or(Suspicion { incarnation, swim_incarnation, since: now })
+        let recorded = self.suspicions.get(&incarnation.router).filter(same);
+        recorded.copied().unwrap_or(Suspicion { incarnation, swim_incarnation, since: now })
     }
 
-    /// When anything was last heard, from any router.
+    /// When a datagram was last received from any router, in seconds.
     pub fn heard_at(&self) -> f64 {
         self.runtime.health.heard_at
     }
 
-    /// Notes that something was heard, whatever it is: this router is not deaf.
+    /// Records that a datagram of any kind was received, which shows that this router does receive its datagrams.
     pub fn heard(&mut self, now: f64) {
         self.runtime.health.heard_at = now;
     }
 
-    /// Begins a new incarnation: one in which this router leaves, or one that is younger than what others know of it.
+    /// Begins a new incarnation of this router: to announce a planned leave, or to supersede the incarnation that
+    /// others know. A generation above [`MAX_GENERATION`] is reduced to it.
     pub fn begin_incarnation(&mut self, generation: u64, leaving: bool, now: f64) {
         self.set_time(now);
         let incarnation =
@@ -217,26 +223,26 @@
         }
     }
 
-    /// Serves the timers that are due, at most so many.
+    /// Runs the timers that are due, at most `max_timers`.
     pub fn turn(&mut self, now: f64, max_timers: usize) {
         self.set_time(now);
         for _ in 0..max_timers {
             let Some((due, timer)) = self.runtime.take_due() else { return };
             match &timer {
                 Timer::ChangeSuspectToDown { member_id, .. } if self.contacts.borrow().refutes(member_id) => {
-                    // It is heard: the suspicion does not time out yet.
+                    // The suspected router was heard recently, so the timeout is postponed.
                     self.runtime.schedule(Contacts::RECENT / 2.0, timer);
                     continue;
                 }
                 Timer::ProbeRandomMember(_) => self.probe_ended(due),
                 _ => {}
             }
-            // A timer from before a change of incarnation no longer concerns the library, which it says by an error.
+            // The library returns an error for a timer from before a change of incarnation; such a timer is obsolete.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
     }
 
-    /// The time of a probe is over, and the next one begins.
+    /// Updates the local health score at the end of a probe period.
     fn probe_ended(&mut self, due: f64) {
         let contacts = self.contacts.borrow();
         let awaited = self.runtime.health.awaited;
@@ -244,7 +250,8 @@
         self.runtime.health.probe_ended(ProbeEnd { due, now: self.runtime.now, target_alive });
     }
 
-    /// This router had no turn for so many seconds: nobody is to be blamed for what was not heard meanwhile.
+    /// Accounts for a pause of this process: suspicions and timers are extended by its length, as silence during the
+    /// pause is not evidence against other routers.
     pub fn paused(&mut self, seconds: f64) {
         for suspicion in self.suspicions.values_mut() {
             suspicion.since += seconds;
@@ -258,12 +265,12 @@
         self.runtime.due()
     }
 
-    /// The messages to send, each with its receiver.
+    /// Takes the messages to send, each with its receiver.
     pub fn take_outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
         std::mem::take(&mut self.runtime.outgoing)
     }
 
-    /// The incarnation and the state of each router that was heard of.
+    /// The incarnation and the state of each known router.
     pub fn states(&self) -> impl Iterator<Item = (Incarnation, DetectorState)> + '_ {
         self.foca.iter_membership_state().map(|member| {
             let state = match member.state() {
--- a/crates/membership/src/swim/runtime.rs
+++ b/crates/membership/src/swim/runtime.rs
@@ -1,4 +1,4 @@
-//! What the library asks of its host: datagrams to send, timers to keep, changes of identity.
+//! The host side of the library: collects the messages to send, keeps its timers, and counts changes of identity.
 
 use super::health::LocalHealth;
 use super::Incarnation;
@@ -6,20 +6,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The host of the library, as far as this crate is it.
+/// The library's runtime: outgoing messages, timers, and local health.
 #[derive(Default)]
 pub(super) struct HostRuntime {
     pub(super) now: f64,
     pub(super) outgoing: Vec<(u16, Vec<u8>)>,
-    /// By the bits of the time at which they are due, which sort as the times do, then in the order they were asked for.
+    /// Timers by due time, then by number, the order in which they were scheduled. The due time is kept as the bits
+    /// of its `f64`, which sort as the times do, as none is negative.
     timers: BTreeMap<(u64, u64), Timer<Incarnation>>,
     next_timer: u64,
     pub(super) health: LocalHealth,
-    /// How often the word of others on this router had to be refuted.
+    /// How often this router has refuted a suspicion of itself.
     pub(super) refutations: u64,
-    /// How often a new incarnation had to be begun.
+    /// How often a new incarnation had to be begun because others considered this router down.
     pub(super) new_incarnations: u64,
-    /// The incarnation number of this router, which grows with each refutation.
+    /// The library's incarnation number of this router, which increases with each refutation.
     swim_incarnation: u64,
 }
 
@@ -34,33 +35,35 @@
         self.timers.insert((due.to_bits(), self.next_timer), timer);
     }
 
-    /// The first timer that is due now, and when it was.
+    /// Removes the first timer that is due by now, and returns it with its due time.
     pub(super) fn take_due(&mut self) -> Option<(f64, Timer<Incarnation>)> {
         let entry = self.timers.first_entry()?;
         let due = f64::from_bits(entry.key().0);
         (due <= self.now).then(|| (due, entry.remove()))
     }
 
-    /// When the first timer is due; infinite for none.
+    /// When the first timer is due, in seconds; infinite if there is none.
     pub(super) fn due(&self) -> f64 {
         self.timers.first_key_value().map_or(f64::INFINITY, |((due, _), _)| f64::from_bits(*due))
     }
 
-    /// Moves all timers by so many seconds.
+    /// Postpones all timers by `seconds`.
     pub(super) fn postpone(&mut self, seconds: f64) {
         let timers = std::mem::take(&mut self.timers);
         let moved = |((due, number), timer)| (((f64::from_bits(due) + seconds).to_bits(), number), timer);
         self.timers = timers.into_iter().map(moved).collect();
     }
 
-    /// Notes what is about to be sent: which router a probe waits for, and whether a suspicion is refuted.
-    fn note(&mut self, to: Incarnation, header: &Header<Incarnation>) {
+    /// Inspects a message that is about to be sent: records which router a probe waits for, and whether the message
+    /// refutes a suspicion.
+    fn inspect_outgoing(&mut self, to: Incarnation, header: &Header<Incarnation>) {
         if matches!(header.message, Message::Ping(_)) {
             self.health.awaited = Some(to.router);
         }
         let swim_incarnation = u64::from(header.src_incarnation);
         if swim_incarnation > self.swim_incarnation {
-            // A suspicion is refuted: what reaches this router late, it may answer late.
+            // This message refutes a suspicion. Its cause may be that this router receives probes late and so answers
+            // late.
             self.swim_incarnation = swim_incarnation;
             self.refutations += 1;
             self.health.worsen();
@@ -79,7 +82,7 @@
     fn send_to(&mut self, to: Incarnation, data: &[u8]) {
         let header: Result<(Header<Incarnation>, _), _> = postcard::take_from_bytes(data);
         if let Ok((header, _)) = header {
-            self.note(to, &header);
+            self.inspect_outgoing(to, &header);
         }
         self.outgoing.push((to.router, data.to_vec()));
     }
--- a/crates/membership/src/swim/settings.rs
+++ b/crates/membership/src/swim/settings.rs
@@ -5,36 +5,37 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Routers that are asked to probe one that has not answered.
+/// The number of routers that are asked to probe a router that has not answered a direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// A router asks one other for all members so often, in seconds: repairs what gossip has lost.
+/// How often a router asks one other for its full member list, in seconds: this repairs what gossip has lost.
 const ANNOUNCE_INTERVAL: f64 = 5.0;
-/// How often routers that are down are asked whether they are back, in seconds, and how many of them at once.
+/// How often routers that are down are contacted to find out whether they are back, in seconds, and how many at a time.
 const ANNOUNCE_TO_DOWN_INTERVAL: f64 = 0.5;
 const ANNOUNCE_TO_DOWN: usize = 2;
-/// How often news is gossiped apart from probes, in seconds, and to how many.
+/// How often updates are gossiped in addition to those carried by probes, in seconds, and to how many routers.
 const GOSSIP_INTERVAL: f64 = 0.1;
 const GOSSIP_FANOUT: usize = 3;
-/// Transmissions of one piece of news, for each power of ten of routers, and the bounds of their number.
+/// How often one update is transmitted for each power of ten of the cluster size, and the bounds of that number.
 const TRANSMISSIONS_PER_DECADE: f64 = 8.0;
 const MIN_TRANSMISSIONS: f64 = 8.0;
 const MAX_TRANSMISSIONS: f64 = 24.0;
-/// By which part a suspicion lasts longer for ten times as many routers, and from how many on.
+/// By which fraction the suspicion timeout grows for each factor of ten in cluster size, and above which size it grows.
 const SUSPICION_PER_DECADE: f64 = 0.35;
 const SUSPICION_GROWS_FROM: usize = 10;
-/// In place of a suspicion where that defence is off, in seconds.
+/// The suspicion timeout while the suspicion defence is off, in seconds.
 const NO_SUSPICION: f64 = 0.001;
 
-/// Which of the defences against false failures are on. All are, but for measurements of what each is worth.
+/// Which of the defences against false failures are on. All are on by default; measurements turn off one at a time to
+/// show its effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Defences {
-    /// A router that finds itself slow stretches its timers (Lifeguard's local health).
+    /// A router with evidence that it is slow itself stretches its timers (Lifeguard's local health).
     pub local_health: bool,
-    /// What a router hears directly outweighs the word of others that its sender is down.
+    /// Recent direct contact with a router overrules reports from others that it is down.
     pub trust_direct_contact: bool,
-    /// A router that a probe did not reach is suspected first. Without, it is down at once.
+    /// A router that did not answer a probe is suspected first. Without this defence it is declared down at once.
     pub suspicion: bool,
-    /// A router that others know in a younger incarnation than its own takes one that is younger still.
+    /// A router that learns that others know a later incarnation of it than its own begins one that is later still.
     pub adopt_later_incarnation: bool,
 }
 
@@ -49,14 +50,15 @@
     }
 }
 
-/// The timing of the failure detector, in seconds.
+/// The settings of the failure detector. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DetectorSettings {
-    /// Between two probes of the detector.
+    /// The time between two probes.
     pub probe_period: f64,
-    /// How long an answer to a probe may take before others are asked to probe.
+    /// How long an answer to a probe may take before other routers are asked to probe the target.
     pub probe_timeout: f64,
-    /// How long a suspicion lasts before its router is held failed; more among many routers.
+    /// How long a suspected router has to refute the suspicion before it is declared failed. In clusters of more than
+    /// ten routers the effective timeout is longer.
     pub suspicion_timeout: f64,
     /// Which defences are on.
     pub defences: Defences,
@@ -74,7 +76,8 @@
 }
 
 impl DetectorSettings {
-    /// News reaches all in a number of rounds that grows with the logarithm of the number of routers.
+    /// The suspicion timeout for a cluster of this size, in seconds. Gossip reaches all routers in a number of rounds
+    /// that grows with the logarithm of their number, and so does the timeout.
     pub(super) fn suspicion_timeout_for(&self, routers: usize) -> f64 {
         if !self.defences.suspicion {
             return NO_SUSPICION;
@@ -85,17 +88,18 @@
     }
 
     pub(super) fn foca_config(&self, routers: usize) -> foca::Config {
-        // So many that it is unlikely that one router is never told: each goes to a few drawn by chance.
+        // Each transmission goes to a few routers chosen at random: with this many, it is unlikely that a router is
+        // missed.
         let transmissions = (TRANSMISSIONS_PER_DECADE * (routers as f64 + 1.0).log10()).ceil();
         let transmissions = transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8;
         foca::Config {
             probe_period: Duration::from_secs_f64(self.probe_period),
             probe_rtt: Duration::from_secs_f64(self.probe_timeout),
-            num_indirect_probes: count(INDIRECT_PROBES),
+            num_indirect_probes: non_zero(INDIRECT_PROBES),
             max_transmissions: NonZeroU8::new(transmissions).expect("at least eight"),
             suspect_to_down_after: Duration::from_secs_f64(self.suspicion_timeout_for(routers)),
             remove_down_after: None,
-            max_packet_size: count(MAX_BODY),
+            max_packet_size: non_zero(MAX_BODY),
             notify_down_members: true,
             periodic_announce: every(ANNOUNCE_INTERVAL, 1),
             periodic_announce_to_down_members: every(ANNOUNCE_TO_DOWN_INTERVAL, ANNOUNCE_TO_DOWN),
@@ -104,10 +108,10 @@
     }
 }
 
-fn count(number: usize) -> NonZeroUsize {
+fn non_zero(number: usize) -> NonZeroUsize {
     NonZeroUsize::new(number).expect("a constant above zero")
 }
 
 fn every(seconds: f64, members: usize) -> Option<PeriodicParams> {
-    Some(PeriodicParams { frequency: Duration::from_secs_f64(seconds), num_members: count(members) })
+    Some(PeriodicParams { frequency: Duration::from_secs_f64(seconds), num_members: non_zero(members) })
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,60 +1,60 @@
-//! What a view means: how this router stands among those expected, and what that allows. Pure functions; the table is
-//! in `docs/design/members.md`, and its rows are tested here one by one.
+//! The standing of a router among the expected routers, derived from its view, and what that standing allows. All
+//! functions are pure. The table of standings is in `docs/design/members.md`; each row has a test here.
 
-/// What is counted at one moment. Times are in seconds.
+/// The inputs from which a standing is derived. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ViewInputs {
-    /// Routers that the cluster file names, this one among them.
+    /// The number of routers in the cluster file, this one included.
     pub expected: usize,
-    /// Of them held present, this one among them.
+    /// The number of routers that count as present, this one included.
     pub present: usize,
-    /// This router has seen a majority present since its start.
+    /// Whether this router has seen a majority present since its start.
     pub formed: bool,
-    /// Present ones that have told for a while that they hold others present than this router does.
+    /// The number of present routers that have for a while reported another set of present routers than this router's.
     pub disagreeing: usize,
-    /// How long ago this router was started.
+    /// How long ago this router started.
     pub started_ago: f64,
-    /// How long ago its last pause ended; infinite for never.
+    /// How long ago the last pause of this process ended; infinite if there was none.
     pub resumed_ago: f64,
-    /// It leaves by plan.
+    /// Whether this router is leaving as planned.
     pub leaving: bool,
-    /// Another process goes by this router's name.
+    /// Whether another process uses this router's name.
     pub name_conflict: bool,
 }
 
-/// How a router stands. Where several fit, the first of them holds.
+/// The standing of a router among the expected routers. If several conditions apply, the first in this order holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// It leaves by plan.
+    /// It is leaving as planned.
     Leaving,
-    /// Another process goes by this router's name: which of the two others mean can't be known.
+    /// Another process uses this router's name, so it can't be known which of the two processes other routers mean.
     NameConflict,
-    /// A pause has ended within [`SETTLE_TIME`].
+    /// A pause of the process ended less than [`SETTLE_TIME`] ago.
     JustResumed,
-    /// Started within [`SETTLE_TIME`].
+    /// It started less than [`SETTLE_TIME`] ago.
     JustStarted,
-    /// Started long ago, and a majority was never seen.
+    /// It started longer ago, and has never seen a majority present.
     NeverFormed,
-    /// No other is present.
+    /// No other router is present.
     Alone,
-    /// Fewer than half are present.
+    /// Fewer than half of the routers are present.
     Minority,
-    /// Just half of an even number.
+    /// Exactly half of the routers are present.
     Half,
-    /// Enough are present, but some of them have counted others for a while.
+    /// More than half are present, but some of them have reported a different view for a while.
     Disagreeing,
-    /// More than half are present.
+    /// More than half, but not all, are present.
     Majority,
-    /// All are present.
+    /// All routers are present.
     Complete,
 }
 
-/// How long what a router knew before a pause, and what it is told at its start, is worth nothing, in seconds: by then each
-/// of the others has been probed or has told.
+/// For how long after its start or after a pause a router does not rely on its view, in seconds: by the end of this
+/// time it has probed or heard each of the other routers.
 pub const SETTLE_TIME: f64 = 3.0;
 
 impl Standing {
-    /// All of them, in the order in which they hold.
+    /// All standings, in their order of precedence.
     pub const ALL: [Standing; 11] = [
         Standing::Leaving,
         Standing::NameConflict,
@@ -69,7 +69,7 @@
         Standing::Complete,
     ];
 
-    /// The words for logs and status.
+    /// The label in logs and in the status output.
     pub fn as_str(self) -> &'static str {
         match self {
             Standing::Leaving => "leaving",
@@ -87,12 +87,12 @@
     }
 }
 
-/// How many make a majority (quorum) of so many: two majorities always share one.
+/// The size of a majority (quorum) of `expected` routers. Any two majorities have at least one router in common.
 pub fn majority(expected: usize) -> usize {
     expected / 2 + 1
 }
 
-/// The standing that follows from what is counted.
+/// The standing that follows from these inputs.
 pub fn standing(count: &ViewInputs) -> Standing {
     let enough = count.present >= majority(count.expected);
     match () {
@@ -110,27 +110,30 @@
     }
 }
 
-/// What a standing allows. Whatever it says, this router serves its own requests, by itself, and its decisions keep their
-/// rules with the share that it holds: a view makes a share no larger, as it may be wrong.
+/// What a standing allows. In every standing, this router serves its own requests by itself, and its decisions stay
+/// within the share that it holds: a view never makes a share larger, as the view may be wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// It may request a lease, and use one that it holds as long as that lasts by its own clock.
+    /// Whether the router may request leases. One that it already holds may be used until it expires by the router's
+    /// own clock.
     pub requests_leases: bool,
-    /// It answers others that ask. One that is just started may have granted what it has forgotten.
+    /// Whether the router answers lease requests of others. A router that has just started does not, as it may have
+    /// granted leases that it has forgotten.
     pub grants_leases: bool,
-    /// It may take over what another's lease no longer covers, with a lease of its own.
+    /// Whether the router may take over, with a lease of its own, a resource that another router's lease no longer
+    /// covers.
     pub takes_over: bool,
-    /// Shares that another released to this router by name may be used.
+    /// Whether the router may use shares that another router released to it by name.
     pub uses_released_shares: bool,
-    /// What it has observed of engines is reported to others.
+    /// Whether the router reports its observations of engines to others.
     pub shares_observations: bool,
-    /// What others report of engines counts.
+    /// Whether the router uses what others report about engines.
     pub uses_peer_evidence: bool,
-    /// An operator should look.
+    /// Whether the standing calls for an operator's attention.
     pub warns: bool,
 }
 
-/// What a standing allows.
+/// The permissions that go with a standing.
 pub fn permissions(standing: Standing) -> Permissions {
     let all = Permissions {
         requests_leases: true,
@@ -141,24 +144,31 @@
         uses_peer_evidence: true,
         warns: false,
     };
-    let few = Permissions { requests_leases: false, takes_over: false, uses_released_shares: false, ..all };
+    let restricted =
+        Permissions { requests_leases: false, takes_over: false, uses_released_shares: false, ..all };
     match standing {
         Standing::Complete | Standing::Majority => all,
-        // Leases are safe whatever the views are; but who is gone is not known well enough to take over from.
+        // Leases are safe whatever the views are, but it is not known reliably from which router a resource may be
+        // taken over.
         Standing::Disagreeing => Permissions { takes_over: false, warns: true, ..all },
-        // They can grant to one of the others' side that asks, but have no majority for themselves.
-        Standing::Half | Standing::Minority | Standing::Alone => Permissions { warns: true, ..few },
-        Standing::NeverFormed => Permissions { warns: true, ..few },
-        // What it has forgotten, or missed while paused, must expire first. What it saw of engines is old.
-        Standing::JustStarted => Permissions { grants_leases: false, shares_observations: false, ..few },
-        Standing::JustResumed => Permissions { shares_observations: false, uses_peer_evidence: false, ..few },
-        Standing::Leaving => Permissions { shares_observations: false, ..few },
+        // The routers on this side have no majority themselves, but may grant a lease to a router of another side.
+        Standing::Half | Standing::Minority | Standing::Alone => Permissions { warns: true, ..restricted },
+        Standing::NeverFormed => Permissions { warns: true, ..restricted },
+        // What the router has forgotten, or missed during a pause, must expire first. Its observations of engines are
+        // outdated.
+        Standing::JustStarted => {
+            Permissions { grants_leases: false, shares_observations: false, ..restricted }
+        }
+        Standing::JustResumed => {
+            Permissions { shares_observations: false, uses_peer_evidence: false, ..restricted }
+        }
+        Standing::Leaving => Permissions { shares_observations: false, ..restricted },
         Standing::NameConflict => Permissions {
             grants_leases: false,
             shares_observations: false,
             uses_peer_evidence: false,
             warns: true,
-            ..few
+            ..restricted
         },
     }
 }
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn count(expected: usize, present: usize) -> ViewInputs {
+fn inputs(expected: usize, present: usize) -> ViewInputs {
     ViewInputs {
         expected,
         present,
@@ -16,40 +16,44 @@
 #[test]
 fn reaches_every_row_of_the_table() {
     let rows = [
-        (count(9, 9), Standing::Complete),
-        (count(1, 1), Standing::Complete),
-        (count(9, 5), Standing::Majority),
-        (count(10, 6), Standing::Majority),
-        (count(10, 5), Standing::Half),
-        (count(2, 1), Standing::Alone),
-        (count(10, 4), Standing::Minority),
-        (count(9, 4), Standing::Minority),
-        (count(9, 1), Standing::Alone),
-        (ViewInputs { formed: false, ..count(9, 4) }, Standing::NeverFormed),
-        (ViewInputs { formed: false, ..count(9, 1) }, Standing::NeverFormed),
-        (ViewInputs { disagreeing: 1, ..count(9, 9) }, Standing::Disagreeing),
-        (ViewInputs { disagreeing: 3, ..count(9, 4) }, Standing::Minority),
-        (ViewInputs { resumed_ago: 0.1, ..count(9, 9) }, Standing::JustResumed),
-        (ViewInputs { started_ago: 0.1, ..count(9, 9) }, Standing::JustStarted),
-        (ViewInputs { started_ago: 0.1, resumed_ago: 0.0, ..count(9, 9) }, Standing::JustResumed),
-        (ViewInputs { name_conflict: true, ..count(9, 9) }, Standing::NameConflict),
-        (ViewInputs { leaving: true, name_conflict: true, ..count(9, 9) }, Standing::Leaving),
+        (inputs(9, 9), Standing::Complete),
+        (inputs(1, 1), Standing::Complete),
+        (inputs(9, 5), Standing::Majority),
+        (inputs(10, 6), Standing::Majority),
+        (inputs(10, 5), Standing::Half),
+        (inputs(2, 1), Standing::Alone),
+        (inputs(10, 4), Standing::Minority),
+        (inputs(9, 4), Standing::Minority),
+        (inputs(9, 1), Standing::Alone),
+        (ViewInputs { formed: false, ..inputs(9, 4) }, Standing::NeverFormed),
+        (ViewInputs { formed: false, ..inputs(9, 1) }, Standing::NeverFormed),
+        (ViewInputs { disagreeing: 1, ..inputs(9, 9) }, Standing::Disagreeing),
+        (ViewInputs { disagreeing: 3, ..inputs(9, 4) }, Standing::Minority),
+        (ViewInputs { resumed_ago: 0.1, ..inputs(9, 9) }, Standing::JustResumed),
+        (ViewInputs { started_ago: 0.1, ..inputs(9, 9) }, Standing::JustStarted),
+        (ViewInputs { started_ago: 0.1, resumed_ago: 0.0, ..inputs(9, 9) }, Standing::JustResumed),
+        (ViewInputs { name_conflict: true, ..inputs(9, 9) }, Standing::NameConflict),
+        (ViewInputs { leaving: true, name_conflict: true, ..inputs(9, 9) }, Standing::Leaving),
     ];
-    for (count, wanted) in rows {
-        assert_eq!(standing(&count), wanted, "{count:?}");
+    for (inputs, expected_standing) in rows {
+        assert_eq!(standing(&inputs), expected_standing, "{inputs:?}");
     }
-    let reached: std::collections::BTreeSet<_> = rows.iter().map(|(_, wanted)| *wanted).collect();
-    assert_eq!(reached.len(), Standing::ALL.len(), "a row that nothing reaches");
+    let reached: std::collections::BTreeSet<_> =
+        rows.iter().map(|(_, expected_standing)| *expected_standing).collect();
+    assert_eq!(reached.len(), Standing::ALL.len(), "not every standing is reached by a row");
 }
 
-/// Whatever the two sides of a partition find, they never both may take over.
+/// However a cluster is split in two, at most one side may take over.
 #[test]
 fn no_two_partitions_may_both_take_over() {
     for expected in 1..=40 {
-        for first in 0..=expected {
-            let may =
-                |present: usize| present > 0 && permissions(standing(&count(expected, present))).takes_over;
-            assert!(!(may(first) && may(expected - first)), "{first} of {expected}");
+        for one_side in 0..=expected {
+            let may_take_over =
+                |present: usize| present > 0 && permissions(standing(&inputs(expected, present))).takes_over;
+            assert!(
+                !(may_take_over(one_side) && may_take_over(expected - one_side)),
+                "{one_side} of {expected}"
+            );
         }
     }
 }
@@ -64,17 +68,17 @@
 }
 
 #[test]
-fn restarted_routers_grant_nothing_and_paused_routers_tell_nothing() {
-    let row = |standing| permissions(standing);
-    assert!(!row(Standing::JustStarted).grants_leases);
-    assert!(!row(Standing::NameConflict).grants_leases);
-    for old in [Standing::JustStarted, Standing::JustResumed, Standing::Leaving, Standing::NameConflict] {
-        assert!(!row(old).shares_observations, "{old:?}");
+fn restarted_routers_grant_nothing_and_paused_routers_report_nothing() {
+    assert!(!permissions(Standing::JustStarted).grants_leases);
+    assert!(!permissions(Standing::NameConflict).grants_leases);
+    for standing in [Standing::JustStarted, Standing::JustResumed, Standing::Leaving, Standing::NameConflict]
+    {
+        assert!(!permissions(standing).shares_observations, "{standing:?}");
     }
-    for quiet in [Standing::Complete, Standing::Majority, Standing::Leaving, Standing::JustStarted] {
-        assert!(!row(quiet).warns, "{quiet:?}");
+    for standing in [Standing::Complete, Standing::Majority, Standing::Leaving, Standing::JustStarted] {
+        assert!(!permissions(standing).warns, "{standing:?}");
     }
-    for loud in [Standing::Half, Standing::Minority, Standing::Alone, Standing::NeverFormed] {
-        assert!(row(loud).warns && row(loud).uses_peer_evidence, "{loud:?}");
+    for standing in [Standing::Half, Standing::Minority, Standing::Alone, Standing::NeverFormed] {
+        assert!(permissions(standing).warns && permissions(standing).uses_peer_evidence, "{standing:?}");
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,7 +1,9 @@
-//! Datagrams between routers: an envelope that ties each to its cluster, its sender's incarnation and its receiver's, and a body.
+//! The datagram format between routers: an envelope, which ties the datagram to its cluster and to the incarnations
+//! of its sender and receiver, and a body.
 //!
-//! What is read is bounded before anything is made of it, and the checksum finds what a network damages. It is no
-//! signature: whoever can send from a member's address is that member (`deploy/cluster.json` names the networks).
+//! Sizes are checked before anything is decoded, and a checksum detects damage in transit. The checksum is not a
+//! signature: whoever can send from a member's address can pose as that member (`deploy/cluster.json` names the
+//! allowed networks).
 //!
 //! ```text
 //! magic (2) | version (1) | envelope (postcard) | body | CRC-32 of all before it (4, little endian)
@@ -10,99 +12,102 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The longest datagram, in bytes: it fits an Ethernet frame with its IP and UDP headers, and some tunnel's.
+/// The longest datagram, in bytes: it fits into an Ethernet frame with its IP and UDP headers, and those of a tunnel.
 pub const MAX_DATAGRAM: usize = 1400;
-/// The longest body, in bytes: what the longest envelope leaves.
+/// The longest body, in bytes: what the longest envelope leaves of a datagram.
 pub const MAX_BODY: usize = MAX_DATAGRAM - 88;
-/// The unit in which datagrams tell how long ago a router was heard, in seconds: a `u16` of it spans 17 minutes, a `u8`
+/// The unit in which datagrams report how long ago a router was heard, in seconds. A `u16` covers 17 minutes, a `u8`
 /// 4 s.
 pub const HEARD_UNIT: f64 = 0.016;
 
 const MAGIC: [u8; 2] = *b"cG";
 const VERSION: u8 = 2;
-/// The bytes of the checksum.
+/// The length of the checksum, in bytes.
 const CHECKSUM: usize = 4;
-/// Magic, version and checksum.
+/// The shortest datagram, in bytes: magic, version and checksum.
 const MIN_DATAGRAM: usize = 7;
-/// Room that is reserved for magic, version and a usual envelope, in bytes.
-const USUAL_ENVELOPE: usize = 64;
+/// The buffer capacity for magic, version and an envelope of typical length, in bytes.
+const TYPICAL_ENVELOPE: usize = 64;
 
-/// What goes ahead of each body. The order of the fields is the wire format.
+/// The header that precedes each body. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The hash of the cluster's name and of its list of routers.
+    /// The hash of the cluster's name and its list of routers.
     pub cluster: u64,
-    /// The sender, by its place in the cluster file.
+    /// The sender, by its index in the cluster file.
     pub from: u16,
-    /// The receiver, by its place in the cluster file.
+    /// The receiver, by its index in the cluster file.
     pub to: u16,
-    /// The sender's incarnation.
+    /// The generation of the sender's incarnation.
     pub generation: u64,
-    /// The receiver's incarnation as the sender knows it, 0 if it knows none.
+    /// The generation of the receiver's latest incarnation that the sender knows, 0 if it knows none.
     pub receiver_generation: u64,
-    /// How long ago the sender last heard the receiver, in [`HEARD_UNIT`]; `u16::MAX` for never or long ago.
+    /// How long ago the sender last heard the receiver, in units of [`HEARD_UNIT`]; `u16::MAX` for never, or longer
+    /// ago than that.
     pub heard_ago: u16,
-    /// How many routers the sender holds present, itself among them.
+    /// How many routers the sender considers present, itself included.
     pub present: u16,
-    /// The hash of which routers those are.
+    /// A hash of the indexes of those routers.
     pub present_hash: u32,
-    /// How long the sender has run, in seconds.
+    /// How long the sender has been running, in seconds.
     pub age: u32,
-    /// The sender leaves by plan.
+    /// Whether the sender is leaving as planned.
     pub leaving: bool,
-    /// The sender holds the receiver failed in the incarnation `receiver_generation`: the receiver has to begin a new one.
+    /// Whether the sender considers the receiver failed in the incarnation `receiver_generation`. If so, the receiver
+    /// must begin a new incarnation.
     pub receiver_failed: bool,
-    /// The epoch of the sender's last put that is on its disk, 0 for none.
+    /// The epoch of the last write to the sender's store that is on its disk, 0 for none.
     pub store_epoch: u64,
-    /// The latest epoch of the receiver's store that the sender was shown, over all its incarnations; 0 for none.
+    /// The latest epoch of the receiver's store that the sender has seen, over all the receiver's incarnations; 0 for
+    /// none.
     pub receiver_store_epoch: u64,
-    /// What the body is.
+    /// The kind of the body.
     pub kind: Kind,
 }
 
-/// What a body is. The order of the variants is the wire format.
+/// The kind of a body. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// A heartbeat: a digest of what the sender has learned of engines, which may be empty.
+    /// A heartbeat, with a digest of what the sender has observed of engines; the digest may be empty.
     #[default]
     Heartbeat,
     /// A message of the failure detector.
     Swim,
     /// A message about a lease.
     Lease,
-    /// Asks for a heartbeat back.
+    /// A direct probe: asks the receiver to send a heartbeat back.
     DirectProbe,
-    /// Asks when the receiver last heard the routers that it names.
+    /// An indirect probe: asks when the receiver last heard the named routers.
     IndirectProbe,
-    /// Answers an indirect probe.
+    /// The answer to an indirect probe.
     IndirectAck,
 }
 
-/// When one router was last heard, as the answer to an indirect probe tells it.
+/// When one router was last heard, as the answer to an indirect probe reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastHeard {
-    /// The router, by its place in the cluster file.
+    /// The router, by its index in the cluster file.
     pub router: u16,
-    /// How long ago, in [`HEARD_UNIT`]; `u8::MAX` for never or long ago.
+    /// How long ago, in units of [`HEARD_UNIT`]; `u8::MAX` for never, or longer ago than that.
     pub ago: u8,
 }
 
-/// Why a datagram was not taken.
+/// Why a received datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
     /// Longer than [`MAX_DATAGRAM`].
     TooLong,
-    /// Without the magic bytes, with a length that does not fit, or with a wrong checksum.
+    /// Without the magic bytes, too short, with a wrong checksum, or with an envelope that can't be decoded.
     Noise,
-    /// Of another version of this format.
+    /// Of another version of the datagram format.
     Version,
     /// Of another cluster, or of one with another list of routers.
     OtherCluster,
-    /// From one router's address under another's number, or not meant for this router.
+    /// Sent from one router's address under another router's index, or addressed to another router.
     WrongSender,
-    /// Of a former incarnation of its sender.
+    /// Of an earlier incarnation of its sender than the latest known.
     FormerIncarnation,
-    /// With a body that can't be read.
+    /// With a body that can't be decoded, or a generation above the limit.
     Body,
 }
 
@@ -135,12 +140,12 @@
     }
 }
 
-/// Writes a datagram; `None` for a body longer than [`MAX_BODY`].
+/// Encodes a datagram; `None` if the body is longer than [`MAX_BODY`].
 pub fn write(envelope: &Envelope, body: &[u8]) -> Option<Vec<u8>> {
     if body.len() > MAX_BODY {
         return None;
     }
-    let mut bytes = Vec::with_capacity(USUAL_ENVELOPE + body.len());
+    let mut bytes = Vec::with_capacity(TYPICAL_ENVELOPE + body.len());
     bytes.extend(MAGIC);
     bytes.push(VERSION);
     let mut bytes = postcard::to_extend(envelope, bytes).ok()?;
@@ -150,10 +155,11 @@
     Some(bytes)
 }
 
-/// Reads a datagram into its envelope and its body, of which nothing is copied.
+/// Decodes a datagram into its envelope and its body, which is borrowed from `bytes`.
 ///
 /// # Errors
-/// Why it is none of this format, as far as its bytes alone tell.
+/// [`DropReason::TooLong`], [`DropReason::Noise`] or [`DropReason::Version`] if the bytes are not a datagram of this
+/// format. The contents of the envelope are not checked here.
 pub fn read(bytes: &[u8]) -> Result<(Envelope, &[u8]), DropReason> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(DropReason::TooLong);
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn longest_body_fits_after_longest_envelope() {
-    let most = Envelope {
+    let longest = Envelope {
         from: u16::MAX,
         to: u16::MAX,
         heard_ago: u16::MAX,
@@ -28,19 +28,19 @@
         kind: Kind::IndirectAck,
         ..envelope()
     };
-    let bytes = write(&most, &[7; MAX_BODY]).unwrap();
+    let bytes = write(&longest, &[7; MAX_BODY]).unwrap();
     assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
-    assert_eq!(read(&bytes), Ok((most, &[7; MAX_BODY][..])));
-    assert_eq!(write(&most, &[7; MAX_BODY + 1]), None);
+    assert_eq!(read(&bytes), Ok((longest, &[7; MAX_BODY][..])));
+    assert_eq!(write(&longest, &[7; MAX_BODY + 1]), None);
 }
 
 #[test]
 fn rejects_cut_or_damaged_datagrams_as_noise() {
-    let whole = write(&envelope(), b"a body").unwrap();
-    for at in 0..whole.len() {
-        assert_eq!(read(&whole[..at]).err(), Some(DropReason::Noise), "cut at {at}");
+    let datagram = write(&envelope(), b"a body").unwrap();
+    for at in 0..datagram.len() {
+        assert_eq!(read(&datagram[..at]).err(), Some(DropReason::Noise), "cut at {at}");
         for bit in 0..8 {
-            let mut damaged = whole.clone();
+            let mut damaged = datagram.clone();
             damaged[at] ^= 1 << bit;
             assert_eq!(read(&damaged).err(), Some(DropReason::Noise), "byte {at}, bit {bit}");
         }
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn tells_another_version_from_noise() {
+fn distinguishes_another_version_from_noise() {
     let mut bytes = write(&envelope(), b"x").unwrap();
     bytes[2] = VERSION + 1;
     let end = bytes.len() - 4;
-    let sum = crc32fast::hash(&bytes[..end]).to_le_bytes();
-    bytes[end..].copy_from_slice(&sum);
+    let checksum = crc32fast::hash(&bytes[..end]).to_le_bytes();
+    bytes[end..].copy_from_slice(&checksum);
     assert_eq!(read(&bytes).err(), Some(DropReason::Version));
 }
 
@@ -62,7 +62,7 @@
     #[test]
     fn reads_any_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = read(&bytes);
-        let sum = crc32fast::hash(&[&b"cG\x02"[..], &bytes].concat()).to_le_bytes();
-        let _ = read(&[&b"cG\x02"[..], &bytes, &sum].concat());
+        let checksum = crc32fast::hash(&[&b"cG\x02"[..], &bytes].concat()).to_le_bytes();
+        let _ = read(&[&b"cG\x02"[..], &bytes, &checksum].concat());
     }
 }
--- a/crates/membership/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -1,5 +1,6 @@
-//! After the last fault all views agree: the real code of three routers under every schedule of a few faults, walked by
-//! stateright. A state is the faults so far; what comes of them is played in virtual time, then left without faults.
+//! Checks that all views agree after the last fault: stateright explores every schedule of a few faults on three
+//! routers that run the real code. A state of the model is the sequence of faults so far. To check a state, its
+//! faults are replayed in virtual time, followed by a period without faults.
 
 use cleatgw_membership::leader::role_resource;
 use cleatgw_membership::swim::{Defences, DetectorSettings};
@@ -9,8 +10,8 @@
 use stateright::{Checker, Model, Property};
 
 const ROUTERS: usize = 3;
-const MOST: usize = 3;
-/// Between two faults, in seconds: less than it takes to find one failed, and more.
+const MAX_FAULTS: usize = 3;
+/// The times between two faults, in seconds: one shorter than it takes to detect a failure, and one longer.
 const GAPS: [f64; 2] = [0.6, 3.0];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -18,20 +19,22 @@
     Restart(usize),
     Freeze(usize),
     Wake(usize),
+    /// Cuts all links of a router in both directions. All other links work again.
     CutOff(usize),
+    /// Cuts the link from the first router to the second in that direction only.
     OneWay(usize, usize),
     Heal,
 }
 
-/// Faults, each with the gap ahead of it.
-type Path = Vec<(usize, Fault)>;
+/// A sequence of faults, each with the index of the gap before it.
+type FaultSequence = Vec<(usize, Fault)>;
 
-struct Views {
+struct ViewAgreement {
     defences: Defences,
 }
 
-impl Views {
-    fn play(&self, path: &Path) -> World {
+impl ViewAgreement {
+    fn run_faults(&self, faults: &FaultSequence) -> World {
         let mut world = World::new(
             ROUTERS,
             DetectorSettings { defences: self.defences, ..DetectorSettings::default() },
@@ -40,15 +43,15 @@
         world.role = Some(role_resource("one"));
         world.rates = vec![0.99, 1.01, 1.0];
         (0..ROUTERS).for_each(|router| world.at(0.0, FaultAction::Start(router)));
-        let mut at = 6.0;
-        world.run_until(at);
+        let mut now = 6.0;
+        world.run_until(now);
         let mut frozen = [false; ROUTERS];
-        for (gap, fault) in path {
-            at += GAPS[*gap];
-            let acts = match *fault {
+        for (gap, fault) in faults {
+            now += GAPS[*gap];
+            let actions = match *fault {
                 Fault::Restart(router) => {
                     frozen[router] = false;
-                    // The first one's Unix clock is set back by an hour each time.
+                    // The Unix clock of router 0 is set back by an hour at each of its restarts.
                     world.clocks[router] -= if router == 0 { 3_600_000 } else { 0 };
                     vec![FaultAction::Kill(router), FaultAction::Start(router)]
                 }
@@ -66,75 +69,80 @@
                 Fault::OneWay(from, to) => vec![FaultAction::CutOneWay(from, to)],
                 Fault::Heal => vec![FaultAction::Heal],
             };
-            acts.into_iter().for_each(|act| world.at(at, act));
-            world.run_until(at);
+            actions.into_iter().for_each(|action| world.at(now, action));
+            world.run_until(now);
         }
-        // The last fault ends, and no other follows.
-        world.at(at + GAPS[0], FaultAction::Heal);
+        // All faults end, and no other follows.
+        world.at(now + GAPS[0], FaultAction::Heal);
         for router in (0..ROUTERS).filter(|router| frozen[*router]) {
-            world.at(at + GAPS[0], FaultAction::Wake(router));
+            world.at(now + GAPS[0], FaultAction::Wake(router));
         }
-        world.run_until(at + GAPS[0] + 7.0);
+        world.run_until(now + GAPS[0] + 7.0);
         world
     }
 }
 
-fn agree(world: &World) -> bool {
-    (0..ROUTERS).all(|router| world.members(router).is_some_and(|one| one.standing() == Standing::Complete))
+fn all_views_complete(world: &World) -> bool {
+    (0..ROUTERS).all(|router| {
+        world.members(router).is_some_and(|membership| membership.standing() == Standing::Complete)
+    })
 }
 
-impl Model for Views {
-    type State = Path;
+impl Model for ViewAgreement {
+    type State = FaultSequence;
     type Action = (usize, Fault);
 
-    fn init_states(&self) -> Vec<Path> {
+    fn init_states(&self) -> Vec<FaultSequence> {
         vec![Vec::new()]
     }
 
-    fn actions(&self, path: &Path, actions: &mut Vec<(usize, Fault)>) {
-        if path.len() >= MOST {
+    fn actions(&self, sequence: &FaultSequence, actions: &mut Vec<(usize, Fault)>) {
+        if sequence.len() >= MAX_FAULTS {
             return;
         }
-        let stands = |router: usize| {
-            let of = |(_, fault): &&(usize, Fault)| matches!(fault, Fault::Freeze(at) | Fault::Wake(at) | Fault::Restart(at) if *at == router);
-            !matches!(path.iter().rfind(of), Some((_, Fault::Freeze(_))))
+        let is_running = |router: usize| {
+            let concerns_router = |(_, fault): &&(usize, Fault)| matches!(fault, Fault::Freeze(at) | Fault::Wake(at) | Fault::Restart(at) if *at == router);
+            !matches!(sequence.iter().rfind(concerns_router), Some((_, Fault::Freeze(_))))
         };
-        // All routers are alike but for their clocks: two of them have all the faults.
+        // The routers differ only in their clocks, so it is enough that two of them are subject to all the faults.
         let mut faults = vec![Fault::Heal, Fault::OneWay(0, 1), Fault::OneWay(1, 2)];
         for router in 0..2 {
             faults.extend([Fault::Restart(router), Fault::CutOff(router)]);
-            faults.push(if stands(router) { Fault::Freeze(router) } else { Fault::Wake(router) });
+            faults.push(if is_running(router) { Fault::Freeze(router) } else { Fault::Wake(router) });
         }
         actions.extend(faults.iter().flat_map(|fault| (0..GAPS.len()).map(move |gap| (gap, *fault))));
     }
 
-    fn next_state(&self, path: &Path, action: (usize, Fault)) -> Option<Path> {
-        Some([&path[..], &[action]].concat())
+    fn next_state(&self, faults: &FaultSequence, action: (usize, Fault)) -> Option<FaultSequence> {
+        Some([&faults[..], &[action]].concat())
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("views agree after the last fault", |model: &Views, path| {
-                agree(&model.play(path))
+            Property::always("views agree after the last fault", |model: &ViewAgreement, faults| {
+                all_views_complete(&model.run_faults(faults))
+            }),
+            Property::always("one holder at a time", |model: &ViewAgreement, faults| {
+                model.run_faults(faults).two_holders == 0
             }),
-            Property::always("one holder at a time", |model: &Views, path| model.play(path).two_holders == 0),
         ]
     }
 }
 
 #[test]
 fn views_agree_and_roles_have_one_holder_after_any_three_faults() {
-    let checker = Views { defences: Defences::default() }.checker().threads(4).spawn_bfs().join();
+    let checker = ViewAgreement { defences: Defences::default() }.checker().threads(4).spawn_bfs().join();
     assert!(checker.unique_state_count() > 4000, "{}", checker.unique_state_count());
     checker.assert_properties();
 }
 
-/// A router whose clock was set back before its start, and that is not told in which incarnation others know it, is never heard
-/// again: the checker finds a schedule.
+/// Without the defence `adopt_later_incarnation`, a router whose Unix clock was set back before a restart starts with
+/// an older generation than others know, and its datagrams are dropped for good. The checker must find such a
+/// schedule.
 #[test]
-fn finds_the_injected_fault() {
+fn finds_the_fault_of_a_disabled_defence() {
     let defences = Defences { adopt_later_incarnation: false, ..Defences::default() };
-    let checker = Views { defences }.checker().threads(4).spawn_bfs().join();
-    let found = checker.discovery("views agree after the last fault");
-    assert!(found.is_some(), "{} states", checker.unique_state_count());
+    let checker = ViewAgreement { defences }.checker().threads(4).spawn_bfs().join();
+    let discovery = checker.discovery("views agree after the last fault");
+    assert!(discovery.is_some(), "{} states", checker.unique_state_count());
 }
--- a/crates/membership/tests/golden_bytes.rs
+++ b/crates/membership/tests/golden_bytes.rs
@@ -1,5 +1,6 @@
-//! Golden bytes: what routers send each other, written by the version before the code was reshaped. Two versions may run in
-//! one cluster, so the same values have to give the same bytes, and the bytes the same values.
+//! Golden bytes of everything that routers send to each other, recorded from an earlier version of the code. Two
+//! versions may run in one cluster, so the same values must encode to the same bytes, and the bytes decode to the
+//! same values.
 
 use cleatgw_membership::digest::{self, DigestRounds, EngineIncarnation, Observation};
 use cleatgw_membership::lease::Message;
@@ -32,12 +33,12 @@
 }
 
 #[test]
-fn datagrams_of_every_kind_have_the_bytes_of_the_former_version() {
+fn datagrams_of_every_kind_match_the_recorded_bytes() {
     let kinds =
         [Kind::Heartbeat, Kind::Swim, Kind::Lease, Kind::DirectProbe, Kind::IndirectProbe, Kind::IndirectAck];
     let mut lines = Vec::new();
     for kind in kinds {
-        let bytes = wire::write(&envelope(kind), b"a body").expect("it fits");
+        let bytes = wire::write(&envelope(kind), b"a body").expect("the body fits into a datagram");
         assert_eq!(wire::read(&bytes), Ok((envelope(kind), &b"a body"[..])));
         lines.push(format!("{kind:?} {}", hex(&bytes)));
     }
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn lease_messages_and_probe_answers_have_the_bytes_of_the_former_version() {
+fn lease_messages_and_probe_answers_match_the_recorded_bytes() {
     let (resource, epoch) = (70_000, (5 << 16) | 3);
     let messages = [
         Message::Prepare { resource, epoch },
@@ -58,18 +59,18 @@
     ];
     let mut lines = Vec::new();
     for message in messages {
-        let bytes = postcard::to_extend(&message, Vec::new()).expect("memory takes all");
+        let bytes = postcard::to_extend(&message, Vec::new()).expect("a Vec accepts any number of bytes");
         assert_eq!(postcard::from_bytes::<Message>(&bytes), Ok(message));
         lines.push(hex(&bytes));
     }
     let heard = [LastHeard { router: 3, ago: 255 }, LastHeard { router: 400, ago: 1 }];
-    let bytes = postcard::to_extend(&heard[..], Vec::new()).expect("memory takes all");
+    let bytes = postcard::to_extend(&heard[..], Vec::new()).expect("a Vec accepts any number of bytes");
     lines.push(hex(&bytes));
     expect_file!["golden/leases.txt"].assert_eq(&(lines.join("\n") + "\n"));
 }
 
 #[test]
-fn digests_have_the_bytes_of_the_former_version() {
+fn digests_match_the_recorded_bytes() {
     let observation = |number: u64| Observation {
         engine: EngineIncarnation {
             name: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -85,10 +86,10 @@
     expect_file!["golden/digest.txt"].assert_eq(&(hex(&bytes) + "\n"));
 }
 
-/// Everything that five routers send each other over some seconds, in which one leaves and one falls silent: messages of the
-/// failure detector, leases, probes and heartbeats, in their order.
+/// All datagrams of five routers over twelve seconds, in order: messages of the failure detector, leases, probes and
+/// heartbeats. During this time one router leaves and one falls silent.
 #[test]
-fn a_seeded_cluster_sends_the_same_datagrams_as_the_former_version() {
+fn a_seeded_cluster_sends_the_recorded_datagrams() {
     const ROUTERS: usize = 5;
     let cluster = cluster_hash("golden", ["a", "b", "c", "d", "e"]);
     let mut members: Vec<Membership> = (0..ROUTERS)
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn rounds_of_simulated_instances_send_the_same_digests_as_the_former_version() {
+fn rounds_of_simulated_instances_send_the_recorded_digests() {
     let mut rounds = DigestRounds::new(1, 3, 7, 0.0);
     let mut text = String::new();
     for step in 0..80 {
--- a/crates/membership/tests/growth.rs
+++ b/crates/membership/tests/growth.rs
@@ -1,45 +1,62 @@
-//! What routers send each other as they become more: counted in virtual time, so that every machine gives the same verdict.
+//! How much traffic routers cause as the cluster grows. It is counted in virtual time, so that the result is the same
+//! on every machine.
 
 use cleatgw_membership::swim::DetectorSettings;
 use cleatgw_testbed::faults::schedule::{three_regions, FaultAction};
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
-/// Datagrams and bytes that one router sends in ten idle seconds on average, once the news of all the starts is spread.
-fn idle_traffic(routers: usize, far: bool) -> (f64, f64) {
+/// The datagrams and bytes that one router sends on average in ten idle seconds, after gossip about the starts has
+/// ended. With `three_distant_regions` the routers are spread over regions with long delays between them.
+fn idle_traffic(routers: usize, three_distant_regions: bool) -> (f64, f64) {
     let mut world = World::started(routers, DetectorSettings::default(), 37);
-    if far {
+    if three_distant_regions {
         world.link_conditions.place((0..routers).map(|router| router % 10).collect(), three_regions());
     }
     world.run_until(25.0);
-    let sum = |world: &World| {
-        let counts = (0..routers).map(|router| world.members(router).expect("it runs").counters());
-        counts.fold((0, 0), |(sent, bytes), one| (sent + one.sent, bytes + one.sent_bytes))
+    let total_sent = |world: &World| {
+        let counts =
+            (0..routers).map(|router| world.members(router).expect("the router is running").counters());
+        counts.fold((0, 0), |(sent, bytes), router| (sent + router.sent, bytes + router.sent_bytes))
     };
-    let before = sum(&world);
+    let before = total_sent(&world);
     world.run_until(35.0);
-    let after = sum(&world);
-    let each = |after: u64, before: u64| (after - before) as f64 / routers as f64;
-    let (sent, bytes) = (each(after.0, before.0), each(after.1, before.1));
-    assert!(sent > 50.0 && bytes > 1000.0, "they talk: {sent} datagrams, {bytes} bytes");
+    let after = total_sent(&world);
+    let per_router = |after: u64, before: u64| (after - before) as f64 / routers as f64;
+    let (sent, bytes) = (per_router(after.0, before.0), per_router(after.1, before.1));
+    assert!(
+        sent > 50.0 && bytes > 1000.0,
+        "too little traffic for a comparison: {sent} datagrams, {bytes} bytes"
+    );
     (sent, bytes)
 }
 
-/// Ten times as many routers: as many datagrams from each. The answer to who is there, once in five seconds, names as many as
-/// one datagram bears, so its bytes grow up to that and no more.
+/// With ten times as many routers, each sends as many datagrams as before. The bytes may grow somewhat: the member
+/// list that each router requests every five seconds names as many members as fit into one datagram.
 #[test]
 fn idle_traffic_of_a_router_does_not_grow_with_the_cluster() {
-    for far in [false, true] {
-        let (few, many) = (idle_traffic(30, far), idle_traffic(300, far));
+    for three_distant_regions in [false, true] {
+        let (few, many) = (idle_traffic(30, three_distant_regions), idle_traffic(300, three_distant_regions));
         let (datagrams, bytes) = (many.0 / few.0, many.1 / few.1);
-        assert!(datagrams < 1.25, "{} and {} datagrams, far {far}", few.0, many.0);
-        assert!(bytes < 1.5, "{} and {} bytes, far {far}", few.1, many.1);
+        assert!(
+            datagrams < 1.25,
+            "{} and {} datagrams, three distant regions: {three_distant_regions}",
+            few.0,
+            many.0
+        );
+        assert!(
+            bytes < 1.5,
+            "{} and {} bytes, three distant regions: {three_distant_regions}",
+            few.1,
+            many.1
+        );
     }
 }
 
-/// A zone falls silent at once: the indirect probes of its routers are shared out, and nobody asks all about all.
+/// A zone fails at once. Guards against traffic that grows with the square of the cluster size: the indirect probes
+/// are spread over some of the routers, and no router asks every other one about all the lost ones.
 #[test]
 fn traffic_of_a_router_after_losing_a_zone_does_not_grow_with_the_cluster() {
-    let peak = |routers: usize| {
+    let bytes_per_router = |routers: usize| {
         let mut world = World::started(routers, DetectorSettings::default(), 38);
         world.link_conditions.place((0..routers).map(|router| router % 10).collect(), three_regions());
         world.run_until(12.0);
@@ -52,6 +69,6 @@
         assert_eq!(world.record.false_failures(), []);
         (world.sent_bytes - before) as f64 / (routers - lost.len()) as f64
     };
-    let (few, many) = (peak(30), peak(300));
+    let (few, many) = (bytes_per_router(30), bytes_per_router(300));
     assert!(many < 5.0 * few, "{few} bytes a router at 30, {many} at 300");
 }
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Several routers in virtual time: one scenario for each way in which they may lose contact with one another.
+//! Scenarios of several routers in virtual time: one for each way in which routers may lose contact with each other.
 
 use cleatgw_membership::swim::{Defences, DetectorSettings};
 use cleatgw_membership::view::Standing;
@@ -7,13 +7,13 @@
 use cleatgw_testbed::faults::schedule::FaultAction;
 use cleatgw_testbed::scenarios::virtual_membership::World;
 
-/// All started and whole.
-fn whole(routers: usize, seed: u64) -> World {
-    whole_with(routers, DetectorSettings::default(), seed)
+/// A cluster that has been started, in which every router considers all others present.
+fn started_cluster(routers: usize, seed: u64) -> World {
+    started_cluster_with(routers, DetectorSettings::default(), seed)
 }
 
-fn whole_with(routers: usize, pace: DetectorSettings, seed: u64) -> World {
-    let mut world = World::started(routers, pace, seed);
+fn started_cluster_with(routers: usize, settings: DetectorSettings, seed: u64) -> World {
+    let mut world = World::started(routers, settings, seed);
     world.run_until(8.0);
     for router in 0..routers {
         let standing = world.members(router).unwrap().standing();
@@ -23,100 +23,109 @@
 }
 
 fn standing(world: &World, router: usize) -> Standing {
-    world.members(router).expect("it runs").standing()
+    world.members(router).expect("the router is running").standing()
 }
 
+/// The state of router `of` in the view of router `by`.
 fn state(world: &World, by: usize, of: usize) -> State {
-    world.members(by).expect("it runs").members()[of].state
+    world.members(by).expect("the router is running").members()[of].state
 }
 
-fn failed(world: &World, by: usize) -> Vec<usize> {
-    let members = world.members(by).expect("it runs").members();
+/// The routers that router `by` considers failed.
+fn failed_routers(world: &World, by: usize) -> Vec<usize> {
+    let members = world.members(by).expect("the router is running").members();
     (0..members.len()).filter(|of| members[*of].state == State::Failed).collect()
 }
 
-fn agreed_in(world: &World, most_ms: u64) {
+/// Asserts that after each fault all reachable routers agreed within `max_ms` on which routers are present.
+fn assert_agreed_within(world: &World, max_ms: u64) {
     let agreed = world.record.agreed_after();
-    assert!(agreed.is_some_and(|agreed| agreed <= most_ms), "{agreed:?}");
+    assert!(agreed.is_some_and(|agreed| agreed <= max_ms), "{agreed:?}");
 }
 
-/// Nobody that ran and could be reached was held failed for long; what was found was found in time.
-fn sound(world: &World, detected_ms: u64) {
+/// Asserts that no reachable running router was considered failed for long, and that every real failure was detected
+/// by all routers within `max_detection_ms`.
+fn assert_correct_detection(world: &World, max_detection_ms: u64) {
     assert_eq!(world.record.false_failures(), []);
     let (times, missed) = world.record.detections();
-    assert!(missed == 0 && times.max() <= detected_ms, "{missed} missed, {} ms", times.max());
+    assert!(missed == 0 && times.max() <= max_detection_ms, "{missed} missed, {} ms", times.max());
 }
 
 #[test]
 fn detects_a_killed_router_everywhere_within_three_and_a_half_seconds() {
     for seed in 0..10 {
-        let mut world = whole(9, seed);
+        let mut world = started_cluster(9, seed);
         world.at(10.0, FaultAction::Kill(4));
         world.run_until(20.0);
-        sound(&world, 3500);
+        assert_correct_detection(&world, 3500);
         assert_eq!(world.record.detections().0.len(), 8);
-        assert_eq!((standing(&world, 0), failed(&world, 0)), (Standing::Majority, vec![4]));
+        assert_eq!((standing(&world, 0), failed_routers(&world, 0)), (Standing::Majority, vec![4]));
     }
 }
 
 #[test]
-fn resumed_router_with_old_view_and_full_buffers_fails_nobody() {
+fn resumed_router_with_old_view_and_full_buffers_fails_no_router() {
     for seed in 0..10 {
-        let mut world = whole(9, seed);
+        let mut world = started_cluster(9, seed);
         world.at(10.0, FaultAction::Freeze(2));
         world.at(15.0, FaultAction::Wake(2));
         world.run_until(15.01);
         assert_eq!(standing(&world, 2), Standing::JustResumed);
         assert!(!world.members(2).unwrap().permissions().shares_observations);
         world.run_until(25.0);
-        sound(&world, 3500);
-        agreed_in(&world, 3500);
-        assert!(failed(&world, 2).is_empty(), "seed {seed}");
+        assert_correct_detection(&world, 3500);
+        assert_agreed_within(&world, 3500);
+        assert!(failed_routers(&world, 2).is_empty(), "seed {seed}");
         assert_eq!(standing(&world, 2), Standing::Complete);
     }
 }
 
-/// Hard case: it wakes with datagrams in its socket buffer, which it reads before it looks at anything.
+/// Guards against a router that resumes after a freeze acting on its outdated view: it reads the datagrams in its
+/// socket buffer before its first turn.
 #[test]
 fn resumed_router_has_reduced_rights_from_its_first_datagram() {
-    let mut world = whole(5, 18);
-    let woken = world.now + 5.0;
-    let one = world.members_mut(2).unwrap();
-    assert!(one.permissions().takes_over);
-    let _ = one.receive_datagram(0, b"whatever waited", woken);
-    assert_eq!(one.standing(), Standing::JustResumed);
-    assert!(!one.permissions().takes_over && !one.permissions().uses_peer_evidence);
+    let mut world = started_cluster(5, 18);
+    let resumed_at = world.now + 5.0;
+    let membership = world.members_mut(2).unwrap();
+    assert!(membership.permissions().takes_over);
+    let _ = membership.receive_datagram(0, b"whatever waited", resumed_at);
+    assert_eq!(membership.standing(), Standing::JustResumed);
+    assert!(!membership.permissions().takes_over && !membership.permissions().uses_peer_evidence);
 }
 
 #[test]
 fn router_restarted_before_detection_is_present_in_its_new_incarnation() {
-    let mut world = whole(9, 3);
+    let mut world = started_cluster(9, 3);
     let before = world.members(0).unwrap().members()[5].generation;
     world.plan(&vec![(10.0, FaultAction::Kill(5)), (10.2, FaultAction::Start(5))]);
     world.run_until(20.0);
-    sound(&world, 0);
+    assert_correct_detection(&world, 0);
     assert!(world.members(0).unwrap().members()[5].generation > before);
     assert_eq!(standing(&world, 5), Standing::Complete);
 }
 
-/// One router hears the other and is not heard: neither is held failed, and the lost direction shows in both views.
+/// Router 0 receives from router 1, but not the other way round: neither is considered failed, and both views show
+/// the broken direction.
 #[test]
 fn one_way_cut_fails_neither_end() {
     for seed in 0..10 {
-        let mut world = whole(9, seed);
+        let mut world = started_cluster(9, seed);
         world.at(10.0, FaultAction::CutOneWay(0, 1));
         world.run_until(30.0);
-        sound(&world, 0);
+        assert_correct_detection(&world, 0);
         assert_eq!(state(&world, 1, 0), State::SeenByOthers, "seed {seed}");
-        let hears_us = world.now - world.members(0).unwrap().members()[1].heard_us_at;
-        assert!(hears_us > 10.0, "it tells that it does not hear us: {hears_us}");
+        let heard_us_ago = world.now - world.members(0).unwrap().members()[1].heard_us_at;
+        assert!(
+            heard_us_ago > 10.0,
+            "router 1 still reports that it heard router 0 only {heard_us_ago} s ago"
+        );
         assert_eq!((standing(&world, 0), standing(&world, 1)), (Standing::Complete, Standing::Complete));
     }
 }
 
 #[test]
 fn routers_cut_from_each_other_alone_are_seen_by_others() {
-    let mut world = whole(9, 4);
+    let mut world = started_cluster(9, 4);
     world.at(10.0, FaultAction::Cut(0, 1));
     world.run_until(30.0);
     assert_eq!(world.record.false_failures(), []);
@@ -127,7 +136,7 @@
 #[test]
 fn equal_halves_may_not_take_over_and_agree_after_healing() {
     for seed in 0..5 {
-        let mut world = whole(10, seed);
+        let mut world = started_cluster(10, seed);
         let parts = (0..10).map(|router| router % 2).collect();
         world.plan(&vec![(10.0, FaultAction::Part(parts)), (20.0, FaultAction::Heal)]);
         world.run_until(19.9);
@@ -136,7 +145,7 @@
             assert!(!world.members(router).unwrap().permissions().takes_over);
         }
         world.run_until(32.0);
-        agreed_in(&world, 3000);
+        assert_agreed_within(&world, 3000);
         (0..10).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
     }
 }
@@ -144,19 +153,19 @@
 #[test]
 fn three_partitions_are_minorities_and_agree_after_healing() {
     for seed in 0..10 {
-        let mut world = whole(9, seed);
+        let mut world = started_cluster(9, seed);
         let parts = (0..9).map(|router| router % 3).collect();
         world.plan(&vec![(10.0, FaultAction::Part(parts)), (16.0, FaultAction::Heal)]);
         world.run_until(15.9);
         (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Minority));
         world.run_until(28.0);
-        agreed_in(&world, 3000);
+        assert_agreed_within(&world, 3000);
     }
 }
 
 #[test]
 fn flapping_partition_leaves_no_lasting_disagreement() {
-    let mut world = whole(9, 7);
+    let mut world = started_cluster(9, 7);
     let parts: Vec<usize> = (0..9).map(|router| usize::from(router < 4)).collect();
     for round in 0..10 {
         let at = 10.0 + f64::from(round) * 1.5;
@@ -164,14 +173,14 @@
         world.at(at + 1.3, FaultAction::Heal);
     }
     world.run_until(40.0);
-    agreed_in(&world, 3000);
+    assert_agreed_within(&world, 3000);
     (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
 #[test]
 fn thirty_percent_loss_causes_no_false_failures_and_detects_real_ones() {
     for seed in 0..5 {
-        let mut world = whole(9, seed);
+        let mut world = started_cluster(9, seed);
         world.at(9.0, FaultAction::Loss(0.3));
         world.at(40.0, FaultAction::Kill(8));
         world.run_until(60.0);
@@ -181,49 +190,57 @@
     }
 }
 
-/// Hard case: it hears nothing in time, so that all others seem silent to it.
+/// Guards against the suspicions of an overloaded router: it handles datagrams late, so that all others seem silent
+/// to it.
 #[test]
 fn false_suspicions_of_an_overloaded_router_are_not_believed() {
-    let once = |defences: Defences, seed: u64| {
-        let mut world = whole_with(9, DetectorSettings { defences, ..DetectorSettings::default() }, seed);
+    let counts_of_seed = |defences: Defences, seed: u64| {
+        let mut world =
+            started_cluster_with(9, DetectorSettings { defences, ..DetectorSettings::default() }, seed);
         (0..9).for_each(|from| world.link_conditions.link(from, 3).loss = 0.5);
         world.slow[3] = 0.3;
         world.run_until(60.0);
         let others = || (0..9).filter(|at| *at != 3).map(|at| world.members(at).unwrap().counters());
-        let believed =
+        let false_failures_elsewhere =
             world.record.false_failures().into_iter().filter(|(_, by, of)| *by != 3 && *of != 3).count();
-        let accused: u64 = others().map(|counts| counts.refutations + counts.contradicted).sum();
+        let refuted_or_contradicted: u64 =
+            others().map(|counts| counts.refutations + counts.contradicted).sum();
         (
             others().map(|counts| counts.new_incarnations).sum::<u64>(),
-            believed,
-            accused,
+            false_failures_elsewhere,
+            refuted_or_contradicted,
             world.members(3).unwrap().local_health_score(),
         )
     };
-    let play = |defences: Defences| {
-        let all = (0..5).map(|seed| once(defences, seed));
-        all.fold((0, 0, 0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1, sum.2 + one.2, sum.3 + one.3))
+    let sum_over_seeds = |defences: Defences| {
+        let results = (0..5).map(|seed| counts_of_seed(defences, seed));
+        results
+            .fold((0, 0, 0, 0), |sum, next| (sum.0 + next.0, sum.1 + next.1, sum.2 + next.2, sum.3 + next.3))
     };
-    let (new_incarnations, believed, accused, health) = play(Defences::default());
-    assert_eq!(believed, 0);
-    assert!(accused > 0 && health > 0, "it accused {accused} times, and finds itself slow: {health}");
+    let (new_incarnations, false_failures_elsewhere, refuted_or_contradicted, health) =
+        sum_over_seeds(Defences::default());
+    assert_eq!(false_failures_elsewhere, 0);
+    assert!(
+        refuted_or_contradicted > 0 && health > 0,
+        "{refuted_or_contradicted} suspicions refuted or contradicted, local health score {health}"
+    );
     let without_local_health = Defences { local_health: false, ..Defences::default() };
-    let (without, ..) = play(without_local_health);
+    let (without, ..) = sum_over_seeds(without_local_health);
     assert!(
         without > 4 * (new_incarnations + 1),
-        "{without} new lives without local health, {new_incarnations} with"
+        "{without} new incarnations without local health, {new_incarnations} with it"
     );
 }
 
 #[test]
 fn survivors_of_a_lost_majority_stand_as_minority() {
     for seed in 0..5 {
-        let mut world = whole(10, seed);
+        let mut world = started_cluster(10, seed);
         (3..10).for_each(|router| world.at(10.0, FaultAction::Kill(router)));
         world.run_until(22.0);
         (0..3).for_each(|router| {
             assert_eq!(standing(&world, router), Standing::Minority);
-            assert_eq!(failed(&world, router), [3, 4, 5, 6, 7, 8, 9]);
+            assert_eq!(failed_routers(&world, router), [3, 4, 5, 6, 7, 8, 9]);
         });
         let (times, missed) = world.record.detections();
         assert!(missed == 0 && times.max() < 7000, "{missed} missed, {} ms", times.max());
@@ -235,25 +252,26 @@
 
 #[test]
 fn routers_restarted_within_one_second_find_each_other() {
-    let mut world = whole(9, 9);
+    let mut world = started_cluster(9, 9);
     for router in 0..9 {
         world.at(10.0 + router as f64 * 0.1, FaultAction::Kill(router));
         world.at(10.05 + router as f64 * 0.1, FaultAction::Start(router));
     }
     world.run_until(20.0);
-    agreed_in(&world, 3000);
+    assert_agreed_within(&world, 3000);
     (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
-/// Hard case: a second process goes under a router's name, from another place: its datagrams come from an address that
-/// is not the name's, which the host drops; here one that got as far is found by its incarnation.
+/// Guards against a second process that uses a router's name on another machine. The host normally drops its
+/// datagrams, as they come from another address. In this test they get through, and the conflict is detected by their
+/// incarnations.
 #[test]
 fn older_router_detects_a_name_conflict() {
-    let mut world = whole(5, 10);
+    let mut world = started_cluster(5, 10);
     let cluster = 7;
     for round in 0..30u64 {
         let at = world.now + 0.5;
-        let mut twin = Membership::new(
+        let mut second_process = Membership::new(
             cluster,
             5,
             2,
@@ -262,8 +280,8 @@
             round,
             at,
         );
-        twin.turn(at);
-        for (to, bytes) in twin.take_outgoing() {
+        second_process.turn(at);
+        for (to, bytes) in second_process.take_outgoing() {
             world.inject(2, to.into(), bytes);
         }
         world.run_until(at);
@@ -275,35 +293,35 @@
 
 #[test]
 fn accepts_routers_whose_clock_was_set_by_an_hour_before_start() {
-    for hour in [-3_600_000, 3_600_000] {
-        let mut world = whole(5, 11);
-        world.clocks[1] = hour;
+    for clock_offset in [-3_600_000, 3_600_000] {
+        let mut world = started_cluster(5, 11);
+        world.clocks[1] = clock_offset;
         world.plan(&vec![(10.0, FaultAction::Kill(1)), (15.0, FaultAction::Start(1))]);
         world.run_until(25.0);
-        agreed_in(&world, 3000);
-        assert_eq!(standing(&world, 1), Standing::Complete, "{hour}");
+        assert_agreed_within(&world, 3000);
+        assert_eq!(standing(&world, 1), Standing::Complete, "clock offset {clock_offset} ms");
         assert_eq!(state(&world, 0, 1), State::Present);
     }
 }
 
 #[test]
-fn drops_datagrams_of_a_former_incarnation() {
-    let mut world = whole(5, 12);
+fn drops_datagrams_of_an_earlier_incarnation() {
+    let mut world = started_cluster(5, 12);
     let now = world.now;
-    let old: Vec<(u16, Vec<u8>)> = {
-        let one = world.members_mut(3).unwrap();
+    let old_datagrams: Vec<(u16, Vec<u8>)> = {
+        let membership = world.members_mut(3).unwrap();
         (0..8)
             .flat_map(|step| {
-                one.turn(now + f64::from(step) * 0.25);
-                one.take_outgoing()
+                membership.turn(now + f64::from(step) * 0.25);
+                membership.take_outgoing()
             })
             .collect()
     };
-    assert!(old.len() > 8);
+    assert!(old_datagrams.len() > 8);
     world.plan(&vec![(10.0, FaultAction::Kill(3)), (10.5, FaultAction::Start(3))]);
     world.run_until(16.0);
     let generation = world.members(0).unwrap().members()[3].generation;
-    old.into_iter().for_each(|(to, bytes)| world.inject(3, to.into(), bytes));
+    old_datagrams.into_iter().for_each(|(to, bytes)| world.inject(3, to.into(), bytes));
     world.run_until(20.0);
     let counts = world.members(0).unwrap().counters();
     assert!(
@@ -314,28 +332,28 @@
     assert_eq!(standing(&world, 0), Standing::Complete);
 }
 
-/// Two clusters by one wrong address, and noise from it as fast as it comes.
+/// A wrong address in a configuration connects two clusters, and noise arrives from it at a high rate.
 #[test]
 fn counts_and_ignores_noise_and_foreign_clusters() {
-    let mut world = whole(5, 13);
+    let mut world = started_cluster(5, 13);
     let foreign = cluster_hash("other", ["a", "b"]);
-    let mut other =
+    let mut foreign_router =
         Membership::new(foreign, 5, 2, 1_900_000_000_000, &DetectorSettings::default(), 1, world.now);
-    let mut chance = 1u64;
+    let mut random = 1u64;
     for step in 0..2000 {
         let at = 8.0 + f64::from(step) * 0.001;
-        other.turn(at);
-        for (to, bytes) in other.take_outgoing() {
+        foreign_router.turn(at);
+        for (to, bytes) in foreign_router.take_outgoing() {
             world.inject(2, to.into(), bytes);
         }
-        chance = chance.wrapping_mul(6364136223846793005).wrapping_add(1);
-        world.inject(2, 0, chance.to_le_bytes().repeat(1 + (chance >> 60) as usize));
+        random = random.wrapping_mul(6364136223846793005).wrapping_add(1);
+        world.inject(2, 0, random.to_le_bytes().repeat(1 + (random >> 60) as usize));
         world.inject(2, 0, vec![b'c'; 3000]);
         world.run_until(at);
     }
     world.run_until(12.0);
     let counts = world.members(0).unwrap().counters();
-    let dropped = |why| counts.dropped.get(&why).copied().unwrap_or(0);
+    let dropped = |reason| counts.dropped.get(&reason).copied().unwrap_or(0);
     assert!(dropped(DropReason::OtherCluster) > 0 && dropped(DropReason::Noise) >= 1900, "{counts:?}");
     assert_eq!(dropped(DropReason::TooLong), 2000);
     assert_eq!(standing(&world, 0), Standing::Complete);
@@ -344,7 +362,7 @@
 
 #[test]
 fn planned_leave_is_not_a_failure() {
-    let mut world = whole(9, 14);
+    let mut world = started_cluster(9, 14);
     world.at(10.0, FaultAction::Leave(6));
     world.run_until(20.0);
     for router in (0..9).filter(|router| *router != 6) {
@@ -355,7 +373,7 @@
 
 #[test]
 fn leave_during_partition_is_a_failure_until_restart() {
-    let mut world = whole(9, 15);
+    let mut world = started_cluster(9, 15);
     let parts = (0..9).map(|router| usize::from(router == 6)).collect();
     world.plan(&vec![
         (10.0, FaultAction::Part(parts)),
@@ -364,22 +382,22 @@
         (16.0, FaultAction::Start(6)),
     ]);
     world.run_until(14.9);
-    assert_eq!(state(&world, 0, 6), State::Failed, "nobody was told");
+    assert_eq!(state(&world, 0, 6), State::Failed, "no router received the announcement of the leave");
     world.run_until(25.0);
-    agreed_in(&world, 3000);
+    assert_agreed_within(&world, 3000);
     assert_eq!(standing(&world, 6), Standing::Complete);
 }
 
 #[test]
-fn burst_after_a_stall_changes_no_standing() {
-    let mut world = whole(9, 16);
+fn burst_of_delayed_datagrams_after_a_stall_changes_no_standing() {
+    let mut world = started_cluster(9, 16);
     world.at(10.0, FaultAction::Stall(1, 5.0));
     world.run_until(18.0);
     assert!(world.link_conditions.stalled > 10);
     (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
-/// The same code at the size of the fleet: one in fifteen is killed at once.
+/// Detection in a cluster of 300 routers, of which one in fifteen is killed at the same time.
 #[test]
 fn three_hundred_routers_detect_failures_within_eight_seconds() {
     let mut world = World::started(300, DetectorSettings::default(), 17);
@@ -392,11 +410,11 @@
     assert!(times.value_at_quantile(0.99) < 8000, "{} ms", times.value_at_quantile(0.99));
     assert_eq!(world.record.false_failures(), []);
     let bytes = world.sent_bytes as f64 / 24.0 / 300.0;
-    assert!(bytes < 40_000.0, "{bytes} bytes a second and router");
+    assert!(bytes < 40_000.0, "{bytes} bytes per second and router");
 }
 
-/// The holder is frozen, cut off and killed in turn, on clocks as far apart as the bound allows: one holder at a time, and
-/// a new one soon while a majority is present.
+/// The holder is frozen, cut off and killed in turn, and then datagrams are lost, on clocks that drift as far apart
+/// as the bound allows. There is never more than one holder, and a new one soon while a majority is present.
 #[test]
 fn leader_role_has_one_holder_at_a_time_and_a_successor_under_faults() {
     for seed in 0..6 {
@@ -409,31 +427,35 @@
             let at = world.now;
             let holder = (0..7).find(|router| {
                 let members = world.members(*router);
-                members.is_some_and(|one| {
-                    one.held_epoch(world.role.unwrap(), at * world.rates[*router]).is_some()
+                members.is_some_and(|membership| {
+                    membership.held_epoch(world.role.unwrap(), at * world.rates[*router]).is_some()
                 })
             });
-            let holder = holder.unwrap_or_else(|| panic!("nobody holds the role at {at}, seed {seed}"));
-            let alone = (0..7).map(|router| usize::from(router == holder)).collect();
-            let (act, back) = match round % 4 {
+            let holder = holder.unwrap_or_else(|| panic!("no router holds the role at {at}, seed {seed}"));
+            let holder_alone = (0..7).map(|router| usize::from(router == holder)).collect();
+            let (fault, repair) = match round % 4 {
                 0 => (FaultAction::Freeze(holder), FaultAction::Wake(holder)),
-                1 => (FaultAction::Part(alone), FaultAction::Heal),
+                1 => (FaultAction::Part(holder_alone), FaultAction::Heal),
                 2 => (FaultAction::Kill(holder), FaultAction::Start(holder)),
                 _ => (FaultAction::Loss(0.4), FaultAction::Loss(0.0)),
             };
-            world.plan(&vec![(at, act), (at + 2.5, back)]);
+            world.plan(&vec![(at, fault), (at + 2.5, repair)]);
             world.run_until(at + 8.0);
         }
-        assert!(world.changed_hands >= 6, "{} hands, seed {seed}", world.changed_hands);
+        assert!(
+            world.changed_hands >= 6,
+            "the role changed hands {} times, seed {seed}",
+            world.changed_hands
+        );
         assert_eq!(world.two_holders, 0, "seed {seed}");
     }
 }
 
-/// Hard case: routers that are started together prove nothing to each other: the epoch of a store is proved only by a
-/// router that ran before.
+/// Guards against trusting reports of routers that were restarted together: only a router that was running before a
+/// restart can tell which store epoch it has seen.
 #[test]
 fn only_routers_running_before_a_restart_vouch_for_store_epochs() {
-    let mut world = whole(4, 19);
+    let mut world = started_cluster(4, 19);
     world.members_mut(0).unwrap().set_store_epoch(40);
     world.run_until(14.0);
     let parts = vec![0, 0, 1, 1];
@@ -442,7 +464,7 @@
         world.plan(&vec![(14.1, FaultAction::Kill(router)), (14.4, FaultAction::Start(router))]);
     }
     world.run_until(18.0);
-    assert_eq!(state(&world, 0, 1), State::Present, "they hear each other");
+    assert_eq!(state(&world, 0, 1), State::Present, "the restarted routers hear each other");
     assert_eq!(world.members(0).unwrap().store_epoch_seen_by_peers(), None);
     world.plan(&vec![(18.0, FaultAction::Heal)]);
     world.run_until(22.0);
