--- a/crates/bgp/src/adj_rib_in.rs
+++ b/crates/bgp/src/adj_rib_in.rs
@@ -41,7 +41,8 @@
 }
 
 impl AdjRibIn {
-    /// An empty Adj-RIB-In that accepts routes to `service_prefixes` and to more specific prefixes, at most `max_routes`.
+    /// An empty Adj-RIB-In that accepts routes to `service_prefixes` and to more specific prefixes, at most
+    /// `max_routes`.
     pub fn new(service_prefixes: &[IpNet], max_routes: usize) -> AdjRibIn {
         AdjRibIn {
             service_prefixes: service_prefixes.iter().map(IpNet::trunc).collect(),
@@ -95,7 +96,8 @@
     }
 
     /// Marks routes as stale after the session was lost, if the peer is expected to return. `families`, indexed by
-    /// [`Family`], tells which routes are kept, until `until` (seconds) at the latest; those of other families are removed.
+    /// [`Family`], tells which routes are kept, until `until` (seconds) at the latest; those of other families are
+    /// removed.
     pub fn mark_stale(&mut self, families: [bool; 2], until: f64) {
         self.routes.retain(|prefix, _| families[Family::of_prefix(&prefix) as usize]);
         for route in self.routes.values_mut() {
--- a/crates/bgp/src/error.rs
+++ b/crates/bgp/src/error.rs
@@ -163,7 +163,8 @@
 pub struct MessageError {
     /// The code and subcode of the NOTIFICATION that reports it.
     pub kind: ErrorKind,
-    /// The data of that NOTIFICATION: the offending part of the message, if the code requires it.
+    /// The data of that NOTIFICATION, if the code requires any: the offending part of the message, or the supported
+    /// version for an unsupported one.
     pub data: Vec<u8>,
     /// A description of the error for the log; empty if code and subcode suffice.
     pub reason: &'static str,
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,10 +1,10 @@
 //! BGP-4 (RFC 4271) for a speaker that announces a few service addresses, without I/O: the host passes in received
 //! bytes and the current time, and gets back bytes to send, the time of the next timer, and [`Action`]s.
 //!
-//! [`message`], [`open`], [`update`] and [`notification`] are the codec: it never allocates memory according to a length
-//! field that a peer sent, and a message holds at most 4,096 octets. [`error`] defines the errors that end a session.
-//! [`session`] holds the state machine of one peer (RFC 4271 section 8) with its Adj-RIB-Out, and [`adj_rib_in`] the
-//! routes learned from that peer. Times are seconds on the host's clock, which must be monotonic.
+//! [`message`], [`open`], [`update`] and [`notification`] are the codec: it never allocates memory according to a
+//! length field that a peer sent, and a message holds at most 4,096 octets. [`error`] defines the errors that end a
+//! session. [`session`] holds the state machine of one peer (RFC 4271 section 8) with its Adj-RIB-Out, and
+//! [`adj_rib_in`] the routes learned from that peer. Times are seconds on the host's clock, which must be monotonic.
 
 pub mod adj_rib_in;
 pub mod error;
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -20,7 +20,7 @@
     Update = 2,
     /// Ends a session: see [`crate::Notification`].
     Notification = 3,
-    /// Restarts the peer's hold timer.
+    /// Keeps the session alive while there is nothing else to send: each received message restarts the hold timer.
     Keepalive = 4,
     /// Requests all routes again: see [`RouteRefresh`].
     RouteRefresh = 5,
@@ -66,8 +66,9 @@
     }
 }
 
-/// The message at the start of the input; `None` while it is incomplete. Invalid input is reported at the first wrong
-/// octet, so that input from a sender that does not speak BGP is never buffered without limit.
+/// The message at the start of the input; `None` while it is incomplete. A wrong marker is reported at its first wrong
+/// octet, a wrong type or length once the header is complete, so that input from a sender that does not speak BGP is
+/// never buffered without limit.
 ///
 /// # Errors
 /// The marker, length or type in the header is invalid (RFC 4271 section 6.1).
--- a/crates/bgp/src/message/tests.rs
+++ b/crates/bgp/src/message/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn returns_a_complete_frame_and_rejects_invalid_input_at_the_first_wrong_byte() {
+fn returns_a_complete_frame_and_rejects_a_wrong_marker_type_or_length() {
     let mut bytes = Vec::new();
     encode_keepalive(&mut bytes);
     for length in 0..bytes.len() {
@@ -11,6 +11,7 @@
     }
     assert_eq!(frame(&bytes).unwrap().unwrap().message_type, MessageType::Keepalive);
     assert_eq!(frame(b"GET / HTTP/1.1").unwrap_err().subcode(), 1);
+    // Subcode 2 is Bad Message Length, 3 is Bad Message Type.
     let (keepalive, update) = (MessageType::Keepalive as u8, MessageType::Update as u8);
     for (length, code, subcode) in
         [(18u16, keepalive, 2), (20, keepalive, 2), (4097, update, 2), (22, update, 2), (19, 9, 3)]
--- a/crates/bgp/src/notification.rs
+++ b/crates/bgp/src/notification.rs
@@ -7,17 +7,18 @@
 
 /// The maximum length of a shutdown communication, in octets of UTF-8 (RFC 9003 section 2).
 const MAX_SHUTDOWN_COMMUNICATION: usize = 255;
-/// The error code of a Cease.
+/// The error code of a Cease, as a number that is matched against received messages.
 const CEASE: u8 = 6;
-/// The Cease subcode of a hard reset (RFC 8538).
+/// The Cease subcode of a hard reset (RFC 8538), as a number that is matched against received messages.
 const HARD_RESET: u8 = CeaseSubcode::HardReset as u8;
 
 /// The message that reports why a session ends. Codes are plain numbers because a peer may send unknown ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification {
-    /// The error code; in a hard reset, the code that is encapsulated in its data.
+    /// The error code; in a hard reset, the code that is encapsulated in its data, or 6 (Cease) if nothing is
+    /// encapsulated.
     pub code: u8,
-    /// The subcode of `code`.
+    /// The subcode of `code`; in a hard reset that encapsulates nothing, 9 (hard reset).
     pub subcode: u8,
     /// The bytes after code and subcode.
     pub data: Vec<u8>,
@@ -64,9 +65,9 @@
         });
     }
 
-    /// The text that the operator of the other side sent with an administrative shutdown or reset; `None` if there is no
-    /// text or its length field is wrong. Invalid UTF-8 and control characters are replaced, because the text is written
-    /// to a log line and must not be able to forge another log line.
+    /// The text that the operator of the other side sent with an administrative shutdown or reset; `None` if there is
+    /// no text or its length field is wrong. Invalid UTF-8 and control characters are replaced, because the text is
+    /// written to a log line and must not be able to forge another log line.
     pub fn shutdown_communication(&self) -> Option<String> {
         let shutdown = CeaseSubcode::AdministrativeShutdown as u8;
         let reset = CeaseSubcode::AdministrativeReset as u8;
--- a/crates/bgp/src/notification/tests.rs
+++ b/crates/bgp/src/notification/tests.rs
@@ -27,5 +27,6 @@
         hard_reset: false,
     };
     assert_eq!(wrong_length.shutdown_communication(), None);
+    // A hard reset without encapsulated codes keeps its own.
     assert_eq!(Notification::decode(&[CEASE, HARD_RESET]).subcode, HARD_RESET);
 }
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -165,7 +165,7 @@
     pub hold_time: u16,
     /// The BGP identifier.
     pub identifier: Ipv4Addr,
-    /// The speaker's capabilities, which extend RFC 4271.
+    /// The optional features that the speaker supports.
     pub capabilities: Capabilities,
 }
 
@@ -181,9 +181,9 @@
     /// Decodes the body of an OPEN.
     ///
     /// # Errors
-    /// The OPEN is malformed, its version is not 4, its hold time is 1 or 2 seconds, its BGP identifier is zero, its AS
-    /// number is 0, or it has an optional parameter other than capabilities (RFC 4271 section 6.2); or it contains two
-    /// different roles (RFC 9234 section 4.2).
+    /// The OPEN is malformed, its version is not 4, its hold time is 1 or 2 seconds, its BGP identifier is zero, or it
+    /// has an optional parameter other than capabilities (RFC 4271 section 6.2); its AS number is 0 (RFC 7607); or it
+    /// contains two different roles (RFC 9234 section 4.2).
     pub fn decode(body: &[u8]) -> Result<Open, MessageError> {
         let mut bytes = ByteReader(body);
         if bytes.u8().ok_or_else(truncated)? != VERSION {
--- a/crates/bgp/src/open/tests.rs
+++ b/crates/bgp/src/open/tests.rs
@@ -53,7 +53,7 @@
     let mut no_hold_time = body.clone();
     no_hold_time[3..5].copy_from_slice(&[0, 0]);
     assert_eq!(Open::decode(&no_hold_time).unwrap().hold_time, 0);
-    // AS 0.
+    // AS 0 in the two-octet field, without the four-octet AS capability.
     assert_eq!(Open::decode(&[4, 0, 0, 0, 9, 1, 1, 1, 1, 0]).unwrap_err().subcode(), 2);
     // Two different roles.
     let roles = [4, 0, 7, 0, 9, 1, 1, 1, 1, 8, 2, 6, 9, 1, 3, 9, 1, 4];
--- a/crates/bgp/src/session/config.rs
+++ b/crates/bgp/src/session/config.rs
@@ -34,23 +34,25 @@
     pub passive: bool,
     /// The time limit for establishing a TCP connection.
     pub connect_timeout: f64,
-    /// ConnectRetryTime: the pause after a failed connection attempt; jitter shortens it by up to a quarter.
+    /// ConnectRetryTime: the pause after a connection that was not established or ended before our OPEN was sent;
+    /// jitter shortens it by up to a quarter.
     pub connect_retry_time: f64,
     /// DelayOpenTime: how long we wait for the peer's OPEN before we send ours; with 0, OPEN is sent at once.
     pub delay_open_time: f64,
     /// The time limit for receiving the peer's OPEN; RFC 4271 suggests 240.
     pub open_timeout: f64,
-    /// IdleHoldTime after the first failure; it doubles with each further failure.
+    /// IdleHoldTime after the first connection that ended after our OPEN was sent; it doubles with each further one.
     pub idle_hold_time: f64,
     /// The maximum of IdleHoldTime.
     pub max_idle_hold_time: f64,
     /// After a session that lasted for at least this time, IdleHoldTime is reset to its initial value.
     pub stable_time: f64,
-    /// How often our own AS may occur in a learned path. With 1, instances that share an AS can see each other's routes.
+    /// How often our own AS may occur in a learned path. With 1, instances that share an AS can see each other's
+    /// routes.
     pub allowed_own_as: usize,
     /// The maximum number of routes that are learned from the peer.
     pub max_learned_routes: usize,
-    /// The prefixes that we may announce; routes to others are not learned.
+    /// The prefixes that we may announce; routes outside them are not learned.
     pub service_prefixes: Vec<IpNet>,
 }
 
--- a/crates/bgp/src/session/connection.rs
+++ b/crates/bgp/src/session/connection.rs
@@ -32,10 +32,12 @@
     }
 }
 
-/// The states of RFC 4271 section 8.2.2, in order of progress. The state of a peer with two connections is the later one.
+/// The states of RFC 4271 section 8.2.2, in order of progress. The state of a peer with two connections is the later
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// Connections are refused until IdleHoldTimer expires, or permanently if the session was stopped.
+    /// There is no connection, and IdleHoldTimer runs (connections are refused until it expires), the session drains
+    /// (connections are accepted only if the peer may retain our routes), or it was stopped (connections are refused).
     Idle,
     /// ConnectRetryTimer runs; a connection that the peer opens is accepted.
     Active,
@@ -92,13 +94,14 @@
     pub established_at: f64,
     /// Bytes that the host has not written yet.
     pub output: Vec<u8>,
-    /// The last time, in seconds, at which the peer accepted data or there was no unsent data.
+    /// When the peer last accepted data, or when the OPEN or UPDATEs were queued to an empty output, in seconds. The
+    /// send hold timer starts at this time.
     pub last_progress: f64,
     /// The OPEN that the peer sent.
     pub peer_open: Option<Open>,
     /// The capabilities in our own OPEN.
     pub local_capabilities: Capabilities,
-    /// The routes that are announced on the connection.
+    /// The routes whose announcement is queued or written, and whose withdrawal is not queued yet.
     pub adj_rib_out: BTreeMap<IpNet, Advertisement>,
     /// Whether a route was ever announced on the connection. This stays true after the route is withdrawn, because a
     /// written withdrawal may be lost with the connection.
@@ -143,8 +146,8 @@
         self.phase == Phase::Established
     }
 
-    /// When the send hold timer expires (RFC 9687): the session ends if the peer accepts no data until then. Infinite if
-    /// there is no unsent data.
+    /// When the send hold timer expires (RFC 9687): the session ends if the peer accepts no data until then. Infinite
+    /// if there is no unsent data.
     pub fn send_hold_deadline(&self) -> f64 {
         match self.output.is_empty() {
             true => f64::INFINITY,
@@ -175,8 +178,8 @@
         peer && self.local_capabilities.families[index]
     }
 
-    /// The encoding of UPDATEs on the connection, in both directions; `internal` tells whether both sides are in the same
-    /// AS.
+    /// The encoding of UPDATEs on the connection, in both directions; `internal` tells whether both sides are in the
+    /// same AS.
     pub fn update_context(&self, internal: bool) -> UpdateContext {
         let four_octet_as =
             self.peer_capabilities().is_some_and(|capabilities| capabilities.four_octet_as.is_some());
--- a/crates/bgp/src/session/ending.rs
+++ b/crates/bgp/src/session/ending.rs
@@ -11,23 +11,24 @@
 
 /// The time limit in seconds for sending the last message of a connection.
 const CLOSE_TIMEOUT: f64 = 1.0;
-/// The pause in seconds between attempts to reach a peer that may retain our routes during a drain.
+/// The pause in seconds, during a drain, between attempts to reach a peer that may retain our routes.
 const DRAIN_RETRY_TIME: f64 = 0.05;
 
 impl Peer {
-    /// Withdraws all routes permanently, except those in `lead_advertisements` that are announced on the established
-    /// session. These are announced once more with the given attributes (for example GRACEFUL_SHUTDOWN, as a lead before
-    /// they are withdrawn). A later call that does not contain them withdraws them, and so does the end of the session. If
-    /// the peer may retain our routes from a lost session, a new session is opened to make it remove them.
-    pub fn drain(&mut self, lead_advertisements: BTreeMap<IpNet, Advertisement>, now: f64) {
+    /// Withdraws all routes permanently, except those in `last_advertisements` that are announced on the established
+    /// session. These are announced once more with the given attributes (for example GRACEFUL_SHUTDOWN, so that traffic
+    /// moves away before they are withdrawn). A later call withdraws those that it does not contain, and ignores
+    /// attributes; the end of the session withdraws all. If the peer may retain our routes from a lost session, a new
+    /// session is established to make it remove them; we open the connection unless `passive` is configured.
+    pub fn drain(&mut self, last_advertisements: BTreeMap<IpNet, Advertisement>, now: f64) {
         if self.admin_state != AdminState::Running {
-            self.advertisements.retain(|net, _| lead_advertisements.contains_key(net));
+            self.advertisements.retain(|net, _| last_advertisements.contains_key(net));
             return self.write_updates(now);
         }
         self.admin_state = AdminState::Draining;
         let announced: Vec<IpNet> = self.adj_rib_out().map(|(net, _)| *net).collect();
         self.advertisements =
-            lead_advertisements.into_iter().filter(|(net, _)| announced.contains(net)).collect();
+            last_advertisements.into_iter().filter(|(net, _)| announced.contains(net)).collect();
         self.retry_timer = RetryTimer::Active { deadline: now };
         if !self.may_retain_routes() {
             for direction in Direction::BOTH {
@@ -38,8 +39,8 @@
         self.write_updates(now);
     }
 
-    /// Shortens the deadlines of connections that are still being opened, so that an attempt from before the drain does not
-    /// use up the time of the drain.
+    /// Shortens the deadlines of connections that are still being opened, so that an attempt from before the drain does
+    /// not use up the time of the drain.
     fn shorten_attempts(&mut self, now: f64) {
         let latest = now + DRAIN_STEP_TIMEOUT;
         for connection in self.connections.iter_mut().flatten() {
@@ -69,8 +70,10 @@
         }
     }
 
-    /// Ends the session with a Cease that makes the peer remove our routes, even if it would retain them after a lost
-    /// connection (hard reset, RFC 8538). `communication` is the shutdown communication.
+    /// Ends all connections permanently, and opens or accepts no others. An established session ends with a Cease that
+    /// makes the peer remove our routes, even if it would retain them after a lost connection (hard reset, RFC 8538).
+    /// Routes that the peer retains from an earlier session are no longer waited for: call [`Peer::drain`] first to
+    /// have them removed. `communication` is the shutdown communication.
     pub fn shut_down(&mut self, subcode: CeaseSubcode, communication: &str, now: f64) {
         self.drain(BTreeMap::new(), now);
         self.admin_state = AdminState::Stopped;
@@ -89,7 +92,8 @@
         }
     }
 
-    /// Asks the host to close a connection.
+    /// Asks the host to close a connection. A connection that is closing is also removed here; any other must be
+    /// removed by the caller.
     pub(super) fn close(&mut self, direction: Direction) {
         self.actions.push_back(Action::Close(direction));
         if self.connection(direction).is_some_and(Connection::is_closing) {
@@ -124,8 +128,8 @@
         self.connections[direction as usize] = Some(Connection { output, ..Connection::new(closing, now) });
     }
 
-    /// Removes a lost or ended connection: decides which routes of both sides are retained, logs the loss, and starts the
-    /// timer for the next connection.
+    /// Removes a lost or ended connection: decides which routes of both sides are retained, logs the loss, and starts
+    /// the timer for the next connection.
     pub(super) fn connection_lost(&mut self, direction: Direction, reason: String, loss: Loss, now: f64) {
         let Some(connection) = self.connections[direction as usize].take() else { return };
         let was_established = connection.is_established();
@@ -155,25 +159,27 @@
             Loss::Notification => connection.keeps_routes_over_notification(),
             Loss::HardReset => false,
         };
-        let peer = connection.peer_graceful_restart().filter(|_| is_retained);
-        match peer.filter(|graceful| graceful.preserves_any_family()) {
+        let peer_restart = connection.peer_graceful_restart().filter(|_| is_retained);
+        match peer_restart.filter(|graceful| graceful.preserves_any_family()) {
             Some(graceful) => {
                 let until = now + f64::from(graceful.restart_time).min(self.config.max_stale_time);
                 self.adj_rib_in.mark_stale(graceful.families.map(|family| family.is_some()), until);
             }
             None => self.adj_rib_in.clear(),
         }
-        let local =
+        // The peer retains our routes only if both sides have the capability, ours lists a family, and a route was
+        // announced.
+        let own_restart =
             connection.local_capabilities.graceful_restart.filter(|graceful| graceful.preserves_any_family());
-        if let (Some(graceful), Some(_), true) = (local, peer, connection.has_announced) {
+        if let (Some(graceful), Some(_), true) = (own_restart, peer_restart, connection.has_announced) {
             self.retained_until = now + f64::from(graceful.restart_time);
         }
     }
 
     fn log_loss(&mut self, connection: &Connection, reason: &str) {
         let was_established = connection.is_established();
-        // A failed attempt is notable only the first time, while the reason stays the same: repeated attempts would fill
-        // the log.
+        // A failed attempt is notable only if its reason differs from that of the previous one, because repeated
+        // attempts would fill the log.
         let is_repeated = self.last_error.as_deref() == Some(reason);
         let importance =
             if was_established || !is_repeated { Importance::Notable } else { Importance::Routine };
@@ -181,8 +187,8 @@
         self.log(importance, format!("{event} in {:?}: {reason}", connection.state()));
     }
 
-    /// Starts the timer for the next connection: IdleHoldTimer, whose duration doubles, if OPEN was sent on the connection;
-    /// otherwise ConnectRetryTimer; and a short fixed pause during a drain.
+    /// Starts the timer for the next connection: IdleHoldTimer, whose duration doubles, if OPEN was sent on the
+    /// connection; otherwise ConnectRetryTimer; and a short fixed pause during a drain.
     fn start_retry_timer(&mut self, connection: &Connection, now: f64) {
         let was_open_sent =
             matches!(connection.phase, Phase::OpenSent | Phase::OpenConfirm | Phase::Established);
--- a/crates/bgp/src/session/inbound.rs
+++ b/crates/bgp/src/session/inbound.rs
@@ -13,8 +13,8 @@
     /// Handles one message.
     ///
     /// # Errors
-    /// The message is malformed, not acceptable, or not allowed in the current state. The caller ends the connection with
-    /// the NOTIFICATION for the error.
+    /// The message is malformed, not acceptable, or not allowed in the current state. The caller ends the connection
+    /// with the NOTIFICATION for the error.
     pub(super) fn receive_message(
         &mut self,
         direction: Direction,
@@ -99,8 +99,8 @@
         Ok(())
     }
 
-    /// Whether the AS_PATH wrongly does not begin with the peer's AS (RFC 4271 section 6.3). This is not checked in iBGP
-    /// sessions, nor for a route server, which does not prepend its own AS (RFC 7947 section 2.2.2.1).
+    /// Whether the AS_PATH does not begin with the peer's AS although it must (RFC 4271 section 6.3). This is not
+    /// checked in iBGP sessions, nor for a route server, which does not prepend its own AS (RFC 7947 section 2.2.2.1).
     fn has_wrong_first_as(&self, attributes: &PathAttributes) -> bool {
         let is_from_route_server = self.config.role == Some(Role::RouteServerClient);
         !self.config.is_internal()
@@ -108,8 +108,8 @@
             && attributes.first_as() != Some(self.config.peer_as)
     }
 
-    /// Whether the route is a route leak: its ONLY_TO_CUSTOMER attribute does not permit it from a peer with this role (RFC
-    /// 9234 section 5).
+    /// Whether the route is a route leak (RFC 9234 section 5): it has ONLY_TO_CUSTOMER although the peer is our
+    /// customer or route server client, or the attribute does not name the AS of a lateral peer.
     fn is_route_leak(&self, attributes: &PathAttributes) -> bool {
         match (self.config.role, attributes.only_to_customer) {
             (Some(Role::Provider | Role::RouteServer), Some(_)) => true,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Counts an UPDATE whose routes are treated as withdrawn. It is logged only when the count is a power of two, so that a
-    /// peer that keeps sending such routes does not fill the log.
+    /// Counts an UPDATE whose routes are treated as withdrawn. It is logged only when the count is a power of two, so
+    /// that a peer that keeps sending such routes does not fill the log.
     fn count_treated_as_withdrawn(&mut self, error: RouteError) {
         self.counters.treated_as_withdrawn += 1;
         let count = self.counters.treated_as_withdrawn;
--- a/crates/bgp/src/session/loss.rs
+++ b/crates/bgp/src/session/loss.rs
@@ -13,7 +13,8 @@
     Connection,
     /// One side sent a NOTIFICATION that is not a hard reset.
     Notification,
-    /// No routes are retained: one side sent a hard reset (RFC 8538), or the session had not opened yet.
+    /// No routes are retained: one side sent a hard reset (RFC 8538), or the connection ended before our OPEN was sent,
+    /// so there are no routes to retain. Only evaluated for established sessions.
     HardReset,
 }
 
--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -1,16 +1,16 @@
-//! The session with one peer: the state machine of RFC 4271 section 8 over up to two connections, and the routes that are
-//! announced on the established one (Adj-RIB-Out). There are two connections if both sides opened one, until the
+//! The session with one peer: the state machine of RFC 4271 section 8 over up to two connections, and the routes that
+//! are announced on the established one (Adj-RIB-Out). There are two connections if both sides opened one, until the
 //! collision detection of section 6.8 has closed one of them.
 //!
 //! The routes to announce are a set, not a queue: however often the set changes while a peer does not read, the next
 //! UPDATEs contain only the difference between the routes announced on this connection and the current set. A new
-//! connection starts with an empty Adj-RIB-Out, so a withdrawal that was lost with the previous connection still takes
-//! effect.
+//! connection starts with an empty Adj-RIB-Out, and the peer removes the routes of the previous one, at the latest at
+//! the End-of-RIB marker. So a withdrawal that was lost with the previous connection still takes effect.
 //!
-//! `config` is the configuration, `connection` the state of one connection. The methods of [`Peer`] are grouped by
-//! purpose: `timers`, `transport` (events that the host reports of a connection), `opening` (OPEN, collisions, the change
-//! to Established), `inbound` (received messages and routes), `outbound` (announced routes), `ending` (drain,
-//! NOTIFICATION, loss of a session), and `loss` (the ways in which a session is lost).
+//! `config` is the configuration, `connection` the state of one connection, and `loss` the ways in which a session is
+//! lost. The methods of [`Peer`] are grouped by purpose: `timers`, `transport` (events that the host reports of a
+//! connection), `opening` (OPEN, collisions, the change to Established), `inbound` (received messages and routes),
+//! `outbound` (announced routes), and `ending` (drain, NOTIFICATION, loss of a session).
 
 mod config;
 mod connection;
@@ -42,7 +42,7 @@
 pub enum Action {
     /// Open a TCP connection to the peer. The host reports the result with [`Peer::connected`] or [`Peer::closed`].
     Connect,
-    /// Close the connection at once; its unsent bytes are lost.
+    /// Close the connection at once; its unsent bytes are lost. The host need not report this with [`Peer::closed`].
     Close(Direction),
 }
 
@@ -71,7 +71,8 @@
     pub established: u64,
     /// Established sessions that ended.
     pub lost: u64,
-    /// Announcements and withdrawals sent as UPDATEs; one that takes several messages counts once.
+    /// Groups of prefixes of one family that were announced with the same attributes, or withdrawn, together. A group
+    /// is counted once when it is queued, even if it takes several UPDATEs.
     pub updates_out: u64,
     /// UPDATEs received.
     pub updates_in: u64,
@@ -95,8 +96,9 @@
     Stopped,
 }
 
-/// The timer that runs while there is no connection; the next one may be opened at `deadline` (seconds). `Idle` is
-/// IdleHoldTimer, `Active` is ConnectRetryTimer.
+/// The timer until we may open the next connection; it runs while there is no connection, and expires at `deadline`
+/// (seconds). During `Idle` (IdleHoldTimer) incoming connections are refused, during `Active` (ConnectRetryTimer) they
+/// are accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RetryTimer {
     Idle { deadline: f64 },
@@ -126,8 +128,8 @@
     connections: [Option<Connection>; 2],
     /// The routes to announce; the Adj-RIB-Out is updated to match them.
     advertisements: BTreeMap<IpNet, Advertisement>,
-    /// The time until which the peer may retain our routes from a lost session, in seconds; minus infinity if it retains
-    /// none.
+    /// The time until which the peer may retain our routes from a lost session, in seconds; minus infinity if it
+    /// retains none.
     retained_until: f64,
     /// Whether no session has been established since the start: the Restart State bit that our OPEN sends (RFC 4724).
     restart_state: bool,
@@ -163,8 +165,9 @@
         }
     }
 
-    /// Applies a new configuration if only the service prefixes differ, so that the session need not end. If they differ,
-    /// the peer's routes are requested again (RFC 2918). Returns false, and changes nothing, if anything else differs.
+    /// Applies a new configuration if only the service prefixes differ, so that the session need not end. If they
+    /// differ, the peer's routes are requested again (RFC 2918). Returns false, and changes nothing, if anything else
+    /// differs, such as the enabled families: the first service prefix of another family needs a new session.
     pub fn reconfigure(&mut self, config: &PeerConfig) -> bool {
         if !self.config.equals_except_services(config) {
             return false;
@@ -200,7 +203,8 @@
         self.log.pop_front()
     }
 
-    /// The most advanced state among the connections; Active if there is none and the ConnectRetryTimer runs.
+    /// The most advanced state among the connections; Idle if there is none or it is closing. Instead of Idle, the
+    /// state is Active if the ConnectRetryTimer runs and the session is neither draining nor stopped.
     pub fn state(&self) -> State {
         let furthest = self.connections.iter().flatten().map(Connection::state).max().unwrap_or(State::Idle);
         match (furthest, self.retry_timer) {
@@ -217,8 +221,8 @@
         established.into_iter().flat_map(|connection| &connection.adj_rib_out)
     }
 
-    /// Whether the peer holds none of our routes, as far as can be known: all withdrawals are written, and no routes are
-    /// retained from a lost session.
+    /// Whether the peer holds none of our routes, as far as can be known: all withdrawals are written, and no routes
+    /// are retained from a lost session.
     pub fn all_withdrawn(&self, now: f64) -> bool {
         let has_pending = |connection: &Connection| match connection.phase {
             Phase::Established => !connection.adj_rib_out.is_empty() || !connection.output.is_empty(),
@@ -235,7 +239,7 @@
             && !self.wants_connection()
     }
 
-    /// Whether a connection to the peer is wanted.
+    /// Whether connections may be opened and accepted: during a drain only if the peer may retain our routes.
     fn wants_connection(&self) -> bool {
         match self.admin_state {
             AdminState::Running => true,
@@ -269,8 +273,8 @@
         Some((direction, self.connection_mut(direction)?))
     }
 
-    /// A random factor from 0.75 to 1 for timer values, so that the timers of different peers do not synchronize (RFC 4271
-    /// section 10).
+    /// A random factor from 0.75 to 1 for timer values, so that the timers of different peers do not synchronize (RFC
+    /// 4271 section 10).
     fn jitter(&mut self) -> f64 {
         self.random_draws += 1;
         let mut hasher = DefaultHasher::new();
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -53,10 +53,11 @@
         connection.last_progress = now;
     }
 
-    /// Handles the peer's OPEN: checks it, resolves a collision, and answers with a KEEPALIVE if this connection is kept.
+    /// Handles the peer's OPEN: checks it, resolves a collision, and answers with a KEEPALIVE if this connection is
+    /// kept.
     ///
     /// # Errors
-    /// The OPEN is malformed or not acceptable for this peer.
+    /// The OPEN is malformed (see [`Open::decode`]) or not acceptable for this peer (see [`check_open`]).
     pub(super) fn receive_open(
         &mut self,
         direction: Direction,
@@ -86,9 +87,10 @@
     }
 
     /// Resolves a collision of two connections (RFC 4271 section 6.8): the one opened by the side with the higher BGP
-    /// identifier is kept (the higher AS number if the identifiers are equal, RFC 6286), and the other is ended. Returns
-    /// whether this connection is kept. An established connection is kept instead, unless the peer supports Graceful
-    /// Restart.
+    /// identifier is kept (the higher AS number if the identifiers are equal, RFC 6286), and the other is ended.
+    /// Returns whether this connection is kept. If the other connection is established, it is kept, unless the peer
+    /// supports Graceful Restart: then the other one counts as lost, and this one is kept. If the peer's OPEN has not
+    /// arrived on the other connection yet, both connections remain for now.
     fn resolve_collision(&mut self, direction: Direction, open: &Open, now: f64) -> bool {
         let other = direction.other();
         let cease = |communication| {
@@ -141,11 +143,13 @@
                 self.adj_rib_in.remove_stale(family);
             }
         }
-        let own_state_preserved = connection
+        // If our OPEN listed no family, or the peer does not support Graceful Restart, the peer removes the routes that
+        // it retained when this session is established. Otherwise it keeps them until our End-of-RIB marker.
+        let asked_to_retain_routes = connection
             .local_capabilities
             .graceful_restart
             .is_some_and(|graceful| graceful.preserves_any_family());
-        if !own_state_preserved || graceful.is_none() {
+        if !asked_to_retain_routes || graceful.is_none() {
             self.retained_until = f64::NEG_INFINITY;
         }
         let hold_time = connection.hold_time;
@@ -177,8 +181,9 @@
 /// Checks whether a session may be established with this OPEN.
 ///
 /// # Errors
-/// The AS number or BGP identifier is not the expected one (RFC 4271 section 6.2), no address family is in common (RFC
-/// 5492 section 3), or the peer's role does not match ours or is missing though required (RFC 9234 section 4.2).
+/// The AS number or BGP identifier is not the configured one, or the identifier equals ours in an iBGP session (RFC
+/// 4271 section 6.2), no address family is in common (RFC 5492 section 3), or the peer's role does not match ours or is
+/// missing though required (RFC 9234 section 4.2).
 fn check_open(open: &Open, config: &PeerConfig) -> Result<(), MessageError> {
     if open.asn != config.peer_as {
         return Err(MessageError::new(
@@ -191,7 +196,7 @@
     if is_own_identifier || config.peer_identifier.is_some_and(|id| id != open.identifier) {
         return Err(MessageError::new(
             OpenError::BadIdentifier,
-            "the peer's BGP identifier is not the expected one",
+            "the peer's BGP identifier is ours, or is not the configured one",
         )
         .with_data(&open.identifier.octets()));
     }
--- a/crates/bgp/src/session/outbound.rs
+++ b/crates/bgp/src/session/outbound.rs
@@ -42,7 +42,8 @@
         let all_written = connection.output.is_empty();
         self.connections[direction as usize] = Some(connection);
         // While draining, a session may have been opened only so that the peer removes the routes it retained. Once all
-        // data is written the peer retains none, and no new connection is needed.
+        // data is written, with our OPEN that lists no family for Graceful Restart or with the End-of-RIB marker, the
+        // peer retains none, and no new connection is needed.
         if self.admin_state == AdminState::Draining && all_written && self.advertisements.is_empty() {
             self.retained_until = f64::NEG_INFINITY;
         }
@@ -111,8 +112,8 @@
         let config = &self.config;
         let numbers = vec![config.local_as; 1 + usize::from(advertisement.prepend)];
         let own_segment = AsPathSegment::sequence(numbers);
-        // RFC 9234 section 5: a customer, a lateral peer or a client of a route server must propagate our routes only to
-        // its customers.
+        // RFC 9234 section 5: a customer, a lateral peer or a client of a route server must propagate our routes only
+        // to its customers.
         let to_customers_only = matches!(config.role, Some(Role::Provider | Role::RouteServer | Role::Peer));
         Some(PathAttributes {
             origin: Origin::Igp,
--- a/crates/bgp/src/session/timers.rs
+++ b/crates/bgp/src/session/timers.rs
@@ -33,9 +33,9 @@
 
     /// Whether we may open a connection once the retry timer expires.
     fn may_connect(&self) -> bool {
-        let has_no_connection =
-            self.connection(Direction::Outgoing).is_none() && !self.is_live(Direction::Incoming);
-        has_no_connection && self.wants_connection() && !self.config.passive
+        // A closing outgoing connection still exists at the host, so it must be closed before another one is opened.
+        let can_open = self.connection(Direction::Outgoing).is_none() && !self.is_live(Direction::Incoming);
+        can_open && self.wants_connection() && !self.config.passive
     }
 
     /// Asks the host to open a connection.
--- a/crates/bgp/src/session/transport.rs
+++ b/crates/bgp/src/session/transport.rs
@@ -1,5 +1,5 @@
-//! The events that the host reports of a connection: that it was established or lost, which bytes were received, and how
-//! many were written.
+//! The events that the host reports of a connection: that it was established or lost, which bytes were received, and
+//! how many were written.
 
 use super::connection::{Connection, Phase};
 use super::loss::Loss;
@@ -19,8 +19,8 @@
 }
 
 impl Peer {
-    /// Reports that a requested connection was established, or that the peer opened one. Returns whether the connection is
-    /// accepted; the host must close it if not.
+    /// Reports that a requested connection was established, or that the peer opened one. Returns whether the connection
+    /// is accepted; the host must close it if not.
     pub fn connected(&mut self, direction: Direction, now: f64) -> bool {
         let is_accepted = match direction {
             Direction::Outgoing => self.is_connecting(),
@@ -72,7 +72,8 @@
         self.connection_lost(direction, reason.to_string(), Loss::Connection, now);
     }
 
-    /// Handles the complete messages at the front of the input.
+    /// Handles the complete messages at the front of the input. If the connection is ending or does not exist, the
+    /// whole input counts as consumed, and the rest of it is discarded.
     pub fn receive(&mut self, direction: Direction, input: &[u8], now: f64) -> ReceiveOutcome {
         let mut consumed = 0;
         for _ in 0..MAX_MESSAGES_PER_CALL {
--- a/crates/bgp/src/update/as_path.rs
+++ b/crates/bgp/src/update/as_path.rs
@@ -44,8 +44,8 @@
     value
 }
 
-/// Merges AS4_PATH into AS_PATH (RFC 6793 section 4.2.3): AS4_PATH replaces the last hops of AS_PATH, where a speaker
-/// with two-octet AS numbers had to write AS_TRANS. An AS4_PATH that is longer than AS_PATH is ignored.
+/// Merges AS4_PATH into AS_PATH (RFC 6793 section 4.2.3): AS4_PATH replaces the last hops of AS_PATH, where AS_TRANS
+/// stands for AS numbers that do not fit in two octets. An AS4_PATH that is longer than AS_PATH is ignored.
 pub(super) fn merge_as4(
     as_path: Vec<AsPathSegment>,
     as4_path: Option<Vec<AsPathSegment>>,
--- a/crates/bgp/src/update/attributes.rs
+++ b/crates/bgp/src/update/attributes.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::net::IpAddr;
 
-/// The types of path attributes that are checked, with their codes; from RFC 4271 section 5 unless another RFC is named.
-/// Other types are ignored if they are optional.
+/// The types of path attributes that are checked, with their codes; from RFC 4271 section 5 unless another RFC is
+/// named. Other types are ignored if they are optional.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttributeType {
     /// How the route was introduced into BGP.
@@ -27,9 +27,9 @@
     OriginatorId = 9,
     /// CLUSTER_LIST (RFC 4456).
     ClusterList = 10,
-    /// Announced prefixes of any family (RFC 4760); used here for IPv6.
+    /// Announced prefixes of a family other than IPv4 (RFC 4760); we also accept IPv4 prefixes in it.
     MpReachNlri = 14,
-    /// Withdrawn prefixes of any family (RFC 4760); used here for IPv6.
+    /// Withdrawn prefixes of a family other than IPv4 (RFC 4760); we also accept IPv4 prefixes in it.
     MpUnreachNlri = 15,
     /// The AS_PATH with four-octet AS numbers, sent to a speaker that supports only two-octet AS numbers (RFC 6793).
     As4Path = 17,
@@ -136,7 +136,7 @@
                 write!(formatter, "attribute flags do not match the attribute type")
             }
             RouteError::AttributeTooLong => {
-                write!(formatter, "an attribute extends past the attributes of the UPDATE")
+                write!(formatter, "an attribute extends past the end of the attributes field")
             }
             RouteError::Malformed(attribute_type) => write!(formatter, "malformed {attribute_type}"),
             RouteError::MissingMandatoryAttribute => write!(formatter, "a mandatory attribute is missing"),
--- a/crates/bgp/src/update/decode.rs
+++ b/crates/bgp/src/update/decode.rs
@@ -1,5 +1,5 @@
-//! Decodes UPDATEs. For each error the least drastic reaction that RFC 7606 allows is chosen: the attribute is discarded,
-//! the routes are treated as withdrawn, or the session ends.
+//! Decodes UPDATEs. For each error the least drastic reaction that RFC 7606 allows is chosen: the attribute is
+//! discarded, the routes are treated as withdrawn, or the session ends.
 
 use super::attributes::flag;
 use super::{as_path, prefixes, AsPathSegment, AttributeType, Origin, RouteError, Update, UpdateContext};
@@ -90,7 +90,8 @@
 }
 
 impl Decoder {
-    /// Records an error for which the announced routes are treated as withdrawn (RFC 7606); the first error is reported.
+    /// Records an error for which the announced routes are treated as withdrawn (RFC 7606); the first error is
+    /// reported.
     fn treat_as_withdrawn(&mut self, error: RouteError) {
         self.update.treated_as_withdrawn.get_or_insert(error);
     }
@@ -172,7 +173,7 @@
             AttributeType::NextHop => {
                 let next_hop =
                     self.decode_u32(attribute_type, value).map(|next_hop| Ipv4Addr::from(next_hop).into());
-                // If MP_REACH_NLRI came first, its next hop is kept.
+                // The next hop of MP_REACH_NLRI has precedence, whichever attribute comes first.
                 self.update.attributes.next_hop = self.update.attributes.next_hop.or(next_hop);
             }
             AttributeType::MultiExitDisc => {
@@ -289,7 +290,7 @@
     }
 
     /// Treats announced routes without a mandatory attribute as withdrawn (RFC 7606 section 3 d). NEXT_HOP is mandatory
-    /// only for prefixes in the message's own NLRI field.
+    /// only for prefixes in the message's own NLRI field, LOCAL_PREF only in iBGP sessions.
     fn check_mandatory(&mut self, has_nlri: bool) {
         let missing = |attribute_type| !self.seen_codes.contains(&(attribute_type as u8));
         let is_any_missing = missing(AttributeType::Origin)
@@ -301,8 +302,8 @@
         }
     }
 
-    /// The family whose End-of-RIB marker the UPDATE is (RFC 4724 section 2): IPv4 if the UPDATE is empty, or the family
-    /// of an MP_UNREACH_NLRI without prefixes, if that is the only attribute.
+    /// The family whose End-of-RIB marker the UPDATE is (RFC 4724 section 2): IPv4 if the UPDATE is empty, or the
+    /// family of an MP_UNREACH_NLRI without prefixes, if that is the only attribute.
     fn end_of_rib(&self, fields: &Fields, announces: bool) -> Option<Family> {
         if announces || !fields.withdrawn.is_empty() {
             return None;
--- a/crates/bgp/src/update/encode.rs
+++ b/crates/bgp/src/update/encode.rs
@@ -9,8 +9,8 @@
 
 /// The octets of both length fields of an UPDATE.
 const LENGTH_FIELDS: usize = 4;
-/// The octets that MP_REACH_NLRI or MP_UNREACH_NLRI may take in addition to its prefixes: flags, type and extended length
-/// (4), AFI and SAFI (3), the next hop with its length (17), the reserved octet (1), and a margin.
+/// The octets that MP_REACH_NLRI or MP_UNREACH_NLRI may take in addition to its prefixes: flags, type and extended
+/// length (4), AFI and SAFI (3), the next hop with its length (17), the reserved octet (1), and a margin.
 const REACHABILITY_OVERHEAD: usize = 32;
 /// AFI and SAFI of IPv6 unicast.
 const IPV6_UNICAST: [u8; 3] = [0, 2, 1];
@@ -88,7 +88,7 @@
 }
 
 /// Encodes the prefixes of one family in chunks, each of which fits in one message together with `attributes_length`
-/// octets of attributes.
+/// octets of attributes. There is no chunk if the attributes leave no space for a prefix.
 fn encode_chunks<'a>(nets: &'a [IpNet], attributes_length: usize) -> impl Iterator<Item = Vec<u8>> + 'a {
     let max_chunk_size = MAX_MESSAGE_LENGTH
         .saturating_sub(HEADER_LENGTH + LENGTH_FIELDS + attributes_length + REACHABILITY_OVERHEAD);
@@ -115,8 +115,8 @@
 }
 
 /// Appends UPDATEs that announce prefixes of one family with the same attributes. IPv4 prefixes are written to the
-/// message's own NLRI field, IPv6 prefixes to MP_REACH_NLRI. Nothing is written if the next hop is missing or not of the
-/// same family.
+/// message's own NLRI field, IPv6 prefixes to MP_REACH_NLRI. Nothing is written if the next hop is missing or not of
+/// the same family.
 pub fn announce(
     out: &mut Vec<u8>,
     family: Family,
@@ -126,17 +126,22 @@
 ) {
     match (family, attributes.next_hop) {
         (Family::Ipv4, Some(IpAddr::V4(hop))) => {
-            let fixed = encode_attributes(attributes, context, Some(hop));
-            for nlri in encode_chunks(nets, fixed.len()) {
-                write_update(out, &[], &fixed, &nlri);
+            let encoded_attributes = encode_attributes(attributes, context, Some(hop));
+            for nlri in encode_chunks(nets, encoded_attributes.len()) {
+                write_update(out, &[], &encoded_attributes, &nlri);
             }
         }
         (Family::Ipv6, Some(IpAddr::V6(hop))) => {
-            let fixed = encode_attributes(attributes, context, None);
-            for nlri in encode_chunks(nets, fixed.len()) {
-                let mut all = fixed.clone();
-                write_attribute(&mut all, flag::OPTIONAL, AttributeType::MpReachNlri, &mp_reach(hop, &nlri));
-                write_update(out, &[], &all, &[]);
+            let encoded_attributes = encode_attributes(attributes, context, None);
+            for nlri in encode_chunks(nets, encoded_attributes.len()) {
+                let mut with_reach = encoded_attributes.clone();
+                write_attribute(
+                    &mut with_reach,
+                    flag::OPTIONAL,
+                    AttributeType::MpReachNlri,
+                    &mp_reach(hop, &nlri),
+                );
+                write_update(out, &[], &with_reach, &[]);
             }
         }
         _ => {}
--- a/crates/bgp/src/update/mod.rs
+++ b/crates/bgp/src/update/mod.rs
@@ -1,9 +1,10 @@
 //! The UPDATE message (RFC 4271 section 4.3). IPv4 prefixes are sent in the message's own fields, IPv6 prefixes in
-//! MP_REACH_NLRI and MP_UNREACH_NLRI (RFC 4760). Errors are handled by attribute (RFC 7606): depending on the attribute,
-//! an error ends the session, withdraws the routes, or discards only the attribute.
+//! MP_REACH_NLRI and MP_UNREACH_NLRI (RFC 4760), where IPv4 prefixes are accepted, too. Errors are handled by attribute
+//! (RFC 7606): depending on the attribute, an error ends the session, withdraws the routes, or discards only the
+//! attribute.
 //!
-//! `attributes` defines the path attributes, `as_path` and `prefixes` are the codecs of AS_PATH and of prefixes, `decode`
-//! reads UPDATEs and `encode` writes them.
+//! `attributes` defines the path attributes, `as_path` and `prefixes` are the codecs of AS_PATH and of prefixes,
+//! `decode` reads UPDATEs and `encode` writes them.
 
 mod as_path;
 mod attributes;
@@ -35,8 +36,8 @@
     pub announced: Vec<IpNet>,
     /// The path attributes of the announced prefixes.
     pub attributes: PathAttributes,
-    /// The family of the End-of-RIB marker, if the UPDATE is one: the peer has sent all its routes of the family (RFC 4724
-    /// section 2).
+    /// The family of the End-of-RIB marker, if the UPDATE is one: the peer has sent all its routes of the family (RFC
+    /// 4724 section 2).
     pub end_of_rib: Option<Family>,
     /// The error for which the announced prefixes are treated as withdrawn (RFC 7606 section 2); they are then in
     /// `withdrawn`. `None` if there is no such error.
--- a/crates/bgp/src/update/prefixes.rs
+++ b/crates/bgp/src/update/prefixes.rs
@@ -1,5 +1,5 @@
-//! The codec of prefixes in withdrawn routes and NLRI. Each prefix is its length in bits, followed by the minimum number
-//! of octets that hold these bits (RFC 4271 section 4.3).
+//! The codec of prefixes in withdrawn routes and NLRI. Each prefix is its length in bits, followed by the minimum
+//! number of octets that hold these bits (RFC 4271 section 4.3).
 
 use crate::family::Family;
 use crate::ByteReader;
--- a/crates/bgp/src/update/tests.rs
+++ b/crates/bgp/src/update/tests.rs
@@ -80,7 +80,7 @@
     let two_octet_ebgp = UpdateContext { four_octet_as: false, internal: false };
     announce(&mut bytes, Family::Ipv4, &nets(&["198.51.100.7/32"]), &full_attributes(), two_octet_ebgp);
     assert_eq!(decode_all(&bytes, two_octet_ebgp)[0].attributes.as_path, full_attributes().as_path);
-    // Speakers with two-octet AS numbers have since prepended themselves to AS_PATH, but not to AS4_PATH.
+    // Speakers with two-octet AS numbers on the way prepended themselves (1 and 2) to AS_PATH, but not to AS4_PATH.
     let path = vec![AsPathSegment::sequence(vec![1, 2, 23456, 3])];
     let as4_path = vec![AsPathSegment::sequence(vec![4_200_000_001, 3])];
     assert_eq!(merge_as4(path.clone(), Some(as4_path))[0].numbers, [1, 2, 4_200_000_001, 3]);
@@ -173,6 +173,7 @@
     // The last attribute extends past the attributes field. The routes in the NLRI field are still known.
     let mut overlong = update(&VALID);
     let length = overlong.len();
+    // The length octet of NEXT_HOP, which is followed by its 4 octets and the 5 octets of the NLRI field.
     overlong[length - 5 - 5] = 200;
     let decoded = Update::decode(&overlong, FOUR_OCTET_EBGP).unwrap();
     assert_eq!((decoded.announced.len(), decoded.withdrawn.len()), (0, 1));
@@ -183,6 +184,8 @@
     let error = |attributes: &[(u8, u8, &[u8])]| {
         Update::decode(&update(attributes), FOUR_OCTET_EBGP).unwrap_err().subcode()
     };
+    // The subcodes of RFC 4271 section 6.3: 1 Malformed Attribute List, 2 Unrecognized Well-known Attribute, 4
+    // Attribute Flags Error, 9 Optional Attribute Error, 10 Invalid Network Field.
     let unreach: (u8, u8, &[u8]) = (OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1]);
     assert_eq!(error(&[unreach, unreach]), 1);
     assert_eq!(error(&[(OPTIONAL, MP_UNREACH_NLRI, &[0, 2, 1, 129])]), 9);
--- a/crates/bgp/tests/golden_bytes.rs
+++ b/crates/bgp/tests/golden_bytes.rs
@@ -1,5 +1,5 @@
-//! Golden bytes: messages of each type must be encoded to the same bytes as by the version of the code before its
-//! restructuring.
+//! Golden bytes: messages of each type must be encoded to the bytes that were recorded in `golden/messages.txt` before
+//! the code was restructured. A difference is a change on the wire.
 
 use cleatgw_bgp::message::{self, RouteRefresh};
 use cleatgw_bgp::update::{self, AsPathSegment, Origin, UpdateContext};
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn messages_of_every_type_have_the_bytes_of_the_previous_version() {
+fn messages_of_every_type_have_the_recorded_bytes() {
     let mut text = String::new();
     let mut add = |name: &str, write: &dyn Fn(&mut Vec<u8>)| {
         let mut bytes = Vec::new();
--- a/crates/bgp/tests/host/mod.rs
+++ b/crates/bgp/tests/host/mod.rs
@@ -127,7 +127,7 @@
                 Action::Connect => match self.network {
                     Network::Up => {
                         assert!(self.peer.connected(Direction::Outgoing, self.now));
-                        self.connect_far(Direction::Outgoing);
+                        self.set_far_connection(Direction::Outgoing);
                     }
                     Network::Refuses => self.peer.closed(Direction::Outgoing, "refused", self.now),
                     Network::Silent => {}
@@ -173,8 +173,8 @@
         rest.len() < input.len()
     }
 
-    /// Resets a connection that the far end no longer has, if the peer has unsent bytes on it. Returns whether there was
-    /// one.
+    /// Resets a connection that the far end no longer has, if the peer has unsent bytes on it. Returns whether there
+    /// was one.
     pub fn reset_forgotten_connection(&mut self) -> bool {
         let forgotten = [Direction::Outgoing, Direction::Incoming].into_iter().find(|direction| {
             self.far_connection != Some(*direction) && !self.peer.unsent(*direction).is_empty()
@@ -196,8 +196,8 @@
         panic!("still active after 100 rounds");
     }
 
-    /// Makes this connection the one that the far end has open.
-    pub fn connect_far(&mut self, direction: Direction) {
+    /// Records that the far end has this connection open, and starts its side of the session.
+    pub fn set_far_connection(&mut self, direction: Direction) {
         self.far_connection = Some(direction);
         self.far.connected();
     }
@@ -206,7 +206,7 @@
     pub fn connect_from_far(&mut self) -> bool {
         let is_accepted = self.peer.connected(Direction::Incoming, self.now);
         if is_accepted {
-            self.connect_far(Direction::Incoming);
+            self.set_far_connection(Direction::Incoming);
         }
         is_accepted
     }
--- a/crates/bgp/tests/interop.rs
+++ b/crates/bgp/tests/interop.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// One message of each kind that we write.
+/// One message of each kind that we write, except ROUTE-REFRESH.
 fn all_messages() -> Vec<Vec<u8>> {
     let write = |encode: &dyn Fn(&mut Vec<u8>)| {
         let mut out = Vec::new();
@@ -110,6 +110,7 @@
 }
 
 /// Both codecs get the same hostile messages: valid ones with a few changed octets, truncated, from a fixed seed.
+/// Our codec must not panic; the panics of bgpkit-parser are only counted and printed.
 #[test]
 fn hostile_messages_cause_no_panic() {
     let mut random = SmallRng::seed_from_u64(1);
--- a/crates/bgp/tests/model.rs
+++ b/crates/bgp/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking (stateright) of the real session code. An adversarial far end, network and scheduler choose every step.
-//! The properties are checked in each reached state; for those about the future, a copy of the state runs on.
+//! Model checking (stateright) of the real session code. An adversarial far end, network and scheduler choose every
+//! step. The properties are checked in each reached state; for those about the future, a copy of the state runs on.
 
 #[allow(dead_code, reason = "each test file uses a part of the helpers")]
 mod host;
@@ -13,7 +13,8 @@
 #[derive(Clone, Copy, PartialEq)]
 enum InjectedFault {
     None,
-    /// The drain only withdraws the routes, as a failed health check does, so a later request to announce them succeeds.
+    /// The drain only withdraws the routes, as a failed health check does, so a later request to announce them
+    /// succeeds.
     DrainOnlyWithdraws,
     /// The drain ends the session at once, although the peer may retain routes.
     DrainOnlyShutsDown,
@@ -50,7 +51,8 @@
         host
     }
 
-    /// Everything that the further behavior depends on.
+    /// Everything that the further behavior depends on. The fields that are left out do not change in the model, or
+    /// only record what the far end received.
     fn digest(&self) -> String {
         let Host { peer, far, now, network, far_connection, .. } = &self.host;
         let far_state = (&far.theirs, far.established, &far.table, &far.out);
@@ -212,6 +214,9 @@
         if is_retaining {
             checker.assert_properties();
         } else {
+            // Without retained routes, the `sometimes` property about a retained route can't be reached, so only the
+            // `always` properties are checked: a discovery is then a violation. Discoveries of `sometimes` properties
+            // are examples.
             let discoveries = checker.discoveries();
             let violated: Vec<_> =
                 discoveries.keys().filter(|name| !name.starts_with("a drain finds")).collect();
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -79,31 +79,35 @@
                 "round {round}: the session is still established after 20 s"
             );
         }
+        // Nothing is delivered in the rounds that wait for the hold timer, so the far end still holds the routes then.
         assert!(host.far_route_count() == 0 || round % 5 == 4, "round {round}: {:?}", host.far.table);
         host.reset_connection();
         host.delivers_bytes = true;
-        let down = host.now;
+        let lost_at = host.now;
         while !host.far.established {
             host.run(0.05);
-            assert!(host.now < down + 20.0, "round {round}: {:?}", host.peer.last_error);
+            assert!(host.now < lost_at + 20.0, "round {round}: {:?}", host.peer.last_error);
         }
         host.run(0.05);
         assert_eq!(host.far_route_count(), 2, "round {round}");
-        waits.push(host.now - down);
+        waits.push(host.now - lost_at);
     }
+    // IdleHoldTime grows from 1 s to 16 s, of which jitter takes up to a quarter.
     assert!(waits[0] < 1.2 && waits[19] > 10.0, "{waits:?}");
     // After a stable session, IdleHoldTime starts from its initial value again.
     host.run(40.0);
     host.reset_connection();
-    let down = host.now;
+    let lost_at = host.now;
     while !host.far.established {
         host.run(0.05);
     }
-    assert!(host.now - down < 1.2);
+    assert!(host.now - lost_at < 1.2);
 }
 
 #[test]
 fn retries_connections_that_are_refused_time_out_or_send_no_open() {
+    // A refused attempt is repeated after the connect retry time of 8 s, a silent one after the connect timeout of 5 s
+    // and those 8 s.
     for (network, retry_time) in [(Network::Refuses, 8.1), (Network::Silent, 13.1)] {
         let mut host = Host::new(config(), far_open());
         host.network = network;
@@ -114,7 +118,7 @@
         host.run(retry_time);
         assert_eq!(host.far_route_count(), 2, "{network:?}");
     }
-    // The peer's OPEN never arrives.
+    // The peer's OPEN never arrives: the open timeout is 20 s.
     let mut host = Host::new(config(), far_open());
     host.far.mute = true;
     host.peer.announce(both_prefixes(), 0.0);
@@ -161,7 +165,8 @@
         message::encode_keepalive(&mut keepalive);
         peer.receive(kept, &keepalive, 0.3);
         assert_eq!((peer.state(), peer.adj_rib_out().count()), (State::Established, 2));
-        // Another connection while the session is established is rejected.
+        // While the session is established, an incoming connection is ended after its OPEN. An outgoing one was not
+        // requested, so it is refused.
         assert!(peer.connected(ended, 0.4) == (ended == Direction::Incoming));
         if ended == Direction::Incoming {
             peer.receive(ended, &open, 0.5);
@@ -532,14 +537,14 @@
     assert_eq!(Host::with_session(config(), open, both_prefixes()).far_route_count(), 1);
 }
 
-/// A drain with lead advertisements adds GRACEFUL_SHUTDOWN to announced routes, only on the session on which they are
+/// A drain with last advertisements adds GRACEFUL_SHUTDOWN to announced routes, only on the session on which they are
 /// announced.
 #[test]
-fn a_drain_lead_changes_announced_routes_only_and_ends_with_the_session() {
+fn last_advertisements_of_a_drain_change_announced_routes_only_and_end_with_the_session() {
     let leaving = Advertisement { communities: vec![GRACEFUL_SHUTDOWN], ..Advertisement::default() };
-    let lead = || both_prefixes().into_keys().map(|net| (net, leaving.clone())).collect();
+    let last_advertisements = || both_prefixes().into_keys().map(|net| (net, leaving.clone())).collect();
     let mut host = Host::with_session(config(), far_open(), default_advertisements(&["198.51.100.7/32"]));
-    host.peer.drain(lead(), host.now);
+    host.peer.drain(last_advertisements(), host.now);
     host.settle();
     assert_eq!((host.far_route_count(), announcement_count(&host)), (1, 2));
     assert_eq!(host.far.table[&net("198.51.100.7/32")].0.communities, [GRACEFUL_SHUTDOWN]);
@@ -547,15 +552,15 @@
     host.peer.drain(default_advertisements(&[]), host.now);
     host.settle();
     assert!(host.far_route_count() == 0 && host.peer.all_withdrawn(host.now));
-    // The session is lost during the lead, and the far end connects again.
+    // The session is lost before the routes are withdrawn, and the far end connects again.
     reconnected.reset_connection();
     reconnected.connect_from_far();
     reconnected.run(5.0);
     assert_eq!((reconnected.far_route_count(), announcement_count(&reconnected)), (0, 2));
-    // Without a session, the lead advertisements are not announced.
+    // Without a session, the last advertisements are not announced.
     let mut unconnected = Host::new(config(), far_open());
     unconnected.peer.announce(both_prefixes(), 0.0);
-    unconnected.peer.drain(lead(), 0.0);
+    unconnected.peer.drain(last_advertisements(), 0.0);
     unconnected.run(5.0);
     assert_eq!(announcement_count(&unconnected), 0);
 }
