--- a/src/decision/tests.rs
+++ b/src/decision/tests.rs
@@ -404,9 +404,9 @@
     );
 }
 
-/// The mean number of engines that the choice for a request examines. The requests use all table groups equally. With
-/// `has_faulty_engines`, a third of the engines lose the connection of each attempt. The number of gateways is in the ratio of 550 to 690 engines. The engine list changes every
-/// `list_interval` steps, or never if that is 0.
+/// The mean number of engines that the choice for a request examines. The requests use all table groups equally, and there
+/// are 550 gateways per 690 engines. With `has_faulty_engines`, a third of the engines lose the connection of each
+/// attempt. The engine list changes every `list_interval` steps, or never if that is 0.
 fn mean_examined_engines(
     engines: usize,
     groups: usize,
