--- a/crates/bgp/src/session/mod.rs
+++ b/crates/bgp/src/session/mod.rs
@@ -215,7 +215,7 @@
         }
     }
 
-    /// The routes that are announced to the peer on the established connection.
+    /// The routes that are announced to the peer on the established connection, whether queued or written.
     pub fn adj_rib_out(&self) -> impl Iterator<Item = (&IpNet, &Advertisement)> {
         let established = self.connections.iter().flatten().find(|connection| connection.is_established());
         established.into_iter().flat_map(|connection| &connection.adj_rib_out)
--- a/crates/bgp/src/session/opening.rs
+++ b/crates/bgp/src/session/opening.rs
@@ -143,8 +143,8 @@
                 self.adj_rib_in.remove_stale(family);
             }
         }
-        // If our OPEN listed no family, or the peer does not support Graceful Restart, the peer removes the routes that
-        // it retained when this session is established. Otherwise it keeps them until our End-of-RIB marker.
+        // As soon as this session is established, the peer removes the routes that it retained, if our OPEN listed no
+        // family or the peer does not support Graceful Restart. Otherwise it keeps them until our End-of-RIB marker.
         let asked_to_retain_routes = connection
             .local_capabilities
             .graceful_restart
