--- a/crates/router/src/transport/buffer.rs
+++ b/crates/router/src/transport/buffer.rs
@@ -1,6 +1,6 @@
 //! The buffer of one connection. A single allocation holds the bytes that were read but not yet parsed, followed by
-//! the bytes that still have to be written. It grows as needed, is compacted in place, and releases its memory when
-//! it is empty.
+//! the bytes that still have to be written. It grows as needed, is compacted in place, and releases its memory when it
+//! is empty and larger than `RETAINED_CAPACITY`.
 
 use std::io::{ErrorKind, Read, Result, Write};
 
@@ -9,7 +9,7 @@
 /// The memory of an empty buffer that is larger than this is released, in bytes.
 const RETAINED_CAPACITY: usize = 4 * CHUNK;
 
-/// See the module. `input` and `output` are the start and end indices of the unparsed and the unsent bytes in `bytes`.
+/// `input` is the range (start, end) of the unparsed bytes in `bytes`, and `output` that of the unsent bytes.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -45,6 +45,7 @@
         self.output.1 - self.output.0
     }
 
+    /// Resets an empty buffer, and releases its memory if that is larger than `RETAINED_CAPACITY`.
     fn release_if_empty(&mut self) {
         if self.input.0 == self.input.1 && self.unsent_len() == 0 {
             (self.input, self.output) = Default::default();
--- a/crates/router/src/transport/client_listener.rs
+++ b/crates/router/src/transport/client_listener.rs
@@ -26,7 +26,7 @@
     /// The address can't be bound, also because it stays in use for `BIND_TIMEOUT`, or the registration fails.
     pub fn open(handle: &LoopHandle, listen: SocketAddr) -> io::Result<Listener> {
         let socket = Rc::new(bind(listen)?);
-        log::info!("listens on {listen}");
+        log::info!("router listens on {listen} for clients");
         let token = watch(handle, socket.clone(), EventSource::ClientListener)?;
         Ok(Listener { socket, token })
     }
--- a/crates/router/src/transport/client_session.rs
+++ b/crates/router/src/transport/client_session.rs
@@ -17,15 +17,15 @@
 const LOGIN_TIMEOUT: f64 = 2.5;
 /// How long a client may take from the first byte of a packet to its last, in seconds.
 const PACKET_TIMEOUT: f64 = 2.5;
-/// How long a client may go without reading any byte of its answer, in seconds.
+/// How long a client may show no activity while bytes of its answer are unsent, in seconds.
 const WRITE_STALL_TIMEOUT: f64 = 10.0;
 /// How long a client may take to read its whole answer, even if it makes progress, in seconds. This is longer than any
 /// client waits for its answer.
 const ANSWER_TIMEOUT: f64 = 30.0;
 /// How long a client may take to close the connection after its last answer, in seconds.
 const CLOSE_TIMEOUT: f64 = 1.0;
-/// A session whose login, packet or closing began this long ago and is not complete is the first to be closed when a
-/// place is needed for a new session, in seconds.
+/// Age in seconds from which an incomplete login, packet or closing counts as stuck. Sessions that are stuck are closed
+/// first when a place is needed for a new session.
 const INCOMPLETE_STEP_AGE: f64 = 0.5;
 /// Packets that one session handles in one turn, at most.
 const MAX_PACKETS_PER_TURN: usize = 16;
@@ -39,9 +39,9 @@
 enum State {
     /// The client has not logged in yet.
     Login,
-    /// Logged in, and no request is open.
+    /// Logged in, and no command waits for its answer.
     Idle,
-    /// A request is open and has no answer yet.
+    /// A command that the session can't answer by itself (a request, a kill, or a question) waits for its answer.
     Waiting,
     /// No more packets are handled. The session ends once its last answer is written and the client has closed its side.
     Closing,
@@ -51,7 +51,7 @@
 /// A client's command that the session can't answer by itself.
 pub enum SessionEvent {
     Query(ParsedStatement),
-    /// A query that could not be parsed.
+    /// A query that is not a valid statement, and why.
     InvalidQuery(StatementError),
     Kill {
         session: SessionId,
@@ -159,30 +159,31 @@
         self.state == State::Closed
     }
 
-    /// Whether a request of the session is open.
+    /// Whether a request, a kill, or a question of the session waits for its answer.
     pub fn is_waiting(&self) -> bool {
         self.state == State::Waiting
     }
 
     /// Whether the client has closed. No new request is begun for it. A client that closes only its sending side counts as
-    /// closed too, since the two can't be told apart here and no MySQL client half-closes; it is answered that its query
-    /// was killed.
+    /// closed too, since the two can't be told apart here and no MySQL client half-closes; it gets the error that its
+    /// query was killed.
     pub fn is_client_closed(&self) -> bool {
         self.is_client_closed
     }
 
-    /// Whether no request is open and nothing is left to write.
+    /// Whether no command waits for its answer and nothing is left to write.
     fn is_quiescent(&self) -> bool {
         matches!(self.state, State::Login | State::Idle | State::Closing) && self.buffer.unsent_len() == 0
     }
 
-    /// Whether the session can be closed without loss: no request is open, nothing is left to write, and no complete
-    /// packet waits to be handled.
+    /// Whether the session can be closed without loss: no command waits for its answer, nothing is left to write, and no
+    /// complete packet waits to be handled.
     pub fn can_be_closed(&self) -> bool {
         self.is_quiescent() && (self.state == State::Closing || !self.has_unhandled_packets)
     }
 
-    /// Reads the available bytes and returns whether the session can still be closed without loss. Bytes that have arrived
+    /// Reads the available bytes, updates what is known of the stream, and returns whether the session can still be closed
+    /// without loss. Bytes that have arrived
     /// are kept for the next turn: closing a connection with unread bytes resets it, and the client would lose its request.
     pub fn confirm_nothing_unread(&mut self, now: f64) -> bool {
         let Ok((has_new_bytes, outcome)) = self.read(now) else { return true };
@@ -328,7 +329,8 @@
         self.state == State::Idle && mysql::command(body) == Ok(Command::Ping)
     }
 
-    /// Leaves a ping in the buffer. It is answered once the engines are known.
+    /// Leaves a ping in the buffer. It is answered once the engines are known, so that a health check sees the router as
+    /// ready only then.
     fn leave_ping_unanswered(&mut self) {
         self.has_unhandled_packets = false;
         self.step_began_at = None;
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -22,10 +22,10 @@
 const MAX_ACCEPTED_PER_TURN: usize = 64;
 /// When a place is needed, this many sessions are checked at most for unread input before one is closed.
 const MAX_EVICTION_CANDIDATES: usize = 8;
-/// At a planned stop, clients have this long to read their last answer and close, in seconds. This is longer than it takes
-/// until a client whose request crossed the close on the way can send it to another router.
+/// At a planned stop, clients have this long to read their last answer and close, in seconds. This is longer than a client
+/// needs to notice the close and to send a request that crossed it to another router.
 const CLIENT_CLOSE_TIMEOUT: f64 = 0.1;
-/// Bounds of the longest packet that a session accepts, in bytes. Between them the limit is the session's share of the
+/// Bounds of the longest packet body that a session accepts, in bytes. Between them the limit is the session's share of the
 /// memory.
 const MIN_MAX_PACKET: usize = 16 * 1024;
 const MAX_MAX_PACKET: usize = 1024 * 1024;
@@ -53,16 +53,16 @@
     listener: Option<Listener>,
     sessions: HashMap<SessionId, ClientSession>,
     max_sessions: usize,
-    /// The longest packet that a session accepts, in bytes.
+    /// The longest packet body that a session accepts, in bytes.
     max_packet: usize,
     /// An accepted connection that waits until there is a place for its session.
     waiting_stream: Option<TcpStream>,
     next_id: SessionId,
-    /// Sessions that were accepted in this turn and whose input was not read yet.
+    /// Accepted sessions whose input was not processed yet.
     new_sessions: Vec<SessionId>,
     /// Whether connections may be waiting to be accepted.
     may_accept: bool,
-    /// Whether accepting is paused until the next check for time-outs, since it failed.
+    /// Whether accepting is paused until the next check for time-outs, after an accept failed.
     is_paused: bool,
     /// Sessions that must be processed again in the next turn although they will not be reported as ready.
     unfinished: Vec<SessionId>,
@@ -70,7 +70,7 @@
     /// Sessions that have asked for the counters.
     counter_requests: Vec<SessionId>,
     pending_questions: Vec<PendingQuestion>,
-    /// When a planned stop began to close the sessions; begins anew after each answer.
+    /// When a planned stop began to close the sessions; set anew after each answer.
     closing_since: Option<f64>,
     counters: Counters,
 }
@@ -149,7 +149,8 @@
         true
     }
 
-    /// Handles a failed accept. Returns whether accepting may go on.
+    /// Handles a failed accept. Returns false if no connection is left to accept. Pauses accepting if the accept failed for
+    /// want of file descriptors and no session can be closed, or for an unexpected reason.
     fn accept_failed(&mut self, error: &io::Error, now: f64) -> bool {
         match error.kind() {
             ErrorKind::WouldBlock => {
@@ -163,7 +164,7 @@
             ErrorKind::ConnectionAborted => {}
             _ => {
                 log::debug!(
-                    "can't accept a connection, trying again after the next check for time-outs: {error}"
+                    "can't accept a connection, trying again at the next check for time-outs: {error}"
                 );
                 self.is_paused = true;
             }
@@ -227,7 +228,7 @@
         self.sessions.is_empty() || now >= closing_since + CLIENT_CLOSE_TIMEOUT
     }
 
-    /// Whether a connection waits to be accepted or an answer to be written.
+    /// Whether a waiting connection can be accepted, or an answer is not written in full.
     pub fn is_busy(&self) -> bool {
         self.can_accept_now() || self.sessions.values().any(|session| session.unsent_len() > 0)
     }
@@ -316,7 +317,8 @@
             self.answer(id, Answer::Withdrawn, now);
             return;
         }
-        // The time to live counts from the arrival of the request's last byte, even if that was long before this turn.
+        // The time to live counts from when the session last read bytes, even if that was long before this turn. The wait
+        // until `received_since`, or until this turn, is subtracted here; routing counts the time from then on.
         let waited = session.time_in_buffer(input.received_since.unwrap_or(now));
         statement.time_to_live = (statement.time_to_live - waited).max(0.0);
         input.statements.push(SessionStatement { session: id, statement });
@@ -346,7 +348,7 @@
         self.remove(id);
     }
 
-    /// Answers a session that its statement can't be parsed or used as a request.
+    /// Sends a session the error that its statement can't be parsed or can't be used as a request.
     pub fn refuse_statement(&mut self, id: SessionId, error: &StatementError, now: f64) {
         log::debug!("session {id}: statement refused: {error}");
         self.counters.unusable += 1;
@@ -357,7 +359,7 @@
         }
     }
 
-    /// Whether no connection waits to be accepted, or one that waits can be.
+    /// Whether a client that connects now gets a session: no connection is waiting, or one of those can be accepted now.
     pub fn can_admit(&self) -> bool {
         !self.may_accept || self.can_accept_now()
     }
@@ -378,7 +380,8 @@
         }
     }
 
-    /// Whether connections may wait to be accepted, and there is a place for a session or one can be freed.
+    /// Whether connections may wait to be accepted, accepting is not paused, and there is a place for a session or one can be
+    /// freed.
     pub fn can_accept_now(&self) -> bool {
         let has_place = || {
             self.sessions.len() < self.max_sessions
--- a/crates/router/src/transport/client_sessions/questions.rs
+++ b/crates/router/src/transport/client_sessions/questions.rs
@@ -11,7 +11,8 @@
         !self.counter_requests.is_empty()
     }
 
-    /// Answers the sessions that asked for the counters, in the form that drivers parse.
+    /// Answers the sessions that asked for the counters, in the form of MySQL's statistics text:
+    /// `name: value`, separated by two spaces.
     pub fn answer_counters(&mut self, counters: &Counters, now: f64) {
         let counters = counters.to_string().replace(' ', "  ").replace('=', ": ");
         for id in std::mem::take(&mut self.counter_requests) {
--- a/crates/router/src/transport/client_sessions/tests.rs
+++ b/crates/router/src/transport/client_sessions/tests.rs
@@ -6,6 +6,10 @@
 use std::net::{Shutdown, TcpStream};
 
 const READABLE: Readiness = Readiness { readable: true, ..Readiness::EMPTY };
+/// The command byte of a ping.
+const PING: u8 = 0x0e;
+/// The length of an OK packet with its header, in bytes.
+const OK_PACKET_LENGTH: usize = mysql::HEADER + 7;
 
 /// The listener and its sessions on real sockets; the test runs their turns and sets their clock.
 struct Harness {
@@ -67,9 +71,9 @@
         self.sessions.accept(self.now);
         let id = self.sessions.sessions.keys().copied().find(|id| !before.contains(id)).unwrap();
         client.write_all(&login()).unwrap();
-        let header = self.receive(&mut client, 4).unwrap();
-        let greeting = usize::from(header[0]);
-        self.receive(&mut client, greeting + 4 + 7).unwrap();
+        let header = self.receive(&mut client, mysql::HEADER).unwrap();
+        let greeting_length = usize::from(header[0]);
+        self.receive(&mut client, greeting_length + OK_PACKET_LENGTH).unwrap();
         (client, id)
     }
 }
@@ -98,19 +102,19 @@
     let (mut pinging, _) = harness.connect_client();
     harness.now += 1.0;
     querying.write_all(&query(&request("look", 5000, "x"))).unwrap();
-    pinging.write_all(&packet(0, &[0x0e])).unwrap();
+    pinging.write_all(&packet(0, &[PING])).unwrap();
     let _third = TcpStream::connect(harness.address).unwrap();
     harness.sessions.accept(harness.now);
     assert_eq!((harness.sessions.sessions.len(), harness.sessions.can_accept_now()), (2, false));
     // The session that sent a ping may be closed once it has its answer.
-    assert_eq!(harness.receive(&mut pinging, 11).unwrap().len(), 11);
+    assert_eq!(harness.receive(&mut pinging, OK_PACKET_LENGTH).unwrap().len(), OK_PACKET_LENGTH);
     harness.sessions.accept(harness.now);
     assert_eq!((harness.sessions.sessions.len(), harness.sessions.counters.sessions_closed_for_room), (2, 1));
     assert_eq!(harness.input.statements.len(), 1);
 }
 
-/// A request that is sent after the shutdown of the session is lost. Closing the
-/// connection over its unread bytes would be a reset.
+/// A request that is read after this side was shut down must not be begun: its answer could not be sent any more. Its
+/// bytes must still be read, since closing a connection with unread bytes resets it.
 #[test]
 fn at_a_planned_stop_a_request_that_crosses_the_shutdown_is_neither_begun_nor_reset() {
     let mut harness = Harness::new(8);
@@ -118,35 +122,42 @@
     let (idle, _) = harness.connect_client();
     assert!(!harness.sessions.close_gracefully(harness.now));
     crossing.write_all(&query(&request("look", 5000, "x"))).unwrap();
-    assert!(harness.receive(&mut crossing, 1).unwrap().is_empty(), "the stream ends without an error");
+    assert!(
+        harness.receive(&mut crossing, 1).unwrap().is_empty(),
+        "the stream must end without an error or bytes"
+    );
     assert!(harness.input.statements.is_empty());
-    assert!(TcpStream::connect(harness.address).is_err(), "no new connection is accepted");
+    assert!(TcpStream::connect(harness.address).is_err(), "no new connection may be accepted");
     drop((crossing, idle));
     while !harness.sessions.sessions.is_empty() {
         harness.turn();
     }
     assert!(
         harness.sessions.close_gracefully(harness.now),
-        "all clients have closed, so nothing is waited for"
+        "the stop must finish once all clients have closed"
     );
 }
 
 /// Requests that arrive between the turn's reading and its end are handled: on an idle session, and on a new connection
 /// together with its login.
 #[test]
-fn at_a_planned_stop_a_request_that_arrives_after_the_turns_reading_is_handled_also_with_its_login() {
+fn at_a_planned_stop_a_request_that_arrives_after_the_turns_reading_is_handled_on_an_idle_session_and_on_a_new_one(
+) {
     let mut harness = Harness::new(8);
     let (mut requesting_client, requesting) = harness.connect_client();
     let (_idle_client, idle) = harness.connect_client();
     requesting_client.write_all(&query(&request("look", 5000, "x"))).unwrap();
     let mut new_client = TcpStream::connect(harness.address).unwrap();
     new_client.write_all(&[login(), query(&request("look", 5000, "x"))].concat()).unwrap();
-    assert!(!harness.sessions.close_gracefully(harness.now), "a client has connected");
+    assert!(
+        !harness.sessions.close_gracefully(harness.now),
+        "the stop must not finish while a new client has no session"
+    );
     harness.turn();
     let sessions = harness.requesting_sessions();
     assert!(
         sessions.len() == 2 && sessions.contains(&requesting) && !sessions.contains(&idle),
-        "requests came from sessions {sessions:?}"
+        "the two sessions with requests must be handled, not {sessions:?}"
     );
     // The same without a new connection: a request that has just arrived is read before its session would be closed.
     for id in sessions {
@@ -199,10 +210,10 @@
 fn a_session_that_pings_before_any_engine_list_is_removed_when_its_client_disconnects() {
     let mut harness = Harness::new(8);
     let (mut client, id) = harness.connect_client();
-    client.write_all(&packet(0, &[0x0e])).unwrap();
+    client.write_all(&packet(0, &[PING])).unwrap();
     let mut input = TurnInput::default();
     harness.sessions.process_session(id, READABLE, false, harness.now, &mut input);
-    assert!(harness.sessions.sessions.contains_key(&id), "the session waits for its answer");
+    assert!(harness.sessions.sessions.contains_key(&id), "the session must wait for its answer");
     drop(client);
     for _ in 0..2000 {
         harness.sessions.process_session(id, READABLE, false, harness.now, &mut input);
@@ -211,7 +222,7 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
-    panic!("the session is still open");
+    panic!("the session must be removed after its client has disconnected");
 }
 
 /// A client that reads a few bytes of its answer now and then may not keep its session open beyond the time-out for the
@@ -232,16 +243,20 @@
     while harness.sessions.sessions.contains_key(&id) {
         assert!(
             harness.now < began_at + 40.0,
-            "the session is still open after {total_read} bytes were read"
+            "the session must be closed by now, {total_read} bytes were read"
         );
         total_read += slow_client.read(&mut bytes).unwrap();
         harness.turn();
         let session = harness.sessions.sessions.get(&id).unwrap();
-        assert!(session.unsent_len() > 0, "the whole answer was read");
-        assert_eq!(session.active_at, harness.now, "the session counts as stalled");
+        assert!(session.unsent_len() > 0, "the answer must not be written in full");
+        assert_eq!(session.active_at, harness.now, "the session must not count as stalled");
         harness.now += 1.0;
         let (now, input) = (harness.now, &mut harness.input);
         harness.sessions.sweep(now, input);
     }
-    assert!(harness.now >= began_at + 30.0, "closed after {} s", harness.now - began_at);
+    assert!(
+        harness.now >= began_at + 30.0,
+        "the session must not be closed before 30 s, was closed after {} s",
+        harness.now - began_at
+    );
 }
--- a/crates/router/src/transport/clock.rs
+++ b/crates/router/src/transport/clock.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Seconds since the start of the router. It is used for BGP sessions, leases and announcements, which must not depend
+/// Seconds since this clock was started. It is used for BGP sessions, leases and announcements, which must not depend
 /// on the Unix clock being set forward or back.
 pub struct MonotonicClock(Instant);
 
--- a/crates/router/src/transport/event_loop.rs
+++ b/crates/router/src/transport/event_loop.rs
@@ -6,7 +6,8 @@
 use std::io;
 use std::time::Duration;
 
-/// The longest time between two turns, in seconds. A longer gap tells that the process was not running.
+/// The event loop runs a turn at least this often, in seconds, even if nothing is ready, so that a much longer gap shows
+/// that the process was paused.
 pub const TURN_INTERVAL: f64 = 0.02;
 /// How often one wait polls the system at most, where each poll returned late.
 const MAX_POLLS: usize = 3;
@@ -36,6 +37,7 @@
         if clock.read() < started_at + timeout + TURN_INTERVAL {
             break;
         }
+        // This time has passed, so the next poll does not wait.
         due = started_at;
     }
     Ok(())
--- a/crates/router/src/transport/health.rs
+++ b/crates/router/src/transport/health.rs
@@ -1,4 +1,4 @@
-//! Collects the readings of the router's health from which it is decided what is announced.
+//! Collects the health readings on which the announcer bases its decisions.
 
 use crate::routing::Routing;
 use cleatgw_announce::{InTimeShare, Readings};
@@ -15,7 +15,8 @@
 }
 
 impl Health {
-    /// The current readings. `discovery_silence` is the time in seconds since the discovery service was last heard.
+    /// The current readings. `discovery_silence` is the time in seconds since the discovery service was last heard;
+    /// none without a discovery service.
     pub fn readings(
         &mut self,
         now: f64,
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -41,7 +41,7 @@
     pub listen: SocketAddr,
     /// The address of the discovery service, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// The number of the last discovery event that is known.
+    /// The sequence number of the last discovery event that is known.
     pub last_event: u64,
     /// The number of file descriptors that the router may use.
     pub descriptors: usize,
@@ -49,7 +49,7 @@
     pub memory: usize,
     /// Limits of the connections to engines.
     pub connections: ConnectionLimits,
-    /// The longest time that a client waits for a request, in seconds; none if the configuration does not state it.
+    /// The longest time that a client waits for the answer to a request, in seconds; none if the configuration does not state it.
     pub longest_request: Option<f64>,
 }
 
@@ -67,13 +67,14 @@
     /// The sources that must be processed again in the next turn although they will not be reported as ready.
     unfinished: Vec<EventSource>,
     clock: WallClock,
-    /// When the last turn began; during a turn, when that turn began.
+    /// When the latest turn began, which may still be running.
     last_turn_at: f64,
     /// When the next turn is due if no source becomes ready before.
     wake_at: f64,
     /// When sessions and connections are next checked for time-outs.
     sweep_at: f64,
-    /// Whether clients are served: since the engines were first known.
+    /// Whether pings are answered and the router counts as listening for announcements: from the first complete engine list
+    /// on.
     is_serving: bool,
     /// As in `RouterSettings`.
     longest_request: Option<f64>,
@@ -82,7 +83,7 @@
     health: Health,
 }
 
-/// Serves clients until a planned stop, which a signal begins, is finished. Returns the final counters.
+/// Serves clients until SIGTERM or SIGINT begins a planned stop and that stop is finished. Returns the final counters.
 ///
 /// # Errors
 /// An address can't be listened on, a thread can't be started, or the event loop fails.
@@ -167,7 +168,7 @@
         self.schedule_next_turn(wake_at, now);
     }
 
-    /// Input that arrived during a pause can have arrived at any time since the last turn, so its time is counted from
+    /// Requests that arrived during a pause can have arrived at any time since the last turn, so their time is counted from
     /// that turn on.
     fn begin_turn(&mut self, now: f64) {
         let paused = now - self.last_turn_at > PAUSE_INTERVALS * TURN_INTERVAL;
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Runs the tasks whose time has come: reconnecting to the discovery service, the timers of the connection pool, and
-    /// the checks for time-outs.
+    /// Runs the tasks whose time has come: connecting to the discovery service or timing out its connection, the timers of
+    /// the connection pool, and the checks for time-outs.
     fn run_due(&mut self, now: f64) {
         if now >= self.discovery.due() {
             match self.discovery.wants_connection(now) {
@@ -293,6 +294,7 @@
     fn start_serving_if_ready(&mut self) {
         if !self.is_serving && self.routing.is_ready() {
             self.is_serving = true;
+            // Pings that were left in the sessions' buffers are answered in the next turn.
             self.unfinished.extend(self.connections.sessions.sources());
         }
     }
@@ -324,14 +326,14 @@
             self.wake_at = now;
             return;
         }
-        let shutdown = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.next_time(now));
+        let shutdown_step_at = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.next_time(now));
         let due = [
             routing_wakes_at,
             self.sweep_at,
             self.discovery.due(),
             self.connections.pool.due(),
             self.subsystems.due(now),
-            shutdown,
+            shutdown_step_at,
         ];
         self.wake_at = due.into_iter().fold(now + TURN_INTERVAL, f64::min);
     }
@@ -364,15 +366,16 @@
         let open_requests = self.routing.open_requests();
         log::info!(requests = open_requests, signal:? = signal; "{signal:?}: stopping, {open_requests} requests open");
         self.routing.stop_at(shutdown.answered_by());
-        // New requests are refused within a second, whatever the BGP peers do; announced addresses are withdrawn at once.
+        // New requests are refused within a second, whatever the BGP peers do. The speaker begins its drain in this turn.
         let new_work_ends_in = self.routing.drain(now) - now;
         self.subsystems.begin_shutdown(new_work_ends_in);
         self.shutdown = Some(shutdown);
     }
 
-    /// Advances a planned stop, and returns whether the router may exit: once its time is over, or once every request has
-    /// its answer and the sessions with clients and BGP peers are closed. Before these sessions are closed, the stop waits
-    /// until BGP peers have no routes to this router left, for as long as there is time.
+    /// Advances a planned stop, and returns whether the router may exit: once the time for the stop is over, or once no new
+    /// requests are expected, no waiting connection can be accepted, every request has its answer, and the sessions with
+    /// clients and BGP peers are closed. Before these sessions are closed, the stop waits until BGP peers have no routes to
+    /// this router left, for as long as there is time.
     fn try_finish_shutdown(&mut self) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
         let now = self.connections.now;
--- a/crates/router/src/transport/shutdown.rs
+++ b/crates/router/src/transport/shutdown.rs
@@ -2,9 +2,9 @@
 
 /// How long after the signal new requests may still arrive, in seconds.
 const REQUEST_ARRIVAL_WINDOW: f64 = 0.75;
-/// The router is killed this long after the longest time that a request may take, in seconds.
+/// A stopping router is killed once the longest request time plus this has passed since the signal, in seconds.
 const KILL_DELAY: f64 = 0.7;
-/// Upper bound of the longest time that a request may take, in seconds.
+/// The longest request time that the schedule allows for, in seconds, even if the configuration states more or nothing.
 const MAX_LONGEST_REQUEST: f64 = 3.0;
 /// The last answers are sent this long before the router is killed, in seconds.
 const MARGIN: f64 = 0.3;
@@ -19,7 +19,7 @@
 }
 
 impl Shutdown {
-    /// A stop that begins at `now`. `longest_request` is the longest time that a client waits for a request, in
+    /// A stop that begins at `now`. `longest_request` is the longest time that a client waits for the answer to a request, in
     /// seconds; none if the configuration does not state it.
     pub fn begin(now: f64, longest_request: Option<f64>) -> Shutdown {
         let longest = longest_request.map_or(MAX_LONGEST_REQUEST, |longest| longest.min(MAX_LONGEST_REQUEST));
@@ -34,6 +34,7 @@
         self.answered_by
     }
 
+    /// The router exits halfway between the time of the last answers and the time at which it is killed.
     fn exits_at(&self) -> f64 {
         self.answered_by + MARGIN / 2.0
     }
@@ -49,8 +50,8 @@
         now < self.requests_come_until
     }
 
-    /// Whether the time by which every request has its answer has passed. From then on the stop waits for nothing but
-    /// answers that are not yet written.
+    /// Whether the time by which every request has its answer has passed. From then on the stop no longer
+    /// waits until BGP peers have dropped their routes to this router.
     pub fn is_answer_time_over(&self, now: f64) -> bool {
         now >= self.answered_by
     }
--- a/crates/router/src/transport/sockets.rs
+++ b/crates/router/src/transport/sockets.rs
@@ -29,7 +29,7 @@
     Ok(RegisteredStream { token, stream })
 }
 
-/// Starts the connection of a non-blocking socket. That it is still in progress is no error.
+/// Starts the connection of a non-blocking socket. A connection that is still in progress is not an error.
 pub fn connect_nonblocking(socket: &Socket, to: SocketAddr) -> io::Result<()> {
     match socket.connect(&to.into()) {
         Err(error) if !is_in_progress(&error) => Err(error),
--- a/crates/router/src/transport/subsystems.rs
+++ b/crates/router/src/transport/subsystems.rs
@@ -1,5 +1,5 @@
-//! The optional parts of the router: the BGP speaker for service addresses, the cluster, and the store. Their turns are
-//! run and their due times are kept here, on the monotonic clock.
+//! The optional parts of the router: the BGP speaker for service addresses, the cluster, and the store. This module runs
+//! their turns, on the monotonic clock, and tells when the next of them is due.
 
 use super::bgp_speaker::BgpSpeaker;
 use super::clock::{unix_time, MonotonicClock};
@@ -143,10 +143,10 @@
         }
     }
 
-    /// The rows that answer a status question; none if the subsystem is absent, or if the question concerns none of them.
+    /// The rows that answer a status question; none if the subsystem is absent, or if the question does not concern a subsystem.
     pub fn status(&self, question: Question) -> Option<Vec<StatusRow>> {
-        // The Unix clock is read before the monotonic clock, so that a pause between the two readings can't make a row
-        // claim too much.
+        // The row of a held leader role shows the Unix time and the remaining seconds. The Unix clock is read first, so that
+        // after a pause between the two readings the shown end of the role is too early, never too late.
         let unix = unix_time();
         let now = self.clock.read();
         match question {
@@ -174,7 +174,8 @@
         self.speaker.as_ref().is_none_or(|speaker| speaker.is_cleared(self.clock.read()))
     }
 
-    /// Closes the sessions with BGP peers; the first call begins that. Returns whether it is done or its time is over.
+    /// Closes the sessions with BGP peers. The first call begins that. Returns whether all are closed or the time-out for
+    /// closing them has passed.
     pub fn close_bgp_sessions(&mut self) -> bool {
         let now = self.clock.read();
         self.speaker.as_mut().is_none_or(|speaker| speaker.say_goodbye(now))
