--- a/crates/operator-config/src/teams.rs
+++ b/crates/operator-config/src/teams.rs
@@ -150,7 +150,7 @@
     }
 
     fn tree(&self, categories: &[String]) -> (Vec<TenantConfig>, TeamNames) {
-        let mut configs = vec![TenantConfig { most_queued: self.most_queued, ..TenantConfig::default() }];
+        let mut configs = vec![TenantConfig { max_queued: self.most_queued, ..TenantConfig::default() }];
         let mut names = TeamNames { by_name: HashMap::new(), names: vec!["all".to_string()], others: 0 };
         add(&self.teams, ROOT, categories, &mut configs, &mut names);
         names.others = configs.len();
@@ -159,7 +159,11 @@
         for at in 0..OTHERS {
             names.names.push(format!("others-{at}"));
             let most_queued = self.others.most_queued;
-            configs.push(TenantConfig { parent: names.others, most_queued, ..TenantConfig::default() });
+            configs.push(TenantConfig {
+                parent: names.others,
+                max_queued: most_queued,
+                ..TenantConfig::default()
+            });
         }
         (configs, names)
     }
@@ -271,11 +275,11 @@
             parent,
             weight: team.weight,
             budget: team.budget.as_ref().map(|budget| Budget { rate: budget.rate, burst: budget.burst_s }),
-            most_queued: team.most_queued.unwrap_or_else(most_queued),
-            most_queued_work: team.most_queued_work_s.unwrap_or(f64::INFINITY),
-            most_out: team.most_out.unwrap_or(usize::MAX),
+            max_queued: team.most_queued.unwrap_or_else(most_queued),
+            max_queued_work: team.most_queued_work_s.unwrap_or(f64::INFINITY),
+            max_in_flight: team.most_out.unwrap_or(usize::MAX),
             ageing: team.ageing_s,
-            order: categories.iter().map(|category| team.ahead(category)).collect(),
+            class_boosts: categories.iter().map(|category| team.ahead(category)).collect(),
         });
         names.names.push(team.name.clone());
         if team.teams.is_empty() {
--- a/crates/router/src/commands/check.rs
+++ b/crates/router/src/commands/check.rs
@@ -48,7 +48,7 @@
 
 fn check_teams(path: &Path) -> Result<(), FileError> {
     let (queue, names) = load_teams(path)?.tenant_queue(0.0, &[]);
-    println!("{}: {} lines ({})", path.display(), queue.tenants(), names.names().join(" "));
+    println!("{}: {} lines ({})", path.display(), queue.tenant_count(), names.names().join(" "));
     Ok(())
 }
 
--- a/crates/router/src/routing/action_executor.rs
+++ b/crates/router/src/routing/action_executor.rs
@@ -131,8 +131,8 @@
         let Some(request) = self.state.requests.get(id) else { return };
         let call = request.statement.id.as_str();
         match wait {
-            Some(WaitEstimate { expected, from, to, .. }) => {
-                log::debug!(call = call, wait = expected, from = from, to = to; "request {call} is expected to wait {expected:.3} s");
+            Some(WaitEstimate { expected, lower, upper, .. }) => {
+                log::debug!(call = call, wait = expected, from = lower, to = upper; "request {call} is expected to wait {expected:.3} s");
             }
             None => log::debug!(call = call; "request {call} waits, for how long can't be told"),
         }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -81,8 +81,8 @@
         let counters = &mut self.state.counters;
         counters.waits_compared = waits.compared;
         counters.waits_within_a_fifth = waits.within_a_fifth;
-        counters.waits_near = waits.near;
-        counters.waits_unknown = waits.unknown;
+        counters.waits_near = waits.within_a_fifth_or_20_ms;
+        counters.waits_unknown = waits.without_estimate;
         counters.open = self.state.requests.open_count() as u64;
         counters
     }
--- a/crates/router/src/routing/tenants.rs
+++ b/crates/router/src/routing/tenants.rs
@@ -38,8 +38,8 @@
         for (index, name, load) in busy.take(MAX_ROWS) {
             let TenantLoad { queued, queued_work, in_flight } = load;
             let mean_work = queued_work / queued.max(1) as f64;
-            let wait = match queue.wait_for(index, mean_work, self.state.now) {
-                Some(wait) => format!("{:.2} s, {:.2} to {:.2}", wait.expected, wait.from, wait.to),
+            let wait = match queue.estimate_wait_of_new(index, mean_work, self.state.now) {
+                Some(wait) => format!("{:.2} s, {:.2} to {:.2}", wait.expected, wait.lower, wait.upper),
                 None => "can't be told".to_string(),
             };
             rows.push(StatusRow::new(
@@ -55,7 +55,7 @@
     fn estimates_row(&self) -> StatusRow {
         let waits = &self.gateway.queue.waits;
         let compared = waits.compared;
-        let unknown = waits.unknown;
+        let unknown = waits.without_estimate;
         let share = waits.within_a_fifth as f64 / (compared as f64).max(1.0);
         StatusRow::new(
             "estimates",
--- a/crates/tenant-queue/src/config.rs
+++ b/crates/tenant-queue/src/config.rs
@@ -22,16 +22,16 @@
     /// None: never over it.
     pub budget: Option<Budget>,
     /// Requests that may be queued; beyond them the last is displaced.
-    pub most_queued: usize,
+    pub max_queued: usize,
     /// Seconds of work that may be queued; beyond them the last request is displaced.
-    pub most_queued_work: f64,
+    pub max_queued_work: f64,
     /// Requests that may be in flight at engines at once.
-    pub most_out: usize,
+    pub max_in_flight: usize,
     /// A request goes ahead of a denser one that came so many seconds later for each halving of its density. None: the
     /// densest first, however long others wait.
     pub ageing: Option<f64>,
     /// By class: so many doublings of its density a request counts as denser. Classes behind the end have none.
-    pub order: Vec<f64>,
+    pub class_boosts: Vec<f64>,
 }
 
 impl Default for TenantConfig {
@@ -40,11 +40,11 @@
             parent: ROOT,
             weight: 1.0,
             budget: None,
-            most_queued: usize::MAX,
-            most_queued_work: f64::INFINITY,
-            most_out: usize::MAX,
+            max_queued: usize::MAX,
+            max_queued_work: f64::INFINITY,
+            max_in_flight: usize::MAX,
             ageing: None,
-            order: Vec::new(),
+            class_boosts: Vec::new(),
         }
     }
 }
--- a/crates/tenant-queue/src/estimates.rs
+++ b/crates/tenant-queue/src/estimates.rs
@@ -30,14 +30,14 @@
     }
 
     /// How long a request of this tenant and so much work would wait if it came now, behind all of its queue.
-    pub fn wait_for(&self, tenant: usize, work: f64, now: f64) -> Option<WaitEstimate> {
+    pub fn estimate_wait_of_new(&self, tenant: usize, work: f64, now: f64) -> Option<WaitEstimate> {
         let queued_work = self.nodes.get(tenant)?.queued_work;
         let ahead = WorkAhead { ahead: queued_work, queue: queued_work, share: self.share(tenant) };
         self.waits.estimate(tenant, work, &ahead, now)
     }
 
     /// How long this request will wait from now to its first attempt, as far as can be told.
-    pub fn wait_of(&self, request: usize, now: f64) -> Option<WaitEstimate> {
+    pub fn estimate_wait_of_queued(&self, request: usize, now: f64) -> Option<WaitEstimate> {
         let queued = self.waiting.get(&request)?;
         let ahead = WorkAhead {
             ahead: self.work_ahead(queued),
--- a/crates/tenant-queue/src/limits.rs
+++ b/crates/tenant-queue/src/limits.rs
@@ -43,9 +43,9 @@
     /// A request to displace, if a queue is over its limit: the last one, of those that can't have run, of the tenant whose
     /// own limit is passed; or, where the limit of all is, of the tenant with the most work queued for its weight. It stays
     /// queued until [`TenantQueue::remove`].
-    pub fn over_limit(&self) -> Option<usize> {
+    pub fn next_to_displace(&self) -> Option<usize> {
         let last = |tenant: usize| self.nodes[tenant].displaceable.last().map(|rank| rank.request);
-        if self.waiting.len() > self.most_queued {
+        if self.waiting.len() > self.max_queued {
             let of_longest = self.longest.iter().rev().find_map(|&(_, tenant)| last(tenant));
             if of_longest.is_some() {
                 return of_longest;
--- a/crates/tenant-queue/src/node.rs
+++ b/crates/tenant-queue/src/node.rs
@@ -65,7 +65,7 @@
 
     /// It has room for one more request in flight.
     pub fn has_room_in_flight(&self) -> bool {
-        self.in_flight < self.config.most_out
+        self.in_flight < self.config.max_in_flight
     }
 
     /// It, or a child, has something to offer: a queued request, and room for one more in flight.
@@ -75,8 +75,8 @@
 
     /// More is queued than may be. One request alone is never too much work: it could not come at all.
     pub fn is_over_limit(&self) -> bool {
-        let too_much_work = self.queued_work > self.config.most_queued_work && self.queued > 1;
-        too_much_work || self.queued > self.config.most_queued
+        let too_much_work = self.queued_work > self.config.max_queued_work && self.queued > 1;
+        too_much_work || self.queued > self.config.max_queued
     }
 
     pub fn request_added(&mut self, work: f64) {
--- a/crates/tenant-queue/src/queue.rs
+++ b/crates/tenant-queue/src/queue.rs
@@ -45,7 +45,7 @@
     /// When a tenant's budget is no longer used up, by time.
     pub(crate) refills: BTreeSet<(u64, usize)>,
     /// In all.
-    pub(crate) most_queued: usize,
+    pub(crate) max_queued: usize,
     /// What estimates of waits were worth.
     pub waits: WaitStatistics,
 }
@@ -73,7 +73,7 @@
             let weight = config.weight;
             assert!(weight > 0.0 && weight.is_finite(), "team {index}: a weight of {weight}");
         }
-        let most_queued = tenants.first().map_or(usize::MAX, |root| root.most_queued);
+        let max_queued = tenants.first().map_or(usize::MAX, |root| root.max_queued);
         TenantQueue {
             waits: WaitStatistics::new(tenants.len()),
             nodes: tenants.into_iter().map(|config| Node::new(config, now)).collect(),
@@ -82,12 +82,12 @@
             over_limit: BTreeSet::new(),
             offers: Vec::new(),
             refills: BTreeSet::new(),
-            most_queued,
+            max_queued,
         }
     }
 
     /// How many tenants there are, groups and the root among them.
-    pub fn tenants(&self) -> usize {
+    pub fn tenant_count(&self) -> usize {
         self.nodes.len()
     }
 
@@ -224,7 +224,7 @@
     }
 
     /// An attempt of this tenant's is in flight already: queues that are set up while requests are open begin with those.
-    pub fn attempt_in_flight(&mut self, tenant: usize) {
+    pub fn count_attempt_in_flight(&mut self, tenant: usize) {
         let tenant = self.known_tenant(tenant);
         self.nodes[tenant].in_flight += 1;
         self.update_places(tenant);
--- a/crates/tenant-queue/src/queued_request.rs
+++ b/crates/tenant-queue/src/queued_request.rs
@@ -21,7 +21,7 @@
     /// Its work.
     pub work: f64,
     /// When it came.
-    pub since: f64,
+    pub received_at: f64,
     /// None of its attempts may have run: it may be displaced.
     pub never_ran: bool,
 }
@@ -41,14 +41,14 @@
 impl QueuedRequest {
     /// Its rank by its tenant's configuration.
     pub(crate) fn rank(&self, config: &TenantConfig) -> RequestRank {
-        let doublings = config.order.get(self.class).copied().unwrap_or(0.0);
+        let doublings = config.class_boosts.get(self.class).copied().unwrap_or(0.0);
         let density = if doublings > 0.0 { self.density * doublings.exp2() } else { self.density };
         let rank = match config.ageing {
             None => u64::MAX - ordered_bits(density),
             // A denser one stands as if it had come earlier.
-            Some(ageing) => {
-                ordered_bits(self.since - ageing * density.max(MIN_AGED_DENSITY).log2() + AGED_TIME_SHIFT)
-            }
+            Some(ageing) => ordered_bits(
+                self.received_at - ageing * density.max(MIN_AGED_DENSITY).log2() + AGED_TIME_SHIFT,
+            ),
         };
         RequestRank { rank, request: self.request }
     }
--- a/crates/tenant-queue/src/tests.rs
+++ b/crates/tenant-queue/src/tests.rs
@@ -53,7 +53,7 @@
             class: 0,
             density: 1.0 / work,
             work,
-            since: self.now,
+            received_at: self.now,
             never_ran: true,
         };
         self.requests.insert(request, (tenant, work, self.now));
@@ -95,7 +95,15 @@
     let mut line = TenantQueue::single();
     for (request, density) in [(1, 2.0), (2, 9.0), (3, 5.0)] {
         line.enqueue(
-            QueuedRequest { request, tenant: 0, class: 0, density, work: 1.0, since: 0.0, never_ran: true },
+            QueuedRequest {
+                request,
+                tenant: 0,
+                class: 0,
+                density,
+                work: 1.0,
+                received_at: 0.0,
+                never_ran: true,
+            },
             0.0,
         );
     }
@@ -223,7 +231,7 @@
         let (request, tenant, work, since) = (*request, *tenant, *work, *since);
         let density = 1.0 / work;
         new.enqueue(
-            QueuedRequest { request, tenant, class: 0, density, work, since, never_ran: true },
+            QueuedRequest { request, tenant, class: 0, density, work, received_at: since, never_ran: true },
             world.now,
         );
     }
@@ -261,7 +269,7 @@
                         class: 0,
                         density: 1.0,
                         work,
-                        since: now,
+                        received_at: now,
                         never_ran: true,
                     },
                     now,
@@ -297,11 +305,21 @@
 
 #[test]
 fn a_tenants_own_order_of_classes_comes_before_their_density() {
-    let mut line =
-        TenantQueue::new(vec![TenantConfig { order: vec![0.0, 10.0], ..TenantConfig::default() }], 0.0);
+    let mut line = TenantQueue::new(
+        vec![TenantConfig { class_boosts: vec![0.0, 10.0], ..TenantConfig::default() }],
+        0.0,
+    );
     for (request, class, density) in [(1, 0, 5.0), (2, 1, 1.0), (3, 1, 2.0), (4, 2, 9.0)] {
         line.enqueue(
-            QueuedRequest { request, tenant: 0, class, density, work: 1.0, since: 0.0, never_ran: true },
+            QueuedRequest {
+                request,
+                tenant: 0,
+                class,
+                density,
+                work: 1.0,
+                received_at: 0.0,
+                never_ran: true,
+            },
             0.0,
         );
     }
@@ -311,60 +329,76 @@
 #[test]
 fn a_line_that_is_too_long_displaces_its_last_that_never_ran() {
     let mut tree = tenants(&[1.0, 1.0]);
-    tree[1].most_queued = 3;
+    tree[1].max_queued = 3;
     let mut line = TenantQueue::new(tree, 0.0);
     let hold = |line: &mut TenantQueue, request: usize, tenant, never_ran| {
         line.enqueue(
-            QueuedRequest { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran },
+            QueuedRequest { request, tenant, class: 0, density: 1.0, work: 1.0, received_at: 0.0, never_ran },
             0.0,
         );
     };
     (0..3).for_each(|request| hold(&mut line, request, 1, true));
     (10..30).for_each(|request| hold(&mut line, request, 2, true));
-    assert_eq!(line.over_limit(), None);
+    assert_eq!(line.next_to_displace(), None);
     // The last one may have run: the one before it goes.
     hold(&mut line, 3, 1, false);
-    assert_eq!(line.over_limit(), Some(2));
+    assert_eq!(line.next_to_displace(), Some(2));
     line.remove(2);
-    assert_eq!((line.over_limit(), line.len()), (None, 23));
+    assert_eq!((line.next_to_displace(), line.len()), (None, 23));
     // All may have run: nobody is displaced, however long it is.
-    let mut line = TenantQueue::new(vec![TenantConfig { most_queued: 2, ..TenantConfig::default() }], 0.0);
+    let mut line = TenantQueue::new(vec![TenantConfig { max_queued: 2, ..TenantConfig::default() }], 0.0);
     (0..9).for_each(|request| hold(&mut line, request, 0, false));
-    assert_eq!(line.over_limit(), None);
+    assert_eq!(line.next_to_displace(), None);
 }
 
 /// A bound holds for every tenant, also for one that is short beside many others.
 #[test]
 fn a_small_tenant_past_its_bound_is_found_among_many_longer_ones() {
     let mut tree = tenants(&[1.0; 50]);
-    tree[50].most_queued = 1;
+    tree[50].max_queued = 1;
     let mut line = TenantQueue::new(tree, 0.0);
     for request in 0..100 {
         let (tenant, work) = if request < 98 { (1 + request % 49, 1.0) } else { (50, 0.01) };
         line.enqueue(
-            QueuedRequest { request, tenant, class: 0, density: 1.0, work, since: 0.0, never_ran: true },
+            QueuedRequest {
+                request,
+                tenant,
+                class: 0,
+                density: 1.0,
+                work,
+                received_at: 0.0,
+                never_ran: true,
+            },
             0.0,
         );
     }
-    assert_eq!(line.over_limit(), Some(99));
+    assert_eq!(line.next_to_displace(), Some(99));
     line.remove(99);
-    assert_eq!(line.over_limit(), None);
+    assert_eq!(line.next_to_displace(), None);
 }
 
 #[test]
 fn the_bound_of_all_takes_from_the_longest_line_for_its_weight() {
     let mut tree = tenants(&[1.0, 4.0]);
-    tree[0].most_queued = 10;
+    tree[0].max_queued = 10;
     let mut line = TenantQueue::new(tree, 0.0);
     for request in 0..12 {
         let tenant = 1 + request % 2;
         line.enqueue(
-            QueuedRequest { request, tenant, class: 0, density: 1.0, work: 1.0, since: 0.0, never_ran: true },
+            QueuedRequest {
+                request,
+                tenant,
+                class: 0,
+                density: 1.0,
+                work: 1.0,
+                received_at: 0.0,
+                never_ran: true,
+            },
             0.0,
         );
     }
     let mut gone = Vec::new();
-    while let Some(request) = line.over_limit() {
+    while let Some(request) = line.next_to_displace() {
         line.remove(request);
         gone.push(request % 2);
     }
@@ -374,7 +408,7 @@
 #[test]
 fn a_tenant_has_no_more_out_than_it_may_and_goes_on_when_one_is_over() {
     let mut tree = tenants(&[1.0, 1.0]);
-    tree[1].most_out = 2;
+    tree[1].max_in_flight = 2;
     let mut line = TenantQueue::new(tree, 0.0);
     for request in 0..5 {
         line.enqueue(
@@ -384,7 +418,7 @@
                 class: 0,
                 density: 1.0,
                 work: 1.0,
-                since: 0.0,
+                received_at: 0.0,
                 never_ran: true,
             },
             0.0,
@@ -409,7 +443,7 @@
         // Together a tenth more than it does, so that lines grow slowly.
         for tenant in [1, 2] {
             let request = world.arrives(tenant, 0.044);
-            let wait = world.line.wait_of(request, world.now);
+            let wait = world.line.estimate_wait_of_queued(request, world.now);
             world.line.waits.remember(request, wait, world.now);
         }
     }
@@ -418,8 +452,8 @@
     assert!(waits.compared > 2000 && share > 0.9, "{share} of {}", waits.compared);
     // The server falls silent: nothing can be told.
     let request = world.arrives(1, 0.044);
-    assert!(world.line.wait_of(request, world.now + 0.5).is_some());
-    assert!(world.line.wait_of(request, world.now + 3.0).is_none());
+    assert!(world.line.estimate_wait_of_queued(request, world.now + 0.5).is_some());
+    assert!(world.line.estimate_wait_of_queued(request, world.now + 3.0).is_none());
 }
 
 proptest! {
@@ -427,7 +461,7 @@
     #[test]
     fn no_request_is_lost_or_offered_twice(steps in proptest::collection::vec((0u8..6, 0usize..5, 1u32..100), 1..300)) {
         let mut tree = tenants(&[1.0, 2.0]);
-        tree.extend([TenantConfig { parent: 1, most_out: 2, ..tenant(1.0) }, TenantConfig { parent: 1, budget: budget(0.5, 1.0), ..tenant(2.0) }]);
+        tree.extend([TenantConfig { parent: 1, max_in_flight: 2, ..tenant(1.0) }, TenantConfig { parent: 1, budget: budget(0.5, 1.0), ..tenant(2.0) }]);
         tree.push(TenantConfig { parent: 2, ageing: Some(1.0), ..tenant(1.0) });
         let leaves = [3, 4, 5];
         let mut line = TenantQueue::new(tree, 0.0);
@@ -439,7 +473,7 @@
             match what {
                 0 | 1 => {
                     let tenant = leaves[which % 3];
-                    line.enqueue(QueuedRequest { request: next, tenant, class: 0, density: 1.0 / work, work, since: now, never_ran: true }, now);
+                    line.enqueue(QueuedRequest { request: next, tenant, class: 0, density: 1.0 / work, work, received_at: now, never_ran: true }, now);
                     waiting.insert((next, tenant, work.to_bits()));
                     next += 1;
                 }
--- a/crates/tenant-queue/src/wait_estimates.rs
+++ b/crates/tenant-queue/src/wait_estimates.rs
@@ -33,11 +33,11 @@
     /// The wait that is expected.
     pub expected: f64,
     /// Four waits in five are thought to lie between this...
-    pub from: f64,
+    pub lower: f64,
     /// ... and this.
-    pub to: f64,
+    pub upper: f64,
     /// The part of the queue that it was made for, which its error is learned by.
-    pub part: usize,
+    pub queue_part: usize,
 }
 
 /// What an estimate is made from.
@@ -70,7 +70,7 @@
 struct RememberedEstimate {
     made_at: f64,
     expected: f64,
-    part: usize,
+    queue_part: usize,
 }
 
 /// How fast work goes through, and what estimates of waits were worth.
@@ -85,9 +85,9 @@
     /// Those within a fifth of it.
     pub within_a_fifth: u64,
     /// Those within a fifth of it or 20 ms.
-    pub near: u64,
+    pub within_a_fifth_or_20_ms: u64,
     /// Requests that waited without an estimate.
-    pub unknown: u64,
+    pub without_estimate: u64,
 }
 
 impl WaitStatistics {
@@ -98,8 +98,8 @@
             remembered: BTreeMap::new(),
             compared: 0,
             within_a_fifth: 0,
-            near: 0,
-            unknown: 0,
+            within_a_fifth_or_20_ms: 0,
+            without_estimate: 0,
         }
     }
 
@@ -136,11 +136,11 @@
         let off = (truth - expected).abs();
         self.compared += 1;
         self.within_a_fifth += u64::from(off <= GOOD_WITHIN * truth);
-        self.near += u64::from(off <= (GOOD_WITHIN * truth).max(NEAR_WITHIN));
+        self.within_a_fifth_or_20_ms += u64::from(off <= (GOOD_WITHIN * truth).max(NEAR_WITHIN));
     }
 
     fn learn(&mut self, tenant: usize, estimate: &RememberedEstimate, truth: f64) {
-        let errors = &mut self.tenants[tenant].errors[estimate.part];
+        let errors = &mut self.tenants[tenant].errors[estimate.queue_part];
         let ratio = (truth / estimate.expected.max(MIN_WAIT)).ln().clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
         errors.spread.add(ratio.abs(), ERROR_MEMORY);
         // The estimate was corrected by the bias already: what is left of it is learned.
@@ -155,10 +155,10 @@
     /// Remembers an estimate to compare it with the truth.
     pub fn remember(&mut self, request: usize, estimate: Option<WaitEstimate>, now: f64) {
         match estimate {
-            Some(WaitEstimate { expected, part, .. }) if self.remembered.len() < MAX_REMEMBERED => {
-                self.remembered.insert(request, RememberedEstimate { made_at: now, expected, part });
+            Some(WaitEstimate { expected, queue_part, .. }) if self.remembered.len() < MAX_REMEMBERED => {
+                self.remembered.insert(request, RememberedEstimate { made_at: now, expected, queue_part });
             }
-            _ => self.unknown += 1,
+            _ => self.without_estimate += 1,
         }
     }
 
@@ -174,14 +174,14 @@
         let tenant = self.tenants.get(tenant)?;
         // What the tenant had of late while it waited says more than its weight; without that, its share.
         let rate = tenant.rate.per_second(now).unwrap_or(all * ahead.share.max(MIN_SHARE));
-        let part = (ahead.ahead / ahead.queue.max(MIN_QUEUED_WORK) * QUEUE_PARTS as f64) as usize;
-        let part = part.min(QUEUE_PARTS - 1);
-        let errors = &tenant.errors[part];
+        let queue_part = (ahead.ahead / ahead.queue.max(MIN_QUEUED_WORK) * QUEUE_PARTS as f64) as usize;
+        let queue_part = queue_part.min(QUEUE_PARTS - 1);
+        let errors = &tenant.errors[queue_part];
         // It goes once what is ahead has gone, and its own turn has come.
         let uncorrected = (ahead.ahead + 0.5 * work) / rate;
         let expected = uncorrected * errors.bias.with_prior(BIAS_PRIOR).exp();
         let spread = (errors.spread.sum + SPREAD_PRIOR) / (errors.spread.weight + 1.0);
         let factor = (FOUR_IN_FIVE * spread).exp();
-        Some(WaitEstimate { expected, from: expected / factor, to: expected * factor, part })
+        Some(WaitEstimate { expected, lower: expected / factor, upper: expected * factor, queue_part })
     }
 }
--- a/crates/tenant-queue/tests/model.rs
+++ b/crates/tenant-queue/tests/model.rs
@@ -51,7 +51,7 @@
         // Later ones are denser, so that any may be the last.
         let (tenant, now, density) = (1 + request % 2, self.now, 1.0 + request as f64);
         self.line.enqueue(
-            QueuedRequest { request, tenant, class: 0, density, work: 1.0, since: now, never_ran },
+            QueuedRequest { request, tenant, class: 0, density, work: 1.0, received_at: now, never_ran },
             now,
         );
         self.waiting.insert(request);
@@ -77,9 +77,10 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<At> {
-        let tenant = |weight| TenantConfig { weight, most_queued: 1, most_out: 2, ..TenantConfig::default() };
+        let tenant =
+            |weight| TenantConfig { weight, max_queued: 1, max_in_flight: 2, ..TenantConfig::default() };
         let line = TenantQueue::new(
-            vec![TenantConfig { most_queued: 3, ..TenantConfig::default() }, tenant(1.0), tenant(2.0)],
+            vec![TenantConfig { max_queued: 3, ..TenantConfig::default() }, tenant(1.0), tenant(2.0)],
             0.0,
         );
         let none = BTreeSet::new();
@@ -133,7 +134,7 @@
                 next.line.attempt_ended(1 + request % 2, 1.0, 2.0, next.now);
             }
             Step::Displace => {
-                let request = next.line.over_limit()?;
+                let request = next.line.next_to_displace()?;
                 next.line.remove(request);
                 next.waiting.remove(&request);
                 next.displaced.insert(request);
@@ -164,7 +165,7 @@
             }),
             Property::always("no line stays too long while one in it can go", |_, at: &At| {
                 let mut line = at.line.clone();
-                while let Some(request) = line.over_limit() {
+                while let Some(request) = line.next_to_displace() {
                     line.remove(request);
                 }
                 let over = |tenant: usize| line.load(tenant).queued > 1;
--- a/crates/testbed/src/scenarios/tenant_queue.rs
+++ b/crates/testbed/src/scenarios/tenant_queue.rs
@@ -23,7 +23,7 @@
         requests_of.push((tenant, work));
         let density = 1.0 / work;
         line.enqueue(
-            QueuedRequest { request, tenant, class: 0, density, work, since: now, never_ran: true },
+            QueuedRequest { request, tenant, class: 0, density, work, received_at: now, never_ran: true },
             now,
         );
         request
@@ -36,7 +36,7 @@
     for round in 0..rounds {
         let now = f64::from(round) * 1e-3;
         let request = come(&mut line, &mut requests_of, now);
-        let wait = line.wait_of(request, now);
+        let wait = line.estimate_wait_of_queued(request, now);
         line.waits.remember(request, wait, now);
         if let Some(request) = line.next(now) {
             let (tenant, work) = requests_of[request];
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -234,7 +234,7 @@
             class: request.incoming.class,
             density: request.value_density,
             work: request.work,
-            since: request.received_at,
+            received_at: request.received_at,
             never_ran: request.never_ran(),
         };
         self.queue.enqueue(queued, now);
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -199,7 +199,7 @@
         for (id, request) in &mut self.requests.open {
             request.incoming.tenant = tenant_of(*id);
             for _ in request.attempts.iter().filter(|attempt| attempt.in_flight) {
-                self.queue.attempt_in_flight(request.incoming.tenant);
+                self.queue.count_attempt_in_flight(request.incoming.tenant);
             }
         }
         for id in queued {
@@ -339,7 +339,7 @@
             self.reject_or_fail_if_exhausted(now, id, out);
         }
         // If a queue exceeds its tenant's limit, its last request is rejected immediately.
-        while let Some(id) = self.queue.over_limit() {
+        while let Some(id) = self.queue.next_to_displace() {
             self.shed(now, id, out);
         }
         let mut failed_placements = 0;
@@ -363,7 +363,7 @@
     fn report_wait_estimates(&mut self, now: f64, out: &mut dyn ActionWriter) {
         for id in std::mem::take(&mut self.round.received) {
             if self.queue.has_tenants() && self.queue.contains(id) {
-                let wait = self.queue.wait_of(id, now);
+                let wait = self.queue.estimate_wait_of_queued(id, now);
                 self.queue.waits.remember(id, wait, now);
                 out.report_wait_estimate(id, wait);
             }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -67,7 +67,8 @@
     pub(super) fn retry_after(&mut self, now: f64, id: usize) -> Option<f64> {
         let longest = self.deployment.max_retry_after?;
         let RequestState { incoming, work, .. } = &self.requests.open[&id];
-        let wait = self.queue.wait_for(incoming.tenant, *work, now).filter(|_| self.queue.has_tenants());
+        let wait =
+            self.queue.estimate_wait_of_new(incoming.tenant, *work, now).filter(|_| self.queue.has_tenants());
         let Some(wait) = wait else { return Some(longest) };
         let jitter = MIN_JITTER + JITTER_RANGE * fraction(self.random.next());
         Some((jitter * wait.expected).clamp(longest / MIN_RETRY_AFTER_DIVISOR, longest))
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -86,7 +86,7 @@
     }
     fn report_wait_estimate(&mut self, request: usize, wait: Option<WaitEstimate>) {
         self.counts.announced_waits += 1;
-        let wait = wait.map(|wait| (wait.expected, wait.from, wait.to));
+        let wait = wait.map(|wait| (wait.expected, wait.lower, wait.upper));
         self.line(format_args!("waits {request} {wait:?}"));
     }
     fn watch_engine_list(&mut self, on: bool) {
@@ -247,25 +247,20 @@
 
 /// Two tenants of a group and one beside it, all with small queues.
 fn tenants() -> Vec<TenantConfig> {
-    let root = TenantConfig { most_queued: 400, ..TenantConfig::default() };
+    let root = TenantConfig { max_queued: 400, ..TenantConfig::default() };
     let group = TenantConfig { parent: 0, weight: 2.0, ..TenantConfig::default() };
-    let first = TenantConfig {
-        parent: 1,
-        weight: 3.0,
-        most_queued: 60,
-        ageing: Some(0.5),
-        ..TenantConfig::default()
-    };
+    let first =
+        TenantConfig { parent: 1, weight: 3.0, max_queued: 60, ageing: Some(0.5), ..TenantConfig::default() };
     let second = TenantConfig {
         parent: 1,
         budget: Some(Budget { rate: 2.0, burst: 4.0 }),
-        most_out: 12,
+        max_in_flight: 12,
         ..TenantConfig::default()
     };
     let third = TenantConfig {
         parent: 0,
-        most_queued_work: 40.0,
-        order: vec![1.0, 0.0, 2.0],
+        max_queued_work: 40.0,
+        class_boosts: vec![1.0, 0.0, 2.0],
         ..TenantConfig::default()
     };
     vec![root, group, first, second, third]
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -15,7 +15,7 @@
 /// The same, with all that is open moved to one of them.
 fn tenants_moved(host: &mut TestHost, weights: [f64; 2], most_queued: usize, to: usize) {
     use cleatgw::queue::{TenantConfig, TenantQueue};
-    let tenant = |weight| TenantConfig { weight, most_queued, ..TenantConfig::default() };
+    let tenant = |weight| TenantConfig { weight, max_queued: most_queued, ..TenantConfig::default() };
     let line =
         TenantQueue::new(vec![TenantConfig::default(), tenant(weights[0]), tenant(weights[1])], host.now);
     host.gateway.set_tenants(host.now, line, &|_| to);
