--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -18,7 +18,7 @@
 mod write_schedule;
 
 pub use look_back::{valid_history, AgedWork, LookBack, ValidHistory};
-pub use recovery::{Found, InjectedFault, LossReason, Phase, Recovery, Step};
+pub use recovery::{InjectedFault, LossReason, Phase, Recovery, Step, StoreContents};
 pub use snapshot::{IdempotencyRecord, Pieces, SentWork, Snapshot, MAX_IDEMPOTENCY_RECORDS};
 pub use snapshot_time::SnapshotTime;
 pub use write_schedule::{WriteSchedule, MAX_UNPERSISTED_RETRIES};
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -22,7 +22,7 @@
 
 impl Phase {
     /// The word for logs and status.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Phase::Reading => "reading",
             Phase::Proving => "proving",
@@ -36,25 +36,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
     /// There is nothing, or it was set aside by the store.
-    Nothing,
+    NoSnapshot,
     /// The store did not answer in time.
     Timeout,
     /// A piece can't be read.
     Unreadable,
     /// It is of the future: a clock was set back, and no age can be told.
-    Future,
+    FromFuture,
     /// Peers were shown a later epoch: an older copy was put back.
     Outdated,
 }
 
 impl LossReason {
     /// The words for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            LossReason::Nothing => "nothing was kept",
+            LossReason::NoSnapshot => "nothing was kept",
             LossReason::Timeout => "the store did not say in time",
             LossReason::Unreadable => "a piece can't be read",
-            LossReason::Future => "it is of the future",
+            LossReason::FromFuture => "it is of the future",
             LossReason::Outdated => "peers were shown a later one",
         }
     }
@@ -74,7 +74,7 @@
 }
 
 /// What the store found, if anything: its epoch and its pieces.
-pub type Found = Option<(u64, Pieces)>;
+pub type StoreContents = Option<(u64, Pieces)>;
 
 /// Faults for the model checker to find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -83,9 +83,9 @@
     #[default]
     None,
     /// What is found is taken up without being proved.
-    Unproved,
+    EpochNotChecked,
     /// What may have been attempted since the last write is left out.
-    NoUnpersistedRetries,
+    UnpersistedRetriesIgnored,
 }
 
 /// The way of a fresh router to full service.
@@ -143,12 +143,14 @@
     }
 
     /// Takes what the store found. What comes after its time counts for nothing.
-    pub fn store_read(&mut self, found: Found, now: f64) {
+    pub fn store_read(&mut self, found: StoreContents, now: f64) {
         if self.phase != Phase::Reading {
             return;
         }
-        let Some((epoch, pieces)) = found else { return self.lose(LossReason::Nothing, now) };
-        let Some(snapshot) = Snapshot::read(&pieces) else { return self.lose(LossReason::Unreadable, now) };
+        let Some((epoch, pieces)) = found else { return self.lose(LossReason::NoSnapshot, now) };
+        let Some(snapshot) = Snapshot::from_pieces(&pieces) else {
+            return self.lose(LossReason::Unreadable, now);
+        };
         self.found = Some((epoch, snapshot));
         self.enter(Phase::Proving, now);
     }
@@ -159,7 +161,7 @@
     }
 
     /// The next steps, which are to be carried out in this order; `time` is the present one.
-    pub fn turn(&mut self, now: f64, time: &SnapshotTime) -> Vec<Step> {
+    pub fn poll(&mut self, now: f64, time: &SnapshotTime) -> Vec<Step> {
         match self.phase {
             Phase::Reading if now >= self.entered + READ_TIMEOUT => self.lose(LossReason::Timeout, now),
             Phase::Proving => self.prove(now, time),
@@ -170,18 +172,20 @@
     }
 
     fn prove(&mut self, now: f64, time: &SnapshotTime) {
-        let Some((epoch, snapshot)) = &self.found else { return self.lose(LossReason::Nothing, now) };
-        let unproved = self.injected == InjectedFault::Unproved;
+        let Some((epoch, snapshot)) = &self.found else { return self.lose(LossReason::NoSnapshot, now) };
+        let unproved = self.injected == InjectedFault::EpochNotChecked;
         if self.shown.is_some_and(|shown| shown > *epoch) && !unproved {
             return self.lose(LossReason::Outdated, now);
         }
-        let Some(passed) = snapshot.at.elapsed_until(time) else { return self.lose(LossReason::Future, now) };
+        let Some(passed) = snapshot.taken_at.elapsed_until(time) else {
+            return self.lose(LossReason::FromFuture, now);
+        };
         let proved = self.shown.is_some() || !self.has_peers || now >= self.entered + PROVE_TIMEOUT;
         if !proved && !unproved {
             return;
         }
         let mut snapshot = snapshot.clone();
-        if self.injected == InjectedFault::NoUnpersistedRetries {
+        if self.injected == InjectedFault::UnpersistedRetriesIgnored {
             snapshot.unpersisted_retries = 0;
         }
         let valid_history = valid_history(&snapshot, passed, &self.look_back);
@@ -190,7 +194,7 @@
         self.enter(Phase::Full, now);
     }
 
-    /// When [`Recovery::turn`] is to be called next, in seconds; infinite in full service.
+    /// When [`Recovery::poll`] is to be called next, in seconds; infinite in full service.
     pub fn due(&self) -> f64 {
         match self.phase {
             Phase::Reading => self.entered + READ_TIMEOUT,
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SentWork {
     /// A hash of the engine's name.
-    pub name: u64,
+    pub name_hash: u64,
     /// The incarnation of the engine.
     pub incarnation: u32,
     /// How much was sent, in seconds of work.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// When it was taken.
-    pub at: SnapshotTime,
+    pub taken_at: SnapshotTime,
     /// The retries of late, each by its age.
     pub retries: Vec<f64>,
     /// How many retries may be made after it until the next snapshot is written.
@@ -57,23 +57,23 @@
 
 impl Snapshot {
     /// The pieces to be written to the store. What is too much is left out, the oldest first.
-    pub fn write(&self) -> Pieces {
+    pub fn to_pieces(&self) -> Pieces {
         let retries = newest(&self.retries, MAX_RETRIES);
         let slow_start = &self.slow_start[..self.slow_start.len().min(MAX_SLOW_START_ENGINES)];
         let idempotency_records = newest(&self.idempotency_records, MAX_IDEMPOTENCY_RECORDS);
         BTreeMap::from([
-            (RETRIES, encode(&(self.at, retries, self.unpersisted_retries))),
+            (RETRIES, encode(&(self.taken_at, retries, self.unpersisted_retries))),
             (SLOW_START, encode(&slow_start)),
             (IDEMPOTENCY_RECORDS, encode(&idempotency_records)),
         ])
     }
 
     /// Reads the pieces of a store; `None` where one is missing, or holds what no router of this version writes.
-    pub fn read(pieces: &Pieces) -> Option<Snapshot> {
-        let (at, retries, unpersisted_retries) = decode(pieces.get(&RETRIES)?)?;
+    pub fn from_pieces(pieces: &Pieces) -> Option<Snapshot> {
+        let (taken_at, retries, unpersisted_retries) = decode(pieces.get(&RETRIES)?)?;
         let slow_start = decode(pieces.get(&SLOW_START)?)?;
         let idempotency_records = decode(pieces.get(&IDEMPOTENCY_RECORDS)?)?;
-        let snapshot = Snapshot { at, retries, unpersisted_retries, slow_start, idempotency_records };
+        let snapshot = Snapshot { taken_at, retries, unpersisted_retries, slow_start, idempotency_records };
         snapshot.is_sound().then_some(snapshot)
     }
 
@@ -84,8 +84,8 @@
             && self.slow_start.len() <= MAX_SLOW_START_ENGINES
             && self.idempotency_records.len() <= MAX_IDEMPOTENCY_RECORDS
             && self.unpersisted_retries <= MAX_UNPERSISTED_RETRIES
-            && self.at.since_boot.is_finite()
-            && self.at.unix.is_finite()
+            && self.taken_at.since_boot.is_finite()
+            && self.taken_at.unix.is_finite()
             && self.retries.iter().all(|retry| age(*retry))
             && self.slow_start.iter().all(|sent| age(sent.work))
             && self.idempotency_records.iter().all(|record| age(record.age))
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -9,9 +9,9 @@
 }
 
 fn snapshot(at: f64) -> Snapshot {
-    let slow_start = vec![SentWork { name: 3, incarnation: 1, work: 0.5 }];
+    let slow_start = vec![SentWork { name_hash: 3, incarnation: 1, work: 0.5 }];
     Snapshot {
-        at: time(at),
+        taken_at: time(at),
         retries: vec![6.0, 1.0],
         unpersisted_retries: 2,
         slow_start,
@@ -19,19 +19,19 @@
     }
 }
 
-fn found(at: f64, epoch: u64) -> Found {
-    Some((epoch, snapshot(at).write()))
+fn found(at: f64, epoch: u64) -> StoreContents {
+    Some((epoch, snapshot(at).to_pieces()))
 }
 
 /// All steps so far, by a router that found this.
-fn play(found: Found, peers: bool, shown: &[u64], until: f64) -> (Recovery, Vec<Step>) {
+fn play(found: StoreContents, peers: bool, shown: &[u64], until: f64) -> (Recovery, Vec<Step>) {
     let mut recovery = Recovery::new(LOOK_BACK, peers, 100.0);
-    let mut steps = recovery.turn(100.0, &time(100.0));
+    let mut steps = recovery.poll(100.0, &time(100.0));
     recovery.store_read(found, 100.1);
     shown.iter().for_each(|epoch| recovery.peer_saw_epoch(*epoch));
     let mut now = 100.1;
     while now < until {
-        steps.extend(recovery.turn(now, &time(now)));
+        steps.extend(recovery.poll(now, &time(now)));
         now += 0.1;
     }
     (recovery, steps)
@@ -72,16 +72,16 @@
 #[test]
 fn loses_missing_unreadable_late_or_future_state_and_settles() {
     for (found, why) in [
-        (None, LossReason::Nothing),
+        (None, LossReason::NoSnapshot),
         (Some((5, Pieces::from([(RETRIES, vec![1, 2])]))), LossReason::Unreadable),
-        (found(104.0, 5), LossReason::Future),
+        (found(104.0, 5), LossReason::FromFuture),
     ] {
         let (recovery, steps) = play(found, false, &[], 110.3);
         assert!(steps.contains(&Step::Discarded(why)), "{why:?}: {steps:?}");
         assert_eq!(recovery.phase(), Phase::Full, "no window reaches back beyond the start");
     }
     let mut silent = Recovery::new(LOOK_BACK, true, 100.0);
-    assert!(silent.turn(101.1, &time(101.1)).contains(&Step::Discarded(LossReason::Timeout)));
+    assert!(silent.poll(101.1, &time(101.1)).contains(&Step::Discarded(LossReason::Timeout)));
     silent.store_read(found(99.0, 5), 101.2);
     assert_eq!(silent.phase(), Phase::Settling, "too late");
 }
@@ -157,7 +157,7 @@
         idempotency_records: (0..9000).map(|key| IdempotencyRecord { key, age: 1.0 }).collect(),
         ..snapshot(1.0)
     };
-    let read = Snapshot::read(&many.write()).unwrap();
+    let read = Snapshot::from_pieces(&many.to_pieces()).unwrap();
     assert_eq!(
         (read.idempotency_records.len(), read.idempotency_records[0].key),
         (MAX_IDEMPOTENCY_RECORDS, 9000 - MAX_IDEMPOTENCY_RECORDS as u64)
@@ -168,10 +168,10 @@
     #[test]
     fn reads_any_bytes_without_panic(one in proptest::collection::vec(any::<u8>(), 0..200),
                         two in proptest::collection::vec(any::<u8>(), 0..100)) {
-        let _ = Snapshot::read(&Pieces::from([(RETRIES, one.clone()), (SLOW_START, two.clone()), (IDEMPOTENCY_RECORDS, two)]));
-        let mut damaged = snapshot(1.0).write();
+        let _ = Snapshot::from_pieces(&Pieces::from([(RETRIES, one.clone()), (SLOW_START, two.clone()), (IDEMPOTENCY_RECORDS, two)]));
+        let mut damaged = snapshot(1.0).to_pieces();
         damaged.insert(RETRIES, one);
-        if let Some(snapshot) = Snapshot::read(&damaged) {
+        if let Some(snapshot) = Snapshot::from_pieces(&damaged) {
             prop_assert!(valid_history(&snapshot, 1.0, &LOOK_BACK).retries.iter().all(|age| *age >= 0.0));
         }
     }
--- a/crates/recovery/tests/golden_bytes.rs
+++ b/crates/recovery/tests/golden_bytes.rs
@@ -10,12 +10,12 @@
 
 fn snapshot() -> Snapshot {
     Snapshot {
-        at: SnapshotTime { boot: 0x0123_4567_89ab_cdef, since_boot: 86_400.25, unix: 1_800_000_000.5 },
+        taken_at: SnapshotTime { boot: 0x0123_4567_89ab_cdef, since_boot: 86_400.25, unix: 1_800_000_000.5 },
         retries: vec![9.5, 3.25, 0.0],
         unpersisted_retries: 3,
         slow_start: vec![
-            SentWork { name: u64::MAX, incarnation: 7, work: 1.25 },
-            SentWork { name: 4, incarnation: u32::MAX, work: 0.5 },
+            SentWork { name_hash: u64::MAX, incarnation: 7, work: 1.25 },
+            SentWork { name_hash: 4, incarnation: u32::MAX, work: 0.5 },
         ],
         idempotency_records: vec![
             IdempotencyRecord { key: 0xfeed_face_cafe_beef, age: 11.0 },
@@ -30,7 +30,7 @@
 
 #[test]
 fn pieces_have_the_bytes_of_the_former_version_and_are_read_from_them() {
-    let pieces = snapshot().write();
+    let pieces = snapshot().to_pieces();
     expect_file!["golden/pieces.txt"].assert_eq(&text(&pieces));
-    assert_eq!(Snapshot::read(&pieces), Some(snapshot()));
+    assert_eq!(Snapshot::from_pieces(&pieces), Some(snapshot()));
 }
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -85,7 +85,7 @@
         (state.counted, state.assumed) = (Vec::new(), Vec::new());
         state.recovery = recovery;
         let now = state.now;
-        let steps = state.recovery.turn(now, &time(now));
+        let steps = state.recovery.poll(now, &time(now));
         carry_out(state, steps);
         state.recovery.store_read(state.file.clone(), now);
         // A peer says at once what it was shown.
@@ -94,19 +94,19 @@
     }
 
     fn turn(&self, state: &mut State) {
-        let steps = state.recovery.turn(state.now, &time(state.now));
+        let steps = state.recovery.poll(state.now, &time(state.now));
         carry_out(state, steps);
         if state.schedule.begin_if_due(state.now) {
             state.epoch += 1;
             let ages = state.counted.iter().chain(&state.assumed).map(|at| state.now - at);
             let retries = ages.filter(|age| *age < LOOK_BACK.retries).collect();
             let snapshot = Snapshot {
-                at: time(state.now),
+                taken_at: time(state.now),
                 retries,
                 unpersisted_retries: MAX_UNPERSISTED_RETRIES,
                 ..Snapshot::default()
             };
-            state.pending = Some((state.epoch, snapshot.write()));
+            state.pending = Some((state.epoch, snapshot.to_pieces()));
         }
     }
 }
@@ -270,6 +270,6 @@
         let checker = checker.target_state_count(1_000_000).spawn_bfs().join();
         checker.discovery("the budget holds over restarts").is_some()
     };
-    assert!(broken(InjectedFault::NoUnpersistedRetries, Lies::None));
-    assert!(broken(InjectedFault::Unproved, Lies::PutsBack));
+    assert!(broken(InjectedFault::UnpersistedRetriesIgnored, Lies::None));
+    assert!(broken(InjectedFault::EpochNotChecked, Lies::PutsBack));
 }
--- a/crates/router/src/routing/history.rs
+++ b/crates/router/src/routing/history.rs
@@ -35,7 +35,7 @@
     pub fn restore_history(&mut self, now: f64, history: ValidHistory) {
         let retries: Vec<f64> = history.retries.iter().map(|age| now - age).collect();
         let sent = |work: &AgedWork| {
-            let of = EngineIncarnation { name: work.sent.name, incarnation: work.sent.incarnation };
+            let of = EngineIncarnation { name: work.sent.name_hash, incarnation: work.sent.incarnation };
             let is_of = |engine: &&RegisteredEngine| engine_incarnation(&engine.listing) == of;
             let engine = self.state.engines.iter().find(is_of)?.listing.engine;
             Some(SlowStartWork { engine, sent_at: now - work.age, work: work.sent.work })
@@ -59,13 +59,13 @@
         let sent = |engine: &RegisteredEngine| {
             let EngineIncarnation { name, incarnation } = engine_incarnation(&engine.listing);
             let work = self.gateway.evidence(engine.listing.engine, now)?.slow_start_work;
-            (work > 0.0).then_some(SentWork { name, incarnation, work })
+            (work > 0.0).then_some(SentWork { name_hash: name, incarnation, work })
         };
         let slow_start = self.state.engines.iter().filter_map(sent).collect();
         let records = self.state.records.get_or_insert_default();
         records.forget_before(now - look_back.idempotency_records());
         Snapshot {
-            at: taken_at,
+            taken_at,
             retries,
             unpersisted_retries: MAX_UNPERSISTED_RETRIES,
             slow_start,
--- a/crates/router/src/transport/store_writer.rs
+++ b/crates/router/src/transport/store_writer.rs
@@ -26,7 +26,7 @@
 /// What the store's thread reports.
 enum StoreEvent {
     /// What it found at the start.
-    Found(cleatgw_recovery::Found),
+    Found(cleatgw_recovery::StoreContents),
     /// What was there can't be used, and why.
     SetAside(String),
     /// No file can be had, or a write failed.
@@ -243,7 +243,7 @@
     pub fn turn(&mut self, now: f64, unix: f64, epoch_seen: Option<u64>, routing: &mut Routing) -> u64 {
         self.take_events(now);
         self.note_epoch_seen(epoch_seen);
-        for step in self.recovery.turn(now, &snapshot_time(self.boot, unix)) {
+        for step in self.recovery.poll(now, &snapshot_time(self.boot, unix)) {
             self.carry_out(step, now, unix, routing);
         }
         self.log_slowness(now);
@@ -285,7 +285,7 @@
 
     fn leave_snapshot(&mut self, unix: f64, routing: &mut Routing) {
         let snapshot = routing.snapshot(unix, snapshot_time(self.boot, unix));
-        let pending = PendingSnapshot { pieces: snapshot.write(), taken_at: unix };
+        let pending = PendingSnapshot { pieces: snapshot.to_pieces(), taken_at: unix };
         self.mailbox.change(|mailbox| mailbox.pending = Some(pending));
         self.mailbox.filled.notify_one();
     }
@@ -302,10 +302,10 @@
                 );
                 routing.restore_history(unix, history);
             }
-            Step::Discarded(reason) => log::warn!("recovery without what was kept: {}", reason.word()),
+            Step::Discarded(reason) => log::warn!("recovery without what was kept: {}", reason.as_str()),
             Step::Entered(phase) => {
                 let age = self.recovery.age(now);
-                log::info!(phase = phase.word(), after = age; "recovery: {} after {age:.2} s", phase.word());
+                log::info!(phase = phase.as_str(), after = age; "recovery: {} after {age:.2} s", phase.as_str());
             }
         }
     }
@@ -333,7 +333,7 @@
         let last =
             if ago.is_finite() { format!("last put {ago:.2} s ago") } else { "nothing put".to_string() };
         vec![
-            StatusRow::new("coming back", self.recovery.phase().word(), age),
+            StatusRow::new("coming back", self.recovery.phase().as_str(), age),
             StatusRow::new(
                 format!("store {}", self.path.display()),
                 state,
--- a/crates/testbed/src/scenarios/virtual_recovery.rs
+++ b/crates/testbed/src/scenarios/virtual_recovery.rs
@@ -246,14 +246,15 @@
         let (now, time) = (self.now, self.time());
         let router = &mut self.routers[at];
         let (Some(gateway), Some(recovery)) = (&mut router.gateway, &mut router.recovery) else { return };
-        for step in recovery.turn(now, &time) {
+        for step in recovery.poll(now, &time) {
             match step {
                 Step::AssumeLostHistory => gateway.assume_lost_history(now),
                 Step::RestoreHistory(taken) => {
                     let retries: Vec<f64> = taken.retries.iter().map(|age| now - age).collect();
                     let slow_start = taken.slow_start.iter().filter_map(|work| {
                         let (sent, age) = (work.sent, work.age);
-                        let engine = self.engines.iter().find(|one| one.listing.name_hash == sent.name)?;
+                        let engine =
+                            self.engines.iter().find(|one| one.listing.name_hash == sent.name_hash)?;
                         Some(SlowStartWork {
                             engine: engine.listing.engine,
                             sent_at: now - age,
@@ -271,18 +272,18 @@
                 gateway.retries().map(|at| now - at).filter(|age| (0.0..10.0).contains(age)).collect();
             let sent = |engine: &Engine| {
                 let work = gateway.evidence(engine.listing.engine, now)?.slow_start_work;
-                (work > 0.0).then_some(SentWork { name: engine.listing.name_hash, incarnation: 0, work })
+                (work > 0.0).then_some(SentWork { name_hash: engine.listing.name_hash, incarnation: 0, work })
             };
             let slow_start = self.engines.iter().filter_map(sent).collect();
             let snapshot = Snapshot {
-                at: time,
+                taken_at: time,
                 retries,
                 unpersisted_retries: MAX_UNPERSISTED_RETRIES,
                 slow_start,
                 idempotency_records: Vec::new(),
             };
             let epoch = router.disk.as_ref().map_or(0, |(epoch, _)| *epoch) + 1;
-            router.disk = Some((epoch, snapshot.write()));
+            router.disk = Some((epoch, snapshot.to_pieces()));
             router.schedule.finished(true);
         }
         let allowance = router.schedule.retry_allowance(gateway.retries(), 10.0, now);
