--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -124,7 +124,7 @@
     /// Successes, weighted in the same way.
     pub successes: f64,
     /// Work that the sources sent to the engine during its slow start, in seconds. It is not reduced with age, as it
-    /// only makes quotas smaller.
+    /// only makes the share smaller that a router may send.
     pub slow_start_work: f64,
 }
 
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Forgets all observations of a source, when it has failed or reports from a new incarnation.
+    /// Forgets all observations of a source, for when it reports from a new incarnation. A failed source is left out by
+    /// `trusted` in [`PeerDigests::evidence_on`].
     pub fn forget(&mut self, source: u16) {
         self.by_source.remove(&source);
     }
--- a/crates/membership/src/digest/rounds.rs
+++ b/crates/membership/src/digest/rounds.rs
@@ -19,8 +19,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// Exchanges digests between instances whose host only delivers messages, as the simulator does. Each round goes to a
-/// few receivers chosen at random, and is skipped while there are no failures to report.
+/// The rounds of one instance. Each round goes to a few receivers chosen at random, and is skipped while there are no
+/// failures to report.
 #[derive(Debug)]
 pub struct DigestRounds {
     received: PeerDigests,
@@ -29,6 +29,7 @@
     seed: u64,
     /// How many random numbers have been derived from the seed.
     random_draws: u64,
+    /// When the next round is due, in seconds.
     next_round: f64,
 }
 
@@ -56,8 +57,12 @@
         self.received.evidence_on(engine, now, |_| true)
     }
 
-    /// The digest to send now; `None` if no round is due, or there are no failures to report.
-    pub fn due(&mut self, now: f64, observations: impl FnOnce() -> Vec<Observation>) -> Option<DueDigest> {
+    /// The digest to send now; `None` if no round is due, or there are no failures to report. Starts the next round.
+    pub fn digest_to_send(
+        &mut self,
+        now: f64,
+        observations: impl FnOnce() -> Vec<Observation>,
+    ) -> Option<DueDigest> {
         if now < self.next_round || self.instances < 2 {
             return None;
         }
--- a/crates/membership/src/digest/tests.rs
+++ b/crates/membership/src/digest/tests.rs
@@ -90,11 +90,11 @@
 #[test]
 fn round_reports_failures_to_others_and_is_skipped_without_any() {
     let mut rounds = DigestRounds::new(3, 10, 1, 10.0);
-    assert_eq!(rounds.due(10.0, || vec![observation(0, 9)]), None);
+    assert_eq!(rounds.digest_to_send(10.0, || vec![observation(0, 9)]), None);
     let mut reported = Vec::new();
     for step in 0..40 {
         let DueDigest { receivers, bytes } =
-            rounds.due(10.6 + f64::from(step) * 0.6, || vec![observation(2, 0)]).unwrap();
+            rounds.digest_to_send(10.6 + f64::from(step) * 0.6, || vec![observation(2, 0)]).unwrap();
         reported.extend(receivers);
         let mut other = DigestRounds::new(4, 10, 1, 10.0);
         other.receive(3, &bytes, 10.7).unwrap();
--- a/crates/membership/src/direct_probe.rs
+++ b/crates/membership/src/direct_probe.rs
@@ -27,7 +27,7 @@
 const ROUTERS_PER_SUSPICION: usize = 50;
 const MIN_RECENT_SUSPICIONS: usize = 2;
 /// A router that others have heard within this time is alive, even if this router does not hear it. Seconds.
-const HEARD_RECENTLY: f64 = 1.0;
+const RECENT_CONTACT: f64 = 1.0;
 
 /// The most routers that one indirect probe, or the answer to it, may name.
 pub const MAX_NAMED: usize = MAX_PROBES;
@@ -64,6 +64,7 @@
     probed: BTreeMap<u16, Probed>,
     /// When routers were recently suspected, or failed without a suspicion.
     suspicions: Vec<f64>,
+    /// When the next turn is due, in seconds.
     next_turn: f64,
 }
 
@@ -96,7 +97,7 @@
 
     /// Handles the answer to an indirect probe: another router heard `router` so many seconds ago.
     pub fn heard_by_other(&mut self, router: u16, ago: f64) {
-        if ago < HEARD_RECENTLY {
+        if ago < RECENT_CONTACT {
             self.probed.remove(&router);
         }
     }
@@ -119,6 +120,7 @@
                 if heard_any_at > probed.first_at {
                     actions.suspect.push(peer.router);
                 }
+                // Not kept in `still_probed`, so that probes of this router start anew.
                 continue;
             }
             if due && actions.probe.len() < MAX_PROBES {
--- a/crates/membership/src/leader.rs
+++ b/crates/membership/src/leader.rs
@@ -18,8 +18,9 @@
 /// How often the first candidate requests a lease that it does not hold, in seconds. The interval of each next
 /// candidate is longer by the same time.
 const REQUEST_INTERVAL: f64 = 0.25;
-/// The rank beyond which the interval no longer grows.
-const MAX_RANK_DELAY: usize = 8;
+/// The rank beyond which the interval no longer grows. Routers beyond the candidates request nothing, but check at
+/// this interval whether they have become candidates.
+const MAX_RANK_FOR_INTERVAL: usize = 8;
 /// A lease is extended once this fraction of its term has passed, which leaves time for two failed attempts before it
 /// expires.
 const RENEW_AFTER: f64 = 0.4;
@@ -27,8 +28,8 @@
 /// The resource of a role's lease. It depends on the name alone, so that routers whose cluster files list the roles in
 /// different orders agree.
 pub fn role_resource(name: &str) -> Resource {
-    // CRC-32 gives the same number in every build. Roles use the upper half of the numbers, other resources the lower
-    // half.
+    // CRC-32 gives the same number in every build, so that all builds contend for the same lease. Roles use the upper
+    // half of the numbers, other resources the lower half.
     crc32fast::hash(name.as_bytes()) | 1 << 31
 }
 
@@ -106,7 +107,7 @@
                 None => {
                     let rank = rank(self.cluster, role.resource, candidate.me, candidate.present);
                     take_over(role.resource, rank, candidate, leases, now);
-                    REQUEST_INTERVAL * (1.0 + rank.min(MAX_RANK_DELAY) as f64)
+                    REQUEST_INTERVAL * (1.0 + rank.min(MAX_RANK_FOR_INTERVAL) as f64)
                 }
             };
             role.next_request = now + interval * jitter;
@@ -142,7 +143,8 @@
     }
 }
 
-/// How many of the present routers are ranked ahead of router `me` for a resource.
+/// How many of the present routers are ranked ahead of router `me` for a resource. If routers ranked differently,
+/// more of them would request the lease, but still only one would hold it.
 pub fn rank(cluster: u64, resource: Resource, me: u16, present: &[u16]) -> usize {
     let weight = |router: u16| {
         let mut hasher = DefaultHasher::new();
--- a/crates/membership/src/lease/grantor.rs
+++ b/crates/membership/src/lease/grantor.rs
@@ -53,7 +53,7 @@
             Message::Refuse { resource, epoch, promised: grant.promised }
         } else {
             grant.promised = epoch;
-            Message::Promise { resource, epoch, held: grant.holder(now) }
+            Message::Promise { resource, epoch, holder: grant.holder(now) }
         };
         self.reply(from, reply, now);
     }
--- a/crates/membership/src/lease/message.rs
+++ b/crates/membership/src/lease/message.rs
@@ -20,7 +20,7 @@
         /// The epoch of the attempt.
         epoch: Epoch,
         /// The router to which this grantor has granted the lease; `None` if there is no unexpired grant.
-        held: Option<u16>,
+        holder: Option<u16>,
     },
     /// Phase two: a majority has promised, and the requester asks for the grants.
     Propose {
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -5,7 +5,8 @@
 //! **Assumptions**
 //!
 //! - Times of different routers' clocks are never compared. Only the rates of the clocks are bounded: one second of
-//!   one router's clock is at most `1 + 2 * DRIFT` seconds of another's.
+//!   one router's clock is taken to be at most `1 + 2 * DRIFT` seconds of another's. This is the first-order value of
+//!   the ratio `(1 + DRIFT) / (1 - DRIFT)` of two clocks at opposite bounds.
 //! - Steps of the Unix clock do not matter, as leases do not read it.
 //! - A grantor that has lost its memory in a restart grants nothing for [`MAX_TERM`] (and the drift) after its start.
 //! - A holder checks [`Leases::held_epoch`] before each use, in the same turn, and a use takes effect within
@@ -25,7 +26,7 @@
 use requester::Attempt;
 use std::collections::BTreeMap;
 
-/// The fraction by which the rate of a clock may differ from true time.
+/// The fraction by which the rate of a clock may differ from true time. See the assumptions above.
 pub const DRIFT: f64 = 0.01;
 /// The term of a lease on the grantor's clock, in seconds. A resource stays unused for up to this time after its
 /// holder has died.
@@ -65,7 +66,8 @@
 pub struct Leases {
     me: u16,
     expected: usize,
-    /// Nothing is granted before this time, in seconds: by then all grants of earlier incarnations have expired.
+    /// Nothing is granted before this time, in seconds: by then all grants of earlier runs of this process have
+    /// expired.
     grants_from: f64,
     /// The high bits of the latest epoch that this router has used, or has seen promised.
     counter: u64,
@@ -93,7 +95,7 @@
 
 impl Leases {
     /// The lease state of router `me`, of `expected` routers, at its start. `counter` must be larger than in any
-    /// earlier incarnation, as the Unix time of the start in milliseconds is.
+    /// earlier run, as the Unix time of the start in milliseconds is.
     pub fn new(me: u16, expected: usize, counter: u64, now: f64) -> Leases {
         Leases {
             me,
@@ -174,7 +176,9 @@
             Message::Prepare { resource, epoch } => self.on_prepare(from, resource, epoch, now),
             Message::Propose { resource, epoch } => self.on_propose(from, resource, epoch, now),
             Message::Release { resource, epoch } => self.on_release(from, resource, epoch),
-            Message::Promise { resource, epoch, held } => self.on_promise(from, resource, epoch, held, now),
+            Message::Promise { resource, epoch, holder } => {
+                self.on_promise(from, resource, epoch, holder, now)
+            }
             Message::Accept { resource, epoch } => self.on_accept(from, resource, epoch, now),
             Message::Refuse { resource, epoch, promised } => self.on_refuse(resource, epoch, promised),
         }
@@ -189,7 +193,7 @@
     }
 
     /// The whole state that later behaviour depends on, as text by which a model checker identifies states.
-    pub fn digest(&self) -> String {
+    pub fn state_text(&self) -> String {
         format!("{:?}", (self.grants_from, self.counter, &self.grants, &self.attempts, &self.held))
     }
 }
--- a/crates/membership/src/lease/requester.rs
+++ b/crates/membership/src/lease/requester.rs
@@ -89,6 +89,7 @@
     /// Handles a refusal: raises the counter so that the next attempt has a later epoch than the promised one, and
     /// abandons the refused attempt.
     pub(super) fn on_refuse(&mut self, resource: Resource, epoch: Epoch, promised: Epoch) {
+        // The counter is limited, so that a refusal with an absurdly large epoch can't make the next epoch overflow.
         let promised_counter = promised >> super::ROUTER_BITS;
         self.counter = self.counter.max(promised_counter.min(crate::MAX_GENERATION >> super::ROUTER_BITS));
         if self.attempts.get(&resource).is_some_and(|attempt| attempt.epoch() == epoch) {
--- a/crates/membership/src/lease/tests.rs
+++ b/crates/membership/src/lease/tests.rs
@@ -118,12 +118,13 @@
 }
 
 #[test]
-fn bounds_memory_for_invented_resources() {
+fn bounds_memory_for_invented_resources_and_survives_a_refusal_with_the_largest_epoch() {
     let mut router = Leases::new(0, 3, 0, 0.0);
     for resource in 0..5000 {
         router.receive(1, Message::Prepare { resource, epoch: 1 << 16 | 1 }, 10.0);
     }
     assert_eq!(router.grants.len(), MAX_RESOURCES);
+    // A refusal with the largest epoch must not make the epoch of the next request overflow.
     router.receive(1, Message::Refuse { resource: 1, epoch: 1, promised: u64::MAX }, 10.0);
     router.request(1, 10.0);
     assert_eq!(router.held_epoch(1, 10.0), None);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,9 +8,10 @@
 //! - [`digest`] encodes what routers report to each other about engines.
 //! - [`wire`] defines the datagram format.
 //!
-//! This crate does no I/O. The host passes in received bytes, a seed, and the time in seconds of a monotonic clock. It
-//! sends what [`Membership::take_outgoing`] returns, and calls [`Membership::turn`], one pass over everything that is
-//! due, at the time that [`Membership::due`] returns. Design: `docs/design/members.md`.
+//! This crate does no I/O. The host, the program that embeds it, passes in received bytes, a seed, and the time in
+//! seconds of a monotonic clock. It sends what [`Membership::take_outgoing`] returns, and calls [`Membership::turn`],
+//! one pass over everything that is due, at the time that [`Membership::due`] returns. Design:
+//! `docs/design/members.md`.
 //!
 //! Membership takes no part in routing: it does not decide where a request goes, and no request waits for it.
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -65,7 +65,8 @@
     pub(crate) view: ViewDigest,
     /// When it reported that view.
     pub(crate) view_at: f64,
-    /// Since when its view has differed from this router's; `None` while they agree.
+    /// Since when its view has differed from this router's; `None` while they agree, and after a change of this
+    /// router's view until the member reports again.
     pub(crate) view_differs_since: Option<f64>,
     /// Whether it has announced that it is leaving.
     pub(crate) leaving: bool,
@@ -132,10 +133,12 @@
     pub suspicions_of_others: u64,
     /// Suspicions of this router that it has refuted.
     pub refutations: u64,
-    /// New incarnations that this router had to begin because others considered it down.
+    /// New incarnations that the library `foca` began for this router, as others had declared it down. Those that
+    /// this crate begins by itself, on a report in an envelope or for a planned leave, are not counted.
     pub new_incarnations: u64,
     /// Reports from others that a router is down that were overruled because this router still hears it.
     pub contradicted: u64,
-    /// Pauses of this process: turns that came late by more than the tolerated delay.
+    /// Pauses of this process: turns or datagrams that were handled more than 0.75 s (`MIN_PAUSE`) after the next
+    /// turn was due.
     pub pauses: u64,
 }
--- a/crates/membership/src/membership/leases.rs
+++ b/crates/membership/src/membership/leases.rs
@@ -56,8 +56,8 @@
 
     /// Releases the leases of all roles, so that other routers need not wait until they expire.
     pub(super) fn release_roles(&mut self, now: f64) {
-        let held: Vec<Resource> = self.roles.resources().collect();
-        for resource in held {
+        let resources: Vec<Resource> = self.roles.resources().collect();
+        for resource in resources {
             self.leases.release(resource, now);
         }
     }
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -31,7 +31,9 @@
     members: Vec<Member>,
     swim: Swim,
     adopt_later_incarnation: bool,
-    /// The epoch of the last write to this router's own store.
+    /// The epoch of the last write to this router's own store. The store is the host's persistent store, whose epoch
+    /// increases with its writes. Peers report the latest epoch that they have seen, by which the host checks after a
+    /// restart how recent its stored data are.
     store_epoch: u64,
     /// The latest epoch of this router's store that another router has seen; `None` until one has reported it.
     store_epoch_seen_by_peers: Option<u64>,
@@ -49,7 +51,7 @@
     started_at: f64,
     /// When the last pause ended; minus infinity if there was none.
     resumed_at: f64,
-    /// Whether a majority has been present since the start.
+    /// Whether a majority was present at any time since the start.
     formed: bool,
     /// When the planned leave of this router began; `None` while it stays.
     leaving_since: Option<f64>,
@@ -60,7 +62,9 @@
     random_draws: u64,
     /// The routers that have not been sent a heartbeat in this round yet; the next one is at the end.
     heartbeat_round: Vec<u16>,
-    update_states_at: f64,
+    /// States are updated in the first turn at or after this time. A turn for the update alone is requested only
+    /// [`observe::STATE_UPDATE_INTERVAL`] later.
+    earliest_update_at: f64,
     heartbeat_at: f64,
     announce_at: f64,
     /// When the next turn is expected, as `due` last returned it. A later turn reveals a pause.
@@ -69,8 +73,9 @@
     view: ViewDigest,
 }
 
-/// The hash that ties datagrams to a cluster: over the cluster's name and the names of its routers, in the order of the
-/// cluster file.
+/// The hash that ties datagrams to a cluster: over the cluster's name and the names of its routers, in the order of
+/// the cluster file. Routers with different hashes drop each other's datagrams, so two builds that hash differently
+/// can't form one cluster.
 pub fn cluster_hash<'a>(name: &str, routers: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
@@ -123,7 +128,7 @@
             seed,
             random_draws: 0,
             heartbeat_round: Vec::new(),
-            update_states_at: now,
+            earliest_update_at: now,
             heartbeat_at: now,
             announce_at: now,
             turn_expected_at: now,
@@ -169,8 +174,8 @@
         if now >= self.roles.due() {
             self.request_roles(now);
         }
-        if now >= self.update_states_at {
-            self.update_states_at = now + observe::STATE_UPDATE_INTERVAL;
+        if now >= self.earliest_update_at {
+            self.earliest_update_at = now + observe::STATE_UPDATE_INTERVAL;
             self.swim.expire_suspicions(now);
             self.update_states(now);
         }
@@ -213,7 +218,7 @@
             .iter()
             .enumerate()
             .filter(|(_, member)| member.state.counts_as_present())
-            .map(|(at, _)| at)
+            .map(|(router, _)| router)
     }
 
     /// Begins the planned leave of this router and announces it to the others from now on.
@@ -222,7 +227,7 @@
             return;
         }
         self.leaving_since = Some(now);
-        let generation = self.swim.me().generation;
+        let generation = self.swim.incarnation().generation;
         self.swim.begin_incarnation(generation + 1, true, now);
         self.heartbeat_round.clear();
         self.heartbeat_at = now;
@@ -231,8 +236,8 @@
         self.release_roles(now);
     }
 
-    /// Sets what this router has observed of engines, for the next digests. The most important come first, as a
-    /// digest is limited in size.
+    /// Sets what this router has observed of engines, for the next digests. The caller puts the most important first,
+    /// as a digest is limited in size.
     pub fn set_observations(&mut self, observations: Vec<Observation>) {
         self.observations = observations;
     }
@@ -258,8 +263,8 @@
 
     /// When [`Membership::turn`] is to be called next, in seconds of the host's clock.
     pub fn due(&self) -> f64 {
-        let next_update_at = self.update_states_at + observe::STATE_UPDATE_INTERVAL;
-        let own = self.heartbeat_at.min(self.announce_at).min(next_update_at).min(self.probes.due());
+        let latest_update_at = self.earliest_update_at + observe::STATE_UPDATE_INTERVAL;
+        let own = self.heartbeat_at.min(self.announce_at).min(latest_update_at).min(self.probes.due());
         self.swim.due().min(own).min(self.roles.due())
     }
 
@@ -268,8 +273,8 @@
         self.store_epoch = self.store_epoch.max(epoch);
     }
 
-    /// The latest epoch of this router's store that another router has seen from this incarnation or an earlier one;
-    /// `None` until one has reported it.
+    /// The latest epoch of this router's store that another router has seen from this run of the process or an
+    /// earlier one; `None` until one has reported it.
     pub fn store_epoch_seen_by_peers(&self) -> Option<u64> {
         self.store_epoch_seen_by_peers
     }
--- a/crates/membership/src/membership/observe.rs
+++ b/crates/membership/src/membership/observe.rs
@@ -31,7 +31,7 @@
                 self.set_state(router, state, incarnation.generation, now);
             }
         }
-        self.members[usize::from(self.me)].generation = self.swim.me().generation;
+        self.members[usize::from(self.me)].generation = self.swim.incarnation().generation;
         self.update_view();
         self.formed |= usize::from(self.view.present) >= view::majority(self.members.len());
         self.standing = view::standing(&self.view_inputs(now));
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Updates the digest of the routers that are present. If it has changed, the times since when other views differ
-    /// from it start anew.
+    /// Updates the digest of the routers that are present. If it has changed, the differences of other routers'
+    /// views are timed anew.
     fn update_view(&mut self) {
         let mut hasher = DefaultHasher::new();
         let present = self.present().inspect(|router| router.hash(&mut hasher)).count();
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -12,8 +12,8 @@
 /// Probes from one router are answered no more often than this, in seconds, so that several of one round get one
 /// answer.
 const ANSWER_INTERVAL: f64 = 0.05;
-/// A router that has run at least this much longer than this one knows of this router's earlier incarnations, in
-/// seconds. Routers that were started together know only what they report to each other.
+/// A router that has run at least this much longer than this process knows of this router's earlier runs, in seconds.
+/// Routers that were started together know only what they report to each other.
 const MIN_HEAD_START: f64 = 1.0;
 /// If this many later incarnations of this router were reported, the last of them within the window (in seconds),
 /// another process uses this router's name.
@@ -38,7 +38,7 @@
 
     fn handle_datagram(&mut self, from: usize, bytes: &[u8], now: f64) -> Result<(), DropReason> {
         let (envelope, body) = wire::read(bytes)?;
-        self.check_addressing(from, &envelope)?;
+        self.check_envelope(from, &envelope)?;
         self.note_contact(from, &envelope, now)?;
         self.note_store_epochs(from, &envelope, now);
         self.note_view(from, &envelope, now);
@@ -57,8 +57,9 @@
         }
     }
 
-    /// Checks that the datagram belongs to this cluster, comes from this sender, and is addressed to this router.
-    fn check_addressing(&self, from: usize, envelope: &Envelope) -> Result<(), DropReason> {
+    /// Checks that the datagram belongs to this cluster, comes from this sender, and is addressed to this router, and
+    /// that its generations are within the limit.
+    fn check_envelope(&self, from: usize, envelope: &Envelope) -> Result<(), DropReason> {
         if envelope.cluster != self.cluster {
             return Err(DropReason::OtherCluster);
         }
@@ -88,21 +89,24 @@
         }
         member.heard_at = now;
         member.leaving = envelope.leaving;
-        if envelope.heard_ago < u16::MAX && envelope.receiver_generation == self.swim.me().generation {
+        if envelope.heard_ago < u16::MAX && envelope.receiver_generation == self.swim.incarnation().generation
+        {
             member.heard_us_at = now - f64::from(envelope.heard_ago) * HEARD_UNIT;
         }
         Ok(())
     }
 
     /// Records the sender's store epoch. Also records which epoch of this router's store the sender has seen, but
-    /// only if the sender was running before this incarnation started, and knows this incarnation.
+    /// only if the sender was running before this process started, and knows its current incarnation.
     fn note_store_epochs(&mut self, from: usize, envelope: &Envelope, now: f64) {
         let member = &mut self.members[from];
+        // Reported epochs are limited in the same way as generations.
         member.store_epoch = member.store_epoch.max(envelope.store_epoch.min(MAX_GENERATION));
-        let knows_this_incarnation = envelope.receiver_generation == self.swim.me().generation;
+        let knows_this_incarnation = envelope.receiver_generation == self.swim.incarnation().generation;
         if knows_this_incarnation && f64::from(envelope.age) > now - self.started_at + MIN_HEAD_START {
-            let shown = envelope.receiver_store_epoch.min(MAX_GENERATION);
-            self.store_epoch_seen_by_peers = Some(self.store_epoch_seen_by_peers.unwrap_or(0).max(shown));
+            let seen_epoch = envelope.receiver_store_epoch.min(MAX_GENERATION);
+            self.store_epoch_seen_by_peers =
+                Some(self.store_epoch_seen_by_peers.unwrap_or(0).max(seen_epoch));
         }
     }
 
@@ -123,14 +127,19 @@
         let leaving = self.leaving_since.is_some();
         // The sender knows a later incarnation: this router's Unix clock was set back before its start, or another
         // process uses its name.
-        if envelope.receiver_generation > self.swim.me().generation && self.adopt_later_incarnation {
+        if envelope.receiver_generation > self.swim.incarnation().generation && self.adopt_later_incarnation {
             self.later_incarnations_seen.retain(|at| now < at + NAME_CONFLICT_WINDOW);
+            // From this number on the standing is `NameConflict`, and no further incarnation is begun: two processes
+            // with the same name would otherwise outbid each other without end.
             if self.later_incarnations_seen.len() < NAME_CONFLICT_INCARNATIONS {
                 self.later_incarnations_seen.push(now);
                 self.swim.begin_incarnation(envelope.receiver_generation.saturating_add(1), leaving, now);
             }
         }
-        if envelope.receiver_failed && envelope.receiver_generation == self.swim.me().generation && !leaving {
+        if envelope.receiver_failed
+            && envelope.receiver_generation == self.swim.incarnation().generation
+            && !leaving
+        {
             self.swim.begin_incarnation(envelope.receiver_generation + 1, false, now);
         }
     }
--- a/crates/membership/src/membership/send.rs
+++ b/crates/membership/src/membership/send.rs
@@ -7,14 +7,16 @@
 use crate::member::State;
 use crate::wire::{self, Envelope, Kind, HEARD_UNIT};
 
-/// The time between two rounds of heartbeats, in seconds.
+/// The time between two sends of heartbeats, each to [`HEARTBEAT_FANOUT`] routers, in seconds.
 pub(super) const HEARTBEAT_INTERVAL: f64 = 0.25;
 /// How many other routers are sent a heartbeat each time.
 const HEARTBEAT_FANOUT: usize = 2;
-/// How often a router that is not present is contacted to find out whether it is back, in seconds.
-const ANNOUNCE_INTERVAL: f64 = 0.5;
-/// How many other routers are asked whether they hear the silent ones.
-const INDIRECT_PROBES: usize = 3;
+/// How often a router that is not present is contacted to find out whether it is back, in seconds. Unlike the
+/// announcements of the library `foca`, these also go to routers that have not been heard of yet.
+const ANNOUNCE_TO_ABSENT_INTERVAL: f64 = 0.5;
+/// How many other routers are sent an indirect probe that names the silent ones. The library's own indirect probes
+/// have a setting of their own.
+const INDIRECT_PROBE_FANOUT: usize = 3;
 /// A router counts as heard at least until this time has passed since its last datagram, in seconds.
 const MIN_SILENCE: f64 = 2.0;
 
@@ -33,7 +35,7 @@
     /// Asks one router that is not present for its member list. By this request it learns that this router is running.
     pub(super) fn announce_to_an_absent_router(&mut self, now: f64) {
         // Randomized, so that many routers that were cut off together do not send at the same time.
-        self.announce_at = now + ANNOUNCE_INTERVAL * (0.75 + 0.5 * self.random_fraction());
+        self.announce_at = now + ANNOUNCE_TO_ABSENT_INTERVAL * (0.75 + 0.5 * self.random_fraction());
         let absent: Vec<u16> = (0..self.members.len())
             .filter(|router| !self.members[*router].state.counts_as_present())
             .map(|router| router as u16)
@@ -78,7 +80,9 @@
         let peer = |router: usize| {
             let member = &self.members[router];
             let suspected = member.state == State::Suspected;
-            // A router that was never heard counts as silent since it entered its current state.
+            // Silence counts from the last datagram, or from when the router entered its state if that is later, so
+            // that one that was never heard has time to send. For a suspected router only the last datagram counts,
+            // as its state began with the suspicion.
             let heard_at = if suspected { member.heard_at } else { member.heard_at.max(member.state_since) };
             Peer { router: router as u16, heard_at, suspected }
         };
@@ -93,7 +97,7 @@
             .filter(|router| *router != self.me && !silent_routers.contains(router))
             .collect();
         let bytes = postcard::to_extend(silent_routers, Vec::new()).unwrap_or_default();
-        for _ in 0..INDIRECT_PROBES.min(others.len()) {
+        for _ in 0..INDIRECT_PROBE_FANOUT.min(others.len()) {
             let other = others[(self.random() % others.len() as u64) as usize];
             self.send(other, Kind::IndirectProbe, &bytes, now);
         }
@@ -111,9 +115,9 @@
         if self.heartbeat_round.is_empty() {
             self.heartbeat_round =
                 (0..self.members.len() as u16).filter(|router| *router != self.me).collect();
-            for at in (1..self.heartbeat_round.len()).rev() {
-                let other = (self.random() % (at as u64 + 1)) as usize;
-                self.heartbeat_round.swap(at, other);
+            for index in (1..self.heartbeat_round.len()).rev() {
+                let other = (self.random() % (index as u64 + 1)) as usize;
+                self.heartbeat_round.swap(index, other);
             }
         }
         self.heartbeat_round.pop()
@@ -137,7 +141,7 @@
             cluster: self.cluster,
             from: self.me,
             to,
-            generation: self.swim.me().generation,
+            generation: self.swim.incarnation().generation,
             // If the receiver's incarnation is older than the latest one known under its name, this informs it of
             // that one.
             receiver_generation: heard_generation.max(member.generation),
--- a/crates/membership/src/swim/codec.rs
+++ b/crates/membership/src/swim/codec.rs
@@ -1,4 +1,4 @@
-//! The message codec for the library, which checks reports from others against what this router itself receives.
+//! The message codec for the library `foca`, which checks reports from others against what this router itself receives.
 
 use super::{Contacts, Incarnation, MAX_GENERATION};
 use bytes::{Buf, BufMut};
@@ -37,7 +37,7 @@
         let incarnation = *member.id();
         check_incarnation(&incarnation)?;
         let contacts = self.contacts.borrow();
-        if !contacts.knows(incarnation.router) {
+        if !contacts.is_in_cluster(incarnation.router) {
             return Err(postcard::Error::SerdeDeCustom);
         }
         let failed = member.state() == State::Down && !incarnation.leaving && incarnation.router != self.me;
--- a/crates/membership/src/swim/contacts.rs
+++ b/crates/membership/src/swim/contacts.rs
@@ -6,6 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Contact {
     generation: u64,
+    /// When it was received, in seconds.
     at: f64,
 }
 
@@ -21,31 +22,32 @@
 
 impl Contacts {
     /// A router that was heard within this time is alive, whatever others report. Seconds.
-    pub(super) const RECENT: f64 = 1.0;
-    /// By how much the time in which every router is heard grows per router in the cluster: three times what gossip
-    /// takes. Seconds.
-    const RECENT_PER_ROUTER: f64 = 0.1;
+    pub(super) const RECENT_CONTACT: f64 = 1.0;
+    /// By how much the time in which every live router sends something to this one grows with each router in the
+    /// cluster. Gossip alone goes to three routers every 0.1 s, which makes 0.033 s per router; this is three times
+    /// that. Seconds.
+    const ROUND_PER_ROUTER: f64 = 0.1;
 
     pub(super) fn new(routers: usize, enabled: bool, now: f64) -> Contacts {
         Contacts { now, enabled, last: vec![None; routers] }
     }
 
-    pub(super) fn knows(&self, router: u16) -> bool {
+    pub(super) fn is_in_cluster(&self, router: u16) -> bool {
         usize::from(router) < self.last.len()
     }
 
     /// Whether the router was heard so recently, in this incarnation or a later one, that it can't be down.
     pub(super) fn refutes(&self, incarnation: &Incarnation) -> bool {
         let recent = |contact: Contact| {
-            contact.generation >= incarnation.generation && self.now - contact.at < Self::RECENT
+            contact.generation >= incarnation.generation && self.now - contact.at < Self::RECENT_CONTACT
         };
         self.enabled && self.contact(incarnation.router).is_some_and(recent)
     }
 
     /// Whether the router was heard within the time in which every live router sends something to this one.
-    pub(super) fn heard_lately(&self, router: u16) -> bool {
-        let lately = (self.last.len() as f64 * Self::RECENT_PER_ROUTER).max(Self::RECENT);
-        self.contact(router).is_some_and(|contact| self.now - contact.at < lately)
+    pub(super) fn heard_within_a_round(&self, router: u16) -> bool {
+        let round = (self.last.len() as f64 * Self::ROUND_PER_ROUTER).max(Self::RECENT_CONTACT);
+        self.contact(router).is_some_and(|contact| self.now - contact.at < round)
     }
 
     fn contact(&self, router: u16) -> Option<Contact> {
--- a/crates/membership/src/swim/health.rs
+++ b/crates/membership/src/swim/health.rs
@@ -55,8 +55,8 @@
 
     /// Updates the score at the end of a probe period. The score worsens if nothing was received for long, if the
     /// timer ran late, or if two different routers in a row did not answer although they were heard recently: in
-    /// these cases the fault may be this router's own. Routers that were not heard at all do not count, however many
-    /// they are, as they may be dead. The score improves if the probe was answered.
+    /// these cases the fault may be this router's own. Routers that were not heard recently do not count, however
+    /// many they are, as they may be dead. The score improves if the probe was answered.
     pub(super) fn probe_ended(&mut self, end: ProbeEnd) {
         let late = end.now - end.due > Self::MAX_TIMER_DELAY;
         let receives_nothing = end.now - self.heard_at > Self::MAX_RECEIVE_GAP;
--- a/crates/membership/src/swim/incarnation.rs
+++ b/crates/membership/src/swim/incarnation.rs
@@ -3,14 +3,15 @@
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// One incarnation of a router. An incarnation begins when the router starts, and when others consider it failed
-/// although it is alive. The order of the fields is the wire format.
+/// One incarnation of a router. A new incarnation begins when the router starts, when it begins a planned leave, when
+/// others consider it failed although it is alive, and when others know a later incarnation than its own. The order
+/// of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The index of the router in the cluster file.
     pub router: u16,
-    /// Increases with each incarnation: the Unix time of the start in milliseconds, or a larger number if others
-    /// already know a later incarnation.
+    /// The number of the incarnation: the Unix time of the start in milliseconds, and larger with each further
+    /// incarnation.
     pub generation: u64,
     /// Whether the router leaves as planned in this incarnation, so that its silence is not a failure.
     pub leaving: bool,
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,6 +1,6 @@
 //! The failure detector: SWIM with suspicion (Das, Gupta and Motivala, 2002), implemented by the library `foca`. This
-//! module supplies what the library expects of its host: the time, message transport, and randomness. It also adds
-//! two defences against false failures, in the codec and the timers that the library leaves to its host:
+//! module supplies what the library expects of its caller: the time, message transport, and randomness. It also adds
+//! two defences against false failures, in the codec and the timers that the library leaves to its caller:
 //!
 //! - **Local health** (Dadgar, Phillips and Currey, 2018): the timers are stretched while there is evidence that this
 //!   router itself is slow, or does not receive its datagrams.
@@ -21,7 +21,7 @@
 pub use incarnation::{Incarnation, MAX_GENERATION};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use runtime::HostRuntime;
+use runtime::DetectorRuntime;
 pub use settings::{Defences, DetectorSettings};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -56,7 +56,8 @@
 pub struct DetectorCounters {
     /// Suspicions of this router that it has refuted.
     pub refutations: u64,
-    /// New incarnations that this router had to begin because others considered it down.
+    /// New incarnations that the library `foca` began for this router, as others had declared it down. Those begun by
+    /// [`Swim::begin_incarnation`] are not counted.
     pub new_incarnations: u64,
     /// Reports from others that a router is down that were overruled because this router still hears it.
     pub contradicted: u64,
@@ -75,7 +76,7 @@
 /// The failure detector of one router.
 pub struct Swim {
     foca: Foca<Incarnation, EvidenceCodec, SmallRng, NoCustomBroadcast>,
-    runtime: HostRuntime,
+    runtime: DetectorRuntime,
     pub(crate) contacts: Rc<RefCell<Contacts>>,
     contradicted: Rc<RefCell<u64>>,
     me: u16,
@@ -95,7 +96,7 @@
         let health = LocalHealth::new(settings.defences.local_health);
         Swim {
             foca: Foca::new(me, settings.foca_config(routers), SmallRng::seed_from_u64(seed), codec),
-            runtime: HostRuntime::new(health, now),
+            runtime: DetectorRuntime::new(health, now),
             contacts,
             contradicted,
             me: me.router,
@@ -105,7 +106,7 @@
     }
 
     /// The current incarnation of this router.
-    pub fn me(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         *self.foca.identity()
     }
 
@@ -152,8 +153,10 @@
             self.runtime.health.awaited.take_if(|awaited| answers == Some(*awaited));
         }
         match self.foca.handle_data(bytes, &mut self.runtime) {
-            // Not malformed: the message was for a previous incarnation of this router, or reports this router itself.
+            // A message for an earlier incarnation of this router, or with nothing new, is also accepted.
+            // `DataFromOurselves`: the sender has this router's own number.
             Ok(()) | Err(foca::Error::DataFromOurselves) => Ok(()),
+            // Not malformed either: the library itself is not in a connected state.
             Err(foca::Error::NotConnected) => Ok(()),
             Err(_) => Err(Malformed),
         }
@@ -218,7 +221,7 @@
         self.set_time(now);
         let incarnation =
             Incarnation { router: self.me, generation: generation.min(MAX_GENERATION), leaving };
-        if incarnation != self.me() {
+        if incarnation != self.incarnation() {
             let _ = self.foca.change_identity(incarnation, &mut self.runtime);
         }
     }
@@ -231,7 +234,7 @@
             match &timer {
                 Timer::ChangeSuspectToDown { member_id, .. } if self.contacts.borrow().refutes(member_id) => {
                     // The suspected router was heard recently, so the timeout is postponed.
-                    self.runtime.schedule(Contacts::RECENT / 2.0, timer);
+                    self.runtime.schedule(Contacts::RECENT_CONTACT / 2.0, timer);
                     continue;
                 }
                 Timer::ProbeRandomMember(_) => self.probe_ended(due),
@@ -246,7 +249,7 @@
     fn probe_ended(&mut self, due: f64) {
         let contacts = self.contacts.borrow();
         let awaited = self.runtime.health.awaited;
-        let target_alive = awaited.is_some_and(|router| contacts.heard_lately(router));
+        let target_alive = awaited.is_some_and(|router| contacts.heard_within_a_round(router));
         self.runtime.health.probe_ended(ProbeEnd { due, now: self.runtime.now, target_alive });
     }
 
--- a/crates/membership/src/swim/runtime.rs
+++ b/crates/membership/src/swim/runtime.rs
@@ -1,4 +1,5 @@
-//! The host side of the library: collects the messages to send, keeps its timers, and counts changes of identity.
+//! The runtime that the library `foca` requires of its caller: collects the messages to send, keeps its timers, and
+//! counts changes of identity.
 
 use super::health::LocalHealth;
 use super::Incarnation;
@@ -6,9 +7,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The library's runtime: outgoing messages, timers, and local health.
+/// Outgoing messages, timers, counters, and local health.
 #[derive(Default)]
-pub(super) struct HostRuntime {
+pub(super) struct DetectorRuntime {
+    /// The current time, in seconds.
     pub(super) now: f64,
     pub(super) outgoing: Vec<(u16, Vec<u8>)>,
     /// Timers by due time, then by number, the order in which they were scheduled. The due time is kept as the bits
@@ -18,17 +20,18 @@
     pub(super) health: LocalHealth,
     /// How often this router has refuted a suspicion of itself.
     pub(super) refutations: u64,
-    /// How often a new incarnation had to be begun because others considered this router down.
+    /// How often the library began a new incarnation, as others had declared this router down.
     pub(super) new_incarnations: u64,
     /// The library's incarnation number of this router, which increases with each refutation.
     swim_incarnation: u64,
 }
 
-impl HostRuntime {
-    pub(super) fn new(health: LocalHealth, now: f64) -> HostRuntime {
-        HostRuntime { now, health, ..HostRuntime::default() }
+impl DetectorRuntime {
+    pub(super) fn new(health: LocalHealth, now: f64) -> DetectorRuntime {
+        DetectorRuntime { now, health, ..DetectorRuntime::default() }
     }
 
+    /// Schedules a timer to run `after` seconds from now.
     pub(super) fn schedule(&mut self, after: f64, timer: Timer<Incarnation>) {
         self.next_timer += 1;
         let due = (self.now + after).max(0.0);
@@ -71,7 +74,7 @@
     }
 }
 
-impl Runtime<Incarnation> for &mut HostRuntime {
+impl Runtime<Incarnation> for &mut DetectorRuntime {
     fn notify(&mut self, notification: Notification<'_, Incarnation>) {
         if let Notification::Rejoin(_) = notification {
             self.new_incarnations += 1;
--- a/crates/membership/src/swim/settings.rs
+++ b/crates/membership/src/swim/settings.rs
@@ -5,7 +5,7 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The number of routers that are asked to probe a router that has not answered a direct probe.
+/// The number of routers that the library asks to probe a router that has not answered a direct probe.
 const INDIRECT_PROBES: usize = 3;
 /// How often a router asks one other for its full member list, in seconds: this repairs what gossip has lost.
 const ANNOUNCE_INTERVAL: f64 = 5.0;
@@ -96,7 +96,7 @@
             probe_period: Duration::from_secs_f64(self.probe_period),
             probe_rtt: Duration::from_secs_f64(self.probe_timeout),
             num_indirect_probes: non_zero(INDIRECT_PROBES),
-            max_transmissions: NonZeroU8::new(transmissions).expect("at least eight"),
+            max_transmissions: NonZeroU8::new(transmissions).expect("MIN_TRANSMISSIONS is above zero"),
             suspect_to_down_after: Duration::from_secs_f64(self.suspicion_timeout_for(routers)),
             remove_down_after: None,
             max_packet_size: non_zero(MAX_BODY),
@@ -109,7 +109,7 @@
 }
 
 fn non_zero(number: usize) -> NonZeroUsize {
-    NonZeroUsize::new(number).expect("a constant above zero")
+    NonZeroUsize::new(number).expect("counts in the settings are constants above zero")
 }
 
 fn every(seconds: f64, members: usize) -> Option<PeriodicParams> {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -93,25 +93,26 @@
 }
 
 /// The standing that follows from these inputs.
-pub fn standing(count: &ViewInputs) -> Standing {
-    let enough = count.present >= majority(count.expected);
+pub fn standing(inputs: &ViewInputs) -> Standing {
+    let has_majority = inputs.present >= majority(inputs.expected);
     match () {
-        () if count.leaving => Standing::Leaving,
-        () if count.name_conflict => Standing::NameConflict,
-        () if count.resumed_ago < SETTLE_TIME => Standing::JustResumed,
-        () if count.started_ago < SETTLE_TIME => Standing::JustStarted,
-        () if !count.formed && !enough => Standing::NeverFormed,
-        () if count.present <= 1 && count.expected > 1 => Standing::Alone,
-        () if count.present * 2 < count.expected => Standing::Minority,
-        () if !enough => Standing::Half,
-        () if count.disagreeing > 0 => Standing::Disagreeing,
-        () if count.present < count.expected => Standing::Majority,
+        () if inputs.leaving => Standing::Leaving,
+        () if inputs.name_conflict => Standing::NameConflict,
+        () if inputs.resumed_ago < SETTLE_TIME => Standing::JustResumed,
+        () if inputs.started_ago < SETTLE_TIME => Standing::JustStarted,
+        () if !inputs.formed && !has_majority => Standing::NeverFormed,
+        () if inputs.present <= 1 && inputs.expected > 1 => Standing::Alone,
+        () if inputs.present * 2 < inputs.expected => Standing::Minority,
+        () if !has_majority => Standing::Half,
+        () if inputs.disagreeing > 0 => Standing::Disagreeing,
+        () if inputs.present < inputs.expected => Standing::Majority,
         () => Standing::Complete,
     }
 }
 
 /// What a standing allows. In every standing, this router serves its own requests by itself, and its decisions stay
-/// within the share that it holds: a view never makes a share larger, as the view may be wrong.
+/// within its share, the part of a cluster-wide limit that one router may use: a view never makes a share larger, as
+/// the view may be wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
     /// Whether the router may request leases. One that it already holds may be used until it expires by the router's
@@ -123,7 +124,7 @@
     /// Whether the router may take over, with a lease of its own, a resource that another router's lease no longer
     /// covers.
     pub takes_over: bool,
-    /// Whether the router may use shares that another router released to it by name.
+    /// Whether the router may use shares that another router has released to this router in particular.
     pub uses_released_shares: bool,
     /// Whether the router reports its observations of engines to others.
     pub shares_observations: bool,
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -14,7 +14,8 @@
 
 /// The longest datagram, in bytes: it fits into an Ethernet frame with its IP and UDP headers, and those of a tunnel.
 pub const MAX_DATAGRAM: usize = 1400;
-/// The longest body, in bytes: what the longest envelope leaves of a datagram.
+/// The longest body, in bytes. The 88 bytes hold the magic bytes, the version and the checksum (7 bytes) and the
+/// longest envelope (75 bytes as encoded by postcard), with some to spare.
 pub const MAX_BODY: usize = MAX_DATAGRAM - 88;
 /// The unit in which datagrams report how long ago a router was heard, in seconds. A `u16` covers 17 minutes, a `u8`
 /// 4 s.
@@ -112,7 +113,7 @@
 }
 
 impl DropReason {
-    /// All reasons, in the order of the checks.
+    /// All reasons, in the order of their declaration.
     pub const ALL: [DropReason; 7] = [
         DropReason::TooLong,
         DropReason::Noise,
--- a/crates/membership/tests/agree_model.rs
+++ b/crates/membership/tests/agree_model.rs
@@ -132,7 +132,7 @@
 #[test]
 fn views_agree_and_roles_have_one_holder_after_any_three_faults() {
     let checker = ViewAgreement { defences: Defences::default() }.checker().threads(4).spawn_bfs().join();
-    assert!(checker.unique_state_count() > 4000, "{}", checker.unique_state_count());
+    assert!(checker.unique_state_count() > 4000, "only {} states explored", checker.unique_state_count());
     checker.assert_properties();
 }
 
@@ -144,5 +144,5 @@
     let defences = Defences { adopt_later_incarnation: false, ..Defences::default() };
     let checker = ViewAgreement { defences }.checker().threads(4).spawn_bfs().join();
     let discovery = checker.discovery("views agree after the last fault");
-    assert!(discovery.is_some(), "{} states", checker.unique_state_count());
+    assert!(discovery.is_some(), "no violation found in {} states", checker.unique_state_count());
 }
--- a/crates/membership/tests/golden_bytes.rs
+++ b/crates/membership/tests/golden_bytes.rs
@@ -50,8 +50,8 @@
     let (resource, epoch) = (70_000, (5 << 16) | 3);
     let messages = [
         Message::Prepare { resource, epoch },
-        Message::Promise { resource, epoch, held: None },
-        Message::Promise { resource, epoch, held: Some(299) },
+        Message::Promise { resource, epoch, holder: None },
+        Message::Promise { resource, epoch, holder: Some(299) },
         Message::Propose { resource, epoch },
         Message::Accept { resource, epoch },
         Message::Refuse { resource, epoch, promised: epoch + (1 << 16) },
@@ -139,7 +139,7 @@
             }
         }
     }
-    assert!(text.lines().count() > 500, "{}", text.lines().count());
+    assert!(text.lines().count() > 500, "only {} datagrams were sent", text.lines().count());
     expect_file!["golden/cluster.txt"].assert_eq(&text);
 }
 
@@ -155,7 +155,7 @@
             failures: step as u8,
             slow_start_work: 0,
         }];
-        if let Some(due) = rounds.due(now, || seen) {
+        if let Some(due) = rounds.digest_to_send(now, || seen) {
             text += &format!("{step} {:?} {}\n", due.receivers, hex(&due.bytes));
         }
     }
--- a/crates/membership/tests/growth.rs
+++ b/crates/membership/tests/growth.rs
@@ -30,8 +30,8 @@
     (sent, bytes)
 }
 
-/// With ten times as many routers, each sends as many datagrams as before. The bytes may grow somewhat: the member
-/// list that each router requests every five seconds names as many members as fit into one datagram.
+/// With ten times as many routers, each sends as many datagrams as before. The bytes grow until the member list
+/// that each router requests every five seconds fills one datagram, and no further.
 #[test]
 fn idle_traffic_of_a_router_does_not_grow_with_the_cluster() {
     for three_distant_regions in [false, true] {
@@ -53,7 +53,8 @@
 }
 
 /// A zone fails at once. Guards against traffic that grows with the square of the cluster size: the indirect probes
-/// are spread over some of the routers, and no router asks every other one about all the lost ones.
+/// are spread over some of the routers, and no router asks every other one about all the lost ones. With ten
+/// times as many routers and losses, each remaining router may send less than five times the bytes.
 #[test]
 fn traffic_of_a_router_after_losing_a_zone_does_not_grow_with_the_cluster() {
     let bytes_per_router = |routers: usize| {
--- a/crates/membership/tests/lease_model.rs
+++ b/crates/membership/tests/lease_model.rs
@@ -51,7 +51,7 @@
 
 impl SystemState {
     fn digest(&self) -> String {
-        let routers: Vec<String> = self.routers.iter().map(Leases::digest).collect();
+        let routers: Vec<String> = self.routers.iter().map(Leases::state_text).collect();
         format!(
             "{}{routers:?}{:?}{}{}{:?}{:?}{}{}{}",
             self.time,
@@ -153,7 +153,7 @@
     }
 
     fn actions(&self, state: &SystemState, steps: &mut Vec<Step>) {
-        // The last router only grants. This keeps the search short, and loses no case, as it is the router that the
+        // The last router only grants. This keeps the search short. It loses no case, as this is the router that the
         // adversary restarts.
         let requesters = 0..self.routers.max(2) - 1;
         steps.extend(
@@ -268,8 +268,8 @@
 
 #[test]
 fn keeps_one_holder_and_growing_epochs_under_loss_freezes_and_restarts() {
-    // The holder's clock is the slowest and the grantors' clocks are the fastest, or the other way round, or all are
-    // true.
+    // The holder's clock is the slowest and the grantors' clocks are the fastest, or the other way round, or only the
+    // last router's clock is fast, or all are true.
     for rates in [[0, 2, 2], [2, 0, 0], [0, 0, 2], [1, 1, 1]] {
         let model = LeaseModel {
             repeats: 2,
@@ -289,8 +289,9 @@
 fn keeps_one_holder_on_every_path_of_nine_steps_with_clocks_furthest_apart() {
     let model = lease_model(InjectedFault::None, [0, 2, 2]);
     let checker = model.checker().threads(4).target_max_depth(9).spawn_bfs().join();
-    assert!(checker.discoveries().is_empty());
-    assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
+    // Nine steps are too few for both requesters to hold the lease in turn, so not even that is found.
+    assert!(checker.discoveries().is_empty(), "found: {:?}", checker.discoveries().into_keys());
+    assert!(checker.unique_state_count() > 10_000, "only {} states explored", checker.unique_state_count());
 }
 
 #[test]
@@ -322,7 +323,8 @@
 
 #[test]
 fn holder_term_ends_before_grantor_term_at_the_drift_bound() {
-    // In true time, the holder's term on the slowest clock ends before the grantor's on the fastest.
+    // In true time, the holder's term on the slowest clock ends at most 1 ms after the grantor's on the fastest. It
+    // may end slightly later, as `1 + 2 * DRIFT` is only the first-order value of `(1 + DRIFT) / (1 - DRIFT)`.
     let holder = MAX_TERM / (1.0 + 2.0 * DRIFT) / RATES[0];
     let grantor = MAX_TERM / RATES[2];
     assert!(holder <= grantor + 1e-3, "the holder's term lasts {holder} s, the grantor's {grantor} s");
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -40,7 +40,7 @@
 /// Asserts that after each fault all reachable routers agreed within `max_ms` on which routers are present.
 fn assert_agreed_within(world: &World, max_ms: u64) {
     let agreed = world.record.agreed_after();
-    assert!(agreed.is_some_and(|agreed| agreed <= max_ms), "{agreed:?}");
+    assert!(agreed.is_some_and(|agreed| agreed <= max_ms), "agreed after {agreed:?} ms, limit {max_ms} ms");
 }
 
 /// Asserts that no reachable running router was considered failed for long, and that every real failure was detected
@@ -268,6 +268,7 @@
 #[test]
 fn older_router_detects_a_name_conflict() {
     let mut world = started_cluster(5, 10);
+    // The cluster hash that `World` gives its routers.
     let cluster = 7;
     for round in 0..30u64 {
         let at = world.now + 0.5;
@@ -397,7 +398,7 @@
     (0..9).for_each(|router| assert_eq!(standing(&world, router), Standing::Complete));
 }
 
-/// Detection in a cluster of 300 routers, of which one in fifteen is killed at the same time.
+/// Detection in a cluster of 300 routers, the size of the fleet, of which one in fifteen is killed at the same time.
 #[test]
 fn three_hundred_routers_detect_failures_within_eight_seconds() {
     let mut world = World::started(300, DetectorSettings::default(), 17);
@@ -454,7 +455,7 @@
 /// Guards against trusting reports of routers that were restarted together: only a router that was running before a
 /// restart can tell which store epoch it has seen.
 #[test]
-fn only_routers_running_before_a_restart_vouch_for_store_epochs() {
+fn only_routers_running_before_a_restart_report_the_store_epochs_they_saw() {
     let mut world = started_cluster(4, 19);
     world.members_mut(0).unwrap().set_store_epoch(40);
     world.run_until(14.0);
--- a/crates/simulator-adapter/src/peer_digests.rs
+++ b/crates/simulator-adapter/src/peer_digests.rs
@@ -70,6 +70,6 @@
             };
             Some((*incarnation, own))
         });
-        self.rounds.due(now, || digest::observations(observed))
+        self.rounds.digest_to_send(now, || digest::observations(observed))
     }
 }
