--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -135,8 +135,9 @@
         Value::Array(notices) => notices,
         other => return Err(wrong("known.notices", "a list of events", other)),
     };
-    let read =
-        |(index, notice)| discovery::event(notice).map_err(|source| ConfigError::Notice { index, source });
+    let read = |(index, notice)| {
+        discovery::parse_event(notice).map_err(|source| ConfigError::Notice { index, source })
+    };
     notices.iter().enumerate().map(read).collect()
 }
 
--- a/crates/router/src/protocol/mod.rs
+++ b/crates/router/src/protocol/mod.rs
@@ -1,11 +1,11 @@
-//! Pure codecs over bytes, without input or output.
+//! Parsers and writers of the router's protocols. They work on bytes only and do no input or output.
 
 pub mod discovery;
 pub mod engine;
 pub mod mysql;
 pub mod statement;
 
-/// The `name=value` pairs of fields that are parted by commas; what is none is left out.
+/// The `name=value` pairs of a comma-separated list. Items without `=` are skipped.
 fn pairs(fields: &str) -> impl Iterator<Item = (&str, &str)> {
     fields.split(',').filter_map(|field| field.split_once('='))
 }
--- a/crates/router/src/protocol/mysql.rs
+++ b/crates/router/src/protocol/mysql.rs
@@ -1,7 +1,10 @@
-//! The MySQL client protocol 4.1, the server's side: packets, login, commands and answers, in EOF form.
+//! The server's side of the MySQL client protocol 4.1: packets, login, commands and answers. Result sets are in the form with
+//! EOF packets.
 
+/// The server version in the greeting.
 pub const VERSION: &str = "8.0.0-cleatgw";
 
+// Capability flags.
 const LONG_PASSWORD: u32 = 1;
 const CONNECT_WITH_DB: u32 = 1 << 3;
 const PROTOCOL_41: u32 = 1 << 9;
@@ -11,6 +14,7 @@
 const PLUGIN_AUTH: u32 = 1 << 19;
 const CONNECT_ATTRS: u32 = 1 << 20;
 const LENENC_AUTH: u32 = 1 << 21;
+/// The capabilities in the greeting.
 const OFFERED: u32 = LONG_PASSWORD
     | CONNECT_WITH_DB
     | PROTOCOL_41
@@ -19,33 +23,35 @@
     | PLUGIN_AUTH
     | CONNECT_ATTRS
     | LENENC_AUTH;
+/// The status flags of every answer: autocommit is on.
 const AUTOCOMMIT: [u8; 2] = [2, 0];
+/// The number of the character set utf8mb4.
 const UTF8MB4: u8 = 45;
 
-/// An error's code and state.
+/// The code and the SQL state of an error.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Code(pub u16, pub &'static str);
+pub struct ErrorCode(pub u16, pub &'static str);
 
-const TOO_MANY: Code = Code(1040, "08004");
-pub const DENIED: Code = Code(1045, "28000");
-pub const NOT_COMMAND: Code = Code(1047, "08S01");
-pub const NO_SUCH_SESSION: Code = Code(1094, "HY000");
-const FAILED: Code = Code(1105, "HY000");
-pub const TOO_LONG: Code = Code(1153, "08S01");
-pub const OUT_OF_ORDER: Code = Code(1156, "08S01");
-pub const NOT_UNDERSTOOD: Code = Code(1064, "42000");
-const INTERRUPTED: Code = Code(1317, "70100");
-pub const MALFORMED: Code = Code(1835, "HY000");
+const TOO_MANY_CONNECTIONS: ErrorCode = ErrorCode(1040, "08004");
+pub const ACCESS_DENIED: ErrorCode = ErrorCode(1045, "28000");
+pub const UNKNOWN_COMMAND: ErrorCode = ErrorCode(1047, "08S01");
+pub const NO_SUCH_SESSION: ErrorCode = ErrorCode(1094, "HY000");
+const UNKNOWN_ERROR: ErrorCode = ErrorCode(1105, "HY000");
+pub const PACKET_TOO_LARGE: ErrorCode = ErrorCode(1153, "08S01");
+pub const PACKETS_OUT_OF_ORDER: ErrorCode = ErrorCode(1156, "08S01");
+pub const PARSE_ERROR: ErrorCode = ErrorCode(1064, "42000");
+const QUERY_INTERRUPTED: ErrorCode = ErrorCode(1317, "70100");
+pub const MALFORMED_PACKET: ErrorCode = ErrorCode(1835, "HY000");
 
-/// Why bytes make no packet that is served.
+/// Why a packet is refused: the error that its client is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bad {
-    pub code: Code,
-    pub why: &'static str,
+pub struct PacketError {
+    pub code: ErrorCode,
+    pub message: &'static str,
 }
 
-const fn bad<T>(code: Code, why: &'static str) -> Result<T, Bad> {
-    Err(Bad { code, why })
+const fn refuse<T>(code: ErrorCode, message: &'static str) -> Result<T, PacketError> {
+    Err(PacketError { code, message })
 }
 
 #[derive(Debug, PartialEq)]
@@ -54,103 +60,121 @@
     pub body: &'a [u8],
 }
 
+/// Length of a packet's header, in bytes.
 pub const HEADER: usize = 4;
 
-/// The first packet of the input, or none yet; no more than `most` bytes of body are waited for.
-pub fn packet(input: &[u8], most: usize) -> Result<Option<Packet<'_>>, Bad> {
+/// Parses the first packet in the input. Returns none while it is incomplete.
+///
+/// # Errors
+/// The body is longer than `max_body` bytes, as the header says. The rest of the packet is not waited for.
+pub fn parse_packet(input: &[u8], max_body: usize) -> Result<Option<Packet<'_>>, PacketError> {
     let Some(header) = input.get(..HEADER) else { return Ok(None) };
     let length = usize::from(header[0]) | usize::from(header[1]) << 8 | usize::from(header[2]) << 16;
-    if length > most {
-        return bad(TOO_LONG, "the packet is longer than this gateway takes");
+    if length > max_body {
+        return refuse(PACKET_TOO_LARGE, "the packet is longer than this gateway takes");
     }
     let body = input.get(HEADER..HEADER + length);
     Ok(body.map(|body| Packet { sequence: header[3], body }))
 }
 
+/// A client's login.
 #[derive(Debug, PartialEq)]
 pub struct Login {
     pub user: String,
-    pub with_password: bool,
+    /// Whether the client answered the challenge with a password.
+    pub has_password: bool,
 }
 
-/// Takes a body apart from left to right.
+/// Reads the fields of a packet body in order.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, length: usize) -> Result<&'a [u8], Bad> {
+    fn take(&mut self, length: usize) -> Result<&'a [u8], PacketError> {
         if length > self.0.len() {
-            return bad(MALFORMED, "the packet ends too early");
+            return refuse(MALFORMED_PACKET, "the packet ends too early");
         }
         let (taken, rest) = self.0.split_at(length);
         self.0 = rest;
         Ok(taken)
     }
 
-    fn take_array<const LENGTH: usize>(&mut self) -> Result<[u8; LENGTH], Bad> {
+    fn take_array<const LENGTH: usize>(&mut self) -> Result<[u8; LENGTH], PacketError> {
         let Some((taken, rest)) = self.0.split_first_chunk() else {
-            return bad(MALFORMED, "the packet ends too early");
+            return refuse(MALFORMED_PACKET, "the packet ends too early");
         };
         self.0 = rest;
         Ok(*taken)
     }
 
-    fn until_zero(&mut self) -> Result<&'a [u8], Bad> {
+    /// A text that ends with a zero byte.
+    fn take_zero_terminated(&mut self) -> Result<&'a [u8], PacketError> {
         let Some(end) = self.0.iter().position(|&byte| byte == 0) else {
-            return bad(MALFORMED, "a text in the packet has no end");
+            return refuse(MALFORMED_PACKET, "a text in the packet has no end");
         };
         let text = self.take(end)?;
         self.take(1)?;
         Ok(text)
     }
 
-    fn counted(&mut self) -> Result<&'a [u8], Bad> {
+    /// Bytes with their length ahead. Lengths above 2 bytes are refused.
+    fn take_length_prefixed(&mut self) -> Result<&'a [u8], PacketError> {
         let first = self.take(1)?[0];
         let length = match first {
             0xfc => u16::from_le_bytes(self.take_array()?).into(),
-            0xfb | 0xfd.. => return bad(MALFORMED, "a length in the packet is out of range"),
+            0xfb | 0xfd.. => return refuse(MALFORMED_PACKET, "a length in the packet is out of range"),
             short => usize::from(short),
         };
         self.take(length)
     }
 }
 
-/// A client's HandshakeResponse41.
-pub fn login(body: &[u8]) -> Result<Login, Bad> {
+/// Parses a client's HandshakeResponse41.
+///
+/// # Errors
+/// The client lacks protocol 4.1, asks for encryption, or the packet is malformed.
+pub fn parse_login(body: &[u8]) -> Result<Login, PacketError> {
     let mut reader = Reader(body);
     let flags = u32::from_le_bytes(reader.take_array()?);
     if flags & PROTOCOL_41 == 0 {
-        return bad(MALFORMED, "protocol 4.1 is needed");
+        return refuse(MALFORMED_PACKET, "protocol 4.1 is needed");
     }
     if flags & SSL != 0 && body.len() == 32 {
-        return bad(MALFORMED, "encryption is not offered");
+        return refuse(MALFORMED_PACKET, "encryption is not offered");
     }
     reader.take(4 + 1 + 23)?;
-    let user = String::from_utf8_lossy(reader.until_zero()?).into_owned();
-    let proof = if flags & (LENENC_AUTH | SECURE_CONNECTION) != 0 {
-        reader.counted()?
+    let user = String::from_utf8_lossy(reader.take_zero_terminated()?).into_owned();
+    let auth_response = if flags & (LENENC_AUTH | SECURE_CONNECTION) != 0 {
+        reader.take_length_prefixed()?
     } else {
-        reader.until_zero()?
+        reader.take_zero_terminated()?
     };
-    // Some drivers write the empty password as its closing zero.
-    Ok(Login { user, with_password: !matches!(proof, [] | [0]) })
+    // Some drivers send an empty password as a single zero byte, its terminator.
+    Ok(Login { user, has_password: !matches!(auth_response, [] | [0]) })
 }
 
+/// A command of a client.
 #[derive(Debug, PartialEq)]
 pub enum Command<'a> {
     Quit,
     Query(&'a [u8]),
     Ping,
     Statistics,
+    /// Kills the session with this id.
     Kill(u32),
-    /// Answered with OK, as there is no state to change: a schema or a user chosen, a session reset.
-    Harmless,
+    /// A choice of a schema or user, or a reset of the session. Answered with OK, as there is no state that it could change.
+    NoOp,
     SetOption,
+    /// A command with this number, which is not served.
     Unknown(u8),
 }
 
-pub fn command(body: &[u8]) -> Result<Command<'_>, Bad> {
+/// Parses a client's command.
+///
+/// # Errors
+/// The packet is empty, or a kill has no connection id.
+pub fn parse_command(body: &[u8]) -> Result<Command<'_>, PacketError> {
     let Some((&first, rest)) = body.split_first() else {
-        return bad(MALFORMED, "a packet without a command");
+        return refuse(MALFORMED_PACKET, "a packet without a command");
     };
     Ok(match first {
         0x01 => Command::Quit,
@@ -159,16 +183,16 @@
         0x09 => Command::Statistics,
         0x0c => match rest.try_into() {
             Ok(id) => Command::Kill(u32::from_le_bytes(id)),
-            Err(_) => return bad(MALFORMED, "a kill without a connection id"),
+            Err(_) => return refuse(MALFORMED_PACKET, "a kill without a connection id"),
         },
-        0x02 | 0x11 | 0x1f => Command::Harmless,
+        0x02 | 0x11 | 0x1f => Command::NoOp,
         0x1b => Command::SetOption,
         other => Command::Unknown(other),
     })
 }
 
-/// Writes one packet; the sequence goes up by one.
-fn put(out: &mut Vec<u8>, sequence: &mut u8, body: impl FnOnce(&mut Vec<u8>)) {
+/// Writes one packet and increments the sequence number.
+fn write_packet(out: &mut Vec<u8>, sequence: &mut u8, body: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     out.extend([0, 0, 0, *sequence]);
     body(out);
@@ -177,7 +201,8 @@
     *sequence = sequence.wrapping_add(1);
 }
 
-fn put_counted(out: &mut Vec<u8>, text: &[u8]) {
+/// Writes bytes with their length ahead.
+fn write_length_prefixed(out: &mut Vec<u8>, text: &[u8]) {
     match text.len() {
         short @ 0..=250 => out.push(short as u8),
         middle @ 251..=0xffff => {
@@ -192,8 +217,9 @@
     out.extend(text);
 }
 
-pub fn greeting(out: &mut Vec<u8>, session: u32, scramble: [u8; 20]) {
-    put(out, &mut 0, |out| {
+/// Writes the greeting of a session, whose id clients know as the connection id.
+pub fn write_greeting(out: &mut Vec<u8>, session: u32, scramble: [u8; 20]) {
+    write_packet(out, &mut 0, |out| {
         out.push(10);
         out.extend(VERSION.bytes().chain([0]));
         out.extend(session.to_le_bytes());
@@ -209,70 +235,73 @@
     });
 }
 
-pub fn ok(out: &mut Vec<u8>, sequence: &mut u8) {
-    put(out, sequence, |out| out.extend([0, 0, 0, AUTOCOMMIT[0], AUTOCOMMIT[1], 0, 0]));
+pub fn write_ok(out: &mut Vec<u8>, sequence: &mut u8) {
+    write_packet(out, sequence, |out| out.extend([0, 0, 0, AUTOCOMMIT[0], AUTOCOMMIT[1], 0, 0]));
 }
 
-pub fn eof(out: &mut Vec<u8>, sequence: &mut u8) {
-    put(out, sequence, |out| out.extend([0xfe, 0, 0, AUTOCOMMIT[0], AUTOCOMMIT[1]]));
+pub fn write_eof(out: &mut Vec<u8>, sequence: &mut u8) {
+    write_packet(out, sequence, |out| out.extend([0xfe, 0, 0, AUTOCOMMIT[0], AUTOCOMMIT[1]]));
 }
 
-/// The bare text that answers a command for statistics.
-pub fn text(out: &mut Vec<u8>, sequence: &mut u8, words: &str) {
-    put(out, sequence, |out| out.extend(words.bytes()));
+/// Writes the plain text that answers a statistics command.
+pub fn write_text(out: &mut Vec<u8>, sequence: &mut u8, text: &str) {
+    write_packet(out, sequence, |out| out.extend(text.bytes()));
 }
 
-pub fn error(out: &mut Vec<u8>, sequence: &mut u8, code: Code, words: &str) {
-    put(out, sequence, |out| {
+/// Writes an error. Only the first 480 bytes of the message are sent.
+pub fn write_error(out: &mut Vec<u8>, sequence: &mut u8, code: ErrorCode, message: &str) {
+    write_packet(out, sequence, |out| {
         out.push(0xff);
         out.extend(code.0.to_le_bytes());
         out.push(b'#');
         out.extend(code.1.bytes());
-        out.extend(words.bytes().take(480));
+        out.extend(message.bytes().take(480));
     });
 }
 
-/// The refusal after which trying again is harmless, in so many seconds.
-pub fn rejected(out: &mut Vec<u8>, sequence: &mut u8, retry_after: Option<f64>) {
-    let advice = retry_after.map(|wait| format!(" pushback={}", (wait * 1e3).ceil() as u64));
-    let words = format!("turned back, trying again is harmless{}", advice.unwrap_or_default());
-    error(out, sequence, TOO_MANY, &words);
+/// Writes that the request was rejected and can be retried safely, after `retry_after` seconds if given.
+pub fn write_rejected(out: &mut Vec<u8>, sequence: &mut u8, retry_after: Option<f64>) {
+    let pushback = retry_after.map(|seconds| format!(" pushback={}", (seconds * 1e3).ceil() as u64));
+    let message = format!("turned back, trying again is harmless{}", pushback.unwrap_or_default());
+    write_error(out, sequence, TOO_MANY_CONNECTIONS, &message);
 }
 
-pub fn failed(out: &mut Vec<u8>, sequence: &mut u8) {
-    error(out, sequence, FAILED, "terminated: the job was not completed");
+/// Writes that the request failed.
+pub fn write_failed(out: &mut Vec<u8>, sequence: &mut u8) {
+    write_error(out, sequence, UNKNOWN_ERROR, "terminated: the job was not completed");
 }
 
-pub fn killed(out: &mut Vec<u8>, sequence: &mut u8) {
-    error(out, sequence, INTERRUPTED, "the query was killed");
+/// Writes that the request was killed.
+pub fn write_killed(out: &mut Vec<u8>, sequence: &mut u8) {
+    write_error(out, sequence, QUERY_INTERRUPTED, "the query was killed");
 }
 
-/// A result set of text columns.
-pub fn result<'a, R, C>(out: &mut Vec<u8>, sequence: &mut u8, columns: &[String], rows: R)
+/// Writes a result set of text columns.
+pub fn write_result_set<'a, R, C>(out: &mut Vec<u8>, sequence: &mut u8, columns: &[String], rows: R)
 where
     R: Iterator<Item = C>,
     C: Iterator<Item = &'a [u8]>,
 {
-    put(out, sequence, |out| out.push(columns.len() as u8));
+    write_packet(out, sequence, |out| out.push(columns.len() as u8));
     for column in columns {
-        put(out, sequence, |out| {
-            put_counted(out, b"def");
+        write_packet(out, sequence, |out| {
+            write_length_prefixed(out, b"def");
             let names = [&b""[..], b"", b"", column.as_bytes(), column.as_bytes()];
             for name in names {
-                put_counted(out, name);
+                write_length_prefixed(out, name);
             }
             out.extend([0x0c, UTF8MB4, 0, 0xff, 0xff, 0, 0, 0xfd, 0, 0, 0, 0, 0]);
         });
     }
-    eof(out, sequence);
+    write_eof(out, sequence);
     for row in rows {
-        put(out, sequence, |out| {
+        write_packet(out, sequence, |out| {
             for value in row {
-                put_counted(out, value);
+                write_length_prefixed(out, value);
             }
         });
     }
-    eof(out, sequence);
+    write_eof(out, sequence);
 }
 
 #[cfg(test)]
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -1,4 +1,5 @@
-//! Statements: the fields comment ahead of a request, its table group, and what drivers send beside requests.
+//! Parses statements: requests, which begin with a comment that holds their fields, and the statements that operators and
+//! drivers send besides requests.
 
 mod table_group;
 mod tokens;
@@ -7,24 +8,23 @@
 use table_group::table_group;
 use tokens::tokens;
 
-/// What a statement asks for.
+/// A parsed statement.
 #[derive(Debug, PartialEq)]
 pub enum Statement {
+    /// A request.
     Query(ParsedStatement),
-    /// Withdraws what a session has open; the session too is to end where not only the query is meant.
-    Kill {
-        session: u32,
-        query_only: bool,
-    },
-    /// What an operator asks for: `SHOW ANNOUNCEMENTS`, `SHOW Tenants`, `SHOW CLUSTER`, `SHOW Leader roles`, `SHOW STORE`.
-    Question(Question),
-    /// Answered with OK: there is no state that it could change.
-    Harmless,
+    /// Withdraws the open request of a session. The session ends too unless `query_only` is set.
+    Kill { session: u32, query_only: bool },
+    /// An operator's request for a status table: `SHOW ANNOUNCEMENTS`, `SHOW TEAMS`, `SHOW CLUSTER`, `SHOW DUTIES` or
+    /// `SHOW STORE`.
+    Show(StatusTopic),
+    /// Answered with OK, as there is no state that it could change.
+    NoOp,
 }
 
-/// How something stands.
+/// What a status table is about.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Question {
+pub enum StatusTopic {
     Announcements,
     Teams,
     Cluster,
@@ -32,33 +32,36 @@
     Store,
 }
 
-/// A request as its client asks for it.
+/// A request as its client sent it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedStatement {
     pub id: String,
     pub class: String,
-    /// How long the client waits, in seconds.
+    /// How long the client waits for the answer, in seconds.
     pub time_to_live: f64,
     pub tenant: Option<String>,
     pub idempotency_key: Option<String>,
+    /// The client's estimate of the work, in seconds.
     pub work: Option<f64>,
+    /// The client's estimate of the memory, in megabytes.
     pub memory_mb: Option<f64>,
     pub table_group: Option<u64>,
-    /// Without the comment that holds the fields.
+    /// The statement without the comment that holds the fields.
     pub text: Vec<u8>,
 }
 
-/// Why nothing can be made of a statement. Its client is told so in these words.
+/// Why a statement is refused. The message is sent to the client.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StatementError {
     #[error("the statement is empty")]
     Empty,
-    /// Not even a constant is answered with a result set: a client may take that for an engine's.
+    /// A statement without fields that is not answered by the gateway itself. Not even a constant is answered with a result set,
+    /// since a client could take that for an engine's answer.
     #[error("no fields comment ahead of the statement: a job needs op, call and ttl there")]
     NoFields,
     #[error("KILL: expected a connection id")]
     NoConnectionId,
-    /// A field is missing, stands there twice, or has a value that does not fit.
+    /// A field is missing, occurs more than once, or has an invalid value.
     #[error("field {field}: expected {expected}, got \"{got}\"")]
     Field { field: &'static str, expected: String, got: String },
     #[error("field call: expected an id that is not in use, got \"{id}\"")]
@@ -68,12 +71,12 @@
 }
 
 impl StatementError {
-    /// The class is none of those that are known.
+    /// The request class is not one of the known ones.
     pub fn unknown_class(got: String, known: &[String]) -> StatementError {
         StatementError::unknown("op", got, known)
     }
 
-    /// The tenant is none of those that are known.
+    /// The tenant is not one of the known ones.
     pub fn unknown_tenant(got: String, known: &[String]) -> StatementError {
         StatementError::unknown("org", got, known)
     }
@@ -83,77 +86,79 @@
     }
 }
 
-/// What is more than a day, or more than any machine has, is out of range.
-const LONGEST_MS: f64 = 86_400e3;
-const MOST_MB: f64 = 16e6;
+/// Upper limits of the fields: a day, and more memory than any machine has.
+const MAX_MS: f64 = 86_400e3;
+const MAX_MB: f64 = 16e6;
 const MS_PER_S: f64 = 1e3;
 
-/// Reads a statement.
+/// Parses a statement.
 ///
 /// # Errors
-/// Why nothing can be made of it.
-pub fn read(statement: &[u8]) -> Result<Statement, StatementError> {
+/// The statement is empty, a field is missing or invalid, a `KILL` has no connection id, or a statement without fields is not
+/// one that the gateway answers itself.
+pub fn parse(statement: &[u8]) -> Result<Statement, StatementError> {
     if let Some((fields, rest)) = fields_comment(statement) {
-        return query(fields, rest).map(Statement::Query);
+        return parse_request(fields, rest).map(Statement::Query);
     }
     let tokens = tokens(statement);
-    let word = |at: usize| tokens.get(at).map_or("", |token| token.word());
-    let is = |at: usize, wanted: &str| word(at).eq_ignore_ascii_case(wanted);
+    let word = |index: usize| tokens.get(index).map_or("", |token| token.word());
+    let is = |index: usize, keyword: &str| word(index).eq_ignore_ascii_case(keyword);
     match word(0).to_ascii_uppercase().as_str() {
         "KILL" => {
-            let at = if is(1, "QUERY") || is(1, "CONNECTION") { 2 } else { 1 };
-            let session = word(at).parse().map_err(|_| StatementError::NoConnectionId)?;
+            let id_index = if is(1, "QUERY") || is(1, "CONNECTION") { 2 } else { 1 };
+            let session = word(id_index).parse().map_err(|_| StatementError::NoConnectionId)?;
             Ok(Statement::Kill { session, query_only: is(1, "QUERY") })
         }
         "SHOW" if is(1, "ANNOUNCEMENTS") && tokens.len() == 2 => {
-            Ok(Statement::Question(Question::Announcements))
+            Ok(Statement::Show(StatusTopic::Announcements))
         }
-        "SHOW" if is(1, "TEAMS") && tokens.len() == 2 => Ok(Statement::Question(Question::Teams)),
-        "SHOW" if is(1, "CLUSTER") && tokens.len() == 2 => Ok(Statement::Question(Question::Cluster)),
-        "SHOW" if is(1, "DUTIES") && tokens.len() == 2 => Ok(Statement::Question(Question::Roles)),
-        "SHOW" if is(1, "STORE") && tokens.len() == 2 => Ok(Statement::Question(Question::Store)),
-        "SET" | "USE" | "BEGIN" | "START" | "COMMIT" | "ROLLBACK" => Ok(Statement::Harmless),
+        "SHOW" if is(1, "TEAMS") && tokens.len() == 2 => Ok(Statement::Show(StatusTopic::Teams)),
+        "SHOW" if is(1, "CLUSTER") && tokens.len() == 2 => Ok(Statement::Show(StatusTopic::Cluster)),
+        "SHOW" if is(1, "DUTIES") && tokens.len() == 2 => Ok(Statement::Show(StatusTopic::Roles)),
+        "SHOW" if is(1, "STORE") && tokens.len() == 2 => Ok(Statement::Show(StatusTopic::Store)),
+        "SET" | "USE" | "BEGIN" | "START" | "COMMIT" | "ROLLBACK" => Ok(Statement::NoOp),
         "" => Err(StatementError::Empty),
         _ => Err(StatementError::NoFields),
     }
 }
 
-/// The inside of a comment that holds fields, and what follows it.
+/// The text inside a leading comment that holds fields, and the statement after it. None if there is no such comment.
 fn fields_comment(statement: &[u8]) -> Option<(&str, &[u8])> {
-    let inside = statement.trim_ascii_start().strip_prefix(b"/*")?;
-    let end = inside.windows(2).position(|pair| pair == b"*/")?;
-    let fields = std::str::from_utf8(&inside[..end]).ok()?;
-    // The blank that parts them belongs to the comment.
-    let rest = &inside[end + 2..];
+    let after_open = statement.trim_ascii_start().strip_prefix(b"/*")?;
+    let end = after_open.windows(2).position(|pair| pair == b"*/")?;
+    let fields = std::str::from_utf8(&after_open[..end]).ok()?;
+    let rest = &after_open[end + 2..];
     let known = ["op", "call", "ttl"];
-    let any = pairs(fields).any(|(name, _)| known.contains(&name.trim()));
-    any.then_some((fields, rest.strip_prefix(b" ").unwrap_or(rest)))
+    let has_fields = pairs(fields).any(|(name, _)| known.contains(&name.trim()));
+    // The space after the comment is removed with it.
+    has_fields.then_some((fields, rest.strip_prefix(b" ").unwrap_or(rest)))
 }
 
-/// The fields of a comment, by their names.
+/// The `name=value` fields of a comment.
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
-    fn all(&self, name: &'static str) -> Vec<&'a str> {
-        let named = pairs(self.0).filter(|(key, _)| key.trim() == name);
-        named.map(|(_, value)| value.trim()).collect()
+    /// The values of all fields with this name.
+    fn values(&self, name: &'static str) -> Vec<&'a str> {
+        let fields = pairs(self.0).filter(|(key, _)| key.trim() == name);
+        fields.map(|(_, value)| value.trim()).collect()
     }
 
     fn error(&self, field: &'static str, expected: &str) -> StatementError {
-        let got = self.all(field).join(" and ");
+        let got = self.values(field).join(" and ");
         StatementError::Field { field, expected: expected.to_string(), got }
     }
 
-    /// A field that may be absent, and fits if it is there.
+    /// The value of a field. None if the field is absent. A field that occurs twice or whose value is not valid is an error.
     fn optional(
         &self,
         field: &'static str,
         expected: &str,
-        fits: fn(&str) -> bool,
+        is_valid: fn(&str) -> bool,
     ) -> Result<Option<&'a str>, StatementError> {
-        match self.all(field)[..] {
+        match self.values(field)[..] {
             [] => Ok(None),
-            [value] if fits(value) => Ok(Some(value)),
+            [value] if is_valid(value) => Ok(Some(value)),
             _ => Err(self.error(field, expected)),
         }
     }
@@ -162,43 +167,45 @@
         &self,
         field: &'static str,
         expected: &str,
-        fits: fn(&str) -> bool,
+        is_valid: fn(&str) -> bool,
     ) -> Result<&'a str, StatementError> {
-        self.optional(field, expected, fits)?.ok_or_else(|| self.error(field, expected))
+        self.optional(field, expected, is_valid)?.ok_or_else(|| self.error(field, expected))
     }
 
-    /// A number above 0; 0 counts as absent.
-    fn number(&self, field: &'static str, expected: &str, most: f64) -> Result<Option<f64>, StatementError> {
+    /// The value of a numeric field, up to `max`. 0 counts as absent.
+    fn number(&self, field: &'static str, expected: &str, max: f64) -> Result<Option<f64>, StatementError> {
         let Some(text) = self.optional(field, expected, |_| true)? else { return Ok(None) };
         match text.parse::<f64>() {
-            Ok(value) if (0.0..=most).contains(&value) => Ok(Some(value).filter(|value| *value > 0.0)),
+            Ok(value) if (0.0..=max).contains(&value) => Ok(Some(value).filter(|value| *value > 0.0)),
             _ => Err(self.error(field, expected)),
         }
     }
 }
 
-/// A word of 1 to 64 printable characters without `=`.
+/// Whether the text consists of 1 to 64 printable characters without spaces and `=`.
 fn is_plain(text: &str) -> bool {
     (1..=64).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'=')
 }
 
+/// Whether the text is a request id.
 fn is_id(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Every field that is there must be fit for use: what is not is no usual client's, and engines would fail it.
-fn query(fields: &str, text: &[u8]) -> Result<ParsedStatement, StatementError> {
+/// Parses a request. Every field that is present must be valid: the usual clients send no invalid fields, and engines would fail
+/// such a request.
+fn parse_request(fields: &str, text: &[u8]) -> Result<ParsedStatement, StatementError> {
     if text.trim_ascii().is_empty() {
         return Err(StatementError::Empty);
     }
     let fields = Fields(fields);
     let id = fields.required("call", "16 hex digits", is_id)?;
     let class = fields.required("op", "a category", is_plain)?;
-    let time_to_live_ms = fields.number("ttl", "milliseconds", LONGEST_MS)?;
+    let time_to_live_ms = fields.number("ttl", "milliseconds", MAX_MS)?;
     let time_to_live_ms = time_to_live_ms.ok_or_else(|| fields.error("ttl", "milliseconds"))?;
     let tenant = fields.optional("org", "a tenant", is_plain)?;
     let idempotency_key = fields.optional("dedupe", "a mark against repeats", is_plain)?;
-    let work_ms = fields.number("work", "milliseconds", LONGEST_MS)?;
+    let work_ms = fields.number("work", "milliseconds", MAX_MS)?;
     Ok(ParsedStatement {
         id: id.to_string(),
         class: class.to_string(),
@@ -206,7 +213,7 @@
         tenant: tenant.map(str::to_string),
         idempotency_key: idempotency_key.map(str::to_string),
         work: work_ms.map(|ms| ms / MS_PER_S),
-        memory_mb: fields.number("mb", "megabytes", MOST_MB)?,
+        memory_mb: fields.number("mb", "megabytes", MAX_MB)?,
         table_group: table_group(text),
         text: text.to_vec(),
     })
--- a/crates/router/src/protocol/statement/table_group.rs
+++ b/crates/router/src/protocol/statement/table_group.rs
@@ -1,30 +1,30 @@
-//! The table group that a statement reads or writes, by the schemas that stand where tables do.
+//! Finds the table group that a statement reads or writes, from the schemas of the tables it names.
 
 use super::tokens::{tokens, Token};
 use std::collections::HashSet;
 
-/// A schema that has no group of its own.
+/// A schema that belongs to no table group.
 const STAGING: &str = "staging";
-/// Behind these, tables are listed.
+/// Keywords that begin a list of tables.
 const BEFORE_TABLES: [&str; 5] = ["FROM", "JOIN", "INTO", "UPDATE", "TABLE"];
-/// Behind these, a table may stand.
+/// Keywords that a table may directly follow.
 const BEFORE_A_TABLE: [&str; 9] =
     ["FROM", "JOIN", "INTO", "UPDATE", "TABLE", "STRAIGHT_JOIN", "IGNORE", "LOW_PRIORITY", "ONLY"];
-/// These end a list of tables.
-const BEHIND_TABLES: [&str; 11] =
+/// Keywords that end a list of tables.
+const AFTER_TABLES: [&str; 11] =
     ["WHERE", "GROUP", "ORDER", "HAVING", "LIMIT", "SET", "VALUES", "UNION", "SELECT", "ON", "USING"];
-/// These begin a query.
-const QUERIES: [&str; 2] = ["SELECT", "WITH"];
+/// Keywords that begin a query.
+const QUERY_KEYWORDS: [&str; 2] = ["SELECT", "WITH"];
 
-/// The group of tables in a schema's name: the number behind its last underscore.
+/// The table group of a schema: the number after the last underscore of its name.
 fn group_of(schema: &str) -> Option<u64> {
     let (name, digits) = schema.rsplit_once('_')?;
-    let digital = !name.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
-    digits.parse().ok().filter(|_| digital)
+    let is_number = !name.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
+    digits.parse().ok().filter(|_| is_number)
 }
 
-/// The table group of a statement: that of the first table that has one, or else of the first qualified name that is no
-/// alias.
+/// The table group of a statement: that of the first table that has one, or else that of the first qualified name whose schema
+/// part is not a table alias.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let tokens = tokens(statement);
     let mut scanner = Scanner::new(&tokens);
@@ -34,23 +34,23 @@
     scanner.group_of_tables().or_else(|| scanner.group_of_names())
 }
 
-/// What stands in an open parenthesis.
+/// The state inside an open parenthesis, or of the statement outside of all parentheses.
 #[derive(Clone, Copy)]
 struct Scope {
-    /// It holds a query.
+    /// Whether it holds a query.
     is_query: bool,
-    /// Tables are listed there just now.
+    /// Whether the scan is within a list of tables.
     lists_tables: bool,
 }
 
-/// Goes over the tokens of a statement once.
+/// Scans the tokens of a statement once and notes where tables and other qualified names are.
 struct Scanner<'a> {
     tokens: &'a [Token<'a>],
-    /// The innermost open parenthesis last; the statement itself first.
+    /// One per open parenthesis, the innermost last. The first is the statement itself.
     scopes: Vec<Scope>,
-    /// Where qualified names stand as tables.
+    /// Token indices of qualified names in the place of a table.
     tables: Vec<usize>,
-    /// Where qualified names stand at all.
+    /// Token indices of all qualified names.
     names: Vec<usize>,
     aliases: HashSet<&'a str>,
 }
@@ -81,7 +81,7 @@
     fn open_parenthesis(&mut self, index: usize) {
         let lists_tables = self.scope().lists_tables;
         let next = self.tokens.get(index + 1);
-        let is_query = next.is_some_and(|token| token.is_one_of(&QUERIES));
+        let is_query = next.is_some_and(|token| token.is_one_of(&QUERY_KEYWORDS));
         let is_table = index > 0 && is_place_of_table(&self.tokens[index - 1], lists_tables);
         let scope = Scope { is_query: is_query || is_table, lists_tables: is_table && !is_query };
         self.scopes.push(scope);
@@ -95,7 +95,7 @@
         let mut scope = self.scope();
         if scope.is_query && token.is_one_of(&BEFORE_TABLES) {
             scope.lists_tables = true;
-        } else if token.is_one_of(&BEHIND_TABLES) {
+        } else if token.is_one_of(&AFTER_TABLES) {
             scope.lists_tables = false;
         }
         if let Some(innermost) = self.scopes.last_mut() {
@@ -104,7 +104,7 @@
         let is_place = is_place_of_table(token, scope.lists_tables);
         if is_place && scope.is_query && self.qualified_schema(index + 1).is_some() {
             self.tables.push(index + 1);
-            self.aliases.extend(self.alias_behind(index + 4));
+            self.aliases.extend(self.alias_at(index + 4));
         }
     }
 
@@ -112,18 +112,18 @@
         self.scopes.last().copied().unwrap_or(Scope { is_query: true, lists_tables: false })
     }
 
-    /// The alias of a table, where one may stand at this index.
-    fn alias_behind(&self, index: usize) -> Option<&'a str> {
+    /// The table alias at this index, if there is one.
+    fn alias_at(&self, index: usize) -> Option<&'a str> {
         let has_keyword = self.tokens.get(index).is_some_and(|token| token.is("AS"));
-        let alias = if has_keyword { index + 1 } else { index };
-        self.tokens.get(alias).and_then(Token::name)
+        let alias_index = if has_keyword { index + 1 } else { index };
+        self.tokens.get(alias_index).and_then(Token::name)
     }
 
     fn has_sign(&self, index: usize, sign: u8) -> bool {
         self.tokens.get(index) == Some(&Token::Sign(sign))
     }
 
-    /// The schema of a qualified name that begins at this index.
+    /// The schema of the qualified name that begins at this index, if one does.
     fn qualified_schema(&self, index: usize) -> Option<&'a str> {
         let schema = self.tokens.get(index)?.name()?;
         if !self.has_sign(index + 1, b'.') || (index > 0 && self.has_sign(index - 1, b'.')) {
@@ -132,22 +132,25 @@
         self.tokens.get(index + 2)?.name().map(|_| schema)
     }
 
+    /// As [`Self::qualified_schema`], but without the staging schema.
     fn schema_with_group(&self, index: usize) -> Option<&'a str> {
         self.qualified_schema(index).filter(|schema| !schema.eq_ignore_ascii_case(STAGING))
     }
 
+    /// The group of the first table that has one.
     fn group_of_tables(&self) -> Option<u64> {
         let mut schemas = self.tables.iter().filter_map(|&index| self.schema_with_group(index));
         schemas.find_map(group_of)
     }
 
+    /// The group of the first qualified name that has one and whose schema part is not an alias.
     fn group_of_names(&self) -> Option<u64> {
         let schemas = self.names.iter().filter_map(|&index| self.schema_with_group(index));
         schemas.filter(|schema| !self.aliases.contains(schema)).find_map(group_of)
     }
 }
 
-/// Whether a table may stand behind this token.
+/// Whether a table may directly follow this token.
 fn is_place_of_table(token: &Token, lists_tables: bool) -> bool {
     let is_place = token.is_one_of(&BEFORE_A_TABLE) || matches!(token, Token::Sign(b',' | b'('));
     lists_tables && is_place
--- a/crates/router/src/protocol/statement/tests.rs
+++ b/crates/router/src/protocol/statement/tests.rs
@@ -3,24 +3,24 @@
 const FIELDS: &str = "op=report,call=9b1f03aa5c7e2d41,ttl=1500";
 
 fn request(text: &str) -> ParsedStatement {
-    match read(text.as_bytes()) {
+    match parse(text.as_bytes()) {
         Ok(Statement::Query(request)) => request,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn the_fields_are_taken_off_and_the_rest_goes_on_byte_for_byte() {
-    let rest = "SELECT 'é\\'', \"/* op=x */\"  FROM sales_17.orders -- end";
-    let request = request(&format!("/* {FIELDS},org=acme,rep=1,dedupe=5c0f,work=820.0,mb=96 */ {rest}"));
-    assert_eq!(request.text, rest.as_bytes());
+fn the_fields_comment_is_removed_and_the_rest_is_kept_byte_for_byte() {
+    let sql = "SELECT 'é\\'', \"/* op=x */\"  FROM sales_17.orders -- end";
+    let request = request(&format!("/* {FIELDS},org=acme,rep=1,dedupe=5c0f,work=820.0,mb=96 */ {sql}"));
+    assert_eq!(request.text, sql.as_bytes());
     assert_eq!((request.id.as_str(), request.class.as_str()), ("9b1f03aa5c7e2d41", "report"));
     assert_eq!((request.time_to_live, request.idempotency_key.as_deref()), (1.5, Some("5c0f")));
     assert_eq!((request.work, request.memory_mb, request.table_group), (Some(0.82), Some(96.0), Some(17)));
 }
 
 #[test]
-fn estimates_may_be_absent_but_no_field_may_be_unfit_for_use() {
+fn estimates_may_be_absent_but_an_invalid_field_is_an_error() {
     for absent in ["", ",rep=1", ",,=,work", ",work=0,mb=0", ",later=x"] {
         let request = request(&format!("/*{FIELDS}{absent}*/SELECT 1 FROM a_1.b"));
         assert_eq!(
@@ -29,7 +29,7 @@
             "{absent}"
         );
     }
-    for odd in [
+    for invalid in [
         "work=",
         "work=much",
         "work=NaN",
@@ -49,15 +49,16 @@
         "mb=1,mb=1",
         "org=a,org=b",
     ] {
-        let (name, _) = odd.split_once('=').unwrap();
-        let why = read(format!("/*{FIELDS},{odd}*/SELECT 1 FROM a_1.b").as_bytes()).unwrap_err().to_string();
-        assert!(why.starts_with(&format!("field {name}: expected")), "{odd}: {why}");
+        let (name, _) = invalid.split_once('=').unwrap();
+        let message =
+            parse(format!("/*{FIELDS},{invalid}*/SELECT 1 FROM a_1.b").as_bytes()).unwrap_err().to_string();
+        assert!(message.starts_with(&format!("field {name}: expected")), "{invalid}: {message}");
     }
 }
 
 #[test]
-fn a_request_that_no_request_can_be_made_of_says_why() {
-    for (text, why) in [
+fn the_error_of_an_invalid_request_names_the_cause() {
+    for (text, message) in [
         ("/* op=report,ttl=1500 */ SELECT 1", "field call: expected 16 hex digits, got \"\""),
         ("/* call=9b1f03aa5c7e2d41,ttl=1500 */ SELECT 1", "field op: expected a category, got \"\""),
         (
@@ -67,14 +68,14 @@
         ("/* op=r,call=xyz,ttl=1 */ SELECT 1", "field call: expected 16 hex digits, got \"xyz\""),
         ("/* op=r,call=9b1f03aa5c7e2d41,ttl=9 */", "the statement is empty"),
     ] {
-        assert_eq!(read(text.as_bytes()).unwrap_err().to_string(), why);
+        assert_eq!(parse(text.as_bytes()).unwrap_err().to_string(), message);
     }
-    assert!(read(b"SELECT day FROM sales_17.orders").unwrap_err().to_string().contains("no fields comment"));
-    assert!(read(b"/* op=report").is_err() && read(b"").is_err() && read(b"\xff\xfe").is_err());
+    assert!(parse(b"SELECT day FROM sales_17.orders").unwrap_err().to_string().contains("no fields comment"));
+    assert!(parse(b"/* op=report").is_err() && parse(b"").is_err() && parse(b"\xff\xfe").is_err());
 }
 
 #[test]
-fn the_table_group_is_that_of_the_schema_read_or_written() {
+fn the_table_group_is_that_of_the_schema_the_statement_reads_or_writes() {
     for (text, group) in [
         ("SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day", Some(17)),
         ("select * from `sales_17`.`orders`", Some(17)),
@@ -108,21 +109,21 @@
 }
 
 #[test]
-fn what_changes_no_state_is_harmless_and_nothing_else_without_fields_is_answered() {
+fn statements_without_fields_are_refused_unless_they_only_set_session_state() {
     for text in ["SET NAMES utf8mb4", "set autocommit=0", "USE reports", "COMMIT", "/* x */ ROLLBACK"] {
-        assert_eq!(read(text.as_bytes()), Ok(Statement::Harmless), "{text}");
+        assert_eq!(parse(text.as_bytes()), Ok(Statement::NoOp), "{text}");
     }
     for text in ["SELECT 1", "SHOW VARIABLES", "/* x */ SELECT @@version_comment", "SELECT 1 FROM sales_1.t"]
     {
-        assert!(read(text.as_bytes()).unwrap_err().to_string().contains("no fields comment"), "{text}");
+        assert!(parse(text.as_bytes()).unwrap_err().to_string().contains("no fields comment"), "{text}");
     }
 }
 
 #[test]
-fn kills_name_a_session() {
+fn a_kill_has_a_session_id_and_whether_only_the_query_is_killed() {
     let kill = |session, query_only| Ok(Statement::Kill { session, query_only });
-    assert_eq!(read(b"KILL QUERY 12"), kill(12, true));
-    assert_eq!(read(b"kill connection 12;"), kill(12, false));
-    assert_eq!(read(b"KILL 12"), kill(12, false));
-    assert!(read(b"KILL QUERY").is_err() && read(b"KILL -4").is_err());
+    assert_eq!(parse(b"KILL QUERY 12"), kill(12, true));
+    assert_eq!(parse(b"kill connection 12;"), kill(12, false));
+    assert_eq!(parse(b"KILL 12"), kill(12, false));
+    assert!(parse(b"KILL QUERY").is_err() && parse(b"KILL -4").is_err());
 }
--- a/crates/router/src/protocol/statement/tokens.rs
+++ b/crates/router/src/protocol/statement/tokens.rs
@@ -1,16 +1,19 @@
-//! The pieces of a statement.
+//! Splits a statement into tokens.
 
-/// A piece of a statement; comments and blanks are none.
+/// A token of a statement. Comments and white space are not tokens.
 #[derive(Debug, PartialEq)]
 pub enum Token<'a> {
     Word(&'a str),
-    /// A name in back quotes.
+    /// A name in backquotes.
     Quoted(&'a str),
+    /// A string literal.
     Text(&'a str),
+    /// Any other single character.
     Sign(u8),
 }
 
 impl<'a> Token<'a> {
+    /// The text of a word. Empty for other tokens.
     pub fn word(&self) -> &'a str {
         match self {
             Token::Word(word) => word,
@@ -18,6 +21,7 @@
         }
     }
 
+    /// The name that the token may be: a word or a quoted name.
     pub fn name(&self) -> Option<&'a str> {
         match self {
             Token::Word(name) | Token::Quoted(name) => Some(name),
@@ -25,20 +29,21 @@
         }
     }
 
-    /// It is one of these keywords.
+    /// Whether the token is one of these keywords.
     pub fn is_one_of(&self, keywords: &[&str]) -> bool {
         keywords.iter().any(|keyword| self.is(keyword))
     }
 
-    pub fn is(&self, word: &str) -> bool {
-        self.word().eq_ignore_ascii_case(word)
+    /// Whether the token is this keyword, in upper or lower case.
+    pub fn is(&self, keyword: &str) -> bool {
+        self.word().eq_ignore_ascii_case(keyword)
     }
 }
 
-/// Where a quoted piece that begins at `at` ends: behind its closing quote, or with the statement.
-fn quoted_end(text: &[u8], at: usize) -> usize {
-    let quote = text[at];
-    let mut next = at + 1;
+/// The end of the quoted text that begins at `start`: after its closing quote, or the end of the statement if there is none.
+fn quoted_end(text: &[u8], start: usize) -> usize {
+    let quote = text[start];
+    let mut next = start + 1;
     while next < text.len() {
         match text[next] {
             b'\\' if quote != b'`' => next += 1,
@@ -51,48 +56,54 @@
     text.len()
 }
 
-fn find(text: &[u8], from: usize, what: &[u8]) -> usize {
+/// The position after the first `terminator` from `from` on, or the end of the text if there is none.
+fn end_after(text: &[u8], from: usize, terminator: &[u8]) -> usize {
     let rest = text.get(from..).unwrap_or(b"");
-    rest.windows(what.len()).position(|part| part == what).map_or(text.len(), |at| from + at + what.len())
+    let offset = rest.windows(terminator.len()).position(|part| part == terminator);
+    offset.map_or(text.len(), |offset| from + offset + terminator.len())
 }
 
+/// Splits a statement into tokens.
 pub fn tokens(text: &[u8]) -> Vec<Token<'_>> {
-    let part = |from: usize, to: usize| std::str::from_utf8(text.get(from..to).unwrap_or(b"")).unwrap_or("");
-    let in_word = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'$' | 0x80..);
+    let slice = |from: usize, to: usize| std::str::from_utf8(text.get(from..to).unwrap_or(b"")).unwrap_or("");
+    let is_word_byte = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'$' | 0x80..);
     let mut tokens = Vec::new();
-    let mut at = 0;
-    while let Some(&byte) = text.get(at) {
-        let next = text.get(at + 1).copied();
+    let mut start = 0;
+    while let Some(&byte) = text.get(start) {
+        let next = text.get(start + 1).copied();
         let end = match byte {
-            b' ' | b'\t' | b'\r' | b'\n' | 0x0b | 0x0c => at + 1,
-            b'#' => find(text, at, b"\n"),
-            b'-' if next == Some(b'-') && text.get(at + 2).is_none_or(|byte| byte.is_ascii_whitespace()) => {
-                find(text, at, b"\n")
+            b' ' | b'\t' | b'\r' | b'\n' | 0x0b | 0x0c => start + 1,
+            b'#' => end_after(text, start, b"\n"),
+            b'-' if next == Some(b'-')
+                && text.get(start + 2).is_none_or(|byte| byte.is_ascii_whitespace()) =>
+            {
+                end_after(text, start, b"\n")
             }
-            // What MySQL runs although it stands in a comment is a part of the statement.
-            b'/' if next == Some(b'*') && text.get(at + 2) == Some(&b'!') => {
-                let digits = text[at + 3..].iter().take_while(|byte| byte.is_ascii_digit()).count();
-                at + 3 + digits
+            // MySQL executes the content of `/*! ... */` comments, so it is part of the statement. Only the comment's opening with
+            // its version number and its end are skipped.
+            b'/' if next == Some(b'*') && text.get(start + 2) == Some(&b'!') => {
+                let digits = text[start + 3..].iter().take_while(|byte| byte.is_ascii_digit()).count();
+                start + 3 + digits
             }
-            b'*' if next == Some(b'/') => at + 2,
-            b'/' if next == Some(b'*') => find(text, at + 2, b"*/"),
+            b'*' if next == Some(b'/') => start + 2,
+            b'/' if next == Some(b'*') => end_after(text, start + 2, b"*/"),
             b'\'' | b'"' | b'`' => {
-                let end = quoted_end(text, at);
-                let inside = part(at + 1, (end - 1).max(at + 1));
-                tokens.push(if byte == b'`' { Token::Quoted(inside) } else { Token::Text(inside) });
+                let end = quoted_end(text, start);
+                let inner = slice(start + 1, (end - 1).max(start + 1));
+                tokens.push(if byte == b'`' { Token::Quoted(inner) } else { Token::Text(inner) });
                 end
             }
-            _ if in_word(byte) => {
-                let end = at + text[at..].iter().take_while(|&&byte| in_word(byte)).count();
-                tokens.push(Token::Word(part(at, end)));
+            _ if is_word_byte(byte) => {
+                let end = start + text[start..].iter().take_while(|&&byte| is_word_byte(byte)).count();
+                tokens.push(Token::Word(slice(start, end)));
                 end
             }
             sign => {
                 tokens.push(Token::Sign(sign));
-                at + 1
+                start + 1
             }
         };
-        at = end;
+        start = end;
     }
     tokens
 }
--- a/crates/router/src/protocol/tests.rs
+++ b/crates/router/src/protocol/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Bytes of each protocol, changed, cut and repeated at many places.
+/// Mutates samples of each protocol: changes, cuts, inserts and repeats bytes at random places.
 #[test]
-fn no_bytes_make_a_codec_panic() {
+fn parsers_do_not_panic_on_mutated_input() {
     let samples: [&[u8]; 6] = [
         b"\x20\0\0\x01\0\x82\0\0\0\0\0\x01\x2d\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0app\0\x01\0",
         b"/* op=r,call=9b1f03aa5c7e2d41,ttl=1.5,work=2 */ SELECT 'a\\'' /*x*/ FROM `s_1`.t, (b.c) -- x\n#y",
@@ -12,29 +12,35 @@
         b"\x0c\x01\0\0\0",
     ];
     let mut state = 7u64;
-    let mut chance = |below: usize| {
+    let mut random_below = |below: usize| {
         state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (state >> 33) as usize % below
     };
     for round in 0..30_000 {
         let mut bytes = samples[round % samples.len()].to_vec();
-        for _ in 0..=chance(4) {
-            let at = chance(bytes.len());
-            match chance(4) {
-                0 => bytes[at] = chance(256) as u8,
-                1 => bytes.truncate(at + 1),
-                2 => bytes.insert(at, b"'\"`\\*/(),. \r\n\0"[chance(14)]),
-                _ => bytes.extend_from_within(at..),
+        for _ in 0..=random_below(4) {
+            let position = random_below(bytes.len());
+            match random_below(4) {
+                0 => bytes[position] = random_below(256) as u8,
+                1 => bytes.truncate(position + 1),
+                2 => bytes.insert(position, b"'\"`\\*/(),. \r\n\0"[random_below(14)]),
+                _ => bytes.extend_from_within(position..),
             }
         }
-        let body = mysql::packet(&bytes, 1 << 16).ok().flatten().map_or(&bytes[..], |packet| packet.body);
-        let _ = (mysql::login(body), mysql::command(body), statement::read(&bytes), discovery::line(&bytes));
+        let body =
+            mysql::parse_packet(&bytes, 1 << 16).ok().flatten().map_or(&bytes[..], |packet| packet.body);
+        let _ = (
+            mysql::parse_login(body),
+            mysql::parse_command(body),
+            statement::parse(&bytes),
+            discovery::parse_line(&bytes),
+        );
         let mut rest = &bytes[..];
-        while let Ok(Some(answer)) = engine::answer(rest) {
+        while let Ok(Some(answer)) = engine::parse_answer(rest) {
             if let Ok(mut pages) = engine::Pages::new(answer.pages.unwrap_or(1), answer.body) {
                 let _ = (pages.add(answer.page.unwrap_or(1), answer.body), pages.take_complete());
             }
-            rest = &rest[answer.taken..];
+            rest = &rest[answer.length..];
         }
     }
 }
--- a/crates/router/src/transport/client_session.rs
+++ b/crates/router/src/transport/client_session.rs
@@ -5,7 +5,7 @@
 
 use super::buffer::{Buffer, ReadOutcome};
 use crate::protocol::mysql::{self, Command};
-use crate::protocol::statement::{ParsedStatement, Question, StatementError};
+use crate::protocol::statement::{ParsedStatement, StatementError, StatusTopic};
 use crate::routing::SessionId;
 use calloop::RegistrationToken;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -60,7 +60,7 @@
     /// The client asks for the router's counters.
     Counters,
     /// The client asks for a status table of the router.
-    Question(Question),
+    Question(StatusTopic),
 }
 
 /// Rank of a session among those that may be closed to free a place. The lowest rank, with which the least is lost, is
@@ -151,7 +151,7 @@
             unsent_since: None,
             step_began_at: Some(now),
         };
-        session.send(|out, _| mysql::greeting(out, id, random_challenge()));
+        session.send(|out, _| mysql::write_greeting(out, id, random_challenge()));
         session
     }
 
@@ -282,7 +282,7 @@
             if !self.has_unhandled_packets {
                 break;
             }
-            match mysql::packet(self.buffer.input(), self.max_packet) {
+            match mysql::parse_packet(self.buffer.input(), self.max_packet) {
                 Ok(Some(packet)) => {
                     let sequence = packet.sequence;
                     let body = packet.body.to_vec();
@@ -326,7 +326,7 @@
     }
 
     fn is_ping(&self, body: &[u8]) -> bool {
-        self.state == State::Idle && mysql::command(body) == Ok(Command::Ping)
+        self.state == State::Idle && mysql::parse_command(body) == Ok(Command::Ping)
     }
 
     /// Leaves a ping in the buffer. It is answered once the engines are known, so that a health check sees the router as
@@ -346,7 +346,9 @@
         let result = match self.state {
             State::Login if sequence == 1 => self.login(body).map(|()| None),
             State::Idle if sequence == 0 => self.command(body),
-            _ => Err(mysql::Bad { code: mysql::OUT_OF_ORDER, why: "packets out of order" }),
+            _ => {
+                Err(mysql::PacketError { code: mysql::PACKETS_OUT_OF_ORDER, message: "packets out of order" })
+            }
         };
         result.unwrap_or_else(|bad| {
             self.refuse_packet(bad);
@@ -376,14 +378,14 @@
         }
     }
 
-    fn refuse_packet(&mut self, bad: mysql::Bad) {
-        log::debug!("session {}: invalid packet, closing the session: {}", self.id, bad.why);
+    fn refuse_packet(&mut self, bad: mysql::PacketError) {
+        log::debug!("session {}: invalid packet, closing the session: {}", self.id, bad.message);
         self.is_malformed = true;
-        self.error_and_close(bad.code, bad.why);
+        self.error_and_close(bad.code, bad.message);
     }
 
-    fn error_and_close(&mut self, code: mysql::Code, message: &str) {
-        self.send(|out, sequence| mysql::error(out, sequence, code, message));
+    fn error_and_close(&mut self, code: mysql::ErrorCode, message: &str) {
+        self.send(|out, sequence| mysql::write_error(out, sequence, code, message));
         self.close_after_writing();
     }
 
--- a/crates/router/src/transport/client_session/commands.rs
+++ b/crates/router/src/transport/client_session/commands.rs
@@ -8,40 +8,40 @@
 use crate::status_row::StatusRow;
 
 impl ClientSession {
-    pub(super) fn login(&mut self, body: &[u8]) -> Result<(), mysql::Bad> {
-        let login = mysql::login(body)?;
-        if login.with_password {
+    pub(super) fn login(&mut self, body: &[u8]) -> Result<(), mysql::PacketError> {
+        let login = mysql::parse_login(body)?;
+        if login.has_password {
             let message = format!("access denied for {}: it has no password here", login.user);
-            self.error_and_close(mysql::DENIED, &message);
+            self.error_and_close(mysql::ACCESS_DENIED, &message);
         } else {
             self.ok();
         }
         Ok(())
     }
 
-    pub(super) fn command(&mut self, body: &[u8]) -> Result<Option<SessionEvent>, mysql::Bad> {
-        match mysql::command(body)? {
+    pub(super) fn command(&mut self, body: &[u8]) -> Result<Option<SessionEvent>, mysql::PacketError> {
+        match mysql::parse_command(body)? {
             Command::Quit => self.state = State::Closed,
             Command::Query(text) => return Ok(self.query(text)),
-            Command::Ping | Command::Harmless => self.ok(),
-            Command::SetOption => self.send(mysql::eof),
+            Command::Ping | Command::NoOp => self.ok(),
+            Command::SetOption => self.send(mysql::write_eof),
             Command::Statistics => return Ok(self.wait_for(SessionEvent::Counters)),
             Command::Kill(session) => {
                 return Ok(self.wait_for(SessionEvent::Kill { session, query_only: false }))
             }
             Command::Unknown(number) => {
-                self.error(mysql::NOT_COMMAND, &format!("command {number} is not served"))
+                self.error(mysql::UNKNOWN_COMMAND, &format!("command {number} is not served"))
             }
         }
         Ok(None)
     }
 
     fn query(&mut self, text: &[u8]) -> Option<SessionEvent> {
-        let event = match statement::read(text) {
+        let event = match statement::parse(text) {
             Ok(Statement::Query(statement)) => SessionEvent::Query(statement),
             Ok(Statement::Kill { session, query_only }) => SessionEvent::Kill { session, query_only },
-            Ok(Statement::Question(question)) => SessionEvent::Question(question),
-            Ok(Statement::Harmless) => {
+            Ok(Statement::Show(question)) => SessionEvent::Question(question),
+            Ok(Statement::NoOp) => {
                 self.ok();
                 return None;
             }
@@ -57,23 +57,23 @@
 
     /// Answers with OK; the session is idle again, as after each of the answers below.
     pub fn ok(&mut self) {
-        self.answer_and_become_idle(mysql::ok);
+        self.answer_and_become_idle(mysql::write_ok);
     }
 
-    pub fn error(&mut self, code: mysql::Code, message: &str) {
-        self.answer_and_become_idle(|out, sequence| mysql::error(out, sequence, code, message));
+    pub fn error(&mut self, code: mysql::ErrorCode, message: &str) {
+        self.answer_and_become_idle(|out, sequence| mysql::write_error(out, sequence, code, message));
     }
 
     /// Answers with a plain text, as the command for statistics expects.
     pub fn text(&mut self, text: &str) {
-        self.answer_and_become_idle(|out, sequence| mysql::text(out, sequence, text));
+        self.answer_and_become_idle(|out, sequence| mysql::write_text(out, sequence, text));
     }
 
     /// Answers with a status table of the router as a result set.
     pub fn table(&mut self, rows: &[StatusRow]) {
         let names = StatusRow::COLUMNS.map(str::to_string);
         let rows = rows.iter().map(|row| row.cells().into_iter().map(str::as_bytes));
-        self.answer_and_become_idle(|out, sequence| mysql::result(out, sequence, &names, rows));
+        self.answer_and_become_idle(|out, sequence| mysql::write_result_set(out, sequence, &names, rows));
     }
 
     fn answer_and_become_idle(&mut self, write: impl FnOnce(&mut Vec<u8>, &mut u8)) {
@@ -101,11 +101,11 @@
         self.answer_and_become_idle(|out, sequence| match answer {
             Answer::Completed(pages) => {
                 let names: Vec<String> = (1..=COLUMNS).map(|number| format!("column_{number}")).collect();
-                mysql::result(out, sequence, &names, rows(&pages).map(columns));
+                mysql::write_result_set(out, sequence, &names, rows(&pages).map(columns));
             }
-            Answer::Rejected { retry_after } => mysql::rejected(out, sequence, retry_after),
-            Answer::Failed => mysql::failed(out, sequence),
-            Answer::Withdrawn => mysql::killed(out, sequence),
+            Answer::Rejected { retry_after } => mysql::write_rejected(out, sequence, retry_after),
+            Answer::Failed => mysql::write_failed(out, sequence),
+            Answer::Withdrawn => mysql::write_killed(out, sequence),
         });
     }
 }
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -9,7 +9,7 @@
 use super::panic_guard::catch_panic;
 use super::sockets::is_out_of_descriptors;
 use crate::protocol::mysql;
-use crate::protocol::statement::{ParsedStatement, Question, StatementError};
+use crate::protocol::statement::{ParsedStatement, StatementError, StatusTopic};
 use crate::routing::{Answer, Counters, SessionId, SessionStatement, TurnInput};
 use calloop::Readiness;
 use std::collections::HashMap;
@@ -44,7 +44,7 @@
 /// A session's request for a status table, which is not answered yet.
 struct PendingQuestion {
     requested_by: SessionId,
-    question: Question,
+    question: StatusTopic,
 }
 
 pub struct ClientSessions {
@@ -354,7 +354,7 @@
         self.counters.unusable += 1;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.active_at = now;
-            session.error(mysql::NOT_UNDERSTOOD, &error.to_string());
+            session.error(mysql::PARSE_ERROR, &error.to_string());
             self.unfinished.push(id);
         }
     }
--- a/crates/router/src/transport/client_sessions/questions.rs
+++ b/crates/router/src/transport/client_sessions/questions.rs
@@ -2,7 +2,7 @@
 
 use super::{ClientSessions, PendingQuestion};
 use crate::protocol::mysql;
-use crate::protocol::statement::Question;
+use crate::protocol::statement::StatusTopic;
 use crate::routing::Counters;
 use crate::status_row::StatusRow;
 
@@ -25,8 +25,8 @@
     }
 
     /// The questions that were asked in this turn, without duplicates.
-    pub fn questions(&self) -> Vec<Question> {
-        let mut questions: Vec<Question> = Vec::new();
+    pub fn questions(&self) -> Vec<StatusTopic> {
+        let mut questions: Vec<StatusTopic> = Vec::new();
         for pending in &self.pending_questions {
             if !questions.contains(&pending.question) {
                 questions.push(pending.question);
@@ -36,7 +36,7 @@
     }
 
     /// Answers the sessions that asked this question. `rows` is none if the router does not have what was asked for.
-    pub fn answer_status(&mut self, question: Question, rows: Option<&[StatusRow]>, now: f64) {
+    pub fn answer_status(&mut self, question: StatusTopic, rows: Option<&[StatusRow]>, now: f64) {
         let (answered, others) = std::mem::take(&mut self.pending_questions)
             .into_iter()
             .partition(|pending| pending.question == question);
@@ -47,7 +47,7 @@
             session.active_at = now;
             match rows {
                 Some(rows) => session.table(rows),
-                None => session.error(mysql::NOT_UNDERSTOOD, "there is nothing of the kind here"),
+                None => session.error(mysql::PARSE_ERROR, "there is nothing of the kind here"),
             }
             self.unfinished.push(requested_by);
         }
--- a/crates/router/src/transport/discovery_client.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -210,7 +210,7 @@
         self.state = State::Up { heard_at: now };
         self.counters.discovery_connects += 1;
         let mut request = Vec::new();
-        discovery::watch(&mut request, self.last_event);
+        discovery::write_watch(&mut request, self.last_event);
         self.buffer.queue_output(&request);
     }
 
@@ -219,7 +219,7 @@
         self.readable = reached == ReadOutcome::LimitReached;
         while let Some(end) = self.buffer.input().iter().position(|&byte| byte == b'\n') {
             self.note_heard(now);
-            let line = discovery::line(&self.buffer.input()[..end]);
+            let line = discovery::parse_line(&self.buffer.input()[..end]);
             self.buffer.consume(end + 1);
             if line.is_err() {
                 self.counters.discovery_malformed += 1;
@@ -246,7 +246,7 @@
 
     fn take_line(&mut self, line: Line, events: &mut Vec<Event>) -> Result<(), DiscoveryError> {
         let (number, event) = match line {
-            Line::Last(number) => (number, None),
+            Line::LastNumber(number) => (number, None),
             Line::Event(event) => (event.number, Some(event)),
         };
         let expected = self.last_event + u64::from(event.is_some());
--- a/crates/router/src/transport/discovery_client/tests.rs
+++ b/crates/router/src/transport/discovery_client/tests.rs
@@ -36,13 +36,13 @@
     let event = |number| Line::Event(Event { number, list: None });
     assert!(
         client.take_line(event(2), &mut events).is_ok()
-            && client.take_line(Line::Last(3), &mut events).is_ok()
+            && client.take_line(Line::LastNumber(3), &mut events).is_ok()
     );
     assert!(events.is_empty());
     assert!(client.take_line(event(4), &mut events).is_ok());
     assert!(client.take_line(event(6), &mut events).is_err(), "five is missing");
     assert!(client.take_line(event(6), &mut events).is_ok(), "the board has no five");
-    assert!(client.take_line(Line::Last(8), &mut events).is_err(), "seven and eight are missing");
+    assert!(client.take_line(Line::LastNumber(8), &mut events).is_err(), "seven and eight are missing");
     let numbers: Vec<u64> = events.iter().map(|event| event.number).collect();
     assert_eq!(numbers, [4, 6]);
 }
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -176,7 +176,7 @@
 
     fn ping(&mut self, now: f64) -> io::Result<()> {
         self.asked_at = Some(now);
-        self.send(|out| engine::ping(out, PING_TAG))
+        self.send(|out| engine::write_ping(out, PING_TAG))
     }
 
     /// It gives no sign of life, though its engine has spoken elsewhere since it should have: nothing more comes of it.
@@ -231,7 +231,7 @@
     /// Changes the priority lane of an attempt that has left.
     pub fn change_lane(&mut self, attempt: AttemptId, lane: u8) -> io::Result<()> {
         let Some(id) = self.id_of(attempt) else { return Ok(()) };
-        self.send(|out| engine::lane(out, &id, lane))
+        self.send(|out| engine::write_lane(out, &id, lane))
     }
 
     /// Cancels an attempt. What another connection carries may overtake the cancellation, and the engine would run two attempts
@@ -253,8 +253,8 @@
         self.cancelled.insert(id.clone(), cancelled);
         self.idle_since = now;
         let sent = self.send(|out| {
-            engine::give_up(out, &id);
-            engine::ping(out, &id);
+            engine::write_cancel(out, &id);
+            engine::write_ping(out, &id);
         });
         self.used_ids.insert(id);
         sent
@@ -340,17 +340,17 @@
 
     /// Takes the complete answers off the input.
     fn take_answers(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) -> Result<(), ConnectionError> {
-        while let Some(answer) = engine::answer(self.buffer.input())? {
-            let taken = answer.taken;
+        while let Some(answer) = engine::parse_answer(self.buffer.input())? {
+            let taken = answer.length;
             let mut requests = Vec::new();
             match answer.kind {
                 // A sign of life, which `read` has noted.
-                AnswerKind::Fit => {
+                AnswerKind::Pong => {
                     if let Some(Cancelled { attempt, failure, .. }) = self.cancelled.remove(answer.id) {
                         ended.push(EndedAttempt { attempt, result: Err(failure) });
                     }
                 }
-                AnswerKind::Other => {}
+                AnswerKind::Unknown => {}
                 _ => match self.exchanges.get_mut(answer.id) {
                     None => self.answers_dropped += 1,
                     Some(exchange) => {
--- a/crates/router/src/transport/engine_exchange.rs
+++ b/crates/router/src/transport/engine_exchange.rs
@@ -22,21 +22,21 @@
         requests: &mut Vec<u8>,
     ) -> Result<Option<Reply>, Malformed> {
         match (answer.kind, &mut self.pages) {
-            (AnswerKind::Done, None) => self.take_first_page(answer, requests),
+            (AnswerKind::Completed, None) => self.take_first_page(answer, requests),
             // A second copy, whose pages are under way.
-            (AnswerKind::Done, Some(_)) => Ok(None),
-            (AnswerKind::More, None) => Err(Malformed("a page before the first")),
-            (AnswerKind::More, Some(pages)) => {
+            (AnswerKind::Completed, Some(_)) => Ok(None),
+            (AnswerKind::Page, None) => Err(Malformed("a page before the first")),
+            (AnswerKind::Page, Some(pages)) => {
                 pages.add(answer.page.unwrap_or(0), answer.body)?;
                 let rows = pages.take_complete();
                 if rows.is_some() {
-                    engine::close(requests, answer.id);
+                    engine::write_close(requests, answer.id);
                 }
                 Ok(rows.map(|rows| Reply::Completed { rows, measured: pages.measured }))
             }
-            (AnswerKind::Broke, _) => Ok(Some(Reply::EngineError)),
-            (AnswerKind::Wait, None) => Ok(Some(Reply::EngineFull)),
-            (AnswerKind::Past, None) => Ok(Some(Reply::DeadlinePassed)),
+            (AnswerKind::EngineError, _) => Ok(Some(Reply::EngineError)),
+            (AnswerKind::EngineFull, None) => Ok(Some(Reply::EngineFull)),
+            (AnswerKind::DeadlinePassed, None) => Ok(Some(Reply::DeadlinePassed)),
             _ => Err(Malformed("an answer out of place")),
         }
     }
@@ -50,8 +50,8 @@
         let pages = self.pages.insert(Pages::new(answer.pages.unwrap_or(1), answer.body)?);
         let measured = answer.work.zip(answer.peak);
         pages.measured = measured.map(|(ms, memory_mb)| MeasuredCost { work: ms / MS_PER_S, memory_mb });
-        for number in pages.others() {
-            engine::page(requests, answer.id, number);
+        for number in pages.after_first() {
+            engine::write_page_request(requests, answer.id, number);
         }
         let rows = pages.take_complete();
         Ok(rows.map(|rows| Reply::Completed { rows, measured: pages.measured }))
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -14,7 +14,7 @@
 use super::shutdown::Shutdown;
 use super::sockets::begin_connect;
 use super::subsystems::{SubsystemSettings, Subsystems};
-use crate::protocol::statement::Question;
+use crate::protocol::statement::StatusTopic;
 use crate::routing::{Counters, RefusedStatement, Routing, TurnInput};
 use calloop::signals::Signal;
 use calloop::{EventLoop, Readiness};
@@ -284,7 +284,7 @@
         }
         for question in self.connections.sessions.questions() {
             let rows = match question {
-                Question::Teams => self.routing.tenant_status(),
+                StatusTopic::Teams => self.routing.tenant_status(),
                 _ => self.subsystems.status(question),
             };
             self.connections.sessions.answer_status(question, rows.as_deref(), now);
--- a/crates/router/src/transport/subsystems.rs
+++ b/crates/router/src/transport/subsystems.rs
@@ -6,7 +6,7 @@
 use super::cluster_socket::{ClusterSocket, JoinedCluster};
 use super::event_source::{EventSource, LoopHandle};
 use super::store_writer::StoreWriter;
-use crate::protocol::statement::Question;
+use crate::protocol::statement::StatusTopic;
 use crate::routing::{Counters, Routing};
 use crate::status_row::StatusRow;
 use calloop::Readiness;
@@ -144,17 +144,17 @@
     }
 
     /// The rows that answer a status question; none if the subsystem is absent, or if the question does not concern a subsystem.
-    pub fn status(&self, question: Question) -> Option<Vec<StatusRow>> {
+    pub fn status(&self, question: StatusTopic) -> Option<Vec<StatusRow>> {
         // The row of a held leader role shows the Unix time and the remaining seconds. The Unix clock is read first, so that
         // after a pause between the two readings the shown end of the role is too early, never too late.
         let unix = unix_time();
         let now = self.clock.read();
         match question {
-            Question::Announcements => self.speaker.as_ref().map(|speaker| speaker.status(now)),
-            Question::Cluster => self.cluster.as_ref().map(|cluster| cluster.status(now)),
-            Question::Roles => self.cluster.as_ref().map(|cluster| cluster.roles(now, unix)),
-            Question::Store => self.store.as_ref().map(|store| store.status(now)),
-            Question::Teams => None,
+            StatusTopic::Announcements => self.speaker.as_ref().map(|speaker| speaker.status(now)),
+            StatusTopic::Cluster => self.cluster.as_ref().map(|cluster| cluster.status(now)),
+            StatusTopic::Roles => self.cluster.as_ref().map(|cluster| cluster.roles(now, unix)),
+            StatusTopic::Store => self.store.as_ref().map(|store| store.status(now)),
+            StatusTopic::Teams => None,
         }
     }
 
