--- a/crates/tenant-queue/src/config.rs
+++ b/crates/tenant-queue/src/config.rs
@@ -1,36 +1,37 @@
-//! What is configured for a tenant.
+//! Configuration of one tenant or group of tenants.
 
-/// The parent of all tenants.
+/// Index of the root group, which contains all tenants.
 pub const ROOT: usize = 0;
 
-/// How much work a tenant may have before it stands behind those within their budgets.
+/// A tenant's budget of work. A tenant that has exceeded its budget is served after its siblings that are within theirs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Seconds of work a second.
+    /// Seconds of work that are earned per second.
     pub rate: f64,
-    /// So many seconds of work it may save up.
+    /// Seconds of work that can be saved up at most.
     pub burst: f64,
 }
 
-/// One tenant, or a group of them. A parent stands before its children.
+/// Configuration of one tenant or group of tenants. In the list of configurations a parent precedes its children.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantConfig {
-    /// Its index in the list; the first one is [`ROOT`] and its own parent.
+    /// Index of the parent in the list. The first entry is [`ROOT`] and its own parent.
     pub parent: usize,
-    /// More than 0.
+    /// Share of the work relative to the siblings; greater than 0.
     pub weight: f64,
-    /// None: never over it.
+    /// The budget of work. `None`: there is no budget that could be exceeded.
     pub budget: Option<Budget>,
-    /// Requests that may be queued; beyond them the last is displaced.
+    /// Maximum number of queued requests. Above it the last request in the queue is displaced.
     pub max_queued: usize,
-    /// Seconds of work that may be queued; beyond them the last request is displaced.
+    /// Maximum queued work in seconds. Above it the last request in the queue is displaced.
     pub max_queued_work: f64,
-    /// Requests that may be in flight at engines at once.
+    /// Maximum number of requests in flight at engines.
     pub max_in_flight: usize,
-    /// A request goes ahead of a denser one that came so many seconds later for each halving of its density. None: the
-    /// densest first, however long others wait.
+    /// Seconds of head start per doubling of value density: a request goes before one of twice its density if it was
+    /// received more than this earlier. `None`: requests are ordered by density alone, however long they have waited.
     pub ageing: Option<f64>,
-    /// By class: so many doublings of its density a request counts as denser. Classes behind the end have none.
+    /// Per request class: the number of doublings by which a request's value density is raised in the order of the
+    /// queue. Classes beyond the end of the list are not raised.
     pub class_boosts: Vec<f64>,
 }
 
--- a/crates/tenant-queue/src/estimates.rs
+++ b/crates/tenant-queue/src/estimates.rs
@@ -1,17 +1,17 @@
-//! How long requests will wait, by what is ahead of them.
+//! Estimates how long requests will wait, from the work that is queued ahead of them.
 
 use crate::config::ROOT;
 use crate::queue::TenantQueue;
 use crate::queued_request::QueuedRequest;
 use crate::wait_estimates::{WaitEstimate, WorkAhead};
 
-/// Of very many siblings the first ones stand for all.
+/// At most this many siblings are summed up; with more, the sum is scaled to their number.
 const MAX_SIBLINGS: usize = 64;
-/// Far back in a long queue, all of it is taken to be ahead.
+/// At most this many requests ahead are summed up. If there are more, the whole queue counts as ahead.
 const MAX_AHEAD: usize = 256;
 
 impl TenantQueue {
-    /// The share of all that goes through which this tenant has while those wait that wait now.
+    /// The tenant's share of all served work while the tenants that wait now continue to wait.
     fn share(&self, tenant: usize) -> f64 {
         let mut share = 1.0;
         let mut node = tenant;
@@ -29,14 +29,16 @@
         share
     }
 
-    /// How long a request of this tenant and so much work would wait if it came now, behind all of its queue.
+    /// Estimates the wait of a request of this tenant with this much work if it were received now and queued behind all
+    /// of the tenant's requests. `None` if the tenant is unknown or the service rate is not known.
     pub fn estimate_wait_of_new(&self, tenant: usize, work: f64, now: f64) -> Option<WaitEstimate> {
         let queued_work = self.nodes.get(tenant)?.queued_work;
         let ahead = WorkAhead { ahead: queued_work, queue: queued_work, share: self.share(tenant) };
         self.waits.estimate(tenant, work, &ahead, now)
     }
 
-    /// How long this request will wait from now to its first attempt, as far as can be told.
+    /// Estimates the wait of a queued request from now to its first attempt. `None` if the request is not queued or the
+    /// service rate is not known.
     pub fn estimate_wait_of_queued(&self, request: usize, now: f64) -> Option<WaitEstimate> {
         let queued = self.waiting.get(&request)?;
         let ahead = WorkAhead {
@@ -47,7 +49,7 @@
         self.waits.estimate(queued.tenant, queued.work, &ahead, now)
     }
 
-    /// The work ahead of a request in its own queue.
+    /// The work ahead of a request in its tenant's queue.
     fn work_ahead(&self, queued: &QueuedRequest) -> f64 {
         let node = &self.nodes[queued.tenant];
         let earlier = node.queue.range(..queued.rank(&node.config)).take(MAX_AHEAD);
--- a/crates/tenant-queue/src/lib.rs
+++ b/crates/tenant-queue/src/lib.rs
@@ -1,14 +1,16 @@
-//! The queue of held requests: whose turn it is. Tenants share what engines do by weight, in up to three levels; the share is
-//! of work, not of requests. No I/O, and nothing is decided here of engines, attempts or rejections: the decision core asks
-//! for the next request to try, and for the one to displace where a queue is over its limit.
+//! The queue of requests that wait for an engine, and the order in which they are served. Tenants share the engines by
+//! weight, in a tree of up to three levels; what is shared is work, not the number of requests. The crate does no I/O and
+//! makes no decisions about engines, attempts or rejections: the decision core asks it for the next request to try, and
+//! for the request to displace when a queue exceeds its limit.
 //!
-//! The order between tenants is hierarchical start-time fair queueing (Goyal, Vin and Cheng, "Start-Time Fair Queueing",
-//! 1996; Bennett and Zhang, "Hierarchical Packet Fair Queueing Algorithms", 1996): of the tenants that wait, the one goes
-//! next whose work so far, for its weight, is least. A tenant that was idle joins where the others are: it has saved
-//! nothing. A tenant within its budget goes before one that is over, so unused share is lent and taken back by time.
-//! Within a tenant the rank of a request decides, which the decision core hands in, aged or not ([`TenantConfig::ageing`]).
+//! Tenants are ordered by hierarchical start-time fair queueing (Goyal, Vin and Cheng, "Start-Time Fair Queueing", 1996;
+//! Bennett and Zhang, "Hierarchical Packet Fair Queueing Algorithms", 1996): of the waiting tenants, the one that has
+//! received the least work relative to its weight goes next. A tenant that was idle rejoins at the present virtual time
+//! and does not make up for the time in which it was idle. A tenant within its budget goes before one that has exceeded
+//! its own; thus unused share is lent to others and taken back over time. Within a tenant, requests are ordered by the
+//! value density that the decision core hands in, optionally with ageing ([`TenantConfig::ageing`]).
 //!
-//! Times are seconds on the host's clock, work is seconds of one core.
+//! Times are in seconds on the host's clock; work is in seconds of one core.
 
 mod config;
 mod estimates;
--- a/crates/tenant-queue/src/limits.rs
+++ b/crates/tenant-queue/src/limits.rs
@@ -1,4 +1,4 @@
-//! How much may be queued, and what is displaced beyond it.
+//! Limits on queued requests and queued work, and the choice of the request that is displaced above a limit.
 
 use crate::config::ROOT;
 use crate::node::Node;
@@ -7,16 +7,17 @@
 
 impl TenantQueue {
     pub(crate) fn count_added(&mut self, queued: &QueuedRequest) {
-        self.count(queued.tenant, |node| node.request_added(queued.work));
+        self.update_counts(queued.tenant, |node| node.request_added(queued.work));
     }
 
     pub(crate) fn count_removed(&mut self, queued: &QueuedRequest) {
-        self.count(queued.tenant, |node| node.request_removed(queued.work));
+        self.update_counts(queued.tenant, |node| node.request_removed(queued.work));
     }
 
-    /// Counts a request at its tenant and at all above it.
-    fn count(&mut self, tenant: usize, change: impl Fn(&mut Node)) {
-        let before = self.length_rank(tenant);
+    /// Applies a change to the counts of a tenant and of all its ancestors, then updates the tenant in the sets
+    /// `by_queued_work` and `over_limit`.
+    fn update_counts(&mut self, tenant: usize, change: impl Fn(&mut Node)) {
+        let former_key = self.queued_work_key(tenant);
         let mut node = tenant;
         loop {
             change(&mut self.nodes[node]);
@@ -25,9 +26,9 @@
             }
             node = self.nodes[node].config.parent;
         }
-        self.longest.remove(&before);
+        self.by_queued_work.remove(&former_key);
         if self.nodes[tenant].queued > 0 {
-            self.longest.insert(self.length_rank(tenant));
+            self.by_queued_work.insert(self.queued_work_key(tenant));
         }
         match self.nodes[tenant].is_over_limit() {
             true => self.over_limit.insert(tenant),
@@ -35,22 +36,25 @@
         };
     }
 
-    fn length_rank(&self, tenant: usize) -> (u64, usize) {
+    fn queued_work_key(&self, tenant: usize) -> (u64, usize) {
         let node = &self.nodes[tenant];
         (ordered_bits(node.queued_work / node.config.weight), tenant)
     }
 
-    /// A request to displace, if a queue is over its limit: the last one, of those that can't have run, of the tenant whose
-    /// own limit is passed; or, where the limit of all is, of the tenant with the most work queued for its weight. It stays
-    /// queued until [`TenantQueue::remove`].
+    /// The request to displace if a queue is over its limit; `None` if there is none. Only requests that cannot have run
+    /// are displaced. If the limit over all tenants is exceeded, it is the last such request of the tenant with the most
+    /// queued work relative to its weight that has one; otherwise it is the last such request of a tenant that exceeds
+    /// its own limit. The request stays queued until [`TenantQueue::remove`].
     pub fn next_to_displace(&self) -> Option<usize> {
-        let last = |tenant: usize| self.nodes[tenant].displaceable.last().map(|rank| rank.request);
+        let last_displaceable =
+            |tenant: usize| self.nodes[tenant].displaceable.last().map(|rank| rank.request);
         if self.waiting.len() > self.max_queued {
-            let of_longest = self.longest.iter().rev().find_map(|&(_, tenant)| last(tenant));
+            let of_longest =
+                self.by_queued_work.iter().rev().find_map(|&(_, tenant)| last_displaceable(tenant));
             if of_longest.is_some() {
                 return of_longest;
             }
         }
-        self.over_limit.iter().find_map(|tenant| last(*tenant))
+        self.over_limit.iter().find_map(|tenant| last_displaceable(*tenant))
     }
 }
--- a/crates/tenant-queue/src/moving_mean.rs
+++ b/crates/tenant-queue/src/moving_mean.rs
@@ -1,4 +1,4 @@
-//! A mean that forgets.
+//! An exponentially weighted moving mean.
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MovingMean {
@@ -7,13 +7,13 @@
 }
 
 impl MovingMean {
-    /// Takes a value in; `keep` of what was there before still counts.
+    /// Adds a value; the weight of all former values is multiplied by `keep`.
     pub fn add(&mut self, value: f64, keep: f64) {
         self.sum = self.sum * keep + value;
         self.weight = self.weight * keep + 1.0;
     }
 
-    /// The mean, with so many values of 0 believed beside.
+    /// The mean, as if `prior` further values of 0 had been added.
     pub fn with_prior(&self, prior: f64) -> f64 {
         self.sum / (self.weight + prior)
     }
--- a/crates/tenant-queue/src/node.rs
+++ b/crates/tenant-queue/src/node.rs
@@ -1,37 +1,42 @@
-//! One tenant, or a group, in the tree.
+//! A node of the tenant tree: a tenant (leaf) or a group of tenants.
 
 use crate::config::TenantConfig;
 use crate::queued_request::{ordered_bits, RequestRank};
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeSet;
 
-/// Where a node stands among its siblings: those over budget last, then by what they have had for their weight.
+/// The rank of a node among its siblings, lowest first: nodes within their budget before those over it, then by start tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct SiblingRank {
     over_budget: bool,
-    service: u64,
+    /// The start tag as ordered bits.
+    start_tag: u64,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub config: TenantConfig,
-    /// Children that have a request to offer, in turn.
-    pub active: BTreeSet<(Place, usize)>,
-    /// The work for its weight that children were last served at: where those that come join.
+    /// Children that can offer a request, by rank.
+    pub active: BTreeSet<(SiblingRank, usize)>,
+    /// The start tag at which a child was last served; children that become active start here.
     pub virtual_time: f64,
-    /// What it has had itself, among its siblings.
-    pub start: f64,
-    /// Its place while it has a request to offer.
-    pub place: Option<Place>,
+    /// Start tag of start-time fair queueing: the work that this node has received, divided by its weight, on the
+    /// parent's virtual time.
+    pub start_tag: f64,
+    /// Its rank in the parent's `active` set; `None` while it is not in that set.
+    pub rank: Option<SiblingRank>,
     pub bucket: Option<TokenBucket>,
-    /// Its place among the budgets that are used up: one at most.
+    /// Time (as ordered bits) of its entry in the queue's `refills`; a node has at most one entry there.
     pub refill: Option<u64>,
-    /// Only in a leaf: the queued requests.
+    /// The queued requests; empty except in a leaf.
     pub queue: BTreeSet<RequestRank>,
-    /// Those of them that may be displaced.
+    /// Those of the queued requests that may be displaced.
     pub displaceable: BTreeSet<RequestRank>,
+    /// Number of queued requests of this node and all its descendants.
     pub queued: usize,
+    /// Work of these requests, in seconds.
     pub queued_work: f64,
+    /// Number of requests in flight or on offer; counted in leaves only.
     pub in_flight: usize,
 }
 
@@ -43,8 +48,8 @@
             refill: None,
             active: BTreeSet::new(),
             virtual_time: 0.0,
-            start: 0.0,
-            place: None,
+            start_tag: 0.0,
+            rank: None,
             queue: BTreeSet::new(),
             displaceable: BTreeSet::new(),
             queued: 0,
@@ -53,27 +58,28 @@
         }
     }
 
-    /// Its budget is used up.
+    /// Whether its budget is used up.
     pub fn is_over_budget(&self) -> bool {
         self.bucket.as_ref().is_some_and(TokenBucket::is_empty)
     }
 
-    /// Where it belongs among its siblings.
-    pub fn current_place(&self) -> Place {
-        Place { over_budget: self.is_over_budget(), service: ordered_bits(self.start) }
+    /// Its rank among its siblings by its present state.
+    pub fn current_rank(&self) -> SiblingRank {
+        SiblingRank { over_budget: self.is_over_budget(), start_tag: ordered_bits(self.start_tag) }
     }
 
-    /// It has room for one more request in flight.
-    pub fn has_room_in_flight(&self) -> bool {
+    /// Whether one more request may be in flight.
+    pub fn is_below_in_flight_limit(&self) -> bool {
         self.in_flight < self.config.max_in_flight
     }
 
-    /// It, or a child, has something to offer: a queued request, and room for one more in flight.
+    /// Whether it or one of its children can offer a request: one is queued and one more may be in flight.
     pub fn has_offer(&self) -> bool {
-        !self.active.is_empty() || !self.queue.is_empty() && self.has_room_in_flight()
+        !self.active.is_empty() || !self.queue.is_empty() && self.is_below_in_flight_limit()
     }
 
-    /// More is queued than may be. One request alone is never too much work: it could not come at all.
+    /// Whether more requests or more work is queued than allowed. A single request never exceeds the limit of work;
+    /// otherwise a request larger than the limit could never be queued at all.
     pub fn is_over_limit(&self) -> bool {
         let too_much_work = self.queued_work > self.config.max_queued_work && self.queued > 1;
         too_much_work || self.queued > self.config.max_queued
--- a/crates/tenant-queue/src/order.rs
+++ b/crates/tenant-queue/src/order.rs
@@ -5,8 +5,8 @@
 use crate::queued_request::ordered_bits;
 
 impl TenantQueue {
-    /// The leaf whose turn it is.
-    pub(crate) fn first_leaf(&self) -> usize {
+    /// The leaf that is to be served next; [`ROOT`] if no child of the root is active.
+    pub(crate) fn next_leaf(&self) -> usize {
         let mut node = ROOT;
         while let Some(&(_, child)) = self.nodes[node].active.first() {
             node = child;
@@ -14,54 +14,54 @@
         node
     }
 
-    /// Puts a node, and those above it, in its place among its siblings if it has something to offer.
+    /// Enters a node and its ancestors into their parents' `active` sets where they can offer a request.
     pub(crate) fn activate(&mut self, mut node: usize) {
         while node != ROOT {
             let parent = self.nodes[node].config.parent;
             if self.nodes[node].has_offer() {
-                if self.nodes[node].place.is_none() {
-                    // Who was idle has saved nothing.
-                    let joined = self.nodes[parent].virtual_time;
-                    self.nodes[node].start = self.nodes[node].start.max(joined);
+                if self.nodes[node].rank.is_none() {
+                    // A node that was idle gets no credit for the time in which it was idle.
+                    let virtual_time = self.nodes[parent].virtual_time;
+                    self.nodes[node].start_tag = self.nodes[node].start_tag.max(virtual_time);
                 }
-                self.update_place(node);
+                self.update_rank(node);
             }
             node = parent;
         }
     }
 
-    /// Its place anew, after what it stands by has changed.
-    fn update_place(&mut self, node: usize) {
+    /// Updates a node's entry in its parent's `active` set after the node has changed.
+    fn update_rank(&mut self, node: usize) {
         let parent = self.nodes[node].config.parent;
-        if let Some(place) = self.nodes[node].place.take() {
-            self.nodes[parent].active.remove(&(place, node));
+        if let Some(rank) = self.nodes[node].rank.take() {
+            self.nodes[parent].active.remove(&(rank, node));
         }
         if self.nodes[node].has_offer() {
-            let place = self.nodes[node].current_place();
-            self.nodes[node].place = Some(place);
-            self.nodes[parent].active.insert((place, node));
+            let rank = self.nodes[node].current_rank();
+            self.nodes[node].rank = Some(rank);
+            self.nodes[parent].active.insert((rank, node));
         }
     }
 
-    /// The same for all above it.
-    pub(crate) fn update_places(&mut self, mut node: usize) {
+    /// Updates the ranks of a node and of all its ancestors.
+    pub(crate) fn update_ranks(&mut self, mut node: usize) {
         while node != ROOT {
-            self.update_place(node);
+            self.update_rank(node);
             node = self.nodes[node].config.parent;
         }
     }
 
-    /// Charges a node for work; what is less than 0 comes back.
+    /// Charges a node for work, in seconds; negative work is refunded.
     pub(crate) fn charge(&mut self, node: usize, work: f64, now: f64) {
         let charged = &mut self.nodes[node];
-        charged.start = (charged.start + work / charged.config.weight).max(0.0);
+        charged.start_tag = (charged.start_tag + work / charged.config.weight).max(0.0);
         if let Some(bucket) = &mut charged.bucket {
             bucket.spend(work, now);
         }
         self.schedule_refill(node, now);
     }
 
-    /// Budgets that are no longer used up.
+    /// Refills the budgets whose scheduled time has come, and updates the ranks of their nodes.
     pub(crate) fn refill_due(&mut self, now: f64) {
         while let Some(&(due, node)) = self.refills.first().filter(|(due, _)| *due <= ordered_bits(now)) {
             self.refills.remove(&(due, node));
@@ -70,11 +70,12 @@
                 bucket.refill(now);
             }
             self.schedule_refill(node, now);
-            self.update_place(node);
+            self.update_rank(node);
         }
     }
 
-    /// A budget that is used up is looked at again once it is earned, or was to be when it was first used up.
+    /// Schedules a refill for the time at which a used-up budget will have been earned back. A refill that is already
+    /// scheduled keeps its time, even if more was spent since; when it comes due the next one is scheduled.
     fn schedule_refill(&mut self, index: usize, now: f64) {
         let node = &mut self.nodes[index];
         if node.refill.is_some() {
--- a/crates/tenant-queue/src/queue.rs
+++ b/crates/tenant-queue/src/queue.rs
@@ -1,4 +1,5 @@
-//! The queue: requests come, are offered, are dispatched or go back, and their attempts end.
+//! The queue of all tenants. A queued request is offered, then either dispatched or returned to the queue; when an attempt
+//! ends, the charge for its work is corrected.
 
 use crate::config::{TenantConfig, ROOT};
 use crate::node::Node;
@@ -6,29 +7,29 @@
 use crate::wait_estimates::WaitStatistics;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node on the path of an offer, and what it had had before.
+/// A node that was charged for an offered request, and its start tag before the charge.
 #[derive(Clone, Copy, Debug)]
 struct ChargedNode {
     node: usize,
-    start: f64,
+    start_tag: f64,
 }
 
-/// A request that is being tried: its tenant, and those above it, are charged already.
+/// A request for which the host is trying to find an engine. Its tenant and all ancestors are already charged for it.
 #[derive(Clone, Debug)]
 struct Offer {
     queued: QueuedRequest,
-    /// From the leaf upwards.
+    /// The charged nodes, from the leaf upwards.
     path: Vec<ChargedNode>,
 }
 
-/// What a tenant has queued and in flight.
+/// The queued requests of a tenant and its requests in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantLoad {
-    /// Requests that are queued.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Seconds of work that are queued.
+    /// Queued work, in seconds.
     pub queued_work: f64,
-    /// Requests that are in flight.
+    /// Number of requests in flight or on offer.
     pub in_flight: usize,
 }
 
@@ -36,17 +37,18 @@
 #[derive(Clone, Debug)]
 pub struct TenantQueue {
     pub(crate) nodes: Vec<Node>,
+    /// Queued requests by their numbers, without those on offer.
     pub(crate) waiting: BTreeMap<usize, QueuedRequest>,
-    /// Tenants by the work that they have queued for their weight.
-    pub(crate) longest: BTreeSet<(u64, usize)>,
-    /// Tenants that have more queued than they may.
+    /// Tenants with queued requests, by queued work divided by weight.
+    pub(crate) by_queued_work: BTreeSet<(u64, usize)>,
+    /// Tenants that exceed their limit of queued requests or queued work.
     pub(crate) over_limit: BTreeSet<usize>,
     offers: Vec<Offer>,
-    /// When a tenant's budget is no longer used up, by time.
+    /// Scheduled refills of used-up budgets: time (as ordered bits) and node.
     pub(crate) refills: BTreeSet<(u64, usize)>,
-    /// In all.
+    /// Maximum number of queued requests over all tenants.
     pub(crate) max_queued: usize,
-    /// What estimates of waits were worth.
+    /// Service rates, and the accuracy of the wait estimates.
     pub waits: WaitStatistics,
 }
 
@@ -57,28 +59,36 @@
 }
 
 impl TenantQueue {
-    /// One tenant for all: the densest first.
+    /// A queue with a single tenant, ordered by value density.
     pub fn single() -> TenantQueue {
         TenantQueue::new(vec![TenantConfig::default()], 0.0)
     }
 
-    /// A queue of these tenants.
+    /// A queue for these tenants.
     ///
     /// # Panics
-    /// Where a parent does not stand before its child, or a weight is not above 0: the host checks its file.
+    /// If a parent does not precede its child, or if a weight is not finite and greater than 0. The host checks its teams
+    /// file for both beforehand.
     pub fn new(tenants: Vec<TenantConfig>, now: f64) -> TenantQueue {
         for (index, config) in tenants.iter().enumerate() {
             let parent_is_earlier = config.parent < index || index == ROOT && config.parent == ROOT;
-            assert!(parent_is_earlier, "team {index}: its parent comes later");
+            assert!(
+                parent_is_earlier,
+                "tenant {index}: parent {} does not precede it in the list",
+                config.parent
+            );
             let weight = config.weight;
-            assert!(weight > 0.0 && weight.is_finite(), "team {index}: a weight of {weight}");
+            assert!(
+                weight > 0.0 && weight.is_finite(),
+                "tenant {index}: weight must be finite and greater than 0, got {weight}"
+            );
         }
         let max_queued = tenants.first().map_or(usize::MAX, |root| root.max_queued);
         TenantQueue {
             waits: WaitStatistics::new(tenants.len()),
             nodes: tenants.into_iter().map(|config| Node::new(config, now)).collect(),
             waiting: BTreeMap::new(),
-            longest: BTreeSet::new(),
+            by_queued_work: BTreeSet::new(),
             over_limit: BTreeSet::new(),
             offers: Vec::new(),
             refills: BTreeSet::new(),
@@ -86,32 +96,32 @@
         }
     }
 
-    /// How many tenants there are, groups and the root among them.
+    /// The number of tenants, including groups and the root.
     pub fn tenant_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// There are tenants: not all requests stand in one queue.
+    /// Whether there are tenants below the root; if not, all requests are in one queue.
     pub fn has_tenants(&self) -> bool {
         self.nodes.len() > 1
     }
 
-    /// The request is queued.
+    /// Whether the request is queued; false while it is on offer.
     pub fn contains(&self, request: usize) -> bool {
         self.waiting.contains_key(&request)
     }
 
-    /// Requests that are queued or on offer.
+    /// Number of requests that are queued or on offer.
     pub fn len(&self) -> usize {
         self.waiting.len() + self.offers.len()
     }
 
-    /// None is queued or on offer.
+    /// Whether no request is queued or on offer.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// What a tenant has queued and in flight.
+    /// The queued requests and requests in flight of a tenant; zeros for an unknown tenant.
     pub fn load(&self, tenant: usize) -> TenantLoad {
         self.nodes.get(tenant).map_or(TenantLoad::default(), |node| TenantLoad {
             queued: node.queued,
@@ -120,11 +130,12 @@
         })
     }
 
+    /// The tenant itself, or the last one if the index is out of range.
     fn known_tenant(&self, tenant: usize) -> usize {
         tenant.min(self.nodes.len() - 1)
     }
 
-    /// The request waits from now on.
+    /// Queues a request. A request that is already queued is left as it is.
     pub fn enqueue(&mut self, queued: QueuedRequest, now: f64) {
         if self.waiting.contains_key(&queued.request) {
             return;
@@ -139,7 +150,7 @@
         self.activate(tenant);
     }
 
-    /// Puts it into its tenant's queue.
+    /// Inserts a request into its tenant's queue.
     fn insert(&mut self, queued: &QueuedRequest) {
         let node = &mut self.nodes[queued.tenant];
         let rank = queued.rank(&node.config);
@@ -150,7 +161,7 @@
         self.count_added(queued);
     }
 
-    /// Takes it off its tenant's queue.
+    /// Removes a request from its tenant's queue.
     fn extract(&mut self, queued: &QueuedRequest) {
         let node = &mut self.nodes[queued.tenant];
         let rank = queued.rank(&node.config);
@@ -159,25 +170,25 @@
         self.count_removed(queued);
     }
 
-    /// It waits no more: it was answered, or its client has gone.
+    /// Removes a request that no longer waits: it was answered, or its client has disconnected.
     pub fn remove(&mut self, request: usize) {
-        // One that is on offer goes back into the queue first, so that what it was charged comes back.
+        // If it is on offer, all offers are returned first, which refunds its charge.
         if self.offers.iter().any(|offer| offer.queued.request == request) {
             self.return_offers(f64::NEG_INFINITY);
         }
         self.waits.request_removed(request);
         if let Some(queued) = self.waiting.remove(&request) {
             self.extract(&queued);
-            self.update_places(queued.tenant);
+            self.update_ranks(queued.tenant);
         }
     }
 
-    /// The next request to try. It is on offer until [`TenantQueue::dispatched`], or goes back by
-    /// [`TenantQueue::return_offers`].
+    /// The next request to try; `None` if no request can be offered. The request is on offer until
+    /// [`TenantQueue::dispatched`] or [`TenantQueue::return_offers`].
     pub fn next(&mut self, now: f64) -> Option<usize> {
         self.refill_due(now);
-        let tenant = self.first_leaf();
-        if !self.nodes[tenant].has_room_in_flight() {
+        let tenant = self.next_leaf();
+        if !self.nodes[tenant].is_below_in_flight_limit() {
             return None;
         }
         let request = self.nodes[tenant].queue.first()?.request;
@@ -186,31 +197,32 @@
         let mut path = Vec::new();
         let mut node = tenant;
         while node != ROOT {
-            path.push(ChargedNode { node, start: self.nodes[node].start });
+            path.push(ChargedNode { node, start_tag: self.nodes[node].start_tag });
             self.charge(node, queued.work, now);
             node = self.nodes[node].config.parent;
         }
         self.nodes[tenant].in_flight += 1;
-        self.update_places(tenant);
+        self.update_ranks(tenant);
         self.offers.push(Offer { queued, path });
         Some(request)
     }
 
-    /// A request on offer was dispatched; it stays charged, and those that join from now on join where it stood.
+    /// Records that a request on offer was dispatched. Its charge stays, and the virtual time of each ancestor advances to
+    /// the start tag at which the child was served.
     pub fn dispatched(&mut self, request: usize, now: f64) {
         let Some(index) = self.offers.iter().position(|offer| offer.queued.request == request) else {
             return;
         };
         let Offer { queued, path } = self.offers.remove(index);
-        for ChargedNode { node, start } in path {
+        for ChargedNode { node, start_tag } in path {
             let parent = self.nodes[node].config.parent;
             let parent = &mut self.nodes[parent];
-            parent.virtual_time = parent.virtual_time.max(start);
+            parent.virtual_time = parent.virtual_time.max(start_tag);
         }
         self.waits.request_dispatched(&queued, now);
     }
 
-    /// Those on offer that were not dispatched go back into the queue, and their tenants have their charges back.
+    /// Returns the requests on offer that were not dispatched to the queue, and refunds their charges.
     pub fn return_offers(&mut self, now: f64) {
         while let Some(Offer { queued, path }) = self.offers.pop() {
             for ChargedNode { node, .. } in path {
@@ -219,36 +231,38 @@
             self.nodes[queued.tenant].in_flight -= 1;
             self.waiting.insert(queued.request, queued);
             self.insert(&queued);
-            self.update_places(queued.tenant);
+            self.update_ranks(queued.tenant);
         }
     }
 
-    /// An attempt of this tenant's is in flight already: queues that are set up while requests are open begin with those.
+    /// Counts an attempt of the tenant that is already in flight when this queue is set up: the tenants may be replaced
+    /// while requests are open.
     pub fn count_attempt_in_flight(&mut self, tenant: usize) {
         let tenant = self.known_tenant(tenant);
         self.nodes[tenant].in_flight += 1;
-        self.update_places(tenant);
+        self.update_ranks(tenant);
     }
 
-    /// An attempt of the tenant's is over: it needed so much work where so much was charged. Who asks for little and needs
-    /// much pays later; who asked for much gets it back.
+    /// Records the end of an attempt of the tenant, and corrects the charge to the work that the attempt `needed`, in
+    /// seconds: a tenant whose requests need more than they were charged is charged the rest, one whose requests need less
+    /// is refunded.
     pub fn attempt_ended(&mut self, tenant: usize, charged: f64, needed: f64, now: f64) {
         let tenant = self.known_tenant(tenant);
-        let more = needed - charged;
+        let correction = needed - charged;
         let mut node = tenant;
         while node != ROOT {
             let parent = self.nodes[node].config.parent;
-            let floor = self.nodes[parent].virtual_time;
-            let before = self.nodes[node].start;
-            self.charge(node, more, now);
-            // What comes back must not put it ahead of all that was served since.
+            let virtual_time = self.nodes[parent].virtual_time;
+            let former_start_tag = self.nodes[node].start_tag;
+            self.charge(node, correction, now);
+            // A refund must not move the node ahead of the virtual time that its siblings have been served to since.
             let charged = &mut self.nodes[node];
-            charged.start = charged.start.max(before.min(floor));
+            charged.start_tag = charged.start_tag.max(former_start_tag.min(virtual_time));
             node = parent;
         }
         let leaf = &mut self.nodes[tenant];
         leaf.in_flight = leaf.in_flight.saturating_sub(1);
         self.activate(tenant);
-        self.update_places(tenant);
+        self.update_ranks(tenant);
     }
 }
--- a/crates/tenant-queue/src/service_rate.rs
+++ b/crates/tenant-queue/src/service_rate.rs
@@ -1,40 +1,42 @@
-//! How fast work goes through.
+//! The rate at which queued work is dispatched.
 
-/// Half of the rate's memory is gone after so many seconds.
+/// Half-life in seconds of the observations that make up the rate.
 const HALF_LIFE: f64 = 2.0;
-/// With nothing gone through for so many seconds, nothing can be told.
-const SILENCE: f64 = 2.0;
-/// The rate is known once so many seconds of waiting were seen.
-const MIN_TIME: f64 = 0.05;
+/// After this many seconds without a dispatch the rate is unknown.
+const MAX_SILENCE: f64 = 2.0;
+/// The rate is known once more than this many seconds have been observed in which requests waited.
+const MIN_OBSERVED_TIME: f64 = 0.05;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceRate {
     work: f64,
-    /// Time in which some waited.
+    /// Observed time in which requests waited, in seconds; decays like `work`.
     time: f64,
-    last: Option<f64>,
+    /// Time up to which `time` is counted; `None` before the first dispatch.
+    counted_to: Option<f64>,
 }
 
 impl ServiceRate {
-    /// So much has gone; time counts from the last one, or from when the queue was last empty.
+    /// Records dispatched work. The time since the last dispatch is added, or since the queue was last empty if that is
+    /// later.
     pub fn served(&mut self, work: f64, now: f64) {
-        // A gap counts for no more than silence does.
-        let passed = self.last.map_or(0.0, |last| (now - last).clamp(0.0, SILENCE));
+        // A longer gap counts as no more than the time after which the rate is unknown.
+        let passed = self.counted_to.map_or(0.0, |last| (now - last).clamp(0.0, MAX_SILENCE));
         let keep = (-passed / HALF_LIFE).exp2();
         self.work = self.work * keep + work;
         self.time = self.time * keep + passed;
-        self.last = Some(now);
+        self.counted_to = Some(now);
     }
 
-    /// The time until now was idle and does not count.
+    /// Excludes the time until now, in which the queue was empty.
     pub fn skip_idle_time(&mut self, now: f64) {
-        self.last = self.last.map(|_| now);
+        self.counted_to = self.counted_to.map(|_| now);
     }
 
-    /// Work a second, if it can be told: not after a silence.
+    /// Work per second; `None` if too little was observed or nothing was dispatched for too long.
     pub fn per_second(&self, now: f64) -> Option<f64> {
-        let silent = now - self.last?;
-        let is_known = silent < SILENCE && self.time > MIN_TIME && self.work > 0.0;
+        let silent = now - self.counted_to?;
+        let is_known = silent < MAX_SILENCE && self.time > MIN_OBSERVED_TIME && self.work > 0.0;
         is_known.then(|| self.work / (self.time + silent))
     }
 }
--- a/crates/tenant-queue/src/wait_estimates.rs
+++ b/crates/tenant-queue/src/wait_estimates.rs
@@ -1,92 +1,99 @@
-//! How long a queued request will wait: from how fast work has gone through of late, the work ahead, and what was learned
-//! of this estimate's own errors.
+//! Estimates how long a queued request will wait, from the recent service rate, the work ahead of the request, and the
+//! errors of earlier estimates.
 
 use crate::moving_mean::MovingMean;
 use crate::queued_request::QueuedRequest;
 use crate::service_rate::ServiceRate;
 use std::collections::BTreeMap;
 
-/// Estimates err otherwise at a queue's front, where luck decides, than at its end, where later and denser requests go ahead.
-const QUEUE_PARTS: usize = 4;
+/// Number of sections of a queue whose estimation errors are learned separately. Errors differ along a queue: near the
+/// front they are random, near the end requests of higher density that are received later go ahead.
+const QUEUE_SECTIONS: usize = 4;
+/// Maximum number of remembered estimates.
 const MAX_REMEMBERED: usize = 100_000;
-/// Shorter waits are a turn of the loop, and no wait.
+/// Waits shorter than this many seconds are one turn of the event loop rather than a wait, and are not compared.
 const MIN_WAIT: f64 = 0.005;
-/// An estimate is good within this part of the truth.
-const GOOD_WITHIN: f64 = 0.2;
-/// Or within so many seconds, to be near it.
-const NEAR_WITHIN: f64 = 0.02;
-/// Errors are learned as logarithms of ratios, bounded by this.
+/// An estimate is accurate if its error is at most this fraction of the actual wait.
+const ACCURATE_RATIO: f64 = 0.2;
+/// An error of at most this many seconds also counts in `within_a_fifth_or_20_ms`.
+const ACCURATE_SECONDS: f64 = 0.02;
+/// Errors are learned as logarithms of the ratio of actual to estimated wait, limited to plus or minus this.
 const MAX_LOG_RATIO: f64 = 3.0;
-const ERROR_MEMORY: f64 = 0.95;
+/// Factor by which the weight of former errors decays with each new one.
+const ERROR_DECAY: f64 = 0.95;
+/// Number of values of 0 that are assumed in the mean bias in addition to the observed ones.
 const BIAS_PRIOR: f64 = 2.0;
+/// Part of a remaining error by which the bias is corrected.
 const BIAS_GAIN: f64 = 0.5;
-/// The spread that is believed before any is seen.
+/// Spread that is assumed before any error is observed; counts as one observation.
 const SPREAD_PRIOR: f64 = 0.5;
-/// Four in five of a double exponential distribution lie within so many mean deviations.
-const FOUR_IN_FIVE: f64 = 1.6;
+/// Four in five values of a double exponential distribution lie within this many mean deviations.
+const FOUR_IN_FIVE_DEVIATIONS: f64 = 1.6;
+/// Lower limit of a tenant's share, so that the rate stays above 0.
 const MIN_SHARE: f64 = 1e-6;
+/// Lower limit of the queued work as a divisor.
 const MIN_QUEUED_WORK: f64 = 1e-9;
 
-/// An estimate, in seconds from now to the first attempt.
+/// An estimated wait, in seconds from now to the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitEstimate {
-    /// The wait that is expected.
+    /// The expected wait.
     pub expected: f64,
-    /// Four waits in five are thought to lie between this...
+    /// Lower end of the range in which four waits in five are expected to lie.
     pub lower: f64,
-    /// ... and this.
+    /// Upper end of that range.
     pub upper: f64,
-    /// The part of the queue that it was made for, which its error is learned by.
-    pub queue_part: usize,
+    /// Index of the section of the queue for which the estimate was made; its error is learned for that section.
+    pub queue_section: usize,
 }
 
-/// What an estimate is made from.
+/// The inputs of an estimate.
 pub(crate) struct WorkAhead {
-    /// The work ahead in the queue.
+    /// Work ahead of the request in its tenant's queue, in seconds.
     pub ahead: f64,
-    /// All work in it.
+    /// All work in that queue, in seconds.
     pub queue: f64,
-    /// The tenant's share of all that goes through.
+    /// The tenant's share of all served work.
     pub share: f64,
 }
 
-/// What estimates turned out to be worth.
+/// The errors of past estimates.
 #[derive(Clone, Copy, Debug, Default)]
 struct Errors {
-    /// The logarithm of the true wait over the estimated one.
+    /// The mean logarithm of the ratio of actual wait to uncorrected estimate.
     bias: MovingMean,
-    /// How far off that mean they are.
+    /// The mean absolute logarithm of the ratio of actual wait to estimate.
     spread: MovingMean,
 }
 
 #[derive(Clone, Debug, Default)]
 struct TenantStatistics {
-    errors: [Errors; QUEUE_PARTS],
+    errors: [Errors; QUEUE_SECTIONS],
     rate: ServiceRate,
 }
 
-/// An estimate that is remembered until its request goes.
+/// An estimate that is kept until its request is dispatched or removed.
 #[derive(Clone, Copy, Debug)]
 struct RememberedEstimate {
     made_at: f64,
     expected: f64,
-    queue_part: usize,
+    queue_section: usize,
 }
 
-/// How fast work goes through, and what estimates of waits were worth.
+/// Service rates, and the accuracy of the wait estimates.
 #[derive(Clone, Debug)]
 pub struct WaitStatistics {
     tenants: Vec<TenantStatistics>,
-    all: ServiceRate,
-    /// By request. Bounded.
+    overall_rate: ServiceRate,
+    /// By request; at most [`MAX_REMEMBERED`].
     remembered: BTreeMap<usize, RememberedEstimate>,
-    /// Estimates that were compared with the truth.
+    /// Number of estimates that were compared with the actual wait.
     pub compared: u64,
-    /// Those within a fifth of it.
+    /// Number of these with an error of at most a fifth of the actual wait.
     pub within_a_fifth: u64,
-    /// Those within a fifth of it or 20 ms.
+    /// Number of these with an error of at most a fifth of the actual wait or at most 20 ms.
     pub within_a_fifth_or_20_ms: u64,
-    /// Requests that waited without an estimate.
+    /// Number of requests that waited without an estimate.
     pub without_estimate: u64,
 }
 
@@ -94,7 +101,7 @@
     pub(crate) fn new(tenants: usize) -> WaitStatistics {
         WaitStatistics {
             tenants: vec![TenantStatistics::default(); tenants],
-            all: ServiceRate::default(),
+            overall_rate: ServiceRate::default(),
             remembered: BTreeMap::new(),
             compared: 0,
             within_a_fifth: 0,
@@ -103,8 +110,8 @@
         }
     }
 
-    /// A request joins the queue. Where none, of its tenant or of all, stood in it before, the time of idleness does not
-    /// count.
+    /// Records that a request is queued. If it is the first queued request of its tenant, or of all tenants, the idle time
+    /// before it is not counted in the respective rate.
     pub(crate) fn request_queued(
         &mut self,
         tenant: usize,
@@ -116,53 +123,54 @@
             self.tenants[tenant].rate.skip_idle_time(now);
         }
         if first_of_all {
-            self.all.skip_idle_time(now);
+            self.overall_rate.skip_idle_time(now);
         }
     }
 
-    /// A request has gone: the rates, and what its estimate was worth.
+    /// Records a dispatched request in the rates, and compares its estimate with the actual wait.
     pub(crate) fn request_dispatched(&mut self, queued: &QueuedRequest, now: f64) {
-        self.all.served(queued.work, now);
+        self.overall_rate.served(queued.work, now);
         self.tenants[queued.tenant].rate.served(queued.work, now);
         let Some(estimate) = self.remembered.remove(&queued.request) else { return };
-        let truth = now - estimate.made_at;
-        if truth >= MIN_WAIT {
-            self.count_comparison(estimate.expected, truth);
-            self.learn(queued.tenant, &estimate, truth);
+        let actual = now - estimate.made_at;
+        if actual >= MIN_WAIT {
+            self.count_comparison(estimate.expected, actual);
+            self.learn(queued.tenant, &estimate, actual);
         }
     }
 
-    fn count_comparison(&mut self, expected: f64, truth: f64) {
-        let off = (truth - expected).abs();
+    fn count_comparison(&mut self, expected: f64, actual: f64) {
+        let error = (actual - expected).abs();
         self.compared += 1;
-        self.within_a_fifth += u64::from(off <= GOOD_WITHIN * truth);
-        self.within_a_fifth_or_20_ms += u64::from(off <= (GOOD_WITHIN * truth).max(NEAR_WITHIN));
+        self.within_a_fifth += u64::from(error <= ACCURATE_RATIO * actual);
+        self.within_a_fifth_or_20_ms += u64::from(error <= (ACCURATE_RATIO * actual).max(ACCURATE_SECONDS));
     }
 
-    fn learn(&mut self, tenant: usize, estimate: &RememberedEstimate, truth: f64) {
-        let errors = &mut self.tenants[tenant].errors[estimate.queue_part];
-        let ratio = (truth / estimate.expected.max(MIN_WAIT)).ln().clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
-        errors.spread.add(ratio.abs(), ERROR_MEMORY);
-        // The estimate was corrected by the bias already: what is left of it is learned.
-        errors.bias.add(errors.bias.with_prior(BIAS_PRIOR) + BIAS_GAIN * ratio, ERROR_MEMORY);
+    fn learn(&mut self, tenant: usize, estimate: &RememberedEstimate, actual: f64) {
+        let errors = &mut self.tenants[tenant].errors[estimate.queue_section];
+        let ratio = (actual / estimate.expected.max(MIN_WAIT)).ln().clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
+        errors.spread.add(ratio.abs(), ERROR_DECAY);
+        // The estimate was already corrected by the bias; what is learned here is the remaining error.
+        errors.bias.add(errors.bias.with_prior(BIAS_PRIOR) + BIAS_GAIN * ratio, ERROR_DECAY);
     }
 
-    /// It waits no more, and did not go.
+    /// Forgets the estimate of a request that was removed without being dispatched.
     pub(crate) fn request_removed(&mut self, request: usize) {
         self.remembered.remove(&request);
     }
 
-    /// Remembers an estimate to compare it with the truth.
+    /// Remembers an estimate, to compare it with the actual wait later. An absent estimate is counted in
+    /// [`Self::without_estimate`], as is one for which there is no more room among the remembered ones.
     pub fn remember(&mut self, request: usize, estimate: Option<WaitEstimate>, now: f64) {
         match estimate {
-            Some(WaitEstimate { expected, queue_part, .. }) if self.remembered.len() < MAX_REMEMBERED => {
-                self.remembered.insert(request, RememberedEstimate { made_at: now, expected, queue_part });
+            Some(WaitEstimate { expected, queue_section, .. }) if self.remembered.len() < MAX_REMEMBERED => {
+                self.remembered.insert(request, RememberedEstimate { made_at: now, expected, queue_section });
             }
             _ => self.without_estimate += 1,
         }
     }
 
-    /// The wait of a request of so much work.
+    /// Estimates the wait of a request with this much work; `None` if the overall service rate is not known.
     pub(crate) fn estimate(
         &self,
         tenant: usize,
@@ -170,18 +178,20 @@
         ahead: &WorkAhead,
         now: f64,
     ) -> Option<WaitEstimate> {
-        let all = self.all.per_second(now)?;
+        let overall_rate = self.overall_rate.per_second(now)?;
         let tenant = self.tenants.get(tenant)?;
-        // What the tenant had of late while it waited says more than its weight; without that, its share.
-        let rate = tenant.rate.per_second(now).unwrap_or(all * ahead.share.max(MIN_SHARE));
-        let queue_part = (ahead.ahead / ahead.queue.max(MIN_QUEUED_WORK) * QUEUE_PARTS as f64) as usize;
-        let queue_part = queue_part.min(QUEUE_PARTS - 1);
-        let errors = &tenant.errors[queue_part];
-        // It goes once what is ahead has gone, and its own turn has come.
+        // The tenant's own recent rate is a better predictor than its weight. If it is not known, its share of the overall
+        // rate is used.
+        let rate = tenant.rate.per_second(now).unwrap_or(overall_rate * ahead.share.max(MIN_SHARE));
+        let queue_section = (ahead.ahead / ahead.queue.max(MIN_QUEUED_WORK) * QUEUE_SECTIONS as f64) as usize;
+        let queue_section = queue_section.min(QUEUE_SECTIONS - 1);
+        let errors = &tenant.errors[queue_section];
+        // The request is dispatched once the work ahead is done and its tenant's turn has come, for which half of its own
+        // work is added.
         let uncorrected = (ahead.ahead + 0.5 * work) / rate;
         let expected = uncorrected * errors.bias.with_prior(BIAS_PRIOR).exp();
         let spread = (errors.spread.sum + SPREAD_PRIOR) / (errors.spread.weight + 1.0);
-        let factor = (FOUR_IN_FIVE * spread).exp();
-        Some(WaitEstimate { expected, lower: expected / factor, upper: expected * factor, queue_part })
+        let factor = (FOUR_IN_FIVE_DEVIATIONS * spread).exp();
+        Some(WaitEstimate { expected, lower: expected / factor, upper: expected * factor, queue_section })
     }
 }
--- a/crates/tenant-queue/tests/model.rs
+++ b/crates/tenant-queue/tests/model.rs
@@ -1,56 +1,60 @@
-//! Model checking (stateright) of the real line: an adversary holds, offers, attempts, ends and displaces in any order.
+//! Model checking (stateright) of the tenant queue itself: requests are queued, offered, dispatched, ended and displaced in
+//! any order.
 
 use cleatgw_tenant_queue::{QueuedRequest, TenantConfig, TenantQueue};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What is put in to see that it is found.
+/// A fault that is injected to show that the checker finds it.
 #[derive(Clone, Copy, PartialEq)]
-enum Planted {
-    Nothing,
-    /// The host says of every request that it never ran.
-    ForgetsThatItRan,
+enum InjectedFault {
+    None,
+    /// The host reports every request as never run.
+    ReportsNeverRan,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A request comes to this tenant.
-    Comes(usize),
-    /// The next one is offered and dispatched, or goes back.
-    Attempt,
-    NotDispatched,
-    /// The oldest attempt ends without an answer: its request may have run, or never did, and waits again.
-    EndsAgain {
-        ran: bool,
-    },
-    /// The oldest attempt ends for good.
-    Ends,
+    /// A request of tenant 1 plus this number is received and queued.
+    Receive(usize),
+    /// The next request is offered and dispatched.
+    Dispatch,
+    /// The next request is offered and returned to the queue.
+    OfferAndReturn,
+    /// The oldest attempt ends without an answer, and its request is queued again. `ran`: whether it may have run.
+    EndAndRequeue { ran: bool },
+    /// The oldest attempt ends, and its request is done.
+    End,
+    /// The next request to displace, if any, is removed.
     Displace,
 }
 
 #[derive(Clone)]
-struct At {
-    line: TenantQueue,
+struct QueueState {
+    queue: TenantQueue,
     now: f64,
-    next: usize,
+    /// Number of requests received so far.
+    received: usize,
     waiting: BTreeSet<usize>,
-    out: Vec<usize>,
-    /// Requests that may have run, and those that were displaced.
+    /// Requests with an attempt in flight, the oldest first.
+    in_flight: Vec<usize>,
+    /// Requests that may have run.
     ran: BTreeSet<usize>,
+    /// Requests that were displaced.
     displaced: BTreeSet<usize>,
 }
 
-impl At {
+impl QueueState {
     fn digest(&self) -> String {
-        format!("{:?}{:?}{:?}{:?}{:?}", self.line, self.waiting, self.out, self.ran, self.displaced)
+        format!("{:?}{:?}{:?}{:?}{:?}", self.queue, self.waiting, self.in_flight, self.ran, self.displaced)
     }
 
-    fn hold(&mut self, request: usize, planted: Planted) {
-        let never_ran = planted == Planted::ForgetsThatItRan || !self.ran.contains(&request);
-        // Later ones are denser, so that any may be the last.
+    fn enqueue(&mut self, request: usize, fault: InjectedFault) {
+        let never_ran = fault == InjectedFault::ReportsNeverRan || !self.ran.contains(&request);
+        // Later requests have a higher density, so that any request can be the last in the queue.
         let (tenant, now, density) = (1 + request % 2, self.now, 1.0 + request as f64);
-        self.line.enqueue(
+        self.queue.enqueue(
             QueuedRequest { request, tenant, class: 0, density, work: 1.0, received_at: now, never_ran },
             now,
         );
@@ -58,84 +62,84 @@
     }
 }
 
-cleatgw_testbed::identify_by_digest!(At);
+cleatgw_testbed::identify_by_digest!(QueueState);
 
-impl fmt::Debug for At {
+impl fmt::Debug for QueueState {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         write!(
             to,
-            "waiting {:?}, out {:?}, ran {:?}, displaced {:?}",
-            self.waiting, self.out, self.ran, self.displaced
+            "waiting {:?}, in flight {:?}, ran {:?}, displaced {:?}",
+            self.waiting, self.in_flight, self.ran, self.displaced
         )
     }
 }
 
-struct Lines(Planted);
+struct QueueModel(InjectedFault);
 
-impl Model for Lines {
-    type State = At;
+impl Model for QueueModel {
+    type State = QueueState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<At> {
+    fn init_states(&self) -> Vec<QueueState> {
         let tenant =
             |weight| TenantConfig { weight, max_queued: 1, max_in_flight: 2, ..TenantConfig::default() };
-        let line = TenantQueue::new(
+        let queue = TenantQueue::new(
             vec![TenantConfig { max_queued: 3, ..TenantConfig::default() }, tenant(1.0), tenant(2.0)],
             0.0,
         );
-        let none = BTreeSet::new();
-        let (out, ran, displaced) = (Vec::new(), none.clone(), none.clone());
-        vec![At { line, now: 0.0, next: 0, waiting: none, out, ran, displaced }]
+        let empty = BTreeSet::new();
+        let (in_flight, ran, displaced) = (Vec::new(), empty.clone(), empty.clone());
+        vec![QueueState { queue, now: 0.0, received: 0, waiting: empty, in_flight, ran, displaced }]
     }
 
-    fn actions(&self, at: &At, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &QueueState, steps: &mut Vec<Step>) {
         use Step::*;
-        if at.next < 5 {
-            steps.extend([Comes(0), Comes(1)]);
+        if state.received < 5 {
+            steps.extend([Receive(0), Receive(1)]);
         }
         steps.extend([
-            Attempt,
-            NotDispatched,
-            EndsAgain { ran: true },
-            EndsAgain { ran: false },
-            Ends,
+            Dispatch,
+            OfferAndReturn,
+            EndAndRequeue { ran: true },
+            EndAndRequeue { ran: false },
+            End,
             Displace,
         ]);
     }
 
-    fn next_state(&self, at: &At, step: Step) -> Option<At> {
-        let mut next = at.clone();
+    fn next_state(&self, state: &QueueState, step: Step) -> Option<QueueState> {
+        let mut next = state.clone();
         match step {
-            Step::Comes(tenant) => {
-                let request = 2 * next.next + tenant;
-                next.next += 1;
-                next.hold(request, self.0);
+            Step::Receive(tenant) => {
+                let request = 2 * next.received + tenant;
+                next.received += 1;
+                next.enqueue(request, self.0);
             }
-            Step::Attempt => {
-                let request = next.line.next(next.now)?;
-                next.line.dispatched(request, next.now);
+            Step::Dispatch => {
+                let request = next.queue.next(next.now)?;
+                next.queue.dispatched(request, next.now);
                 next.waiting.remove(&request);
-                next.out.push(request);
+                next.in_flight.push(request);
             }
-            Step::NotDispatched => {
-                next.line.next(next.now)?;
-                next.line.return_offers(next.now);
+            Step::OfferAndReturn => {
+                next.queue.next(next.now)?;
+                next.queue.return_offers(next.now);
             }
-            Step::EndsAgain { ran } => {
-                let request = if next.out.is_empty() { return None } else { next.out.remove(0) };
+            Step::EndAndRequeue { ran } => {
+                let request = if next.in_flight.is_empty() { return None } else { next.in_flight.remove(0) };
                 if ran {
                     next.ran.insert(request);
                 }
-                next.line.attempt_ended(1 + request % 2, 1.0, if ran { 1.0 } else { 0.0 }, next.now);
-                next.hold(request, self.0);
+                next.queue.attempt_ended(1 + request % 2, 1.0, if ran { 1.0 } else { 0.0 }, next.now);
+                next.enqueue(request, self.0);
             }
-            Step::Ends => {
-                let request = if next.out.is_empty() { return None } else { next.out.remove(0) };
-                next.line.attempt_ended(1 + request % 2, 1.0, 2.0, next.now);
+            Step::End => {
+                let request = if next.in_flight.is_empty() { return None } else { next.in_flight.remove(0) };
+                next.queue.attempt_ended(1 + request % 2, 1.0, 2.0, next.now);
             }
             Step::Displace => {
-                let request = next.line.next_to_displace()?;
-                next.line.remove(request);
+                let request = next.queue.next_to_displace()?;
+                next.queue.remove(request);
                 next.waiting.remove(&request);
                 next.displaced.insert(request);
             }
@@ -143,56 +147,76 @@
         Some(next)
     }
 
-    fn properties(&self) -> Vec<Property<Lines>> {
+    fn properties(&self) -> Vec<Property<QueueModel>> {
         vec![
-            Property::always("what may have run is never displaced", |_, at: &At| {
-                at.ran.is_disjoint(&at.displaced)
+            Property::always("a request that may have run is never displaced", |_, state: &QueueState| {
+                state.ran.is_disjoint(&state.displaced)
             }),
-            Property::always("no job is lost", |_, at: &At| {
-                at.line.len() == at.waiting.len()
-                    && at.waiting.iter().all(|request| at.line.contains(*request))
-            }),
-            Property::always("what waits goes once there is room", |_, at: &At| {
-                let mut line = at.line.clone();
-                at.out.iter().for_each(|request| line.attempt_ended(1 + request % 2, 1.0, 1.0, at.now));
-                let mut gone = 0;
-                while let Some(request) = line.next(at.now) {
-                    line.dispatched(request, at.now);
-                    line.attempt_ended(1 + request % 2, 1.0, 1.0, at.now);
-                    gone += 1;
-                }
-                gone == at.waiting.len()
-            }),
-            Property::always("no line stays too long while one in it can go", |_, at: &At| {
-                let mut line = at.line.clone();
-                while let Some(request) = line.next_to_displace() {
-                    line.remove(request);
-                }
-                let over = |tenant: usize| line.load(tenant).queued > 1;
-                let movable = |tenant: usize| {
-                    at.waiting.iter().any(|request| {
-                        1 + request % 2 == tenant && line.contains(*request) && !at.ran.contains(request)
-                    })
-                };
-                (1..=2).all(|tenant| !over(tenant) || !movable(tenant))
-            }),
-            Property::sometimes("one is displaced while another that ran waits", |_, at: &At| {
-                !at.displaced.is_empty() && at.waiting.iter().any(|request| at.ran.contains(request))
+            Property::always("no request is lost", |_, state: &QueueState| {
+                state.queue.len() == state.waiting.len()
+                    && state.waiting.iter().all(|request| state.queue.contains(*request))
             }),
+            Property::always(
+                "every waiting request is dispatched once attempts end",
+                |_, state: &QueueState| {
+                    let mut queue = state.queue.clone();
+                    state
+                        .in_flight
+                        .iter()
+                        .for_each(|request| queue.attempt_ended(1 + request % 2, 1.0, 1.0, state.now));
+                    let mut dispatched = 0;
+                    while let Some(request) = queue.next(state.now) {
+                        queue.dispatched(request, state.now);
+                        queue.attempt_ended(1 + request % 2, 1.0, 1.0, state.now);
+                        dispatched += 1;
+                    }
+                    dispatched == state.waiting.len()
+                },
+            ),
+            Property::always(
+                "no queue stays over its limit while it holds a request that can be displaced",
+                |_, state: &QueueState| {
+                    let mut queue = state.queue.clone();
+                    while let Some(request) = queue.next_to_displace() {
+                        queue.remove(request);
+                    }
+                    let is_over_limit = |tenant: usize| queue.load(tenant).queued > 1;
+                    let has_displaceable = |tenant: usize| {
+                        state.waiting.iter().any(|request| {
+                            1 + request % 2 == tenant
+                                && queue.contains(*request)
+                                && !state.ran.contains(request)
+                        })
+                    };
+                    (1..=2).all(|tenant| !is_over_limit(tenant) || !has_displaceable(tenant))
+                },
+            ),
+            Property::sometimes(
+                "a request is displaced while another that may have run waits",
+                |_, state: &QueueState| {
+                    !state.displaced.is_empty()
+                        && state.waiting.iter().any(|request| state.ran.contains(request))
+                },
+            ),
         ]
     }
 }
 
 #[test]
-fn whatever_comes_and_ends_what_may_have_run_is_never_displaced() {
-    let done = Lines(Planted::Nothing).checker().threads(4).target_max_depth(8).spawn_bfs().join();
-    println!("{} states, {} different", done.state_count(), done.unique_state_count());
-    assert!(done.unique_state_count() > 1_000);
-    done.assert_properties();
+fn in_any_order_of_steps_a_request_that_may_have_run_is_never_displaced() {
+    let checker = QueueModel(InjectedFault::None).checker().threads(4).target_max_depth(8).spawn_bfs().join();
+    println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
+    assert!(checker.unique_state_count() > 1_000);
+    checker.assert_properties();
 }
 
 #[test]
-fn a_host_that_forgets_that_a_request_ran_is_found_out() {
-    let done = Lines(Planted::ForgetsThatItRan).checker().threads(4).target_max_depth(8).spawn_bfs().join();
-    assert!(done.discovery("what may have run is never displaced").is_some());
+fn the_checker_finds_a_host_that_forgets_that_a_request_ran() {
+    let checker = QueueModel(InjectedFault::ReportsNeverRan)
+        .checker()
+        .threads(4)
+        .target_max_depth(8)
+        .spawn_bfs()
+        .join();
+    assert!(checker.discovery("a request that may have run is never displaced").is_some());
 }
