--- a/crates/router/src/transport/client_session.rs
+++ b/crates/router/src/transport/client_session.rs
@@ -182,9 +182,9 @@
         self.is_quiescent() && (self.state == State::Closing || !self.has_unhandled_packets)
     }
 
-    /// Reads the available bytes, updates what is known of the stream, and returns whether the session can still be closed
-    /// without loss. Bytes that have arrived
-    /// are kept for the next turn: closing a connection with unread bytes resets it, and the client would lose its request.
+    /// Reads the available bytes, updates what is known of the stream, and returns whether the session can still be
+    /// closed without loss. Bytes that have arrived are kept for the next turn: closing a connection with unread bytes
+    /// resets it, and the client would lose its request.
     pub fn confirm_nothing_unread(&mut self, now: f64) -> bool {
         let Ok((has_new_bytes, outcome)) = self.read(now) else { return true };
         self.readable = outcome == ReadOutcome::LimitReached;
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -380,8 +380,8 @@
         }
     }
 
-    /// Whether connections may wait to be accepted, accepting is not paused, and there is a place for a session or one can be
-    /// freed.
+    /// Whether connections may wait to be accepted, accepting is not paused, and there is a place for a session or one
+    /// can be freed.
     pub fn can_accept_now(&self) -> bool {
         let has_place = || {
             self.sessions.len() < self.max_sessions
--- a/crates/router/src/transport/client_sessions/tests.rs
+++ b/crates/router/src/transport/client_sessions/tests.rs
@@ -8,8 +8,10 @@
 const READABLE: Readiness = Readiness { readable: true, ..Readiness::EMPTY };
 /// The command byte of a ping.
 const PING: u8 = 0x0e;
-/// The length of an OK packet with its header, in bytes.
-const OK_PACKET_LENGTH: usize = mysql::HEADER + 7;
+/// The length of a packet's header on the wire, in bytes.
+const HEADER_LENGTH: usize = 4;
+/// The length of an OK packet with its header on the wire, in bytes.
+const OK_PACKET_LENGTH: usize = 11;
 
 /// The listener and its sessions on real sockets; the test runs their turns and sets their clock.
 struct Harness {
@@ -71,7 +73,7 @@
         self.sessions.accept(self.now);
         let id = self.sessions.sessions.keys().copied().find(|id| !before.contains(id)).unwrap();
         client.write_all(&login()).unwrap();
-        let header = self.receive(&mut client, mysql::HEADER).unwrap();
+        let header = self.receive(&mut client, HEADER_LENGTH).unwrap();
         let greeting_length = usize::from(header[0]);
         self.receive(&mut client, greeting_length + OK_PACKET_LENGTH).unwrap();
         (client, id)
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -49,7 +49,8 @@
     pub memory: usize,
     /// Limits of the connections to engines.
     pub connections: ConnectionLimits,
-    /// The longest time that a client waits for the answer to a request, in seconds; none if the configuration does not state it.
+    /// The longest time that a client waits for the answer to a request, in seconds; none if the configuration does not
+    /// state it.
     pub longest_request: Option<f64>,
 }
 
--- a/crates/router/src/transport/shutdown.rs
+++ b/crates/router/src/transport/shutdown.rs
@@ -19,8 +19,8 @@
 }
 
 impl Shutdown {
-    /// A stop that begins at `now`. `longest_request` is the longest time that a client waits for the answer to a request, in
-    /// seconds; none if the configuration does not state it.
+    /// A stop that begins at `now`. `longest_request` is the longest time that a client waits for the answer to a
+    /// request, in seconds; none if the configuration does not state it.
     pub fn begin(now: f64, longest_request: Option<f64>) -> Shutdown {
         let longest = longest_request.map_or(MAX_LONGEST_REQUEST, |longest| longest.min(MAX_LONGEST_REQUEST));
         Shutdown {
--- a/crates/router/src/transport/subsystems.rs
+++ b/crates/router/src/transport/subsystems.rs
@@ -143,7 +143,8 @@
         }
     }
 
-    /// The rows that answer a status question; none if the subsystem is absent, or if the question does not concern a subsystem.
+    /// The rows that answer a status question; none if the subsystem is absent, or if the question does not concern a
+    /// subsystem.
     pub fn status(&self, question: StatusTopic) -> Option<Vec<StatusRow>> {
         // The row of a held leader role shows the Unix time and the remaining seconds. The Unix clock is read first, so that
         // after a pause between the two readings the shown end of the role is too early, never too late.
