--- a/crates/router/src/transport/bgp_connection.rs
+++ b/crates/router/src/transport/bgp_connection.rs
@@ -1,4 +1,4 @@
-//! The TCP connections of one routing peer, around its session in `cleatgw-bgp`.
+//! The TCP connections to one BGP peer. The protocol itself is handled by the peer's session in `cleatgw-bgp`.
 
 use super::event_source::{watch, EventSource, LoopHandle};
 use super::sockets::connect_nonblocking;
@@ -11,28 +11,29 @@
 use std::os::fd::AsRawFd;
 use std::rc::Rc;
 
-/// Input that is held of a connection: a complete message and what came with it.
+/// Limit on the input buffered for a connection, in bytes: one complete message plus the bytes received with it.
 const MAX_INPUT: usize = 2 * MAX_MESSAGE_LENGTH;
-/// The TTL with which messages are sent (GTSM, RFC 5082).
+/// TTL of sent packets (GTSM, RFC 5082).
 const GTSM_TTL: u32 = 255;
 const DIRECTIONS: [Direction; 2] = [Direction::Outgoing, Direction::Incoming];
 
-/// Why a connection to a routing peer is gone.
+/// Why a connection to a BGP peer ended.
 #[derive(Debug, thiserror::Error)]
 pub enum BgpConnectionError {
-    #[error("not wanted any more")]
-    NotWanted,
-    #[error("closed")]
+    #[error("connection came up after the session had stopped needing it")]
+    Unneeded,
+    #[error("closed by the peer")]
     Closed,
-    #[error("takes nothing")]
-    TakesNothing,
+    #[error("the socket accepted no bytes of a write")]
+    WriteZero,
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// GTSM (RFC 5082): messages are sent with the highest TTL, and the system drops what has come from further away.
+/// Configures GTSM (RFC 5082): packets are sent with the highest TTL, and the system drops received packets whose TTL
+/// shows that they crossed more than the allowed number of hops.
 fn limit_hops(socket: &Socket, peer: &SocketAddr, hops: u8) -> io::Result<()> {
-    let least_ttl = libc::c_int::from(256 - i16::from(hops));
+    let min_ttl = libc::c_int::from(256 - i16::from(hops));
     let (level, name) = match peer {
         SocketAddr::V4(_) => {
             socket.set_ttl_v4(GTSM_TTL)?;
@@ -43,30 +44,30 @@
             (libc::IPPROTO_IPV6, libc::IPV6_MINHOPCOUNT)
         }
     };
-    let value: *const libc::c_int = &least_ttl;
+    let value: *const libc::c_int = &min_ttl;
     let size = std::mem::size_of::<libc::c_int>() as libc::socklen_t;
     // SAFETY: the descriptor is open for as long as `socket` is borrowed, and `value` points to `size` bytes.
-    let done = unsafe { libc::setsockopt(socket.as_raw_fd(), level, name, value.cast(), size) };
-    if done == 0 {
+    let result = unsafe { libc::setsockopt(socket.as_raw_fd(), level, name, value.cast(), size) };
+    if result == 0 {
         Ok(())
     } else {
         Err(io::Error::last_os_error())
     }
 }
 
-/// Sets a socket to this peer, or an accepted one, up as the file wants it.
-fn prepare(socket: &Socket, part: &PeerPart) -> io::Result<()> {
+/// Applies the socket options of the peer's configuration to an outgoing or accepted socket.
+fn prepare(socket: &Socket, config: &PeerPart) -> io::Result<()> {
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
-    match part.hops {
-        Some(hops) => limit_hops(socket, &part.address, hops),
+    match config.hops {
+        Some(hops) => limit_hops(socket, &config.address, hops),
         None => Ok(()),
     }
 }
 
-/// One TCP connection.
+/// One TCP connection to a BGP peer.
 pub struct BgpConnection {
-    /// Its own for good: what the loop tells of an older one finds nothing.
+    /// Never reused, so that events which the loop reports for a closed connection match no later one.
     pub id: u64,
     pub token: RegistrationToken,
     stream: Rc<TcpStream>,
@@ -83,18 +84,18 @@
         Ok(BgpConnection { id, token, stream, input: Vec::new(), is_up, readable: is_up, writable: true })
     }
 
-    /// Its stream is ready.
+    /// Records that the event loop has reported the stream as ready.
     pub fn note_ready(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable;
         self.writable |= readiness.writable;
     }
 
-    /// Reads what there is room for; tells whether the connection goes on.
+    /// Reads until the input buffer is full or nothing more is ready. Returns false at the end of the stream.
     fn read(&mut self) -> io::Result<bool> {
         let mut chunk = [0; MAX_MESSAGE_LENGTH];
         while self.input.len() < MAX_INPUT {
-            let room = (MAX_INPUT - self.input.len()).min(MAX_MESSAGE_LENGTH);
-            match (&*self.stream).read(&mut chunk[..room]) {
+            let limit = (MAX_INPUT - self.input.len()).min(MAX_MESSAGE_LENGTH);
+            match (&*self.stream).read(&mut chunk[..limit]) {
                 Ok(0) => return Ok(false),
                 Ok(length) => self.input.extend(&chunk[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
@@ -108,31 +109,31 @@
         Ok(true)
     }
 
-    /// More may be taken though nothing becomes ready.
+    /// Whether there is more to read or to process, though the event loop will not report the stream again.
     fn is_unfinished(&self) -> bool {
         let has_message = cleatgw_bgp::frame(&self.input).is_ok_and(|found| found.is_some());
         self.is_up && (self.readable || has_message)
     }
 }
 
-/// One routing peer: its session, and at most one connection in each direction.
+/// One BGP peer: its session, and at most one connection in each direction.
 pub struct BgpPeer {
-    pub part: PeerPart,
+    pub config: PeerPart,
     pub session: Peer,
-    /// It is not in the file any more, and ends.
+    /// The peer was removed from the service file or changed there, so its session is shutting down.
     pub is_leaving: bool,
-    /// The version of the advertisements that it was given.
-    pub given_version: u64,
+    /// The version of the advertisements that were last handed to the session.
+    pub applied_version: u64,
     connections: [Option<BgpConnection>; 2],
 }
 
 impl BgpPeer {
-    pub fn new(part: &PeerPart, file: &ServiceFile, seed: u64, now: f64) -> BgpPeer {
+    pub fn new(config: &PeerPart, file: &ServiceFile, seed: u64, now: f64) -> BgpPeer {
         BgpPeer {
-            part: part.clone(),
-            session: Peer::new(part.terms(&file.bgp, &file.addresses), seed, now),
+            config: config.clone(),
+            session: Peer::new(config.terms(&file.bgp, &file.addresses), seed, now),
             is_leaving: false,
-            given_version: 0,
+            applied_version: 0,
             connections: [None, None],
         }
     }
@@ -145,37 +146,37 @@
         self.connections[direction as usize].take()
     }
 
-    /// Takes all its connections.
+    /// Removes and returns all connections of the peer.
     pub fn take_connections(&mut self) -> Vec<BgpConnection> {
         self.connections.iter_mut().filter_map(Option::take).collect()
     }
 
-    /// The registrations of its connections.
+    /// The event-loop registrations of the peer's connections.
     pub fn tokens(&self) -> impl Iterator<Item = RegistrationToken> + '_ {
         self.connections.iter().flatten().map(|connection| connection.token)
     }
 
-    /// The direction of a connection of its own.
+    /// The direction of the connection with this id, if it belongs to this peer.
     pub fn direction_of(&self, id: u64) -> Option<Direction> {
-        let is_it = |direction: &Direction| {
+        let has_id = |direction: &Direction| {
             self.connections[*direction as usize].as_ref().is_some_and(|connection| connection.id == id)
         };
-        DIRECTIONS.into_iter().find(is_it)
+        DIRECTIONS.into_iter().find(has_id)
     }
 
-    /// The sources of connections that have more to read or to take.
+    /// The event sources of connections that have more to read or to process.
     pub fn unfinished(&self) -> impl Iterator<Item = EventSource> + '_ {
         let connections = self.connections.iter().flatten();
         let unfinished = connections.filter(|connection| connection.is_unfinished());
         unfinished.map(|connection| EventSource::BgpConnection(connection.id))
     }
 
-    /// Begins a connection to the peer.
+    /// Starts an outgoing connection to the peer.
     pub fn connect(&mut self, handle: &LoopHandle, id: u64) -> io::Result<()> {
-        let to = self.part.address;
+        let to = self.config.address;
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
-        prepare(&socket, &self.part)?;
-        if let Some(from) = self.part.from {
+        prepare(&socket, &self.config)?;
+        if let Some(from) = self.config.from {
             socket.bind(&SocketAddr::new(from, 0).into())?;
         }
         connect_nonblocking(&socket, to)?;
@@ -184,20 +185,20 @@
         Ok(())
     }
 
-    /// Sets a connection up that the peer has begun, as far as the system goes.
+    /// Applies the socket options to a connection that was accepted from the peer.
     pub fn prepare_accepted(&self, stream: TcpStream) -> io::Result<Socket> {
         let socket = Socket::from(stream);
-        prepare(&socket, &self.part)?;
+        prepare(&socket, &self.config)?;
         Ok(socket)
     }
 
-    /// The peer's own connection is open, and everything on it is written.
+    /// Whether a connection opened by the peer exists and all bytes queued on it have been written.
     pub fn has_idle_incoming(&self) -> bool {
         self.connections[Direction::Incoming as usize].is_some()
             && self.session.unsent(Direction::Incoming).is_empty()
     }
 
-    /// Takes a connection that the peer has begun, in place of an older one.
+    /// Adopts a connection opened by the peer, in place of an older one.
     pub fn accept(&mut self, handle: &LoopHandle, socket: Socket, id: u64, now: f64) {
         let connection = BgpConnection::new(handle, TcpStream::from(socket), id, true);
         if let Some(old) = self.take_connection(Direction::Incoming) {
@@ -212,14 +213,14 @@
     /// Reads and writes one connection.
     ///
     /// # Errors
-    /// Why it is gone.
-    pub fn work(&mut self, direction: Direction, now: f64) -> Result<(), BgpConnectionError> {
-        if !self.comes_up(direction, now)? {
+    /// The connection failed, was closed by the peer, or came up after the session had stopped needing it.
+    pub fn process_io(&mut self, direction: Direction, now: f64) -> Result<(), BgpConnectionError> {
+        if !self.poll_connected(direction, now)? {
             return Ok(());
         }
         let Some(connection) = &mut self.connections[direction as usize] else { return Ok(()) };
         if connection.readable && !connection.read()? {
-            // What came ahead of the end is taken first.
+            // Bytes received before the end of the stream are still processed.
             let input = std::mem::take(&mut connection.input);
             self.session.receive(direction, &input, now);
             return Err(BgpConnectionError::Closed);
@@ -229,8 +230,8 @@
         self.flush(direction, now)
     }
 
-    /// Whether a connection is up, or has just come up.
-    fn comes_up(&mut self, direction: Direction, now: f64) -> Result<bool, BgpConnectionError> {
+    /// Checks whether a connection is up, and notifies the session if it has just come up.
+    fn poll_connected(&mut self, direction: Direction, now: f64) -> Result<bool, BgpConnectionError> {
         let Some(connection) = &mut self.connections[direction as usize] else { return Ok(false) };
         if connection.is_up {
             return Ok(true);
@@ -245,16 +246,16 @@
         if self.session.connected(direction, now) {
             Ok(true)
         } else {
-            Err(BgpConnectionError::NotWanted)
+            Err(BgpConnectionError::Unneeded)
         }
     }
 
-    /// Writes what the session has to tell.
+    /// Writes the bytes that the session has queued, as far as the socket accepts them.
     pub fn flush(&mut self, direction: Direction, now: f64) -> Result<(), BgpConnectionError> {
         let Some(connection) = &mut self.connections[direction as usize] else { return Ok(()) };
         while connection.is_up && connection.writable && !self.session.unsent(direction).is_empty() {
             match (&*connection.stream).write(self.session.unsent(direction)) {
-                Ok(0) => return Err(BgpConnectionError::TakesNothing),
+                Ok(0) => return Err(BgpConnectionError::WriteZero),
                 Ok(length) => self.session.written(direction, length, now),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => connection.writable = false,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -1,5 +1,5 @@
-//! The BGP speaker: connections to routing peers, around the sessions of `cleatgw-bgp` and the decisions of
-//! `cleatgw-announce`. It decides nothing itself: it reads, hands over, and writes what came of it.
+//! The BGP speaker: connects the sessions of `cleatgw-bgp` and the announcement decisions of `cleatgw-announce` to TCP
+//! connections with BGP peers. It makes no decisions itself: it passes received bytes on and writes the results.
 
 mod shutdown;
 mod status;
@@ -19,31 +19,32 @@
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Connections that the system lets wait to be accepted.
-const BACKLOG: i32 = 16;
-/// Connections accepted in one turn.
+/// Connections that the system queues until they are accepted.
+const LISTEN_BACKLOG: i32 = 16;
+/// Connections accepted in one turn of the event loop.
 const MAX_ACCEPTED: usize = 16;
-/// An action of a session may bring about another one, but no more than these: both connections ended, one begun.
+/// Actions performed for one session in one turn. An action may cause another one, but no more than both connections
+/// being closed and one being started are expected.
 const MAX_ACTIONS: usize = 8;
-/// What a session is called in the log when its code panics.
-const SESSION: &str = "a routing peer's session";
+/// How the log line for a panic in session code names the session.
+const SESSION_LABEL: &str = "a routing peer's session";
 
-/// Why a connection of a routing peer is not taken.
+/// Why an incoming connection is refused.
 #[derive(Debug, thiserror::Error)]
 enum RefusedConnection {
-    #[error("no peer of ours")]
+    #[error("no configured peer has this address")]
     UnknownPeer,
-    #[error("a connection of its own is open")]
+    #[error("a connection opened by this peer is already in use")]
     AlreadyOpen,
-    #[error("not wanted now")]
-    NotWanted,
+    #[error("the session accepts no connection in its present state")]
+    NotAcceptedBySession,
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// What peers are to be told.
+/// The routes to announce to all peers.
 struct Advertisements {
-    /// Grows with each change.
+    /// Incremented with each change.
     version: u64,
     by_prefix: BTreeMap<IpNet, Advertisement>,
 }
@@ -54,14 +55,14 @@
     announcer: Announcer,
     peers: Vec<BgpPeer>,
     listener: Option<Rc<TcpListener>>,
-    last_connection: u64,
+    last_connection_id: u64,
     seed: u64,
-    /// What is to be looked at in the next turn, though nothing becomes ready.
+    /// Sources to process in the next turn even if the event loop does not report them as ready.
     unfinished: Vec<EventSource>,
     advertisements: Advertisements,
-    /// When the last messages went out.
-    goodbye_at: Option<f64>,
-    /// What was counted by peers that are gone.
+    /// When the sessions were shut down at a planned stop, on the monotonic clock; absent before that.
+    shutdown_began_at: Option<f64>,
+    /// Counters of peers that were removed, and panics in session code.
     counters: Counters,
 }
 
@@ -70,43 +71,47 @@
     socket.set_nonblocking(true)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     let socket = Rc::new(TcpListener::from(socket));
-    log::info!(address:% = address; "bgp listens");
+    log::info!(address:% = address; "bgp listens on {address}");
     watch(handle, socket.clone(), EventSource::BgpListener)?;
     Ok(socket)
 }
 
 impl BgpSpeaker {
-    /// Sets the peers and addresses of a file up. `seed` is what chance is drawn from.
+    /// Starts a speaker with the peers and addresses of a service file. `seed` initialises the random numbers.
     ///
     /// # Errors
-    /// Its address can't be listened on.
+    /// The address in `bgp.listen` can't be listened on.
     pub fn open(handle: &LoopHandle, file: ServiceFile, seed: u64, now: f64) -> io::Result<BgpSpeaker> {
         let listener = file.bgp.listen.map(|address| listen(handle, address)).transpose()?;
-        let parts = file.bgp.peers.iter().enumerate();
+        let configs = file.bgp.peers.iter().enumerate();
         let peers =
-            parts.map(|(index, part)| BgpPeer::new(part, &file, seed.wrapping_add(index as u64), now));
+            configs.map(|(index, config)| BgpPeer::new(config, &file, seed.wrapping_add(index as u64), now));
         Ok(BgpSpeaker {
             handle: handle.clone(),
             announcer: Announcer::new(file.terms(), seed, now),
             peers: peers.collect(),
             file,
             listener,
-            last_connection: 0,
+            last_connection_id: 0,
             seed,
             unfinished: Vec::new(),
             advertisements: Advertisements { version: 1, by_prefix: BTreeMap::new() },
-            goodbye_at: None,
+            shutdown_began_at: None,
             counters: Counters::default(),
         })
     }
 
-    /// Takes a new file: peers that are new or changed begin anew, those that are gone are told so.
-    pub fn change(&mut self, new: ServiceFile, now: f64) {
-        let fixed = self.file.fixed_that_changed(&new);
-        if !fixed.is_empty() {
-            log::warn!("service file: {} can't change while running, what was stands", fixed.join(", "));
+    /// Applies a new service file. Peers that are new or changed get new sessions; the sessions of removed peers are shut
+    /// down with a notification.
+    pub fn reconfigure(&mut self, new: ServiceFile, now: f64) {
+        let fixed_changes = self.file.fixed_that_changed(&new);
+        if !fixed_changes.is_empty() {
+            log::warn!(
+                "service file: {} can't change while running; the values read at the start stay in force",
+                fixed_changes.join(", ")
+            );
         }
         let mut file = new;
         file.bgp.asn = self.file.bgp.asn;
@@ -115,22 +120,22 @@
         self.announcer.reconfigure(file.terms(), now);
         self.advertisements_changed();
         for peer in self.peers.iter_mut().filter(|peer| !peer.is_leaving) {
-            reconfigure(peer, &file, now);
+            reconfigure_peer(peer, &file, now);
         }
-        // While draining no session begins: it could tell nothing.
+        // No new sessions during a drain: they would have no routes to announce.
         if self.announcer.draining().is_none() {
             self.add_new_peers(&file, now);
         }
-        log::info!(peers = file.bgp.peers.len(), addresses = file.addresses.len(); "service file taken");
+        log::info!(peers = file.bgp.peers.len(), addresses = file.addresses.len(); "service file applied");
         self.file = file;
     }
 
     fn add_new_peers(&mut self, file: &ServiceFile, now: f64) {
-        for part in &file.bgp.peers {
-            let is_it = |peer: &BgpPeer| !peer.is_leaving && peer.part.name == part.name;
-            if !self.peers.iter().any(is_it) {
+        for config in &file.bgp.peers {
+            let has_name = |peer: &BgpPeer| !peer.is_leaving && peer.config.name == config.name;
+            if !self.peers.iter().any(has_name) {
                 self.seed = self.seed.wrapping_add(1);
-                self.peers.push(BgpPeer::new(part, file, self.seed, now));
+                self.peers.push(BgpPeer::new(config, file, self.seed, now));
             }
         }
     }
@@ -140,7 +145,7 @@
         self.advertisements.by_prefix = self.announcer.advertisements();
     }
 
-    /// Accepts what waits, as far as one turn goes.
+    /// Accepts waiting connections, up to the limit of one turn.
     pub fn accept(&mut self, now: f64) {
         let Some(listener) = &self.listener else { return };
         let socket = listener.clone();
@@ -161,25 +166,26 @@
         self.unfinished.push(EventSource::BgpListener);
     }
 
+    /// Hands an accepted connection to the peer it came from.
     fn admit(&mut self, stream: TcpStream, from: IpAddr, now: f64) -> Result<(), RefusedConnection> {
-        let is_it = |peer: &&mut BgpPeer| !peer.is_leaving && peer.part.address.ip() == from;
-        let peer = self.peers.iter_mut().find(is_it).ok_or(RefusedConnection::UnknownPeer)?;
+        let has_address = |peer: &&mut BgpPeer| !peer.is_leaving && peer.config.address.ip() == from;
+        let peer = self.peers.iter_mut().find(has_address).ok_or(RefusedConnection::UnknownPeer)?;
         let socket = peer.prepare_accepted(stream)?;
         if peer.has_idle_incoming() {
             return Err(RefusedConnection::AlreadyOpen);
         }
         if !peer.session.connected(Direction::Incoming, now) {
-            return Err(RefusedConnection::NotWanted);
+            return Err(RefusedConnection::NotAcceptedBySession);
         }
-        self.last_connection += 1;
-        let id = self.last_connection;
+        self.last_connection_id += 1;
+        let id = self.last_connection_id;
         peer.accept(&self.handle, socket, id, now);
         self.unfinished.push(EventSource::BgpConnection(id));
         Ok(())
     }
 
-    /// A connection is ready.
-    pub fn ready(&mut self, id: u64, readiness: Readiness, now: f64) {
+    /// Handles a connection that the event loop has reported as ready.
+    pub fn handle_ready(&mut self, id: u64, readiness: Readiness, now: f64) {
         let mut peers = self.peers.iter().enumerate();
         let found = peers.find_map(|(index, peer)| Some((index, peer.direction_of(id)?)));
         let Some((index, direction)) = found else { return };
@@ -187,7 +193,7 @@
         if let Some(connection) = peer.connection_mut(direction) {
             connection.note_ready(readiness);
         }
-        match catch_panic(SESSION, || peer.work(direction, now)) {
+        match catch_panic(SESSION_LABEL, || peer.process_io(direction, now)) {
             Some(Ok(())) => {}
             Some(Err(error)) => self.connection_lost(index, direction, &error, now),
             None => self.restart_peer(index, now),
@@ -202,23 +208,24 @@
         peer.session.closed(direction, &error.to_string(), now);
     }
 
-    /// The session's code panicked: its connections end, so the peer withdraws what it was told, and it begins anew.
+    /// Replaces a peer whose session code panicked. Its connections are closed, so the peer drops the routes announced to
+    /// it, and a new session starts.
     fn restart_peer(&mut self, index: usize, now: f64) {
         self.counters.panics += 1;
         let peer = &mut self.peers[index];
         for connection in peer.take_connections() {
             self.handle.remove(connection.token);
         }
-        let part: PeerPart = peer.part.clone();
+        let config: PeerPart = peer.config.clone();
         self.seed = self.seed.wrapping_add(1);
-        let mut restarted = BgpPeer::new(&part, &self.file, self.seed, now);
+        let mut restarted = BgpPeer::new(&config, &self.file, self.seed, now);
         if self.announcer.draining().is_some() {
             restarted.session.drain(BTreeMap::new(), now);
         }
         self.peers[index] = restarted;
     }
 
-    /// What peers show of the service addresses.
+    /// The paths to the service addresses that were learned from peers.
     fn paths(&self) -> Paths {
         let is_up = |peer: &BgpPeer| peer.session.state() == State::Established;
         let mut paths = Paths::new(self.peers.iter().any(is_up));
@@ -231,7 +238,7 @@
         paths
     }
 
-    /// One turn: decisions, then what they ask of the peers, then what is to be written.
+    /// Runs one turn of the event loop: announcement decisions, then the sessions, then the writes.
     pub fn turn(&mut self, now: f64, readings: impl FnOnce() -> Readings) {
         if now >= self.announcer.due() {
             let paths = self.paths();
@@ -248,21 +255,21 @@
             }
         }
         for index in 0..self.peers.len() {
-            self.carry_out(index, now);
+            self.perform_actions(index, now);
         }
         self.drop_finished_peers();
     }
 
-    /// Runs a session's timers, and hands it what it is to announce; false where its code panicked.
+    /// Runs a session's timers and hands it the current advertisements. Returns false if the session's code panicked.
     fn run_session(&mut self, index: usize, now: f64) -> bool {
         let is_draining = self.announcer.draining().is_some();
         let Advertisements { version, by_prefix } = &self.advertisements;
         let peer = &mut self.peers[index];
-        let done = catch_panic(SESSION, || {
+        let outcome = catch_panic(SESSION_LABEL, || {
             if peer.session.due() <= now {
                 peer.session.run_timers(now);
             }
-            if peer.given_version == *version {
+            if peer.applied_version == *version {
                 return;
             }
             if is_draining {
@@ -270,48 +277,49 @@
             } else {
                 peer.session.announce(by_prefix.clone(), now);
             }
-            peer.given_version = *version;
+            peer.applied_version = *version;
         });
-        done.is_some()
+        outcome.is_some()
     }
 
+    /// Removes peers whose sessions have shut down, and keeps their counters.
     fn drop_finished_peers(&mut self) {
         let handle = &self.handle;
         let counters = &mut self.counters;
         self.peers.retain(|peer| {
-            let is_over = peer.is_leaving && peer.session.is_finished();
-            if is_over {
+            let is_finished = peer.is_leaving && peer.session.is_finished();
+            if is_finished {
                 for token in peer.tokens() {
                     handle.remove(token);
                 }
                 status::add_counters(counters, &peer.session);
             }
-            !is_over
+            !is_finished
         });
     }
 
-    /// Does what a session asks for, writes what it has to tell, and logs what it says.
-    fn carry_out(&mut self, index: usize, now: f64) {
+    /// Performs a session's actions, writes its queued bytes, and writes its log entries to the log.
+    fn perform_actions(&mut self, index: usize, now: f64) {
         for _ in 0..MAX_ACTIONS {
             let Some(action) = self.peers[index].session.next_action() else { break };
-            self.carry_out_action(index, action, now);
+            self.perform_action(index, action, now);
         }
         for direction in [Direction::Outgoing, Direction::Incoming] {
             if let Err(error) = self.peers[index].flush(direction, now) {
                 self.connection_lost(index, direction, &error, now);
             }
         }
-        let BgpPeer { part, session, .. } = &mut self.peers[index];
+        let BgpPeer { config, session, .. } = &mut self.peers[index];
         while let Some(LogEntry { importance, message }) = session.next_log_entry() {
             let level = match importance {
                 Importance::Notable => log::Level::Info,
                 Importance::Routine => log::Level::Debug,
             };
-            log::log!(level, peer = part.name.as_str(), address:% = part.address; "bgp {message}");
+            log::log!(level, peer = config.name.as_str(), address:% = config.address; "bgp {message}");
         }
     }
 
-    fn carry_out_action(&mut self, index: usize, action: Action, now: f64) {
+    fn perform_action(&mut self, index: usize, action: Action, now: f64) {
         let peer = &mut self.peers[index];
         match action {
             Action::Close(direction) => {
@@ -320,22 +328,22 @@
                 }
             }
             Action::Connect => {
-                self.last_connection += 1;
-                if let Err(error) = peer.connect(&self.handle, self.last_connection) {
+                self.last_connection_id += 1;
+                if let Err(error) = peer.connect(&self.handle, self.last_connection_id) {
                     peer.session.closed(Direction::Outgoing, &error.to_string(), now);
                 }
             }
         }
     }
 
-    /// When its next turn is due, on the monotonic clock.
+    /// When the speaker's next turn is due, on the monotonic clock in seconds.
     pub fn due(&self) -> f64 {
         let peers = self.peers.iter().map(|peer| peer.session.due());
-        let goodbye = self.goodbye_at.map_or(f64::INFINITY, |at| at + shutdown::GOODBYE_TIMEOUT);
-        peers.fold(self.announcer.due().min(goodbye), f64::min)
+        let shutdown = self.shutdown_began_at.map_or(f64::INFINITY, |at| at + shutdown::SHUTDOWN_TIMEOUT);
+        peers.fold(self.announcer.due().min(shutdown), f64::min)
     }
 
-    /// What is to be looked at in the next turn, though nothing becomes ready.
+    /// Sources to process in the next turn even if the event loop does not report them as ready.
     pub fn unfinished(&mut self) -> Vec<EventSource> {
         let mut unfinished = std::mem::take(&mut self.unfinished);
         for peer in &self.peers {
@@ -345,14 +353,15 @@
     }
 }
 
-/// Other addresses are told on the session that is up; what else is new in a peer's part ends it.
-fn reconfigure(peer: &mut BgpPeer, file: &ServiceFile, now: f64) {
-    let part = file.bgp.peers.iter().find(|part| part.name == peer.part.name);
-    let same = part.filter(|part| **part == peer.part);
-    if same.is_some_and(|part| peer.session.reconfigure(&part.terms(&file.bgp, &file.addresses))) {
+/// Applies a new service file to one peer. Changed service addresses are announced on the existing session; any other
+/// change in the peer's configuration shuts the session down.
+fn reconfigure_peer(peer: &mut BgpPeer, file: &ServiceFile, now: f64) {
+    let config = file.bgp.peers.iter().find(|config| config.name == peer.config.name);
+    let unchanged = config.filter(|config| **config == peer.config);
+    if unchanged.is_some_and(|config| peer.session.reconfigure(&config.terms(&file.bgp, &file.addresses))) {
         return;
     }
-    let subcode = match part {
+    let subcode = match config {
         Some(_) => CeaseSubcode::OtherConfigurationChange,
         None => CeaseSubcode::PeerDeconfigured,
     };
@@ -360,20 +369,20 @@
     peer.is_leaving = true;
 }
 
-/// One line for each change of how an address stands.
+/// Logs one line for each change of an address's announcement level.
 fn log_event(event: &AddressEvent) {
     let AddressEvent { prefix, level, reason, healthy_paths, total_paths, suppressed_by } = event;
     let is_planned = matches!(reason, Reason::Draining | Reason::Drained | Reason::Starting);
-    let is_bad = *level < Level::Depreferred && !is_planned;
-    let log_level = if is_bad { log::Level::Warn } else { log::Level::Info };
+    let is_unplanned_drop = *level < Level::Depreferred && !is_planned;
+    let log_level = if is_unplanned_drop { log::Level::Warn } else { log::Level::Info };
     match suppressed_by {
         None => log::log!(
             log_level, address:% = prefix, level:% = level, sound = *healthy_paths, seen = *total_paths;
             "announce {prefix} {level}: {reason}"
         ),
-        Some(what) => log::log!(
+        Some(suppressed_by) => log::log!(
             log_level, address:% = prefix, level:% = level, sound = *healthy_paths, seen = *total_paths;
-            "announce {prefix} stays {level}: {reason}; held back by {what}"
+            "announce {prefix} stays {level}: {reason}; held back by {suppressed_by}"
         ),
     }
 }
--- a/crates/router/src/transport/bgp_speaker/status.rs
+++ b/crates/router/src/transport/bgp_speaker/status.rs
@@ -1,4 +1,4 @@
-//! How the drain, the addresses, the health checks and the routing peers stand, and what was counted.
+//! Status rows for the drain, the service addresses, the health checks and the BGP peers, and the speaker's counters.
 
 use super::BgpSpeaker;
 use crate::routing::Counters;
@@ -20,7 +20,7 @@
         counters
     }
 
-    /// How the drain, the addresses, the health checks and the peers stand.
+    /// One row for the drain, if one is running, then one for each address, failing health check and peer.
     pub fn status(&self, now: f64) -> Vec<StatusRow> {
         let mut rows = Vec::new();
         rows.extend(self.drain_row(now));
@@ -36,41 +36,50 @@
 
     fn drain_row(&self, now: f64) -> Option<StatusRow> {
         let drain = self.announcer.draining()?;
-        let left = drain.new_work_ends - now;
-        let work =
-            if left > 0.0 { format!("new work for {left:.2} s more") } else { "no new work".to_string() };
+        let remaining = drain.new_work_ends - now;
+        let work = if remaining > 0.0 {
+            format!("new work for {remaining:.2} s more")
+        } else {
+            "no new work".to_string()
+        };
         Some(StatusRow::new("drain", format!("since {:.2} s", now - drain.began), work))
     }
 }
 
 fn address_row(status: AddressStatus, paths: &Paths, now: f64) -> StatusRow {
     let AddressStatus { prefix, level, reason, since, suppressed_by } = status;
-    let waits = suppressed_by.map_or(String::new(), |what| format!("; a move waits for {what}"));
+    let pending_move =
+        suppressed_by.map_or(String::new(), |suppressed_by| format!("; a move waits for {suppressed_by}"));
     let healthy = paths.healthy(&prefix);
     let total = paths.total(&prefix);
     let others = format!("{healthy} sound of {total} others seen");
-    let detail = format!("{reason}, for {:.1} s; {others}{waits}", now - since);
+    let detail = format!("{reason}, for {:.1} s; {others}{pending_move}", now - since);
     StatusRow::new(format!("address {prefix}"), level.to_string(), detail)
 }
 
 fn peer_row(peer: &BgpPeer) -> StatusRow {
-    let BgpPeer { part, session, is_leaving, .. } = peer;
+    let BgpPeer { config, session, is_leaving, .. } = peer;
     let counts = &session.counters;
     let announced: Vec<String> = session.adj_rib_out().map(|(prefix, _)| prefix.to_string()).collect();
-    let last = session.last_error.as_deref();
-    let last = last.map_or(String::new(), |error| format!("; last error: {error}"));
+    let last_error = session.last_error.as_deref();
+    let last_error = last_error.map_or(String::new(), |error| format!("; last error: {error}"));
     let leaving = if *is_leaving { ", leaving" } else { "" };
     let detail = format!(
-        "out {} [{}], seen {}, sessions {} lost {}{leaving}{last}",
+        "out {} [{}], seen {}, sessions {} lost {}{leaving}{last_error}",
         announced.len(),
         announced.join(" "),
         session.adj_rib_in.len(),
         counts.established,
         counts.lost
     );
-    StatusRow::new(format!("peer {} {}", part.name, part.address), format!("{:?}", session.state()), detail)
+    StatusRow::new(
+        format!("peer {} {}", config.name, config.address),
+        format!("{:?}", session.state()),
+        detail,
+    )
 }
 
+/// Adds the counters of one session to those of the router.
 pub(super) fn add_counters(counters: &mut Counters, session: &Peer) {
     let counts = &session.counters;
     counters.bgp_established += counts.established;
--- a/crates/router/src/transport/subsystems.rs
+++ b/crates/router/src/transport/subsystems.rs
@@ -77,7 +77,7 @@
     pub fn handle_ready(&mut self, source: EventSource, readiness: Readiness) {
         let now = self.clock.read();
         match (source, &mut self.speaker, &mut self.cluster) {
-            (EventSource::BgpConnection(id), Some(speaker), _) => speaker.ready(id, readiness, now),
+            (EventSource::BgpConnection(id), Some(speaker), _) => speaker.handle_ready(id, readiness, now),
             (EventSource::BgpListener, Some(speaker), _) => speaker.accept(now),
             (EventSource::Cluster, _, Some(cluster)) => cluster.ready(now),
             _ => {}
@@ -172,14 +172,14 @@
 
     /// Whether no BGP peer has a route to this router any more, as far as this router can know.
     pub fn are_routes_cleared(&self) -> bool {
-        self.speaker.as_ref().is_none_or(|speaker| speaker.is_cleared(self.clock.read()))
+        self.speaker.as_ref().is_none_or(|speaker| speaker.are_routes_withdrawn(self.clock.read()))
     }
 
     /// Closes the sessions with BGP peers. The first call begins that. Returns whether all are closed or the time-out for
     /// closing them has passed.
     pub fn close_bgp_sessions(&mut self) -> bool {
         let now = self.clock.read();
-        self.speaker.as_mut().is_none_or(|speaker| speaker.say_goodbye(now))
+        self.speaker.as_mut().is_none_or(|speaker| speaker.shut_down_sessions(now))
     }
 
     /// Applies a new cluster file.
@@ -192,7 +192,7 @@
     /// Applies a new service file.
     pub fn apply_service_file(&mut self, file: ServiceFile) {
         if let Some(speaker) = &mut self.speaker {
-            speaker.change(file, self.clock.read());
+            speaker.reconfigure(file, self.clock.read());
         }
     }
 }
--- a/crates/testbed/src/capacity/configuration.rs
+++ b/crates/testbed/src/capacity/configuration.rs
@@ -255,7 +255,7 @@
     );
     let service = service_file(&[], "");
     let more = service.replace("198.51.100.7/32", "198.51.100.8/32");
-    plays("service file: addresses, peers, times", "service file taken", &in_file("service", more), &none);
+    plays("service file: addresses, peers, times", "service file applied", &in_file("service", more), &none);
     let asn = service.replacen(r#""asn":64512"#, r#""asn":64513"#, 1);
     plays(
         "service file: AS, identifier, listen",
