--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -1,5 +1,5 @@
-//! The cluster's socket: UDP datagrams to and from the other routers, around `cleatgw-membership`. It decides nothing: it
-//! reads, hands over, sends what came of it, and logs what changed.
+//! The cluster's socket: exchanges the UDP datagrams of `cleatgw-membership` with the other routers. It makes no decisions
+//! itself: it passes received datagrams on, sends the resulting ones, and logs changes.
 
 use super::event_source::{watch, EventSource, LoopHandle};
 use super::panic_guard::catch_panic;
@@ -17,27 +17,29 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// Datagrams read in one turn; what is more waits for the next one, or is dropped by the system.
+/// Datagrams read in one turn of the event loop. Further ones wait for the next turn, or are dropped by the system.
 const MAX_RECEIVED_PER_TURN: usize = 64;
-/// A lease is requested of every router; what is more than this in one turn is not sent.
+/// Datagrams sent in one turn; further ones are dropped. The limit is high because a lease is requested from every router.
 const MAX_SENT_PER_TURN: usize = 4096;
 
-/// A cluster file, this router's place in it, and what its incarnation and chance are drawn from.
+/// A cluster file and what this router needs to join the cluster as a member.
 pub struct JoinedCluster {
     pub file: ClusterFile,
+    /// The index of this router in the file's list of routers.
     pub place: usize,
     /// When this incarnation began, in Unix milliseconds.
     pub born: u64,
+    /// Initialises the random numbers of the membership protocol.
     pub seed: u64,
 }
 
 impl JoinedCluster {
-    /// Where this router listens.
+    /// The address on which this router listens.
     fn address(&self) -> SocketAddr {
         self.file.listen.unwrap_or(self.file.routers[self.place].address)
     }
 
-    /// This router's part of the cluster.
+    /// The membership state of a router that has just joined, with the leader roles of the file.
     fn members(&self, now: f64) -> Membership {
         let JoinedCluster { file, place, born, seed } = self;
         let routers = file.routers.len();
@@ -47,7 +49,7 @@
         members
     }
 
-    /// The places of the other routers, by their addresses.
+    /// The indexes of the other routers in the file, by address.
     fn places_by_address(&self) -> HashMap<SocketAddr, usize> {
         let routers = self.file.routers.iter().enumerate();
         let others = routers.filter(|(place, _)| *place != self.place);
@@ -55,7 +57,7 @@
     }
 }
 
-/// What membership counts, as counters of the router.
+/// Converts the counters of the membership protocol to counters of the router.
 fn counters_of(members: &Membership) -> Counters {
     let counts = members.counters();
     let dropped = |reason: DropReason| counts.dropped.get(&reason).copied().unwrap_or(0);
@@ -93,14 +95,17 @@
     joined: JoinedCluster,
     members: Membership,
     places_by_address: HashMap<SocketAddr, usize>,
+    /// Whether the socket may hold datagrams that were not read yet.
     readable: bool,
+    /// How the cluster stood when that was last logged.
     standing: Standing,
-    /// Datagrams from addresses that are no router's, or outside the networks.
-    strangers: u64,
-    unsent: u64,
-    /// What was counted before the file was last read.
-    counted_before: Counters,
-    /// Which leader roles were held here when that was last looked at, by place in the file.
+    /// Datagrams from addresses that are not a router's or are outside the file's networks.
+    unknown_senders: u64,
+    /// Datagrams that the system refused to send.
+    failed_sends: u64,
+    /// Counters of the membership state that was replaced when the file was last applied.
+    previous_counters: Counters,
+    /// Whether each leader role was held here when that was last logged, by its index in the file.
     held_roles: Vec<bool>,
 }
 
@@ -108,7 +113,7 @@
     /// Joins a cluster.
     ///
     /// # Errors
-    /// Its address can't be listened on.
+    /// This router's address in the cluster file can't be listened on.
     pub fn open(handle: &LoopHandle, joined: JoinedCluster, now: f64) -> io::Result<ClusterSocket> {
         let address = joined.address();
         let (token, socket) = bind(handle, address)?;
@@ -116,7 +121,7 @@
         let routers = joined.file.routers.len();
         log::info!(
             cluster = name, routers = routers, address:% = address;
-            "cluster {name}: one of {routers} routers, hears on {address}"
+            "cluster {name}: one of {routers} routers, listening on {address}"
         );
         Ok(ClusterSocket {
             handle: handle.clone(),
@@ -127,16 +132,16 @@
             joined,
             readable: false,
             standing: Standing::JustStarted,
-            strangers: 0,
-            unsent: 0,
-            counted_before: Counters::default(),
+            unknown_senders: 0,
+            failed_sends: 0,
+            previous_counters: Counters::default(),
             held_roles: Vec::new(),
         })
     }
 
-    /// Takes a new file. A list that is as it was changes only addresses and pace; another one is another cluster, which
-    /// this router enters in a new incarnation.
-    pub fn change(&mut self, mut joined: JoinedCluster, now: f64) {
+    /// Applies a new cluster file. If the list of routers is unchanged, only addresses and the pace of the protocol change;
+    /// a different list is a different cluster. In both cases this router joins under a new incarnation.
+    pub fn reconfigure(&mut self, mut joined: JoinedCluster, now: f64) {
         if joined.file == self.joined.file {
             return;
         }
@@ -154,20 +159,20 @@
                 }
             }
         }
-        // Leader roles are released under the old file: the new one may be another cluster.
+        // Leader roles are released under the old file, because the new file may describe a different cluster.
         self.members.set_roles(&[], now);
         self.turn(now);
-        self.counted_before.add(&counters_of(&self.members));
+        self.previous_counters.add(&counters_of(&self.members));
         self.members = joined.members(now);
         self.places_by_address = joined.places_by_address();
         let routers = joined.file.routers.len();
-        log::info!(routers = routers; "cluster file taken: {routers} routers");
+        log::info!(routers = routers; "cluster file applied: {routers} routers");
         self.joined = joined;
         self.standing = Standing::JustStarted;
     }
 
-    /// Reads what has come, as far as one turn goes.
-    pub fn ready(&mut self, now: f64) {
+    /// Reads datagrams that the event loop has reported, up to the limit of one turn.
+    pub fn receive(&mut self, now: f64) {
         self.readable = true;
         let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..MAX_RECEIVED_PER_TURN {
@@ -177,40 +182,41 @@
                     self.readable = false;
                     return;
                 }
-                // One of ours could not be delivered: the failure detector finds that out by itself.
+                // The system reports that a datagram of this router could not be delivered; the failure detector notices
+                // that by itself.
                 Err(_) => continue,
             };
             let Some(router) = self.sender(from) else {
-                self.strangers += 1;
+                self.unknown_senders += 1;
                 continue;
             };
             let members = &mut self.members;
-            let taken = catch_panic("a datagram of the cluster", || {
+            let outcome = catch_panic("a datagram of the cluster", || {
                 members.receive_datagram(router, &bytes[..length], now)
             });
-            if taken.is_none() {
+            if outcome.is_none() {
                 return;
             }
         }
     }
 
-    /// The router at an address, if it is within the networks.
+    /// The index of the router with this address, if the address is within the file's networks.
     fn sender(&self, address: SocketAddr) -> Option<usize> {
-        let is_near = self.joined.file.networks.iter().any(|network| network.contains(&address.ip()));
-        self.places_by_address.get(&address).copied().filter(|_| is_near)
+        let is_in_networks = self.joined.file.networks.iter().any(|network| network.contains(&address.ip()));
+        self.places_by_address.get(&address).copied().filter(|_| is_in_networks)
     }
 
-    /// More waits than one turn read.
+    /// Whether the socket may hold more datagrams than were read in this turn.
     pub fn is_unfinished(&self) -> bool {
         self.readable
     }
 
-    /// Does all that is due, and sends what came of it.
+    /// Runs one turn of the membership protocol: performs what is due, sends the resulting datagrams, and logs changes.
     pub fn turn(&mut self, now: f64) {
         self.members.turn(now);
         for (to, bytes) in self.members.take_outgoing().into_iter().take(MAX_SENT_PER_TURN) {
             let to = self.joined.file.routers[usize::from(to)].address;
-            self.unsent += u64::from(self.socket.send_to(&bytes, to).is_err());
+            self.failed_sends += u64::from(self.socket.send_to(&bytes, to).is_err());
         }
         self.log_role_changes(now);
         self.log_member_changes();
@@ -245,14 +251,14 @@
         );
     }
 
-    /// Logs which leader roles are held here from now on, and which are no longer.
+    /// Logs each leader role that this router has come to hold or no longer holds.
     fn log_role_changes(&mut self, now: f64) {
         self.held_roles.resize(self.joined.file.duties.len(), false);
         for (place, name) in self.joined.file.duties.iter().enumerate() {
             let status = self.members.role_status(role_resource(name), now);
-            let holds = matches!(status, RoleStatus::Held { .. });
-            let held = std::mem::replace(&mut self.held_roles[place], holds);
-            match (held, status) {
+            let is_held = matches!(status, RoleStatus::Held { .. });
+            let was_held = std::mem::replace(&mut self.held_roles[place], is_held);
+            match (was_held, status) {
                 (false, RoleStatus::Held { epoch, .. }) => {
                     log::info!(role = name.as_str(), epoch = epoch; "leader role {name} is held here, epoch {epoch}");
                 }
@@ -264,8 +270,8 @@
         }
     }
 
-    /// A row for each leader role: whose it is, and under which epoch until when if it is held here. `unix` is the Unix time of
-    /// this turn in seconds, which the row tells.
+    /// A status row for each leader role: its holder and, if this router holds it, the epoch and the remaining time of the
+    /// lease. `unix` is the current Unix time in seconds, which the row states.
     pub fn roles(&self, now: f64, unix: f64) -> Vec<StatusRow> {
         let row = |name: &String| {
             let subject = format!("duty {name}");
@@ -287,35 +293,35 @@
         self.joined.file.duties.iter().map(row).collect()
     }
 
-    /// Sets the epoch of this router's store that others are to be shown.
+    /// Sets the epoch of this router's store, which is sent to the other routers.
     pub fn set_store_epoch(&mut self, epoch: u64) {
         self.members.set_store_epoch(epoch);
     }
 
-    /// The latest epoch of this router's store that others say they were shown.
+    /// The latest epoch of this router's store that other routers report to have received; absent if none has reported one.
     pub fn store_epoch_seen(&self) -> Option<u64> {
         self.members.store_epoch_seen_by_peers()
     }
 
-    /// When its next turn is due, on the monotonic clock.
+    /// When the next turn is due, on the monotonic clock in seconds.
     pub fn due(&self) -> f64 {
         self.members.due()
     }
 
-    /// This router leaves by plan, which others are told at once.
+    /// Leaves the cluster as part of a planned stop, and notifies the other routers at once.
     pub fn leave(&mut self, now: f64) {
         self.members.leave(now);
         self.turn(now);
     }
 
-    /// Sets what this router has seen of engines, for others; nothing where the file says so.
+    /// Sets this router's observations of engines, which are sent to the other routers unless the file turns that off.
     pub fn set_observations(&mut self, observations: Vec<Observation>) {
         if self.joined.file.tell_of_engines {
             self.members.set_observations(observations);
         }
     }
 
-    /// What others report of an engine.
+    /// What other routers report about an engine; empty if the file turns such reports off.
     pub fn peer_evidence(&self, engine: &EngineIncarnation, now: f64) -> PeerEvidence {
         if self.joined.file.tell_of_engines {
             self.members.evidence_on(engine, now)
@@ -326,11 +332,11 @@
 
     pub fn counters(&self) -> Counters {
         let mut counters = counters_of(&self.members);
-        counters.add(&self.counted_before);
-        Counters { cluster_strangers: self.strangers, cluster_unsent: self.unsent, ..counters }
+        counters.add(&self.previous_counters);
+        Counters { cluster_strangers: self.unknown_senders, cluster_unsent: self.failed_sends, ..counters }
     }
 
-    /// A row for the cluster and one for each router: what, its state, and on what evidence.
+    /// A status row for the cluster and one for each router: the name, the state, and the evidence for the state.
     pub fn status(&self, now: f64) -> Vec<StatusRow> {
         let mut rows = vec![self.cluster_row(now)];
         for (place, member) in self.members.members().iter().enumerate() {
@@ -371,7 +377,7 @@
     }
 }
 
-/// How long ago something was, in words.
+/// Formats how long ago a time was. A time that is not finite stands for an event that has not happened.
 fn ago(at: f64, now: f64) -> String {
     if at.is_finite() {
         format!("{:.1} s ago", (now - at).max(0.0))
--- a/crates/router/src/transport/subsystems.rs
+++ b/crates/router/src/transport/subsystems.rs
@@ -79,7 +79,7 @@
         match (source, &mut self.speaker, &mut self.cluster) {
             (EventSource::BgpConnection(id), Some(speaker), _) => speaker.handle_ready(id, readiness, now),
             (EventSource::BgpListener, Some(speaker), _) => speaker.accept(now),
-            (EventSource::Cluster, _, Some(cluster)) => cluster.ready(now),
+            (EventSource::Cluster, _, Some(cluster)) => cluster.receive(now),
             _ => {}
         }
     }
@@ -185,7 +185,7 @@
     /// Applies a new cluster file.
     pub fn apply_cluster_file(&mut self, joined: JoinedCluster) {
         if let Some(cluster) = &mut self.cluster {
-            cluster.change(joined, self.clock.read());
+            cluster.reconfigure(joined, self.clock.read());
         }
     }
 
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -363,7 +363,7 @@
     addresses[1] = one.relays.addresses[0][1];
     std::fs::write(other.file(0), cluster_file("other", &names, &addresses)).unwrap();
     other.router(0).signal(Signal::HUP);
-    other.router(0).log.wait("cluster file taken", 1);
+    other.router(0).log.wait("cluster file applied", 1);
     std::thread::sleep(Duration::from_secs(4));
     other.stands(0, "never formed");
     (0..3).for_each(|router| one.stands(router, "whole"));
--- a/crates/testbed/src/capacity/configuration.rs
+++ b/crates/testbed/src/capacity/configuration.rs
@@ -249,7 +249,7 @@
     );
     plays(
         "cluster file: routers",
-        "cluster file taken: 3 routers",
+        "cluster file applied: 3 routers",
         &in_file("cluster", text_of_three),
         &none,
     );
