--- a/crates/router/src/transport/discovery_client.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -1,4 +1,5 @@
-//! The connection to the discovery service: made again whenever it is lost or silent, from the last event that is known.
+//! The connection to the discovery service. It is re-established whenever it is lost or silent, and resumes after the last
+//! event that is known.
 
 use super::buffer::{Buffer, ReadOutcome};
 use super::sockets::{is_connected, RegisteredStream};
@@ -9,36 +10,39 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// Each second has a line: after so many without one the connection is taken for lost. With a connection that does not come
-/// up and another one, that is well within the 4 s after which a silent service's events count as told.
+/// The connection counts as lost after this many seconds without a line; the service sends one each second. Even with one
+/// failed connection attempt before the next one succeeds, that is well within the 4 s after which the events of a silent
+/// service count as told.
 const SILENCE_TIMEOUT: f64 = 1.8;
+/// How long a connection may take to come up, in seconds.
 const CONNECT_TIMEOUT: f64 = 0.5;
-/// The backoff between tries grows while the service stays away, and is drawn, so that many routers which lost it together do
-/// not all come back at once. The longest keeps well within the 2 s after which a lost service's events count as told.
+/// The backoff between connection attempts, in seconds. It grows while the service is unavailable, and is randomised so that
+/// many routers that lost the service together do not all reconnect at once. The maximum stays well within the 2 s after
+/// which the events of a lost service count as told.
 const INITIAL_BACKOFF: f64 = 0.1;
 const MAX_BACKOFF: f64 = 0.4;
 const BACKOFF_FACTOR: f64 = 1.6;
-/// The backoff has reached its maximum long before so many tries.
-const MAX_COUNTED_TRIES: u32 = 100;
+/// Limit on the exponent of the backoff, which has reached its maximum long before this many failures.
+const MAX_COUNTED_FAILURES: u32 = 100;
 
 enum State {
     Down { retry_at: f64 },
     Connecting { until: f64 },
-    Up { heard_at: f64 },
+    Up { silent_since: f64 },
 }
 
-/// Why the connection is lost.
+/// Why the connection was lost.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum DiscoveryError {
-    #[error("silent")]
+    #[error("no line received for {} s", SILENCE_TIMEOUT)]
     Silent,
-    #[error("closed")]
+    #[error("closed by the service")]
     Closed,
     #[error("a line of more than {0} bytes")]
     LineTooLong(usize),
     #[error("malformed: {0}")]
     Malformed(#[from] Malformed),
-    #[error("event {expected} is missing, {got} came")]
+    #[error("event {expected} is missing: received event {got} instead")]
     Gap { expected: u64, got: u64 },
     #[error("{0}")]
     Io(String),
@@ -52,21 +56,28 @@
 
 pub struct DiscoveryClient {
     pub counters: Counters,
+    /// The address of the service; absent if the configuration names none.
     address: Option<SocketAddr>,
     state: State,
     connection: Option<RegisteredStream>,
     buffer: Buffer,
+    /// Limit on the length of a line, in bytes.
     max_line: usize,
+    /// Whether the connection may hold bytes that were not read yet.
     readable: bool,
+    /// The number of the last event that was applied.
     last_event: u64,
-    /// An event was missed, and the service asked again: what it has now is all there is.
+    /// An event was missing and the service was asked again for it. If it is still missing then, the service no longer has
+    /// it, and later events are applied without it.
     has_gap: bool,
-    is_away: bool,
-    /// Tries since it was last heard, and what their backoff is drawn from.
-    tries: u32,
+    /// The connection was lost, and no line has arrived since.
+    is_lost: bool,
+    /// Lost and failed connections since the last line.
+    failures: u32,
+    /// Randomises the backoff.
     random: RandomState,
-    /// When its last line came; at first, when it was first looked for.
-    heard_at: f64,
+    /// When the last line arrived; before the first one, when the client was created.
+    last_line_at: f64,
 }
 
 impl DiscoveryClient {
@@ -81,37 +92,37 @@
             readable: false,
             last_event,
             has_gap: false,
-            is_away: false,
-            tries: 0,
+            is_lost: false,
+            failures: 0,
             random: RandomState::new(),
-            heard_at: now,
+            last_line_at: now,
         }
     }
 
-    /// Seconds until the next try.
+    /// Seconds until the next connection attempt.
     fn next_backoff(&mut self) -> f64 {
-        let tries = self.tries.min(MAX_COUNTED_TRIES) as i32;
-        let most = (INITIAL_BACKOFF * BACKOFF_FACTOR.powi(tries)).min(MAX_BACKOFF);
-        self.tries += 1;
-        most * (0.5 + 0.5 * self.random.hash_one(self.tries) as f64 / u64::MAX as f64)
+        let failures = self.failures.min(MAX_COUNTED_FAILURES) as i32;
+        let longest = (INITIAL_BACKOFF * BACKOFF_FACTOR.powi(failures)).min(MAX_BACKOFF);
+        self.failures += 1;
+        longest * (0.5 + 0.5 * self.random.hash_one(self.failures) as f64 / u64::MAX as f64)
     }
 
-    /// Seconds since it was last heard; none where there is no service.
+    /// Seconds since the last line from the service; `None` if no service is configured.
     pub fn silent_for(&self, now: f64) -> Option<f64> {
-        self.address.map(|_| now - self.heard_at)
+        self.address.map(|_| now - self.last_line_at)
     }
 
-    /// When it must be looked at, whatever comes.
+    /// When the client must act even if its connection is not reported as ready.
     pub fn due(&self) -> f64 {
         match self.state {
             _ if self.address.is_none() => f64::INFINITY,
             State::Down { retry_at } => retry_at,
             State::Connecting { until } => until,
-            State::Up { heard_at } => heard_at + SILENCE_TIMEOUT,
+            State::Up { silent_since } => silent_since + SILENCE_TIMEOUT,
         }
     }
 
-    /// The address to connect to, if it is time.
+    /// The address to connect to, if a connection attempt is due.
     pub fn wants_connection(&self, now: f64) -> Option<SocketAddr> {
         match self.state {
             State::Down { retry_at } if now >= retry_at => self.address,
@@ -119,8 +130,8 @@
         }
     }
 
-    /// A connection was begun; none where that failed.
-    pub fn connecting(&mut self, connection: Option<RegisteredStream>, now: f64) {
+    /// Records a connection attempt; `connection` is `None` if it failed at once.
+    pub fn set_connecting(&mut self, connection: Option<RegisteredStream>, now: f64) {
         self.state = match connection {
             Some(_) => State::Connecting { until: now + CONNECT_TIMEOUT },
             None => State::Down { retry_at: now + self.next_backoff() },
@@ -130,9 +141,9 @@
         self.readable = false;
     }
 
-    /// Takes over a new address, which is asked at once from the last event that is known, and events that are newer. The
-    /// old address tells nothing more, though its connections may stay open for a while: a registration to be undone is
-    /// returned.
+    /// Applies the `known` events that are newer than the last one, and switches to a new address, to which a connection is due
+    /// at once. Nothing more is read from the old address, even if its connection stays open for a while; returns the
+    /// registration of that connection, which the caller has to remove.
     pub fn reconfigure(
         &mut self,
         address: Option<SocketAddr>,
@@ -142,8 +153,8 @@
     ) -> Option<RegistrationToken> {
         known.sort_by_key(|event| event.number);
         for event in known {
-            let begins_anew = event.is_complete_list() && event.number > self.last_event;
-            if event.number == self.last_event + 1 || begins_anew {
+            let is_newer_full_list = event.is_complete_list() && event.number > self.last_event;
+            if event.number == self.last_event + 1 || is_newer_full_list {
                 self.last_event = event.number;
                 events.push(event);
             }
@@ -151,37 +162,43 @@
         if address == self.address {
             return None;
         }
-        let shown = address.map_or("none".to_string(), |address| address.to_string());
-        log::info!("discovery service is {shown} now, asked from event {}", self.last_event);
+        let shown_address = address.map_or("none".to_string(), |address| address.to_string());
+        log::info!("discovery service is {shown_address} now, watched from event {}", self.last_event);
         self.address = address;
         self.state = State::Down { retry_at: now };
         self.readable = false;
-        self.tries = 0;
+        self.failures = 0;
         self.connection.take().map(|connection| connection.token)
     }
 
-    /// Gives the connection up; its registration is returned to be undone.
-    pub fn lost(&mut self, why: &str, now: f64) -> Option<RegistrationToken> {
-        // Told once for as long as it stays away.
-        let was_away = std::mem::replace(&mut self.is_away, true);
-        let level = if was_away { log::Level::Debug } else { log::Level::Warn };
+    /// Drops the connection and schedules the next attempt. Returns the registration, which the caller has to remove.
+    pub fn disconnect(&mut self, reason: &str, now: f64) -> Option<RegistrationToken> {
+        // Logged as a warning only once until the service sends a line again.
+        let was_lost = std::mem::replace(&mut self.is_lost, true);
+        let level = if was_lost { log::Level::Debug } else { log::Level::Warn };
         let last = self.last_event;
-        log::log!(level, event = last; "discovery service lost: {why}; the list of event {last} stands");
+        log::log!(level, event = last; "discovery service lost: {reason}; keeping the engine list of event {last}");
         self.state = State::Down { retry_at: now + self.next_backoff() };
         self.readable = false;
         self.connection.take().map(|connection| connection.token)
     }
 
-    /// More may be ready than was read.
+    /// Whether the connection may hold more than was read.
     pub fn is_unfinished(&self) -> bool {
         self.readable
     }
 
-    /// Reads what is ready; events that are new go into `events`.
+    /// Reads what is ready; new events are appended to `events`.
     ///
     /// # Errors
-    /// Why the connection is lost.
-    pub fn work(&mut self, readable: bool, now: f64, events: &mut Vec<Event>) -> Result<(), DiscoveryError> {
+    /// The connection could not be established, failed, was closed or was silent for too long, or the service sent a line
+    /// that is too long or malformed, or left out an event.
+    pub fn process_io(
+        &mut self,
+        readable: bool,
+        now: f64,
+        events: &mut Vec<Event>,
+    ) -> Result<(), DiscoveryError> {
         let Some(RegisteredStream { stream, .. }) = &self.connection else { return Ok(()) };
         let stream = stream.clone();
         self.readable |= readable;
@@ -190,9 +207,9 @@
                 if !is_connected(&stream, until, now)? {
                     return Ok(());
                 }
-                self.came_up(now);
+                self.handle_connected(now);
             }
-            State::Up { heard_at } if !self.readable && now >= heard_at + SILENCE_TIMEOUT => {
+            State::Up { silent_since } if !self.readable && now >= silent_since + SILENCE_TIMEOUT => {
                 return Err(DiscoveryError::Silent);
             }
             State::Up { .. } | State::Down { .. } => {}
@@ -204,10 +221,10 @@
         Ok(())
     }
 
-    fn came_up(&mut self, now: f64) {
-        let level = if self.is_away { log::Level::Debug } else { log::Level::Info };
+    fn handle_connected(&mut self, now: f64) {
+        let level = if self.is_lost { log::Level::Debug } else { log::Level::Info };
         log::log!(level, "discovery service connected, from event {}", self.last_event);
-        self.state = State::Up { heard_at: now };
+        self.state = State::Up { silent_since: now };
         self.counters.discovery_connects += 1;
         let mut request = Vec::new();
         discovery::write_watch(&mut request, self.last_event);
@@ -218,7 +235,7 @@
         let reached = self.buffer.read(stream, self.max_line)?;
         self.readable = reached == ReadOutcome::LimitReached;
         while let Some(end) = self.buffer.input().iter().position(|&byte| byte == b'\n') {
-            self.note_heard(now);
+            self.note_line(now);
             let line = discovery::parse_line(&self.buffer.input()[..end]);
             self.buffer.consume(end + 1);
             if line.is_err() {
@@ -235,11 +252,11 @@
         }
     }
 
-    fn note_heard(&mut self, now: f64) {
-        self.state = State::Up { heard_at: now };
-        self.heard_at = now;
-        self.tries = 0;
-        if std::mem::replace(&mut self.is_away, false) {
+    fn note_line(&mut self, now: f64) {
+        self.state = State::Up { silent_since: now };
+        self.last_line_at = now;
+        self.failures = 0;
+        if std::mem::replace(&mut self.is_lost, false) {
             log::info!("discovery service heard again, from event {}", self.last_event);
         }
     }
@@ -250,8 +267,8 @@
             Line::Event(event) => (event.number, Some(event)),
         };
         let expected = self.last_event + u64::from(event.is_some());
-        let begins_anew = event.as_ref().is_some_and(Event::is_complete_list);
-        if number > expected && !begins_anew && !std::mem::replace(&mut self.has_gap, true) {
+        let is_full_list = event.as_ref().is_some_and(Event::is_complete_list);
+        if number > expected && !is_full_list && !std::mem::replace(&mut self.has_gap, true) {
             return Err(DiscoveryError::Gap { expected, got: number });
         }
         if let Some(event) = event.filter(|_| number > self.last_event) {
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -214,12 +214,13 @@
     fn read_discovery(&mut self, readable: bool, now: f64) {
         let discovery = &mut self.discovery;
         let events = &mut self.input.list_events;
-        let result =
-            catch_panic("the connection to the discovery service", || discovery.work(readable, now, events));
+        let result = catch_panic("the connection to the discovery service", || {
+            discovery.process_io(readable, now, events)
+        });
         let closed_token = match result {
             Some(Ok(())) => None,
-            Some(Err(error)) => self.discovery.lost(&error.to_string(), now),
-            None => self.discovery.lost("panic while reading", now),
+            Some(Err(error)) => self.discovery.disconnect(&error.to_string(), now),
+            None => self.discovery.disconnect("panic while reading", now),
         };
         if let Some(token) = closed_token {
             self.handle.remove(token);
@@ -248,7 +249,7 @@
         if let Err(error) = &connection {
             log::debug!("can't connect to discovery service {address}: {error}");
         }
-        self.discovery.connecting(connection.ok(), now);
+        self.discovery.set_connecting(connection.ok(), now);
     }
 
     fn run_subsystems(&mut self, now: f64) {
--- a/crates/router/tests/on_call_page.rs
+++ b/crates/router/tests/on_call_page.rs
@@ -240,7 +240,7 @@
         "duty D is ours, epoch E",
         "a push that is not legal was not made",
         "turning back: N held",
-        "notice board lost: WHY; the list of event N stands",
+        "notice board lost: WHY; keeping the engine list of event N",
     ] {
         assert!(!unwritten_of(line).is_empty(), "{line}");
     }
