--- a/crates/router/src/transport/clients_and_engines.rs
+++ b/crates/router/src/transport/clients_and_engines.rs
@@ -25,7 +25,7 @@
         let ClientsAndEngines { pool, now, .. } = self;
         let attempt = dispatch.attempt;
         if catch_panic("the dispatch of an attempt", || pool.dispatch(dispatch, *now)).is_none() {
-            pool.drop_failed(attempt, *now);
+            pool.fail_panicked_dispatch(attempt, *now);
         }
     }
 
--- a/crates/router/src/transport/connection_pool.rs
+++ b/crates/router/src/transport/connection_pool.rs
@@ -1,4 +1,4 @@
-//! All connections to engines: opened as attempts need them, shared by them, closed when idle.
+//! All connections to engines. They are opened when an attempt needs one, shared by attempts, and closed when idle.
 
 mod liveness;
 
@@ -13,13 +13,14 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// By then an engine has seen that a connection was closed, in seconds.
-const CLOSE_SEEN_AFTER: f64 = 0.05;
+/// Time within which an engine notices that a connection was closed, in seconds.
+const CLOSE_NOTICE_TIME: f64 = 0.05;
 
-/// What the connections of a panic are called in the log.
-const CONNECTION: &str = "a connection to an engine";
+/// How the log line for a panic in connection code names the connection.
+const CONNECTION_LABEL: &str = "a connection to an engine";
 
-/// An end on a connection that was closed: an event once its engine has had time to see it.
+/// The end of an attempt whose connection this router closed. It is reported only when the engine has had time to notice
+/// that, because the engine may run the attempt until then.
 struct DelayedEnd {
     at: f64,
     ended: EndedAttempt,
@@ -29,15 +30,17 @@
     handle: LoopHandle,
     connections: ConnectionIndex,
     next_id: u64,
-    /// How many there may be.
+    /// Limit on the number of connections.
     max_connections: usize,
     limits: ConnectionLimits,
-    /// Attempts that ended: events of the next turn.
+    /// Attempts that ended, to be reported in the next turn of the event loop.
     ended: Vec<EndedAttempt>,
+    /// In the order in which they are to be reported.
     delayed: VecDeque<DelayedEnd>,
-    connection_of: HashMap<AttemptId, u64>,
-    /// Connections that came up in this turn, on which nothing has left yet.
-    came_up: Vec<u64>,
+    /// The connection of each open attempt.
+    connection_by_attempt: HashMap<AttemptId, u64>,
+    /// Connections that came up in this turn and whose queued attempts have not been sent yet.
+    newly_up: Vec<u64>,
     counters: Counters,
 }
 
@@ -51,13 +54,13 @@
             limits,
             ended: Vec::new(),
             delayed: VecDeque::new(),
-            connection_of: HashMap::new(),
-            came_up: Vec::new(),
+            connection_by_attempt: HashMap::new(),
+            newly_up: Vec::new(),
             counters: Counters::default(),
         }
     }
 
-    /// Makes an attempt on a connection to its engine.
+    /// Puts an attempt on a connection to its engine.
     pub fn dispatch(&mut self, dispatch: Dispatch, now: f64) {
         let attempt = dispatch.attempt;
         let id = match self.connection_for(&dispatch, now) {
@@ -67,22 +70,22 @@
                 return;
             }
         };
-        self.connection_of.insert(attempt, id);
+        self.connection_by_attempt.insert(attempt, id);
         let ended = &mut self.ended;
-        let dispatched = self.connections.change(id, |connection| connection.dispatch(&dispatch, now, ended));
+        let dispatched = self.connections.update(id, |connection| connection.dispatch(&dispatch, now, ended));
         if let Some(Err(error)) = dispatched {
             self.fail(id, ConnectionError::Io(error), now);
         }
     }
 
-    /// A connection that takes the attempt, opened where there is none.
+    /// Finds a connection that accepts the attempt, or opens one.
     fn connection_for(&mut self, dispatch: &Dispatch, now: f64) -> Result<u64, DeliveryFailure> {
-        // An idle one that its engine has just closed would lose the attempt: that is looked at first.
+        // An idle connection is read first, because the engine may just have closed it and the attempt would be lost.
         while let Some(id) = self.find(dispatch, now) {
             if !self.is_idle(id) {
                 return Ok(id);
             }
-            self.work(id, true, now);
+            self.process_io(id, true, now);
             if self.connections.get(id).is_some() {
                 return Ok(id);
             }
@@ -94,8 +97,8 @@
         self.connections.get(id).is_some_and(|connection| connection.is_up() && connection.load() == 0)
     }
 
-    /// A connection that takes the attempt: one that is up before one that is coming up. What must have left by some time is
-    /// not put behind bytes that their engine has yet to take.
+    /// Finds a connection that accepts the attempt, preferring one that is up. An attempt that must be sent by some time is not
+    /// queued behind bytes that have not been written to the socket.
     fn find(&self, dispatch: &Dispatch, now: f64) -> Option<u64> {
         let fits = |connection: &EngineConnection| {
             connection.address == dispatch.address
@@ -106,8 +109,9 @@
         connections.find(|(_, connection)| fits(connection)).map(|(id, _)| id)
     }
 
+    /// Opens a connection to an engine, after closing an idle one if the limit is reached.
     fn open(&mut self, engine: u64, address: SocketAddr, now: f64) -> Result<u64, DeliveryFailure> {
-        if self.connections.len() >= self.max_connections && !self.make_room(now) {
+        if self.connections.len() >= self.max_connections && !self.close_oldest_idle(now) {
             self.counters.descriptors_short += 1;
             return Err(DeliveryFailure::NeverSent);
         }
@@ -125,29 +129,29 @@
                 Err(DeliveryFailure::NeverSent)
             }
             Err(error) => {
-                log::debug!("connection to {address}: {error}");
+                log::debug!("connection to {address}: can't be opened: {error}");
                 self.counters.links_failed += 1;
                 Err(DeliveryFailure::Refused)
             }
         }
     }
 
-    /// Closes a connection that carries nothing; false where there is none.
-    fn make_room(&mut self, now: f64) -> bool {
+    /// Closes the oldest connection without open attempts. Returns false if there is none.
+    fn close_oldest_idle(&mut self, now: f64) -> bool {
         let Some(id) = self.connections.oldest_idle() else { return false };
         self.close(id, now);
         true
     }
 
-    /// Closes a connection; what was on it is given up with it, which its engine is yet to see.
+    /// Closes a connection. The end of the attempts on it is reported once the engine has had time to notice.
     fn close(&mut self, id: u64, now: f64) {
         let mut ended = Vec::new();
         self.remove(id, &mut ended);
-        let at = now + CLOSE_SEEN_AFTER;
+        let at = now + CLOSE_NOTICE_TIME;
         self.delayed.extend(ended.into_iter().map(|ended| DelayedEnd { at, ended }));
     }
 
-    /// Removes a connection; what was on it goes into `ended`.
+    /// Removes a connection; the attempts that were open on it are appended to `ended`.
     fn remove(&mut self, id: u64, ended: &mut Vec<EndedAttempt>) {
         let Some(connection) = self.connections.remove(id) else { return };
         self.handle.remove(connection.token);
@@ -155,7 +159,7 @@
         connection.end(ended);
     }
 
-    /// A connection has failed.
+    /// Handles the failure of a connection.
     fn fail(&mut self, id: u64, error: ConnectionError, now: f64) {
         let Some(connection) = self.connections.get(id) else { return };
         let engine = connection.engine;
@@ -170,17 +174,19 @@
                 self.remove(id, &mut ended);
                 self.ended = ended;
             }
-            ConnectionError::Malformed(_) | ConnectionError::Vanished | ConnectionError::Dead => {
+            ConnectionError::Malformed(_)
+            | ConnectionError::EngineUnreachable
+            | ConnectionError::AnswersElsewhere => {
                 self.close(id, now);
             }
         }
-        // No sign of life on the old ones, and no new one comes up: the machine is gone, and its answers with it.
+        // The older connections are unresponsive and no new one comes up: the machine is gone, and no answers will arrive.
         if !was_up && matches!(&error, ConnectionError::Io(error) if error.kind() == ErrorKind::TimedOut) {
-            self.fail_mute(engine, address, now);
+            self.fail_unresponsive(engine, address, now);
         }
     }
 
-    /// Counts a failure; returns how loudly it is logged.
+    /// Counts a failure, and returns the level at which it is logged.
     fn count_failure(&mut self, error: &ConnectionError, was_up: bool, load: usize) -> log::Level {
         if matches!(error, ConnectionError::Malformed(_)) {
             self.counters.links_malformed += 1;
@@ -198,38 +204,38 @@
     }
 
     /// Reads and writes one connection.
-    pub fn work(&mut self, id: u64, readable: bool, now: f64) {
+    pub fn process_io(&mut self, id: u64, readable: bool, now: f64) {
         let ended = &mut self.ended;
-        let worked = self.connections.change(id, |connection| {
+        let outcome = self.connections.update(id, |connection| {
             let was_up = connection.is_up();
-            let worked = catch_panic(CONNECTION, || connection.work(readable, now, ended));
-            (worked, connection.is_up() && !was_up)
+            let result = catch_panic(CONNECTION_LABEL, || connection.process_io(readable, now, ended));
+            (result, connection.is_up() && !was_up)
         });
-        let Some((worked, came_up)) = worked else { return };
+        let Some((result, came_up)) = outcome else { return };
         if came_up {
-            self.came_up.push(id);
+            self.newly_up.push(id);
         }
-        self.note_work(id, worked, now);
+        self.handle_result(id, result, now);
     }
 
-    /// What waited for connections that have come up leaves. This comes behind the decisions, which take back what is for
-    /// clients that have left and for engines that drain.
+    /// Sends the queued attempts of connections that came up in this turn. It is called after routing's turn, which first withdraws
+    /// attempts for clients that have left and for engines that are draining.
     pub fn send_queued(&mut self, now: f64) {
-        for id in std::mem::take(&mut self.came_up) {
+        for id in std::mem::take(&mut self.newly_up) {
             let ended = &mut self.ended;
-            let sent = self.connections.change(id, |connection| {
+            let sent = self.connections.update(id, |connection| {
                 let send = || connection.send_queued(now, ended).map_err(ConnectionError::Io);
-                catch_panic(CONNECTION, send)
+                catch_panic(CONNECTION_LABEL, send)
             });
             if let Some(sent) = sent {
-                self.note_work(id, sent, now);
+                self.handle_result(id, sent, now);
             }
         }
     }
 
-    /// How work on a connection went; none where it panicked.
-    fn note_work(&mut self, id: u64, worked: Option<Result<(), ConnectionError>>, now: f64) {
-        match worked {
+    /// Handles the result of work on a connection; `None` means that the work panicked.
+    fn handle_result(&mut self, id: u64, result: Option<Result<(), ConnectionError>>, now: f64) {
+        match result {
             Some(Ok(())) => {}
             Some(Err(error)) => self.fail(id, error, now),
             None => {
@@ -239,10 +245,11 @@
         }
     }
 
-    /// An attempt could not be made for a panic: the connection that it was on ends, and it may have gone out.
-    pub fn drop_failed(&mut self, attempt: AttemptId, now: f64) {
+    /// Ends an attempt whose dispatch panicked. If it was put on a connection, that connection is closed and the attempt may
+    /// have been sent; else it was never sent.
+    pub fn fail_panicked_dispatch(&mut self, attempt: AttemptId, now: f64) {
         self.counters.panics += 1;
-        match self.connection_of.get(&attempt) {
+        match self.connection_by_attempt.get(&attempt) {
             Some(&id) => self.close(id, now),
             None => {
                 let result = Err(DeliveryFailure::NeverSent);
@@ -251,14 +258,14 @@
         }
     }
 
-    /// Handles what is due: connections that did not come up, or have been idle for too long, and delayed ends.
+    /// Handles connections whose time-outs have passed, and reports delayed ends that are due.
     pub fn run_due(&mut self, now: f64) {
         for id in self.connections.due_by(now) {
             let Some(connection) = self.connections.get(id) else { continue };
             if !connection.is_up() && connection.connects_by() <= now {
-                self.work(id, false, now);
+                self.process_io(id, false, now);
             } else {
-                self.run_due_of(id, now);
+                self.run_due_on(id, now);
             }
         }
         while let Some(delayed) = self.delayed.pop_front_if(|delayed| now >= delayed.at) {
@@ -266,10 +273,11 @@
         }
     }
 
-    fn run_due_of(&mut self, id: u64, now: f64) {
+    /// Ends the overdue attempts of a connection, and closes it if it has been idle for too long.
+    fn run_due_on(&mut self, id: u64, now: f64) {
         let ended = &mut self.ended;
         let idle_after = self.limits.idle_after;
-        let is_stale = self.connections.change(id, |connection| {
+        let is_stale = self.connections.update(id, |connection| {
             connection.run_due(now, ended)?;
             Ok(now >= connection.due(idle_after))
         });
@@ -280,16 +288,16 @@
         }
     }
 
-    /// When something is due, whatever becomes ready.
+    /// When the pool must act even if the event loop reports nothing as ready.
     pub fn due(&self) -> f64 {
         let delayed = self.delayed.front().map_or(f64::INFINITY, |delayed| delayed.at);
         delayed.min(self.connections.next_due())
     }
 
-    /// Hands over the attempts that ended.
+    /// Appends the attempts that ended since the last call to `ended`.
     pub fn take_ended(&mut self, ended: &mut Vec<EndedAttempt>) {
         for attempt in self.ended.drain(..) {
-            self.connection_of.remove(&attempt.attempt);
+            self.connection_by_attempt.remove(&attempt.attempt);
             ended.push(attempt);
         }
     }
@@ -298,25 +306,26 @@
         !self.ended.is_empty()
     }
 
-    /// Cancels an attempt. Its end is an event of a later turn, if it has not come already.
+    /// Cancels an attempt. Unless its end was reported already, that follows in a later turn.
     pub fn cancel(&mut self, attempt: AttemptId, now: f64) {
-        let Some(&id) = self.connection_of.get(&attempt) else { return };
+        let Some(&id) = self.connection_by_attempt.get(&attempt) else { return };
         let ended = &mut self.ended;
-        let cancelled = self.connections.change(id, |connection| connection.cancel(attempt, now, ended));
+        let cancelled = self.connections.update(id, |connection| connection.cancel(attempt, now, ended));
         if let Some(Err(error)) = cancelled {
             self.fail(id, ConnectionError::Io(error), now);
         }
     }
 
+    /// Changes the priority lane of an attempt.
     pub fn change_lane(&mut self, attempt: AttemptId, lane: u8, now: f64) {
-        let Some(&id) = self.connection_of.get(&attempt) else { return };
-        let changed = self.connections.change(id, |connection| connection.change_lane(attempt, lane));
+        let Some(&id) = self.connection_by_attempt.get(&attempt) else { return };
+        let changed = self.connections.update(id, |connection| connection.change_lane(attempt, lane));
         if let Some(Err(error)) = changed {
             self.fail(id, ConnectionError::Io(error), now);
         }
     }
 
-    /// Closes the connections to an engine that carry nothing.
+    /// Closes the connections to an engine that have no open attempts.
     pub fn close_idle(&mut self, engine: u64, now: f64) {
         let connections = self.connections.to_engine(engine);
         let idle: Vec<u64> =
@@ -326,15 +335,15 @@
         }
     }
 
-    /// What waits for a connection to this engine to come up never leaves.
+    /// Drops attempts that are queued for a connection to this engine to come up.
     pub fn withdraw_unsent(&mut self, engine: u64) {
         let connections: Vec<u64> = self.connections.to_engine(engine).map(|(id, _)| id).collect();
         for id in connections {
-            self.connections.change(id, |connection| connection.withdraw_unsent(&mut self.ended));
+            self.connections.update(id, |connection| connection.withdraw_unsent(&mut self.ended));
         }
     }
 
-    /// What is to be looked at in the next turn, though nothing becomes ready.
+    /// Sources to process in the next turn even if the event loop does not report them as ready.
     pub fn unfinished(&self) -> impl Iterator<Item = EventSource> + '_ {
         self.connections.unfinished().map(EventSource::EngineConnection)
     }
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an engine: many attempts on it, and how far each of them came.
+//! A connection to an engine, which carries many attempts at once, and tracks how far each of them got.
 
 mod queued_attempts;
 
@@ -15,29 +15,32 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Bytes that are read of one connection in one turn.
+/// Limit on the input buffered for a connection in one turn of the event loop, in bytes.
 const MAX_INPUT: usize = 64 * 1024;
-/// A connection whose engine leaves so many bytes unread takes nothing new.
+/// A connection with more unsent bytes than this accepts no new attempts: its engine is not reading.
 const MAX_UNSENT: usize = 256 * 1024;
-/// Ids of attempts that ended on a connection without a result are kept for as long as it lives, as more answers to them may
-/// still come; with so many of them it takes nothing new.
+/// The ids of attempts that ended on a connection without a result are kept for the lifetime of the connection, because more
+/// answers to them may still arrive. With this many ids the connection accepts no new attempts.
 const MAX_USED_IDS: usize = 1000;
-/// An engine with attempts in flight that has given no sign of life for so long is asked for one, in seconds.
-const SILENCE: f64 = 0.25;
-/// The tag of a ping that asks for a sign of life.
+/// An engine with attempts in flight that has sent nothing for this long is pinged, in seconds.
+const PING_AFTER: f64 = 0.25;
+/// The tag of a ping that checks whether the engine responds.
 const PING_TAG: &str = "sign";
-/// A cancelled attempt is over when its engine has read so, which its next answer tells, or at the latest after this, in seconds.
+/// A cancelled attempt ends when the engine has read the cancellation, which its answer to the ping sent behind it shows, or
+/// at the latest after this time, in seconds.
 const CANCELLATION_TIMEOUT: f64 = 0.1;
-/// An answer that has begun to come is complete within this, or never, in seconds.
+/// An answer of which a part has arrived must be complete within this time, in seconds; after that the connection fails.
 const ANSWER_TIMEOUT: f64 = 0.5;
-/// The part of its idle time-out for which an idle connection is used: after that its engine may be closing it.
-const IDLE_PART: f64 = 0.9;
+/// The fraction of the idle time-out for which an idle connection is still used. After that its engine may be closing it.
+const IDLE_FRACTION: f64 = 0.9;
 
-/// A cancelled attempt whose engine may not know yet.
+/// A cancelled attempt whose engine may not have read the cancellation yet.
 struct Cancelled {
     attempt: AttemptId,
+    /// The result with which the attempt ends.
     failure: DeliveryFailure,
-    over_at: f64,
+    /// When it ends even if the engine does not confirm the cancellation.
+    ends_at: f64,
 }
 
 enum State {
@@ -45,17 +48,17 @@
     Up,
 }
 
-/// Why a connection ends.
+/// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
     #[error("closed by the engine")]
     Closed,
-    /// Neither a sign of life nor a new connection could be had.
-    #[error("its machine is gone")]
-    Vanished,
-    /// It gives no sign of life, and another connection does.
-    #[error("its engine answers on others only")]
-    Dead,
+    /// The engine answered no ping, and no new connection to it came up.
+    #[error("engine unreachable")]
+    EngineUnreachable,
+    /// The engine answered no ping on this connection, but has sent something on another one since.
+    #[error("the engine answers only on other connections")]
+    AnswersElsewhere,
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("malformed answer: {0}")]
@@ -66,35 +69,42 @@
     pub token: RegistrationToken,
     pub engine: u64,
     pub address: SocketAddr,
-    /// It was begun to see whether its engine is there.
-    pub is_trial: bool,
-    /// It has been found to give no sign of life.
-    pub known_mute: bool,
+    /// The connection was opened to find out whether an unresponsive engine is reachable.
+    pub is_probe: bool,
+    /// The connection was found to be unresponsive and that was logged; reset when the engine sends something.
+    pub known_unresponsive: bool,
+    /// Answers that matched no open attempt.
     pub answers_dropped: u64,
     stream: Rc<TcpStream>,
     state: State,
     buffer: Buffer,
+    /// Attempts that have not been sent yet.
     queued: Vec<QueuedAttempt>,
+    /// Attempts that were sent, by request id.
     exchanges: HashMap<String, Exchange>,
+    /// Cancelled attempts that have not ended yet, by request id.
     cancelled: HashMap<String, Cancelled>,
-    /// The ids of attempts that ended here without a result.
+    /// The request ids of attempts that ended here without a result.
     used_ids: HashSet<String>,
-    /// Bytes that were put on the connection, and those of them that were written.
-    put: u64,
-    written: u64,
+    /// Bytes ever put on the connection.
+    bytes_put: u64,
+    /// How many of them were written to the socket.
+    bytes_written: u64,
+    /// Whether the socket may hold bytes that were not read yet.
     readable: bool,
     idle_since: f64,
-    /// When its engine last gave a sign of life, and when it was asked for one since.
-    heard_at: f64,
-    asked_at: Option<f64>,
-    /// When its engine last said something, which a connection that merely came up does not prove.
-    spoke_at: f64,
-    /// Since when the input has begun with an answer that is not complete.
-    answer_began_at: Option<f64>,
+    /// When the connection came up or the engine last sent something on it.
+    last_alive_at: f64,
+    /// When the engine was pinged, if it has sent nothing since.
+    pinged_at: Option<f64>,
+    /// When the engine last sent something; unlike `last_alive_at`, not set by a connection that merely came up.
+    last_received_at: f64,
+    /// Since when the input has begun with an incomplete answer.
+    partial_answer_since: Option<f64>,
 }
 
 impl EngineConnection {
-    /// A connection that was begun, and has until `until` to come up.
+    /// Wraps a connection that was started and must be up by `until`.
     pub fn new(
         connection: RegisteredStream,
         engine: u64,
@@ -105,8 +115,8 @@
             token: connection.token,
             engine,
             address,
-            is_trial: false,
-            known_mute: false,
+            is_probe: false,
+            known_unresponsive: false,
             answers_dropped: 0,
             stream: connection.stream,
             state: State::Connecting { until },
@@ -115,23 +125,23 @@
             exchanges: HashMap::new(),
             cancelled: HashMap::new(),
             used_ids: HashSet::new(),
-            put: 0,
-            written: 0,
+            bytes_put: 0,
+            bytes_written: 0,
             readable: false,
             idle_since: until,
-            heard_at: until,
-            asked_at: None,
-            spoke_at: 0.0,
-            answer_began_at: None,
+            last_alive_at: until,
+            pinged_at: None,
+            last_received_at: 0.0,
+            partial_answer_since: None,
         }
     }
 
-    /// How many attempts it carries.
+    /// The number of queued and sent attempts that are open on this connection.
     pub fn load(&self) -> usize {
         self.queued.len() + self.exchanges.len()
     }
 
-    /// By when it must be up.
+    /// By when the connection must be up; infinite if it is up already.
     pub fn connects_by(&self) -> f64 {
         match self.state {
             State::Connecting { until } => until,
@@ -143,75 +153,79 @@
         matches!(self.state, State::Up)
     }
 
-    /// It can take an attempt under this id: answers to an earlier one under it cannot be mistaken for its own.
+    /// Whether the connection accepts an attempt under this request id. An id that was used on it before is not accepted, so that
+    /// answers to the earlier attempt can't be mistaken for answers to this one.
     pub fn can_take(&self, id: &str, limits: &ConnectionLimits, now: f64) -> bool {
-        let is_stale = self.load() == 0 && now > self.idle_since + limits.idle_after * IDLE_PART;
-        let is_known = self.used_ids.contains(id)
+        let is_stale = self.load() == 0 && now > self.idle_since + limits.idle_after * IDLE_FRACTION;
+        let is_id_taken = self.used_ids.contains(id)
             || self.exchanges.contains_key(id)
             || self.queued.iter().any(|queued| queued.id == id);
         let is_full = self.load() >= limits.max_attempts_per_connection
             || self.used_ids.len() >= MAX_USED_IDS
             || self.buffer.unsent_len() > MAX_UNSENT;
-        !is_full && !is_stale && !is_known && !self.is_mute(limits, now)
+        !is_full && !is_stale && !is_id_taken && !self.is_unresponsive(limits, now)
     }
 
-    /// No sign of life came in time: its machine may have vanished.
-    pub fn is_mute(&self, limits: &ConnectionLimits, now: f64) -> bool {
-        self.asked_at.is_some_and(|asked| now > asked + limits.connect_time_out)
+    /// Whether the engine has left a ping unanswered for too long. Its machine may have disappeared.
+    pub fn is_unresponsive(&self, limits: &ConnectionLimits, now: f64) -> bool {
+        self.pinged_at.is_some_and(|pinged_at| now > pinged_at + limits.connect_time_out)
     }
 
-    /// What carries nothing and was not asked for a sign of life is neither asked nor found mute.
-    pub fn is_awaited(&self) -> bool {
-        self.load() > 0 || self.asked_at.is_some()
+    /// Whether the engine is expected to send something, because attempts are open or a ping is unanswered. Only such a connection
+    /// is pinged or found to be unresponsive.
+    pub fn is_awaiting_engine(&self) -> bool {
+        self.load() > 0 || self.pinged_at.is_some()
     }
 
-    /// Asks its engine for a sign of life, if none has come for long and attempts wait there.
+    /// Pings the engine if attempts are open and it has sent nothing for a while.
     pub fn ping_if_silent(&mut self, now: f64) -> io::Result<()> {
-        let is_silent = now > self.heard_at + SILENCE;
-        if self.is_up() && self.asked_at.is_none() && self.load() > 0 && is_silent {
+        let is_silent = now > self.last_alive_at + PING_AFTER;
+        if self.is_up() && self.pinged_at.is_none() && self.load() > 0 && is_silent {
             self.ping(now)?;
         }
         Ok(())
     }
 
     fn ping(&mut self, now: f64) -> io::Result<()> {
-        self.asked_at = Some(now);
+        self.pinged_at = Some(now);
         self.send(|out| engine::write_ping(out, PING_TAG))
     }
 
-    /// It gives no sign of life, though its engine has spoken elsewhere since it should have: nothing more comes of it.
-    pub fn is_dead_beside(&self, other: &EngineConnection, limits: &ConnectionLimits) -> bool {
-        let due = self.asked_at.map_or(f64::INFINITY, |asked| asked + limits.connect_time_out);
+    /// Whether this connection is unresponsive although the engine has sent something on `other` after the ping here had timed
+    /// out. Nothing more is to be expected from this connection then.
+    pub fn is_superseded_by(&self, other: &EngineConnection, limits: &ConnectionLimits) -> bool {
+        let ping_timeout =
+            self.pinged_at.map_or(f64::INFINITY, |pinged_at| pinged_at + limits.connect_time_out);
         let same_engine = (self.engine, self.address) == (other.engine, other.address);
-        self.known_mute && same_engine && other.spoke_at > due
+        self.known_unresponsive && same_engine && other.last_received_at > ping_timeout
     }
 
-    /// When it must be looked at, whatever comes.
+    /// When the connection must be handled even if the event loop does not report it as ready.
     pub fn due(&self, idle_after: f64) -> f64 {
         let due = match self.state {
             State::Connecting { until } => until,
-            State::Up if self.load() == 0 => self.idle_since + idle_after * IDLE_PART,
+            State::Up if self.load() == 0 => self.idle_since + idle_after * IDLE_FRACTION,
             State::Up => f64::INFINITY,
         };
-        let cancelled = self.cancelled.values().map(|cancelled| cancelled.over_at);
+        let cancelled = self.cancelled.values().map(|cancelled| cancelled.ends_at);
         let queued = self.queued.iter().map(|queued| queued.leave_by);
-        let answer = self.answer_began_at.map(|began| began + ANSWER_TIMEOUT);
+        let answer = self.partial_answer_since.map(|since| since + ANSWER_TIMEOUT);
         cancelled.chain(queued).chain(answer).fold(due, f64::min)
     }
 
-    /// Its engine has yet to take bytes that were put on it.
+    /// Whether bytes that were put on the connection have not been written to the socket.
     pub fn has_unsent(&self) -> bool {
         self.buffer.unsent_len() > 0
     }
 
     fn put(&mut self, bytes: &[u8]) {
         self.buffer.queue_output(bytes);
-        self.put += bytes.len() as u64;
+        self.bytes_put += bytes.len() as u64;
     }
 
     fn flush(&mut self) -> io::Result<()> {
         if self.is_up() && self.buffer.unsent_len() > 0 {
-            self.written += self.buffer.write(&*self.stream)? as u64;
+            self.bytes_written += self.buffer.write(&*self.stream)? as u64;
         }
         Ok(())
     }
@@ -223,19 +237,19 @@
         self.flush()
     }
 
-    /// The id of an attempt that has left.
+    /// The request id of an attempt that was sent.
     fn id_of(&self, attempt: AttemptId) -> Option<String> {
         self.exchanges.iter().find(|(_, exchange)| exchange.attempt == attempt).map(|(id, _)| id.clone())
     }
 
-    /// Changes the priority lane of an attempt that has left.
+    /// Sends the engine a new priority lane for an attempt that was sent; does nothing for one that is queued.
     pub fn change_lane(&mut self, attempt: AttemptId, lane: u8) -> io::Result<()> {
         let Some(id) = self.id_of(attempt) else { return Ok(()) };
         self.send(|out| engine::write_lane(out, &id, lane))
     }
 
-    /// Cancels an attempt. What another connection carries may overtake the cancellation, and the engine would run two attempts
-    /// at once: so the attempt is over once the engine has answered the ping that was sent behind.
+    /// Cancels an attempt. A new attempt on another connection could overtake the cancellation, so that the engine would run both
+    /// at once. Therefore the attempt ends only when the engine has answered a ping that is sent behind the cancellation.
     pub fn cancel(&mut self, attempt: AttemptId, now: f64, ended: &mut Vec<EndedAttempt>) -> io::Result<()> {
         if let Some(index) = self.queued.iter().position(|queued| queued.attempt == attempt) {
             self.queued.remove(index);
@@ -249,7 +263,7 @@
             Some(_) => DeliveryFailure::AnsweredInPart,
             None => DeliveryFailure::Unanswered,
         };
-        let cancelled = Cancelled { attempt, failure, over_at: now + CANCELLATION_TIMEOUT };
+        let cancelled = Cancelled { attempt, failure, ends_at: now + CANCELLATION_TIMEOUT };
         self.cancelled.insert(id.clone(), cancelled);
         self.idle_since = now;
         let sent = self.send(|out| {
@@ -260,34 +274,40 @@
         sent
     }
 
-    /// Ends what its engine has had time to let go of; an answer that is still not complete is none.
+    /// Ends queued attempts that are overdue and cancelled ones whose time-out has passed.
+    ///
+    /// # Errors
+    /// An answer was still incomplete after its time-out.
     pub fn run_due(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) -> Result<(), ConnectionError> {
-        self.drop_late(now, ended);
+        self.drop_overdue(now, ended);
         self.cancelled.retain(|_, cancelled| {
-            let is_over = now >= cancelled.over_at;
-            if is_over {
+            let has_ended = now >= cancelled.ends_at;
+            if has_ended {
                 ended.push(EndedAttempt { attempt: cancelled.attempt, result: Err(cancelled.failure) });
             }
-            !is_over
+            !has_ended
         });
-        match self.answer_began_at {
-            Some(began) if now >= began + ANSWER_TIMEOUT => {
-                Err(Malformed("an answer that does not end").into())
+        match self.partial_answer_since {
+            Some(since) if now >= since + ANSWER_TIMEOUT => {
+                Err(Malformed("an answer that was not completed in time").into())
             }
             _ => Ok(()),
         }
     }
 
-    /// Reads what is ready; attempts that ended go into `ended`. What waits for a connection that comes up here leaves with
-    /// [`Self::send_queued`], once all else that has come in is known.
-    pub fn work(
+    /// Reads what is ready; attempts that ended are appended to `ended`. If the connection comes up in this call, its queued
+    /// attempts are sent later by [`Self::send_queued`], when all other input of the turn has been handled.
+    ///
+    /// # Errors
+    /// The connection could not be established, failed or was closed, or the engine sent a malformed answer.
+    pub fn process_io(
         &mut self,
         readable: bool,
         now: f64,
         ended: &mut Vec<EndedAttempt>,
     ) -> Result<(), ConnectionError> {
         self.readable |= readable;
-        if !self.comes_up(now)? {
+        if !self.poll_connected(now)? {
             return Ok(());
         }
         self.flush()?;
@@ -295,9 +315,9 @@
             return Ok(());
         }
         let reached = self.read(now)?;
-        self.take_answers(now, ended)?;
-        let is_cut = !self.buffer.input().is_empty();
-        self.answer_began_at = is_cut.then(|| self.answer_began_at.unwrap_or(now));
+        self.process_answers(now, ended)?;
+        let is_partial = !self.buffer.input().is_empty();
+        self.partial_answer_since = is_partial.then(|| self.partial_answer_since.unwrap_or(now));
         self.flush()?;
         match reached {
             ReadOutcome::EndOfStream => Err(ConnectionError::Closed),
@@ -305,46 +325,46 @@
         }
     }
 
-    /// Whether it is up, or has just come up.
-    fn comes_up(&mut self, now: f64) -> Result<bool, ConnectionError> {
+    /// Checks whether the connection is up. If it has just come up to probe an engine, the engine is pinged.
+    fn poll_connected(&mut self, now: f64) -> Result<bool, ConnectionError> {
         let State::Connecting { until } = self.state else { return Ok(true) };
         if !is_connected(&self.stream, until, now)? {
             return Ok(false);
         }
         self.state = State::Up;
-        self.heard_at = now;
-        if self.is_trial {
+        self.last_alive_at = now;
+        if self.is_probe {
             self.ping(now)?;
         }
         Ok(true)
     }
 
-    /// Reads what is ready, but no more than a part, so that one engine does not starve the others.
+    /// Reads what is ready, up to a limit, so that one engine does not starve the others.
     fn read(&mut self, now: f64) -> io::Result<ReadOutcome> {
         let before = self.buffer.input().len();
         let reached = self.buffer.read(&*self.stream, MAX_INPUT)?;
         if self.buffer.input().len() > before {
-            self.heard_at = now;
-            self.spoke_at = now;
-            self.asked_at = None;
-            self.known_mute = false;
+            self.last_alive_at = now;
+            self.last_received_at = now;
+            self.pinged_at = None;
+            self.known_unresponsive = false;
         }
         self.readable = reached == ReadOutcome::LimitReached;
         Ok(reached)
     }
 
-    /// More may be ready than was read.
+    /// Whether the connection may hold more than was read.
     pub fn is_unfinished(&self) -> bool {
         self.readable
     }
 
-    /// Takes the complete answers off the input.
-    fn take_answers(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) -> Result<(), ConnectionError> {
+    /// Processes the complete answers in the input.
+    fn process_answers(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) -> Result<(), ConnectionError> {
         while let Some(answer) = engine::parse_answer(self.buffer.input())? {
-            let taken = answer.length;
+            let length = answer.length;
             let mut requests = Vec::new();
             match answer.kind {
-                // A sign of life, which `read` has noted.
+                // The answer to a ping; `read` has already recorded that the engine responds.
                 AnswerKind::Pong => {
                     if let Some(Cancelled { attempt, failure, .. }) = self.cancelled.remove(answer.id) {
                         ended.push(EndedAttempt { attempt, result: Err(failure) });
@@ -354,13 +374,13 @@
                 _ => match self.exchanges.get_mut(answer.id) {
                     None => self.answers_dropped += 1,
                     Some(exchange) => {
-                        let reply = exchange.take_reply(&answer, &mut requests)?;
+                        let reply = exchange.process_answer(&answer, &mut requests)?;
                         let attempt = exchange.attempt;
                         if let Some(reply) = reply {
                             self.exchanges.remove(answer.id);
                             self.idle_since = now;
-                            // A second copy of it may still come, or other pages: they must not pass for an answer to the
-                            // request's next attempt, so the id is not used again here.
+                            // A duplicate of this answer, or further pages, may still arrive. They must not be taken for an
+                            // answer to the request's next attempt, so the id is not reused on this connection.
                             if !matches!(reply, Reply::Completed { .. }) {
                                 self.used_ids.insert(answer.id.to_string());
                             }
@@ -369,8 +389,8 @@
                     }
                 },
             }
-            self.buffer.consume(taken);
-            self.answer_began_at = None;
+            self.buffer.consume(length);
+            self.partial_answer_since = None;
             if !requests.is_empty() {
                 self.put(&requests);
             }
@@ -378,7 +398,7 @@
         Ok(())
     }
 
-    /// The connection is over; so is all that was open on it, as far as it had come.
+    /// Ends the connection, and with it all open attempts; the result of each tells how far it got.
     pub fn end(self, ended: &mut Vec<EndedAttempt>) {
         for cancelled in self.cancelled.into_values() {
             ended.push(EndedAttempt { attempt: cancelled.attempt, result: Err(cancelled.failure) });
@@ -386,7 +406,7 @@
         for exchange in self.exchanges.into_values() {
             let failure = match exchange.pages {
                 Some(_) => DeliveryFailure::AnsweredInPart,
-                None if exchange.ends_at > self.written => DeliveryFailure::Refused,
+                None if exchange.end_offset > self.bytes_written => DeliveryFailure::Refused,
                 None => DeliveryFailure::Unanswered,
             };
             ended.push(EndedAttempt { attempt: exchange.attempt, result: Err(failure) });
--- a/crates/router/src/transport/engine_connection/queued_attempts.rs
+++ b/crates/router/src/transport/engine_connection/queued_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that leave on a connection, or wait for it to come up.
+//! Attempts that are waiting for their connection to an engine to come up, and how they are sent.
 
 use super::EngineConnection;
 use crate::protocol::engine::EncodedRequest;
@@ -6,19 +6,20 @@
 use crate::transport::engine_exchange::Exchange;
 use std::io;
 
-/// An attempt that waits for the connection to come up.
+/// An attempt that is waiting to be sent.
 pub struct QueuedAttempt {
+    /// The id of the request in the engine protocol.
     pub id: String,
     pub attempt: AttemptId,
     pub request: EncodedRequest,
-    /// It has left by then, or never does.
+    /// If the attempt has not been sent by this time, it never is.
     pub leave_by: f64,
-    /// For so long the gateway waits for its answer.
-    pub answered_by: f64,
+    /// Until when the gateway waits for the answer.
+    pub answer_deadline: f64,
 }
 
 impl EngineConnection {
-    /// Takes an attempt, which leaves once the connection is up.
+    /// Adds an attempt, which is sent at once if the connection is up, and else when it comes up.
     pub fn dispatch(
         &mut self,
         dispatch: &Dispatch,
@@ -31,7 +32,7 @@
             attempt: *attempt,
             request: EncodedRequest::new(request),
             leave_by: *leave_by,
-            answered_by: now + request.wait,
+            answer_deadline: now + request.wait,
         });
         if self.is_up() {
             self.send_queued(now, ended)?;
@@ -39,38 +40,38 @@
         self.ping_if_silent(now)
     }
 
-    /// What waits for the connection leaves, with the time that is left for it now.
+    /// Sends the queued attempts, each with the time that now remains for its answer.
     pub fn send_queued(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) -> io::Result<()> {
         self.idle_since = now;
-        self.drop_late(now, ended);
+        self.drop_overdue(now, ended);
         for queued in std::mem::take(&mut self.queued) {
             let mut bytes = Vec::new();
-            queued.request.write(&mut bytes, queued.answered_by - now);
+            queued.request.write(&mut bytes, queued.answer_deadline - now);
             self.put(&bytes);
-            let exchange = Exchange { attempt: queued.attempt, ends_at: self.put, pages: None };
+            let exchange = Exchange { attempt: queued.attempt, end_offset: self.bytes_put, pages: None };
             self.exchanges.insert(queued.id, exchange);
         }
         self.flush()
     }
 
-    /// What should have left by now never does.
-    pub(super) fn drop_late(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) {
+    /// Drops queued attempts that were to be sent by now.
+    pub(super) fn drop_overdue(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) {
         self.queued.retain(|queued| {
-            let is_late = now >= queued.leave_by;
-            if is_late {
+            let is_overdue = now >= queued.leave_by;
+            if is_overdue {
                 ended.push(never_sent(queued.attempt));
             }
-            !is_late
+            !is_overdue
         });
     }
 
-    /// Nothing that waits for it to come up leaves any more.
+    /// Drops all queued attempts.
     pub fn withdraw_unsent(&mut self, ended: &mut Vec<EndedAttempt>) {
         ended.extend(self.queued.drain(..).map(|queued| never_sent(queued.attempt)));
     }
 }
 
-/// The end of an attempt that did not leave.
+/// The end of an attempt that was never sent.
 pub fn never_sent(attempt: AttemptId) -> EndedAttempt {
     EndedAttempt { attempt, result: Err(DeliveryFailure::NeverSent) }
 }
--- a/crates/router/src/transport/engine_exchange.rs
+++ b/crates/router/src/transport/engine_exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt on a connection to an engine: the answers to it, up to the complete reply.
+//! Collects an engine's answers to one attempt until the reply is complete.
 
 use crate::protocol::engine::{self, AnswerKind, Malformed, Pages};
 use crate::routing::{AttemptId, Reply};
@@ -6,26 +6,30 @@
 
 const MS_PER_S: f64 = 1e3;
 
-/// An attempt that has left.
+/// An attempt whose request was put on the connection.
 pub struct Exchange {
     pub attempt: AttemptId,
-    /// Where its request ends in all that was put on the connection.
-    pub ends_at: u64,
+    /// The offset of the end of its request among all bytes ever put on the connection.
+    pub end_offset: u64,
+    /// The pages received so far; absent until the first page arrives.
     pub pages: Option<Pages>,
 }
 
 impl Exchange {
-    /// Takes one answer; the reply, if that is complete. Requests for more pages go into `requests`.
-    pub fn take_reply(
+    /// Processes one answer, and returns the reply if it is complete. Requests for further pages are appended to `requests`.
+    ///
+    /// # Errors
+    /// The answer is malformed or does not fit the answers received before.
+    pub fn process_answer(
         &mut self,
         answer: &engine::Answer,
         requests: &mut Vec<u8>,
     ) -> Result<Option<Reply>, Malformed> {
         match (answer.kind, &mut self.pages) {
-            (AnswerKind::Completed, None) => self.take_first_page(answer, requests),
-            // A second copy, whose pages are under way.
+            (AnswerKind::Completed, None) => self.process_first_page(answer, requests),
+            // A duplicate of the first page; the other pages were already requested.
             (AnswerKind::Completed, Some(_)) => Ok(None),
-            (AnswerKind::Page, None) => Err(Malformed("a page before the first")),
+            (AnswerKind::Page, None) => Err(Malformed("a further page before the first one")),
             (AnswerKind::Page, Some(pages)) => {
                 pages.add(answer.page.unwrap_or(0), answer.body)?;
                 let rows = pages.take_complete();
@@ -37,12 +41,12 @@
             (AnswerKind::EngineError, _) => Ok(Some(Reply::EngineError)),
             (AnswerKind::EngineFull, None) => Ok(Some(Reply::EngineFull)),
             (AnswerKind::DeadlinePassed, None) => Ok(Some(Reply::DeadlinePassed)),
-            _ => Err(Malformed("an answer out of place")),
+            _ => Err(Malformed("an answer that does not fit the state of its attempt")),
         }
     }
 
-    /// The first page of a result: the others are asked for.
-    fn take_first_page(
+    /// Stores the first page of a result and requests the others.
+    fn process_first_page(
         &mut self,
         answer: &engine::Answer,
         requests: &mut Vec<u8>,
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -196,7 +196,7 @@
                     sessions.process_session(id, readiness, self.is_serving, now, &mut self.input);
                 }
                 EventSource::EngineConnection(id) => {
-                    self.connections.pool.work(id, readiness.readable, self.clock.read());
+                    self.connections.pool.process_io(id, readiness.readable, self.clock.read());
                 }
                 EventSource::Discovery => self.read_discovery(readiness.readable, now),
                 EventSource::BgpConnection(_) | EventSource::BgpListener | EventSource::Cluster => {
--- a/crates/router/tests/on_call_page.rs
+++ b/crates/router/tests/on_call_page.rs
@@ -234,7 +234,7 @@
     for line in [
         "engine N has gone mouldy: G of W",
         "engine N doubted: G of W attempts good",
-        "connection to ADDRESS: gives no sign, with N pushes",
+        "connection to ADDRESS: no answer to a ping, with N pushes",
         "SIGTERM: stopping, N jobs open",
         "coming back: N further pushes and M receipts of before still count",
         "duty D is ours, epoch E",
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -169,7 +169,7 @@
     // So heavy that its attempt is waited for long.
     client.send(&request("look", 20000, "mute").replace("work=5.0", "work=4000"));
     engine.seen.wait("PING sign on 0", 1);
-    router.log.wait("gives no sign", 1);
+    router.log.wait("no answer to a ping", 1);
     let mut other = Client::new(&router);
     assert_eq!(other.ask(&request("load", 15000, "x")), rows(1));
     assert_eq!(engine.seen.wait("GET", 2).iter().filter(|line| line.contains("on 1")).count(), 1);
@@ -192,7 +192,7 @@
     // What is pure goes elsewhere, what is non-idempotent may have run.
     assert_eq!(client.answer(), rows(1));
     assert!(matches!(other.answer(), Answered::Error(1105, _)));
-    router.log.wait("its machine is gone, with 2 attempts", 1);
+    router.log.wait("engine unreachable, with 2 attempts", 1);
     let counters = client.counters("open", 0);
     assert_eq!((counter(&counters, "pushes_broken"), counter(&counters, "pushes_timed_out")), (2, 0));
 }
