--- a/crates/router/src/transport/store_writer.rs
+++ b/crates/router/src/transport/store_writer.rs
@@ -1,5 +1,6 @@
-//! The store's thread, and around it the way back to full service (`cleatgw-recovery`). The event loop never waits for a disk:
-//! it leaves the newest snapshot to be written, and looks in each turn whether something was answered.
+//! Persists snapshots of the router's state on a thread of its own, and drives the recovery after a restart
+//! (`cleatgw-recovery`). The event loop never waits for the disk: it hands the newest snapshot to the thread, and checks for
+//! reports of the thread in each turn.
 
 use crate::routing::{Counters, Routing};
 use crate::status_row::StatusRow;
@@ -15,38 +16,39 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// A store that can't be opened is tried again so often.
+/// Delay before a store that could not be opened is tried again.
 const OPEN_RETRY: Duration = Duration::from_secs(1);
-/// A store is written to again so long after a failure.
+/// Delay after a failed write before the next one.
 const WRITE_RETRY: Duration = Duration::from_millis(250);
-/// Where the system tells which boot of the machine this is.
+/// File in which the system identifies the current boot of the machine.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 const NANOSECONDS: f64 = 1e9;
 
-/// What the store's thread reports.
+/// A report of the store's thread to the event loop.
 enum StoreEvent {
-    /// What it found at the start.
+    /// The contents of the store at the start.
     Found(cleatgw_recovery::StoreContents),
-    /// What was there can't be used, and why.
-    SetAside(String),
-    /// No file can be had, or a write failed.
+    /// The existing file could not be used and was moved aside, with the reason.
+    Quarantined(String),
+    /// The store could not be opened, or a write failed.
     Failed(StoreError),
-    /// A snapshot is on the disk, under this epoch.
+    /// A snapshot was written to the disk under this epoch.
     Written(u64),
 }
 
-/// A snapshot that is to be written.
+/// A snapshot to be written.
 struct PendingSnapshot {
     pieces: Pieces,
-    /// Unix time in seconds.
+    /// When the snapshot was taken, in Unix seconds.
     taken_at: f64,
 }
 
-/// What the event loop leaves for the store's thread.
+/// What the event loop hands to the store's thread.
 #[derive(Default)]
 struct Mailbox {
+    /// The newest snapshot; it replaces an older one that the thread has not picked up.
     pending: Option<PendingSnapshot>,
-    /// Later snapshots have later epochs than this.
+    /// The next snapshot is written under a later epoch than this.
     epoch_after: u64,
 }
 
@@ -57,14 +59,15 @@
 }
 
 impl SharedMailbox {
-    /// Changes the mailbox, unless its other side has panicked.
-    fn change(&self, change: impl FnOnce(&mut Mailbox)) {
+    /// Updates the mailbox. Does nothing if the other thread has panicked while it held the lock.
+    fn update(&self, update: impl FnOnce(&mut Mailbox)) {
         if let Ok(mut mailbox) = self.mailbox.lock() {
-            change(&mut mailbox);
+            update(&mut mailbox);
         }
     }
 
-    /// Waits for a snapshot, and which epoch it has to come after; none where the other side has panicked.
+    /// Waits for a snapshot, and returns it with the epoch that its own epoch must exceed. Returns `None` if the other thread
+    /// has panicked while it held the lock.
     fn wait(&self) -> Option<(PendingSnapshot, u64)> {
         let mailbox = self.mailbox.lock().ok()?;
         let mut mailbox = self.filled.wait_while(mailbox, |mailbox| mailbox.pending.is_none()).ok()?;
@@ -73,7 +76,8 @@
     }
 }
 
-/// The store's thread: opens the store, reports what it found, then writes whatever was left last.
+/// The body of the store's thread: opens the store, reports its contents, then writes the newest snapshot whenever there
+/// is one.
 fn run_store(path: &Path, owner: u64, mailbox: &SharedMailbox, events: &Sender<StoreEvent>) {
     let Some(mut store) = open_store(path, owner, events) else { return };
     while let Some((snapshot, epoch_after)) = mailbox.wait() {
@@ -88,7 +92,7 @@
             return;
         }
         let length = std::fs::metadata(path).map_or(0, |file| file.len());
-        // A file that is not compacted is only longer.
+        // A failed compaction can be ignored: the file only stays longer.
         let _ = store.compact(length);
         if has_failed {
             std::thread::sleep(WRITE_RETRY);
@@ -96,7 +100,7 @@
     }
 }
 
-/// Opens the store, as often as it takes; none where nobody listens any more.
+/// Opens the store, retrying until it succeeds. Returns `None` if the receiver of events is gone.
 fn open_store(path: &Path, owner: u64, events: &Sender<StoreEvent>) -> Option<Store> {
     loop {
         match Store::open_file(path, owner) {
@@ -112,49 +116,54 @@
     }
 }
 
-/// Nobody listens where a send fails: the router has ended.
-fn report_found(found: LoadOutcome, events: &Sender<StoreEvent>) {
-    let found = match found {
-        LoadOutcome::Complete(put) => Some((put.epoch, put.pieces)),
+/// Reports the contents of the store. A failed send is ignored: it means that the router has ended.
+fn report_found(outcome: LoadOutcome, events: &Sender<StoreEvent>) {
+    let found = match outcome {
+        LoadOutcome::Complete(snapshot) => Some((snapshot.epoch, snapshot.pieces)),
         LoadOutcome::Empty => None,
         LoadOutcome::Quarantined(reason) => {
-            let _ = events.send(StoreEvent::SetAside(reason.to_string()));
+            let _ = events.send(StoreEvent::Quarantined(reason.to_string()));
             None
         }
     };
     let _ = events.send(StoreEvent::Found(found));
 }
 
-/// The present time on both clocks.
+/// The current time on the clock since the machine's boot and on the Unix clock.
 fn snapshot_time(boot: u64, unix: f64) -> SnapshotTime {
-    let since = clock_gettime(ClockId::Boottime);
-    SnapshotTime { boot, since_boot: since.tv_sec as f64 + since.tv_nsec as f64 / NANOSECONDS, unix }
+    let since_boot = clock_gettime(ClockId::Boottime);
+    let since_boot = since_boot.tv_sec as f64 + since_boot.tv_nsec as f64 / NANOSECONDS;
+    SnapshotTime { boot, since_boot, unix }
 }
 
 pub struct StoreWriter {
     path: PathBuf,
+    /// A hash that identifies the current boot of the machine; 0 if the system does not tell it.
     boot: u64,
     look_back: LookBack,
     mailbox: Arc<SharedMailbox>,
     events: Receiver<StoreEvent>,
     recovery: Recovery,
     schedule: WriteSchedule,
-    /// The epoch of the last snapshot that is on the disk, and when that was known.
+    /// The epoch of the last snapshot on the disk.
     epoch: u64,
+    /// When this process learned of its last completed write, on the monotonic clock; minus infinity before the first.
     written_at: f64,
-    /// The latest epoch that peers say they were shown.
+    /// The latest epoch of this store that other routers report to have received.
     epoch_seen: Option<u64>,
+    /// Routing's count of changes to persisted state when it was last read.
     persisted_changes: u64,
+    /// The last attempt to open or write the store failed, or the thread has ended.
     is_failing: bool,
     counters: Counters,
 }
 
 impl StoreWriter {
-    /// Persists this router's snapshots from now on; `owner` ties the file to it. `has_peers` tells whether others can be asked
-    /// which epoch they were shown.
+    /// Starts the store's thread, which persists this router's snapshots. `owner` identifies the router to which the file
+    /// belongs. `has_peers` says whether there are other routers that can report which epoch they received.
     ///
     /// # Errors
-    /// No thread can be had.
+    /// The thread can't be started.
     pub fn open(
         file: StoreFile,
         owner: u64,
@@ -168,11 +177,11 @@
         let shared = mailbox.clone();
         let thread = std::thread::Builder::new().name("store".to_string());
         thread.spawn(move || run_store(&path, owner, &shared, &sender))?;
-        // Where it can't be told which boot this is, only the Unix clock counts.
-        let boot = std::fs::read_to_string(BOOT_ID);
+        // If the boot can't be identified, ages are taken from the Unix clock alone.
+        let boot_id = std::fs::read_to_string(BOOT_ID);
         Ok(StoreWriter {
             path: file.path,
-            boot: boot.map_or(0, |boot| name_hash(boot.trim())),
+            boot: boot_id.map_or(0, |boot_id| name_hash(boot_id.trim())),
             look_back,
             mailbox,
             events,
@@ -187,24 +196,27 @@
         })
     }
 
-    /// Takes what the store's thread has reported.
+    /// Handles the reports of the store's thread.
     fn take_events(&mut self, now: f64) {
         loop {
             match self.events.try_recv() {
                 Ok(event) => self.handle_event(event, now),
                 Err(TryRecvError::Empty) => return,
                 Err(TryRecvError::Disconnected) => {
-                    self.thread_ended();
+                    self.handle_thread_end();
                     return;
                 }
             }
         }
     }
 
-    /// Nothing is persisted any more, and that is logged once.
-    fn thread_ended(&mut self) {
+    /// Logs once that the store's thread has ended, so that nothing is persisted any more.
+    fn handle_thread_end(&mut self) {
         if !std::mem::replace(&mut self.is_failing, true) {
-            log::error!("store: {}: its thread has failed; nothing is kept", self.path.display());
+            log::error!(
+                "store: {}: the writer thread has ended unexpectedly; no more snapshots are saved until a restart",
+                self.path.display()
+            );
         }
     }
 
@@ -215,15 +227,21 @@
                 self.epoch = self.epoch.max(epoch);
                 self.recovery.store_read(found, now);
             }
-            StoreEvent::SetAside(reason) => {
-                let aside = quarantine_path(&self.path);
-                log::warn!("store: what was there is set aside as {}: {reason}", aside.display());
+            StoreEvent::Quarantined(reason) => {
+                let quarantined = quarantine_path(&self.path);
+                log::warn!(
+                    "store: the existing file can't be used and is set aside as {}: {reason}",
+                    quarantined.display()
+                );
             }
             StoreEvent::Failed(error) => {
                 self.schedule.finished(false);
                 self.counters.store_failed += 1;
                 if !std::mem::replace(&mut self.is_failing, true) {
-                    log::warn!("store: {}: {error}; nothing is kept for now", self.path.display());
+                    log::warn!(
+                        "store: {}: {error}; snapshots are not saved until a retry succeeds",
+                        self.path.display()
+                    );
                 }
             }
             StoreEvent::Written(epoch) => {
@@ -232,65 +250,66 @@
                 self.written_at = now;
                 self.counters.store_puts += 1;
                 if std::mem::replace(&mut self.is_failing, false) {
-                    log::info!("store: kept again, epoch {epoch}");
+                    log::info!("store: snapshots are saved again, epoch {epoch}");
                 }
             }
         }
     }
 
-    /// Its turn, ahead of the decisions': `now` is the monotonic clock, `unix` that of the decisions. `epoch_seen` is what peers say
-    /// that they were shown; what they are to be shown is returned.
+    /// Runs the store's turn, which comes before routing's. `now` is on the monotonic clock, `unix` on the Unix clock that
+    /// routing uses. `epoch_seen` is the latest epoch that other routers report to have received. Returns the epoch to
+    /// send to them.
     pub fn turn(&mut self, now: f64, unix: f64, epoch_seen: Option<u64>, routing: &mut Routing) -> u64 {
         self.take_events(now);
-        self.note_epoch_seen(epoch_seen);
+        self.update_epoch_seen(epoch_seen);
         for step in self.recovery.poll(now, &snapshot_time(self.boot, unix)) {
-            self.carry_out(step, now, unix, routing);
+            self.apply_step(step, now, unix, routing);
         }
-        self.log_slowness(now);
+        self.log_disk_state(now);
         let changes = routing.persisted_changes();
         if std::mem::replace(&mut self.persisted_changes, changes) != changes {
             self.schedule.changed();
         }
-        // Before it is known what is on the disk, that is not written over.
+        // Until the contents of the disk are known and checked with the other routers, they must not be overwritten.
         if self.recovery.phase() > Phase::Proving && self.schedule.begin_if_due(now) {
-            self.leave_snapshot(unix, routing);
+            self.submit_snapshot(unix, routing);
         }
-        // The decisions' times are on the Unix clock; those of the schedule since the start.
-        let began = unix - now;
-        let retries = routing.retries().map(|at| at - began);
+        // Routing's times are on the Unix clock, those of the schedule on the monotonic clock.
+        let clock_offset = unix - now;
+        let retries = routing.retries().map(|at| at - clock_offset);
         let allowance = self.schedule.retry_allowance(retries, self.look_back.retries, now);
         routing.limit_unpersisted_retries(allowance);
         self.epoch
     }
 
-    fn note_epoch_seen(&mut self, epoch_seen: Option<u64>) {
+    fn update_epoch_seen(&mut self, epoch_seen: Option<u64>) {
         if epoch_seen == self.epoch_seen {
             return;
         }
         let Some(epoch) = epoch_seen else { return };
         self.epoch_seen = epoch_seen;
         self.recovery.peer_saw_epoch(epoch);
-        self.mailbox.change(|mailbox| mailbox.epoch_after = mailbox.epoch_after.max(epoch));
+        self.mailbox.update(|mailbox| mailbox.epoch_after = mailbox.epoch_after.max(epoch));
     }
 
-    fn log_slowness(&mut self, now: f64) {
+    fn log_disk_state(&mut self, now: f64) {
         match self.schedule.slow_changed(now) {
             Some(true) => log::warn!(
-                "store: the disk does not answer; at most {MAX_UNPERSISTED_RETRIES} retries in a window"
+                "store: the disk does not answer; at most {MAX_UNPERSISTED_RETRIES} retries per look-back window until it does"
             ),
             Some(false) => log::info!("store: the disk answers again"),
             None => {}
         }
     }
 
-    fn leave_snapshot(&mut self, unix: f64, routing: &mut Routing) {
+    fn submit_snapshot(&mut self, unix: f64, routing: &mut Routing) {
         let snapshot = routing.snapshot(unix, snapshot_time(self.boot, unix));
         let pending = PendingSnapshot { pieces: snapshot.to_pieces(), taken_at: unix };
-        self.mailbox.change(|mailbox| mailbox.pending = Some(pending));
+        self.mailbox.update(|mailbox| mailbox.pending = Some(pending));
         self.mailbox.filled.notify_one();
     }
 
-    fn carry_out(&mut self, step: Step, now: f64, unix: f64, routing: &mut Routing) {
+    fn apply_step(&mut self, step: Step, now: f64, unix: f64, routing: &mut Routing) {
         match step {
             Step::AssumeLostHistory => routing.assume_lost_history(unix),
             Step::RestoreHistory(history) => {
@@ -298,11 +317,11 @@
                 let records = history.idempotency_records.len();
                 log::info!(
                     retries = retries, records = records, slow_start = history.slow_start.len();
-                    "recovery: {retries} retries and {records} idempotency keys of before still count"
+                    "recovery: {retries} retries and {records} idempotency keys from before the restart still count"
                 );
                 routing.restore_history(unix, history);
             }
-            Step::Discarded(reason) => log::warn!("recovery without what was kept: {}", reason.as_str()),
+            Step::Discarded(reason) => log::warn!("recovery without stored history: {}", reason.as_str()),
             Step::Entered(phase) => {
                 let age = self.recovery.age(now);
                 log::info!(phase = phase.as_str(), after = age; "recovery: {} after {age:.2} s", phase.as_str());
@@ -310,7 +329,7 @@
         }
     }
 
-    /// When its next turn is due, on the monotonic clock.
+    /// When the next turn is due, on the monotonic clock in seconds.
     pub fn due(&self) -> f64 {
         self.recovery.due().min(self.schedule.due())
     }
@@ -319,7 +338,7 @@
         &self.counters
     }
 
-    /// How recovery and the store stand.
+    /// A status row for the recovery and one for the store.
     pub fn status(&self, now: f64) -> Vec<StatusRow> {
         let age = format!("{:.1} s after the start", self.recovery.age(now));
         let state = if self.is_failing {
@@ -330,14 +349,14 @@
             "kept"
         };
         let ago = now - self.written_at;
-        let last =
+        let last_write =
             if ago.is_finite() { format!("last put {ago:.2} s ago") } else { "nothing put".to_string() };
         vec![
             StatusRow::new("coming back", self.recovery.phase().as_str(), age),
             StatusRow::new(
                 format!("store {}", self.path.display()),
                 state,
-                format!("epoch {}, {last}", self.epoch),
+                format!("epoch {}, {last_write}", self.epoch),
             ),
         ]
     }
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -124,7 +124,7 @@
     };
     restart(&mut cluster, &|path| std::fs::remove_file(path).unwrap());
     settled(&cluster, 0);
-    assert!(says(&cluster, 0, "recovery without what was kept: nothing was kept"));
+    assert!(says(&cluster, 0, "recovery without stored history: nothing was kept"));
     restart(&mut cluster, &|path| std::fs::write(path, [7; 9000]).unwrap());
     cluster.router(0).log.wait("is set aside as", 1);
     settled(&cluster, 0);
@@ -166,7 +166,7 @@
     std::thread::sleep(Duration::from_millis(200));
     std::fs::copy(&copy, cluster.store(0)).unwrap();
     cluster.act(&FaultAction::Start(0));
-    cluster.router(0).log.wait("without what was kept: peers were shown a later one", 1);
+    cluster.router(0).log.wait("without stored history: peers were shown a later one", 1);
 }
 
 /// Hard cases: the disk hangs from the first second, or later, fails, or is full. The loop does not wait for it.
@@ -181,7 +181,7 @@
     shims.disk(0, b'h');
     shims.disk(1, b'f');
     cluster.router(0).log.wait("the disk does not answer", 1);
-    cluster.router(1).log.wait("nothing is kept for now", 1);
+    cluster.router(1).log.wait("snapshots are not saved until a retry succeeds", 1);
     std::thread::sleep(Duration::from_secs(2));
     assert!(cluster.asked(0, "SHOW STORE").join("\n").contains(",silent,"));
     shims.disk(0, 0);
--- a/crates/router/tests/on_call_page.rs
+++ b/crates/router/tests/on_call_page.rs
@@ -236,7 +236,7 @@
         "engine N doubted: G of W attempts good",
         "connection to ADDRESS: no answer to a ping, with N pushes",
         "SIGTERM: stopping, N jobs open",
-        "coming back: N further pushes and M receipts of before still count",
+        "coming back: N further pushes and M receipts from before the restart still count",
         "duty D is ours, epoch E",
         "a push that is not legal was not made",
         "turning back: N held",
