--- a/crates/membership/src/swim/health.rs
+++ b/crates/membership/src/swim/health.rs
@@ -1,8 +1,7 @@
 //! Local health (Dadgar, Phillips and Currey, 2018): a score of the evidence that this router itself is slow, or does
 //! not receive its datagrams.
 
-/// A score of the evidence that this router itself is slow, or does not receive its datagrams: from 0 (healthy) to
-/// [`LocalHealth::MAX_SCORE`].
+/// The score, from 0 (healthy) to [`LocalHealth::MAX_SCORE`], and what it is derived from.
 #[derive(Debug, Default)]
 pub(super) struct LocalHealth {
     pub(super) score: u32,
