--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -81,7 +81,7 @@
         let counters = &mut self.state.counters;
         counters.waits_compared = waits.compared;
         counters.waits_within_a_fifth = waits.within_a_fifth;
-        counters.waits_near = waits.within_a_fifth_or_20_ms;
+        counters.waits_within_a_fifth_or_20_ms = waits.within_a_fifth_or_20_ms;
         counters.waits_unknown = waits.without_estimate;
         counters.open = self.state.requests.open_count() as u64;
         counters
@@ -255,7 +255,7 @@
     fn earlier_attempt(&mut self, idempotency_key: Option<u64>) -> Option<f64> {
         let earlier = self.state.records.as_ref()?.first_attempt(idempotency_key?)?;
         let counts = self.state.now - earlier < self.look_back().idempotency_records();
-        self.state.counters.records_met += u64::from(counts);
+        self.state.counters.idempotency_records_matched += u64::from(counts);
         counts.then_some(earlier)
     }
 
--- a/crates/router/src/routing/state.rs
+++ b/crates/router/src/routing/state.rs
@@ -61,11 +61,11 @@
         let counters = &mut self.counters;
         let counter = match outcome {
             AttemptOutcome::Completed => &mut counters.attempts_completed,
-            AttemptOutcome::EngineError => &mut counters.attempts_erred,
-            AttemptOutcome::EngineFull => &mut counters.attempts_full,
+            AttemptOutcome::EngineError => &mut counters.attempts_engine_error,
+            AttemptOutcome::EngineFull => &mut counters.attempts_engine_full,
             AttemptOutcome::TimedOut => &mut counters.attempts_timed_out,
-            AttemptOutcome::Unreachable => &mut counters.attempts_unreached,
-            AttemptOutcome::ConnectionLost => &mut counters.attempts_broken,
+            AttemptOutcome::Unreachable => &mut counters.attempts_unreachable,
+            AttemptOutcome::ConnectionLost => &mut counters.attempts_connection_lost,
             AttemptOutcome::Cancelled => &mut counters.attempts_cancelled,
             AttemptOutcome::NeverSent => &mut counters.attempts_never_sent,
         };
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -296,7 +296,7 @@
     host.turn(TurnInput::default());
     host.turn(TurnInput::default());
     let counters = host.routing.counters();
-    assert_eq!((counters.attempts_timed_out, counters.attempts_unreached), (0, 1));
+    assert_eq!((counters.attempts_timed_out, counters.attempts_unreachable), (0, 1));
 }
 
 #[test]
--- a/crates/router/src/transport/bgp_speaker/status.rs
+++ b/crates/router/src/transport/bgp_speaker/status.rs
@@ -89,6 +89,6 @@
     counters.bgp_notifications_out += counts.notifications_out;
     counters.bgp_notifications_in += counts.notifications_in;
     counters.bgp_treated_as_withdrawn += counts.treated_as_withdrawn;
-    counters.bgp_passed_over += session.adj_rib_in.ignored;
-    counters.bgp_left_out += session.adj_rib_in.over_limit;
+    counters.bgp_ignored += session.adj_rib_in.ignored;
+    counters.bgp_over_limit += session.adj_rib_in.over_limit;
 }
--- a/crates/router/src/transport/client_sessions.rs
+++ b/crates/router/src/transport/client_sessions.rs
@@ -158,7 +158,7 @@
                 return false;
             }
             _ if is_out_of_descriptors(error) => {
-                self.counters.descriptors_short += 1;
+                self.counters.descriptor_shortages += 1;
                 self.is_paused = !self.evict_session(now);
             }
             ErrorKind::ConnectionAborted => {}
@@ -197,7 +197,7 @@
                 closable.min_by(|(_, a), (_, b)| a.eviction_rank(now).total_cmp(&b.eviction_rank(now)));
             let Some((&id, session)) = lowest else { return false };
             if session.confirm_nothing_unread(now) {
-                self.counters.sessions_closed_for_room += 1;
+                self.counters.sessions_evicted += 1;
                 self.remove(id);
                 return true;
             }
@@ -351,7 +351,7 @@
     /// Sends a session the error that its statement can't be parsed or can't be used as a request.
     pub fn refuse_statement(&mut self, id: SessionId, error: &StatementError, now: f64) {
         log::debug!("session {id}: statement refused: {error}");
-        self.counters.unusable += 1;
+        self.counters.statements_refused += 1;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.active_at = now;
             session.error(mysql::PARSE_ERROR, &error.to_string());
--- a/crates/router/src/transport/client_sessions/tests.rs
+++ b/crates/router/src/transport/client_sessions/tests.rs
@@ -111,7 +111,7 @@
     // The session that sent a ping may be closed once it has its answer.
     assert_eq!(harness.receive(&mut pinging, OK_PACKET_LENGTH).unwrap().len(), OK_PACKET_LENGTH);
     harness.sessions.accept(harness.now);
-    assert_eq!((harness.sessions.sessions.len(), harness.sessions.counters.sessions_closed_for_room), (2, 1));
+    assert_eq!((harness.sessions.sessions.len(), harness.sessions.counters.sessions_evicted), (2, 1));
     assert_eq!(harness.input.statements.len(), 1);
 }
 
@@ -203,7 +203,7 @@
     let (_first, _) = harness.connect_client();
     let (_second, _) = harness.connect_client();
     harness.sessions.accept(harness.now);
-    assert_eq!((harness.sessions.sessions.len(), harness.sessions.counters.sessions_closed_for_room), (2, 0));
+    assert_eq!((harness.sessions.sessions.len(), harness.sessions.counters.sessions_evicted), (2, 0));
 }
 
 /// While the discovery service is unavailable, health checks connect, ping and disconnect repeatedly. Their sessions must
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -68,11 +68,11 @@
         cluster_too_long: dropped(DropReason::TooLong),
         cluster_noise: dropped(DropReason::Noise),
         cluster_version: dropped(DropReason::Version),
-        cluster_other: dropped(DropReason::OtherCluster),
+        cluster_other_cluster: dropped(DropReason::OtherCluster),
         cluster_wrong_sender: dropped(DropReason::WrongSender),
         cluster_former_incarnation: dropped(DropReason::FormerIncarnation),
         cluster_body: dropped(DropReason::Body),
-        cluster_accusations: counts.suspicions_of_others,
+        cluster_suspicions: counts.suspicions_of_others,
         cluster_refutations: counts.refutations,
         cluster_new_incarnations: counts.new_incarnations,
         cluster_contradicted: counts.contradicted,
@@ -333,7 +333,7 @@
     pub fn counters(&self) -> Counters {
         let mut counters = counters_of(&self.members);
         counters.add(&self.previous_counters);
-        Counters { cluster_strangers: self.unknown_senders, cluster_unsent: self.failed_sends, ..counters }
+        Counters { cluster_unknown_senders: self.unknown_senders, cluster_unsent: self.failed_sends, ..counters }
     }
 
     /// A status row for the cluster and one for each router: the name, the state, and the evidence for the state.
--- a/crates/router/src/transport/connection_pool.rs
+++ b/crates/router/src/transport/connection_pool.rs
@@ -112,7 +112,7 @@
     /// Opens a connection to an engine, after closing an idle one if the limit is reached.
     fn open(&mut self, engine: u64, address: SocketAddr, now: f64) -> Result<u64, DeliveryFailure> {
         if self.connections.len() >= self.max_connections && !self.close_oldest_idle(now) {
-            self.counters.descriptors_short += 1;
+            self.counters.descriptor_shortages += 1;
             return Err(DeliveryFailure::NeverSent);
         }
         let id = self.next_id;
@@ -121,16 +121,16 @@
             Ok(connection) => {
                 let until = now + self.limits.connect_time_out;
                 self.connections.add(id, EngineConnection::new(connection, engine, address, until));
-                self.counters.links += 1;
+                self.counters.engine_connections += 1;
                 Ok(id)
             }
             Err(error) if is_out_of_descriptors(&error) => {
-                self.counters.descriptors_short += 1;
+                self.counters.descriptor_shortages += 1;
                 Err(DeliveryFailure::NeverSent)
             }
             Err(error) => {
                 log::debug!("connection to {address}: can't be opened: {error}");
-                self.counters.links_failed += 1;
+                self.counters.engine_connections_failed += 1;
                 Err(DeliveryFailure::Refused)
             }
         }
@@ -189,11 +189,11 @@
     /// Counts a failure, and returns the level at which it is logged.
     fn count_failure(&mut self, error: &ConnectionError, was_up: bool, load: usize) -> log::Level {
         if matches!(error, ConnectionError::Malformed(_)) {
-            self.counters.links_malformed += 1;
+            self.counters.engine_connections_malformed += 1;
             return log::Level::Warn;
         }
         if !was_up {
-            self.counters.links_failed += 1;
+            self.counters.engine_connections_failed += 1;
             return log::Level::Debug;
         }
         if load > 0 {
@@ -351,7 +351,7 @@
     pub fn counters(&self) -> Counters {
         let dropped: u64 = self.connections.all().map(|(_, connection)| connection.answers_dropped).sum();
         Counters {
-            links_open: self.connections.len() as u64,
+            engine_connections_open: self.connections.len() as u64,
             answers_dropped: self.counters.answers_dropped + dropped,
             ..self.counters.clone()
         }
--- a/crates/router/src/transport/connection_pool/tests.rs
+++ b/crates/router/src/transport/connection_pool/tests.rs
@@ -167,7 +167,7 @@
     assert!(test.pool.due() <= test.now + 0.06);
     test.now += 0.06;
     assert_eq!(test.take_ended(), [], "the engine may still run the attempts");
-    assert_eq!((test.pool.connections.len(), test.pool.counters.links_malformed), (0, 1));
+    assert_eq!((test.pool.connections.len(), test.pool.counters.engine_connections_malformed), (0, 1));
     test.now += 0.06;
     let mut ends = test.take_ended();
     ends.sort_by_key(|(request, _)| *request);
@@ -188,7 +188,7 @@
     assert_eq!(ends, [(1, Ok(complete))]);
     test.dispatch(2);
     assert_eq!(test.send(&mut engine, &answer(2, "DONE", "-", row), 1), [(2, done())]);
-    assert_eq!((test.pool.connections.len(), test.pool.counters.links_malformed), (1, 0));
+    assert_eq!((test.pool.connections.len(), test.pool.counters.engine_connections_malformed), (1, 0));
 }
 
 #[test]
@@ -585,7 +585,7 @@
             let compared = compare_index_with_scan(&pool, &addresses, request, now);
             totals.iter_mut().zip(compared).for_each(|(total, count)| *total += count);
         }
-        let counters = [pool.counters.links, pool.counters.links_failed, pool.counters.links_malformed];
+        let counters = [pool.counters.engine_connections, pool.counters.engine_connections_failed, pool.counters.engine_connections_malformed];
         counter_totals.iter_mut().zip(counters).for_each(|(total, count)| *total += count);
     }
     assert!(totals.iter().all(|total| *total > 100), "{totals:?}");
--- a/crates/router/src/transport/server.rs
+++ b/crates/router/src/transport/server.rs
@@ -320,7 +320,8 @@
         let counters = self.routing.counters();
         counters.turns += 1;
         counters.longest_turn_us = counters.longest_turn_us.max((duration * MICROSECONDS) as u64);
-        counters.latest_wake_us = counters.latest_wake_us.max((wake_delay * MICROSECONDS) as u64);
+        counters.longest_wake_delay_us =
+            counters.longest_wake_delay_us.max((wake_delay * MICROSECONDS) as u64);
     }
 
     fn schedule_next_turn(&mut self, routing_wakes_at: f64, now: f64) {
--- a/crates/router/src/transport/store_writer.rs
+++ b/crates/router/src/transport/store_writer.rs
@@ -236,7 +236,7 @@
             }
             StoreEvent::Failed(error) => {
                 self.schedule.finished(false);
-                self.counters.store_failed += 1;
+                self.counters.store_write_failures += 1;
                 if !std::mem::replace(&mut self.is_failing, true) {
                     log::warn!(
                         "store: {}: {error}; snapshots are not saved until a retry succeeds",
@@ -248,7 +248,7 @@
                 self.schedule.finished(true);
                 self.epoch = self.epoch.max(epoch);
                 self.written_at = now;
-                self.counters.store_puts += 1;
+                self.counters.store_writes += 1;
                 if std::mem::replace(&mut self.is_failing, false) {
                     log::info!("store: snapshots are saved again, epoch {epoch}");
                 }
