--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -333,7 +333,11 @@
     pub fn counters(&self) -> Counters {
         let mut counters = counters_of(&self.members);
         counters.add(&self.previous_counters);
-        Counters { cluster_unknown_senders: self.unknown_senders, cluster_unsent: self.failed_sends, ..counters }
+        Counters {
+            cluster_unknown_senders: self.unknown_senders,
+            cluster_unsent: self.failed_sends,
+            ..counters
+        }
     }
 
     /// A status row for the cluster and one for each router: the name, the state, and the evidence for the state.
--- a/crates/router/src/transport/connection_pool/tests.rs
+++ b/crates/router/src/transport/connection_pool/tests.rs
@@ -585,7 +585,11 @@
             let compared = compare_index_with_scan(&pool, &addresses, request, now);
             totals.iter_mut().zip(compared).for_each(|(total, count)| *total += count);
         }
-        let counters = [pool.counters.engine_connections, pool.counters.engine_connections_failed, pool.counters.engine_connections_malformed];
+        let counters = [
+            pool.counters.engine_connections,
+            pool.counters.engine_connections_failed,
+            pool.counters.engine_connections_malformed,
+        ];
         counter_totals.iter_mut().zip(counters).for_each(|(total, count)| *total += count);
     }
     assert!(totals.iter().all(|total| *total > 100), "{totals:?}");
