--- a/crates/announce/src/announcer/mod.rs
+++ b/crates/announce/src/announcer/mod.rs
@@ -20,7 +20,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Seconds: the window of the cap on changes.
-pub const MINUTE: f64 = 60.0;
+pub const CHANGE_CAP_WINDOW: f64 = 60.0;
 /// Events kept until the host takes them: one for each of the 256 addresses that a service file may hold.
 const MAX_EVENTS: usize = 256;
 /// Changes of one address that are remembered: more than any cap a service file may set.
@@ -186,7 +186,7 @@
         self.next_check = now;
     }
 
-    /// When [`Announcer::turn`] is to be called at the latest.
+    /// When [`Announcer::update`] is to be called at the latest.
     pub fn due(&self) -> f64 {
         match self.drain {
             Some(drain) if self.addresses.iter().any(|address| address.level > Level::Withdrawn) => {
@@ -198,7 +198,7 @@
     }
 
     /// Runs the checks if a reading is due, and moves what may move. Tells whether anything did.
-    pub fn turn(&mut self, now: f64, readings: &Readings, paths: &Paths) -> bool {
+    pub fn update(&mut self, now: f64, readings: &Readings, paths: &Paths) -> bool {
         let before = self.changes;
         if self.drain.is_some() {
             self.end_lead(now);
--- a/crates/announce/src/announcer/moves.rs
+++ b/crates/announce/src/announcer/moves.rs
@@ -1,6 +1,6 @@
 //! When an address may go where it ought to stand: the cap on changes, the jitter, and the penalty of a fall.
 
-use super::{Announcer, PendingMove, Standing, MINUTE};
+use super::{Announcer, PendingMove, Standing, CHANGE_CAP_WINDOW};
 use crate::health::Effect;
 use crate::level::{Level, Reason, SuppressedBy};
 use crate::paths::{PathCounts, Paths};
@@ -66,7 +66,7 @@
 
     fn forget_old_changes(&mut self, index: usize, now: f64) {
         let changes = &mut self.addresses[index].changes;
-        while changes.front().is_some_and(|&changed| changed <= now - MINUTE) {
+        while changes.front().is_some_and(|&changed| changed <= now - CHANGE_CAP_WINDOW) {
             changes.pop_front();
         }
     }
--- a/crates/announce/src/announcer/tests.rs
+++ b/crates/announce/src/announcer/tests.rs
@@ -37,7 +37,12 @@
         jitter_up: 0.5,
         guard: true,
         settle_time: 2.0,
-        damping: Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 300.0 },
+        damping: Damping {
+            half_life: 60.0,
+            suppress_threshold: 3.0,
+            reuse_threshold: 1.0,
+            max_suppress_time: 300.0,
+        },
         max_changes: 12,
         shutdown_lead: 0.0,
         hold: None,
@@ -103,7 +108,7 @@
     }
 
     fn turn(&mut self) {
-        if self.announcer.turn(self.now, &self.readings, &self.paths) {
+        if self.announcer.update(self.now, &self.readings, &self.paths) {
             self.moved.push((self.now, self.level()));
         }
     }
@@ -255,12 +260,13 @@
             world.readings = WELL;
             world.run(8.0);
         }
-        let window =
-            |from: f64| world.moved.iter().filter(|(at, _)| (from..from + MINUTE).contains(at)).count();
+        let window = |from: f64| {
+            world.moved.iter().filter(|(at, _)| (from..from + CHANGE_CAP_WINDOW).contains(at)).count()
+        };
         let most = world.moved.iter().map(|(at, _)| window(*at)).max().unwrap_or(0);
         (world.moved.len(), most, world.announcer.damped, world.announcer.capped, world)
     };
-    let never = Damping { suppress: f64::INFINITY, ..terms().damping };
+    let never = Damping { suppress_threshold: f64::INFINITY, ..terms().damping };
     let (wild, ..) = illness(AnnouncerConfig { damping: never, max_changes: 1000, ..terms() });
     let (damped, most, held, _, mut world) = illness(terms());
     assert!(wild > 150 && damped < wild / 2 && held > 0 && most <= 12, "{wild} {damped} {held} {most}");
--- a/crates/announce/src/config.rs
+++ b/crates/announce/src/config.rs
@@ -61,7 +61,7 @@
     pub settle_time: f64,
     /// Route flap damping.
     pub damping: Damping,
-    /// Changes of one address in [`crate::MINUTE`] at the most, 2 or more.
+    /// Changes of one address in [`crate::CHANGE_CAP_WINDOW`] at the most, 2 or more.
     pub max_changes: u32,
     /// How long a drain announces GRACEFUL_SHUTDOWN (RFC 8326) before it withdraws: 0 to 0.8.
     pub shutdown_lead: f64,
--- a/crates/announce/src/damping.rs
+++ b/crates/announce/src/damping.rs
@@ -7,17 +7,17 @@
     /// Seconds in which a penalty halves.
     pub half_life: f64,
     /// The penalty from which a return is held back; more than `reuse`.
-    pub suppress: f64,
+    pub suppress_threshold: f64,
     /// The penalty under which a return is free again.
-    pub reuse: f64,
+    pub reuse_threshold: f64,
     /// Seconds that a return is held back at the longest.
-    pub longest: f64,
+    pub max_suppress_time: f64,
 }
 
 impl Damping {
     /// RFC 2439 section 4.2: no penalty takes longer than `longest` to fade to `reuse`.
     fn ceiling(&self) -> f64 {
-        self.reuse * (self.longest / self.half_life).exp2()
+        self.reuse_threshold * (self.max_suppress_time / self.half_life).exp2()
     }
 }
 
@@ -32,13 +32,13 @@
     pub fn fade(&mut self, now: f64, damping: &Damping) {
         self.value *= (-(now - self.at).max(0.0) / damping.half_life).exp2();
         self.at = now;
-        self.suppressed &= self.value > damping.reuse;
+        self.suppressed &= self.value > damping.reuse_threshold;
     }
 
     pub fn add(&mut self, now: f64, damping: &Damping) {
         self.fade(now, damping);
         self.value = (self.value + 1.0).min(damping.ceiling().max(1.0));
-        self.suppressed |= self.value >= damping.suppress;
+        self.suppressed |= self.value >= damping.suppress_threshold;
     }
 }
 
--- a/crates/announce/src/damping/tests.rs
+++ b/crates/announce/src/damping/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-const DAMPING: Damping = Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 120.0 };
+const DAMPING: Damping =
+    Damping { half_life: 60.0, suppress_threshold: 3.0, reuse_threshold: 1.0, max_suppress_time: 120.0 };
 
 #[test]
 fn penalties_add_up_decay_and_expire_after_the_longest_time() {
--- a/crates/announce/src/lib.rs
+++ b/crates/announce/src/lib.rs
@@ -24,7 +24,7 @@
 mod level;
 mod paths;
 
-pub use announcer::{AddressEvent, AddressStatus, Announcer, Drain, MINUTE};
+pub use announcer::{AddressEvent, AddressStatus, Announcer, Drain, CHANGE_CAP_WINDOW};
 pub use config::{AnnouncerConfig, Hold, PathPreference};
 pub use damping::Damping;
 pub use health::{Effect, HealthCheck, HealthCheckConfig, InTimeShare, Readings};
--- a/crates/announce/tests/model.rs
+++ b/crates/announce/tests/model.rs
@@ -42,7 +42,12 @@
         jitter_up: 0.0,
         guard,
         settle_time,
-        damping: Damping { half_life: 60.0, suppress: 100.0, reuse: 2.0, longest: 300.0 },
+        damping: Damping {
+            half_life: 60.0,
+            suppress_threshold: 100.0,
+            reuse_threshold: 2.0,
+            max_suppress_time: 300.0,
+        },
         max_changes: 10,
         shutdown_lead: 0.0,
         hold: None,
@@ -124,7 +129,7 @@
                 usable_engines: usize::from(!instance.sick),
                 in_time_share: None,
             };
-            if instance.announcer.turn(self.now, &readings, &instance.paths) {
+            if instance.announcer.update(self.now, &readings, &instance.paths) {
                 instance.changes.push(self.now);
             }
         }
@@ -205,7 +210,7 @@
             Property::always("changes stay under the cap", |_, at: &At| {
                 at.instances.iter().all(|one| {
                     let within = |from: f64| {
-                        one.changes.iter().filter(|at| (from..from + MINUTE).contains(*at)).count()
+                        one.changes.iter().filter(|at| (from..from + CHANGE_CAP_WINDOW).contains(*at)).count()
                     };
                     one.changes.iter().all(|at| within(*at) <= 10)
                 })
@@ -218,8 +223,9 @@
                 later.instances.iter_mut().for_each(|one| one.sick = false);
                 (0..6).for_each(|_| later.tick(0xff));
                 // Whom the cap holds back comes a minute later.
-                let capped =
-                    |one: &Instance| one.changes.iter().filter(|at| **at > later.now - MINUTE).count() >= 5;
+                let capped = |one: &Instance| {
+                    one.changes.iter().filter(|at| **at > later.now - CHANGE_CAP_WINDOW).count() >= 5
+                };
                 later.instances.iter().enumerate().all(|(at, one)| {
                     one.announcer.draining().is_some() || capped(one) || later.level(at) == Level::Announced
                 })
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -15,4 +15,4 @@
 pub use error::SettingError;
 pub use names::{index_of, name_hash, Names};
 pub use reader::{read_deployment, NamedDeployment};
-pub use settings::{flat, ConnectionLimits, PeerInstance, Settings};
+pub use settings::{normalize_name, ConnectionLimits, PeerInstance, Settings};
--- a/crates/deployment-config/src/settings.rs
+++ b/crates/deployment-config/src/settings.rs
@@ -12,13 +12,13 @@
 pub struct Settings(HashMap<String, String>);
 
 /// A value as the simulator's wire writes it: without spaces and commas.
-pub fn flat(text: &str) -> String {
+pub fn normalize_name(text: &str) -> String {
     text.replace([' ', ','], "_")
 }
 
 fn plain(value: &Value) -> String {
     match value {
-        Value::String(text) => flat(text),
+        Value::String(text) => normalize_name(text),
         Value::Null => String::new(),
         other => other.to_string(),
     }
@@ -26,7 +26,7 @@
 
 impl Settings {
     /// Reads the form of the simulator's wire: `path=value`, parted by spaces.
-    pub fn from_words(text: &str) -> Settings {
+    pub fn from_pairs(text: &str) -> Settings {
         let pairs = text.split(' ').filter_map(|pair| pair.split_once('='));
         Settings(pairs.map(|(path, value)| (path.to_string(), value.to_string())).collect())
     }
@@ -143,7 +143,7 @@
     /// A number that can't be read.
     pub fn connection_limits(&self) -> Result<ConnectionLimits, SettingError> {
         Ok(ConnectionLimits {
-            connect_time_out: self.time("limits.connect-timeout-us", 0.25)?,
+            connect_timeout: self.time("limits.connect-timeout-us", 0.25)?,
             idle_after: self.time("limits.conn-idle-us", 15.0)?,
             max_attempts_per_connection: self.number("limits.multiplex", 1.0)?.max(1.0) as usize,
         })
@@ -163,7 +163,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     /// How long a connection may take to come up.
-    pub connect_time_out: f64,
+    pub connect_timeout: f64,
     /// After how long an engine closes a connection that carries nothing.
     pub idle_after: f64,
     /// Attempts that one connection may carry at once.
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -23,7 +23,7 @@
         family-info.parallelism=1,2 family-info.is-load=false,true family-info.cores-by-kind=8 \
         family-info.grants-count=true limits.max-attempts=3 limits.conn-idle-us=30000000 \
         limits.multiplex=100 tenants.count=1 tenants.0.name=town_hall";
-    let both = [Settings::from_json(&json), Settings::from_words(words)].map(|settings| {
+    let both = [Settings::from_json(&json), Settings::from_pairs(words)].map(|settings| {
         let NamedDeployment { deployment, names } = read_deployment(&settings).unwrap();
         assert_eq!(names.classes, ["look_up", "load"]);
         assert_eq!(names.tenants, ["town_hall"]);
--- a/crates/operator-config/src/bgp.rs
+++ b/crates/operator-config/src/bgp.rs
@@ -201,7 +201,7 @@
     }
 
     /// What is settled with this peer, for the session.
-    pub fn terms(&self, bgp: &BgpPart, services: &[IpNet]) -> PeerConfig {
+    pub fn peer_config(&self, bgp: &BgpPart, services: &[IpNet]) -> PeerConfig {
         let of = |is: fn(&IpNet) -> bool| services.iter().any(is);
         let hops = [self.next_hop_ipv4.map(IpAddr::from), self.next_hop_ipv6.map(IpAddr::from)];
         let spoken = [of(|net| matches!(net, IpNet::V4(_))), of(|net| matches!(net, IpNet::V6(_)))];
--- a/crates/operator-config/src/cluster.rs
+++ b/crates/operator-config/src/cluster.rs
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     /// The file does not have it.
-    pub fn place(&self, name: &str) -> Result<usize, OperatorFileError> {
+    pub fn router_index(&self, name: &str) -> Result<usize, OperatorFileError> {
         match self.routers.iter().position(|router| router.name == name) {
             Some(place) => Ok(place),
             None => invalid("routers", &format!("one named {name}, as this router is"), "none"),
@@ -159,7 +159,7 @@
     }
 
     /// The pace of failure detection.
-    pub fn pace(&self) -> DetectorSettings {
+    pub fn detector_settings(&self) -> DetectorSettings {
         let PacePart { probe_period_s, round_trip_s, suspicion_s } = self.pace;
         DetectorSettings {
             probe_period: probe_period_s,
--- a/crates/operator-config/src/cluster/tests.rs
+++ b/crates/operator-config/src/cluster/tests.rs
@@ -6,8 +6,8 @@
 #[test]
 fn the_example_is_read_and_the_schema_is_the_one_checked_in() {
     let file = read_cluster(GOOD).unwrap();
-    assert_eq!((file.routers.len(), file.place("n2").unwrap()), (3, 1));
-    assert_eq!(file.pace(), DetectorSettings::default());
+    assert_eq!((file.routers.len(), file.router_index("n2").unwrap()), (3, 1));
+    assert_eq!(file.detector_settings(), DetectorSettings::default());
     let checked_in = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cluster.schema.json");
     let text = std::fs::read_to_string(checked_in).unwrap();
     assert!(text == cluster_schema(), "stale: write `cleatgw schema cluster` to deploy/cluster.schema.json");
@@ -34,7 +34,11 @@
         assert!(said.contains(words), "{is}: {said}");
     }
     let file = read_cluster(GOOD).unwrap();
-    assert!(file.place("n9").unwrap_err().to_string().contains("field routers: expected one named n9"));
+    assert!(file
+        .router_index("n9")
+        .unwrap_err()
+        .to_string()
+        .contains("field routers: expected one named n9"));
 }
 
 #[test]
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -17,11 +17,11 @@
 pub use error::OperatorFileError;
 pub use reader::MAX_FILE_BYTES;
 pub use service::{
-    read_service, service_schema, DampingPart, DearPart, EffectPart, HoldPart, ServiceFile, SignPart,
-    SignsPart,
+    read_service, service_schema, DampingPart, EffectPart, HealthCheckPart, HealthChecksPart, HoldPart,
+    PathPreferencePart, ServiceFile,
 };
 pub use store::{read_store, store_schema, StoreFile};
-pub use teams::{read_teams, teams_schema, BudgetPart, OthersPart, TeamNames, TeamPart, TeamsFile};
+pub use teams::{read_teams, teams_schema, BudgetPart, OthersPart, TeamsFile, TenantNames, TenantPart};
 
 pub(crate) use error::invalid;
 pub(crate) use reader::{read_checked, schema_text, OperatorFile};
--- a/crates/operator-config/src/service.rs
+++ b/crates/operator-config/src/service.rs
@@ -22,14 +22,14 @@
     #[schemars(with = "Vec<String>", length(min = 1, max = 256))]
     pub addresses: Vec<IpNet>,
     #[serde(default)]
-    pub signs: SignsPart,
+    pub signs: HealthChecksPart,
     /// What a path carries on each level.
     #[serde(default)]
-    pub announced: DearPart,
+    pub announced: PathPreferencePart,
     #[serde(default = "depreferred")]
-    pub depreferred: DearPart,
+    pub depreferred: PathPreferencePart,
     #[serde(default = "last_resort")]
-    pub last_resort: DearPart,
+    pub last_resort: PathPreferencePart,
     /// The function numbers of the large community that marks our paths: sound, and last resort.
     #[serde(default = "mark_functions")]
     pub mark_functions: (u32, u32),
@@ -69,7 +69,7 @@
 /// What makes a path dearer.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct DearPart {
+pub struct PathPreferencePart {
     pub med: Option<u32>,
     /// Our AS so many times more, at most 16; nothing within one AS.
     #[schemars(range(max = 16))]
@@ -83,23 +83,23 @@
 /// What is watched.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct SignsPart {
+pub struct HealthChecksPart {
     /// Clients can connect.
-    pub listening: SignPart,
+    pub listening: HealthCheckPart,
     /// The decisions run; `bound` is how long a failure of theirs counts.
-    pub deciding: SignPart,
+    pub deciding: HealthCheckPart,
     /// The notice board is heard; `bound` is how long it may be silent.
-    pub board: SignPart,
+    pub board: HealthCheckPart,
     /// Engines that are ready and not doubted; `bound` is how many there must be.
-    pub engines: SignPart,
+    pub engines: HealthCheckPart,
     /// Jobs answered in time of late; `bound` is their share.
-    pub in_time: SignPart,
+    pub in_time: HealthCheckPart,
 }
 
 /// When a sign is bad, and how fast that is believed.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct SignPart {
+pub struct HealthCheckPart {
     pub effect: EffectPart,
     #[serde(default)]
     pub bound: f64,
@@ -146,9 +146,9 @@
     }
 }
 
-impl Default for SignsPart {
-    fn default() -> SignsPart {
-        let sign = |effect, bound| SignPart {
+impl Default for HealthChecksPart {
+    fn default() -> HealthChecksPart {
+        let sign = |effect, bound| HealthCheckPart {
             effect,
             bound,
             rise: rise(),
@@ -156,7 +156,7 @@
             least_good_s: 0.0,
             least_bad_s: least_bad(),
         };
-        SignsPart {
+        HealthChecksPart {
             listening: sign(EffectPart::Withdraw, 0.0),
             deciding: sign(EffectPart::Deprefer, 10.0),
             board: sign(EffectPart::Deprefer, 10.0),
@@ -166,12 +166,12 @@
     }
 }
 
-fn depreferred() -> DearPart {
-    DearPart { med: Some(200), prepend: 1, local_pref: Some(50), communities: Vec::new() }
+fn depreferred() -> PathPreferencePart {
+    PathPreferencePart { med: Some(200), prepend: 1, local_pref: Some(50), communities: Vec::new() }
 }
 
-fn last_resort() -> DearPart {
-    DearPart { med: Some(400), prepend: 3, local_pref: Some(10), communities: Vec::new() }
+fn last_resort() -> PathPreferencePart {
+    PathPreferencePart { med: Some(400), prepend: 3, local_pref: Some(10), communities: Vec::new() }
 }
 
 fn mark_functions() -> (u32, u32) {
@@ -227,8 +227,8 @@
     Some(u32::from(high.parse::<u16>().ok()?) << 16 | u32::from(low.parse::<u16>().ok()?))
 }
 
-impl DearPart {
-    fn dear(&self) -> PathPreference {
+impl PathPreferencePart {
+    fn path_preference(&self) -> PathPreference {
         PathPreference {
             med: self.med,
             prepend: self.prepend,
@@ -238,8 +238,8 @@
     }
 }
 
-impl SignPart {
-    fn terms(&self) -> HealthCheckConfig {
+impl HealthCheckPart {
+    fn health_check_config(&self) -> HealthCheckConfig {
         HealthCheckConfig {
             effect: match self.effect {
                 EffectPart::Ignore => Effect::Ignore,
@@ -270,8 +270,8 @@
 
 impl ServiceFile {
     /// What is settled for the announcing decisions.
-    pub fn terms(&self) -> AnnouncerConfig {
-        let SignsPart { listening, deciding, board, engines, in_time } = &self.signs;
+    pub fn announcer_config(&self) -> AnnouncerConfig {
+        let HealthChecksPart { listening, deciding, board, engines, in_time } = &self.signs;
         AnnouncerConfig {
             addresses: self.addresses.clone(),
             instance_community: InstanceCommunity {
@@ -280,10 +280,10 @@
                 last_resort: self.mark_functions.1,
                 instance: self.bgp.identifier.into(),
             },
-            checks: [listening, deciding, board, engines, in_time].map(SignPart::terms),
-            announced: self.announced.dear(),
-            depreferred: self.depreferred.dear(),
-            last_resort: self.last_resort.dear(),
+            checks: [listening, deciding, board, engines, in_time].map(HealthCheckPart::health_check_config),
+            announced: self.announced.path_preference(),
+            depreferred: self.depreferred.path_preference(),
+            last_resort: self.last_resort.path_preference(),
             check_interval: 0.25,
             start_delay: self.start_after_s,
             return_delay: self.return_after_s,
@@ -294,9 +294,9 @@
             settle_time: self.settle_s,
             damping: Damping {
                 half_life: self.damping.half_life_s,
-                suppress: self.damping.suppress,
-                reuse: self.damping.reuse,
-                longest: self.damping.longest_s,
+                suppress_threshold: self.damping.suppress,
+                reuse_threshold: self.damping.reuse,
+                max_suppress_time: self.damping.longest_s,
             },
             max_changes: self.most_changes_a_minute,
             shutdown_lead: self.shutdown_lead_s,
@@ -308,7 +308,7 @@
     }
 
     /// What can't change while the router runs, and did: the names of the fields.
-    pub fn fixed_that_changed(&self, new: &ServiceFile) -> Vec<&'static str> {
+    pub fn changed_fixed_fields(&self, new: &ServiceFile) -> Vec<&'static str> {
         let fields = [
             ("bgp.asn", self.bgp.asn != new.bgp.asn),
             ("bgp.identifier", self.bgp.identifier != new.bgp.identifier),
--- a/crates/operator-config/src/service/checks.rs
+++ b/crates/operator-config/src/service/checks.rs
@@ -1,6 +1,6 @@
 //! What the values of a service file must be.
 
-use super::{community, DampingPart, DearPart, ServiceFile, SignPart, SignsPart};
+use super::{community, DampingPart, HealthCheckPart, HealthChecksPart, PathPreferencePart, ServiceFile};
 use crate::bgp::seconds;
 use crate::{invalid, OperatorFile, OperatorFileError};
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 const MOST_ADDRESSES: usize = 256;
 const MOST_COMMUNITIES: usize = 16;
 
-impl DearPart {
+impl PathPreferencePart {
     fn check(&self, path: &str) -> Result<(), OperatorFileError> {
         if self.prepend > 16 {
             return invalid(format!("{path}.prepend"), "0 to 16", self.prepend);
@@ -29,7 +29,7 @@
     }
 }
 
-impl SignPart {
+impl HealthCheckPart {
     fn check(&self, name: &str, most: f64) -> Result<(), OperatorFileError> {
         let path = |field: &str| format!("signs.{name}.{field}");
         if !(0.0..=most).contains(&self.bound) {
@@ -106,7 +106,7 @@
     }
 
     fn check_signs(&self) -> Result<(), OperatorFileError> {
-        let SignsPart { listening, deciding, board, engines, in_time } = &self.signs;
+        let HealthChecksPart { listening, deciding, board, engines, in_time } = &self.signs;
         listening.check("listening", 0.0)?;
         deciding.check("deciding", 3600.0)?;
         board.check("board", 3600.0)?;
--- a/crates/operator-config/src/teams.rs
+++ b/crates/operator-config/src/teams.rs
@@ -21,7 +21,7 @@
 #[serde(deny_unknown_fields)]
 pub struct TeamsFile {
     /// At most 10000 in all, nested at most three deep. One that holds teams itself is a group: its name is no `org`.
-    pub teams: Vec<TeamPart>,
+    pub teams: Vec<TenantPart>,
     /// All that no team of the file is named for, together.
     #[serde(default)]
     pub others: OthersPart,
@@ -33,7 +33,7 @@
 /// One team, or a group of them.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct TeamPart {
+pub struct TenantPart {
     /// As `org` has it.
     pub name: String,
     /// Its share against its siblings, more than 0.
@@ -58,7 +58,7 @@
     #[serde(default)]
     pub order: Vec<String>,
     #[serde(default)]
-    pub teams: Vec<TeamPart>,
+    pub teams: Vec<TenantPart>,
 }
 
 /// A budget of engine work.
@@ -91,15 +91,15 @@
 
 /// Which line a name belongs to.
 #[derive(Clone, Debug)]
-pub struct TeamNames {
+pub struct TenantNames {
     by_name: HashMap<String, usize>,
     names: Vec<String>,
     others: usize,
 }
 
-impl TeamNames {
+impl TenantNames {
     /// The team of a job whose `org` says this.
-    pub fn of(&self, org: Option<&str>) -> usize {
+    pub fn index_of(&self, org: Option<&str>) -> usize {
         let name = org.unwrap_or("");
         self.by_name.get(name).copied().unwrap_or_else(|| {
             let mut hasher = DefaultHasher::new();
@@ -144,14 +144,14 @@
 
 impl TeamsFile {
     /// The queue that the file describes, and which names stand for which of its tenants. Categories are known by their names.
-    pub fn tenant_queue(&self, now: f64, categories: &[String]) -> (TenantQueue, TeamNames) {
+    pub fn tenant_queue(&self, now: f64, categories: &[String]) -> (TenantQueue, TenantNames) {
         let (configs, names) = self.tree(categories);
         (TenantQueue::new(configs, now), names)
     }
 
-    fn tree(&self, categories: &[String]) -> (Vec<TenantConfig>, TeamNames) {
+    fn tree(&self, categories: &[String]) -> (Vec<TenantConfig>, TenantNames) {
         let mut configs = vec![TenantConfig { max_queued: self.most_queued, ..TenantConfig::default() }];
-        let mut names = TeamNames { by_name: HashMap::new(), names: vec!["all".to_string()], others: 0 };
+        let mut names = TenantNames { by_name: HashMap::new(), names: vec!["all".to_string()], others: 0 };
         add(&self.teams, ROOT, categories, &mut configs, &mut names);
         names.others = configs.len();
         names.names.push("others".to_string());
@@ -169,7 +169,7 @@
     }
 }
 
-impl TeamPart {
+impl TenantPart {
     fn ahead(&self, category: &str) -> f64 {
         let place = self.order.iter().position(|name| name == category);
         place.map_or(0.0, |place| PLACE * (self.order.len() - place) as f64)
@@ -184,7 +184,7 @@
 }
 
 fn check_all(
-    teams: &[TeamPart],
+    teams: &[TenantPart],
     path: &str,
     depth: usize,
     names: &mut BTreeSet<String>,
@@ -203,7 +203,7 @@
     Ok(())
 }
 
-impl TeamPart {
+impl TenantPart {
     fn check_name(&self, path: &str, names: &mut BTreeSet<String>) -> Result<(), OperatorFileError> {
         let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'=' && byte != b',';
         let field = format!("{path}.name");
@@ -263,11 +263,11 @@
 const PLACE: f64 = 10.0;
 
 fn add(
-    teams: &[TeamPart],
+    teams: &[TenantPart],
     parent: usize,
     categories: &[String],
     configs: &mut Vec<TenantConfig>,
-    names: &mut TeamNames,
+    names: &mut TenantNames,
 ) {
     for team in teams {
         let at = configs.len();
--- a/crates/operator-config/src/teams/tests.rs
+++ b/crates/operator-config/src/teams/tests.rs
@@ -6,11 +6,11 @@
 fn the_example_is_read_its_names_find_their_lines_and_the_schema_is_the_one_checked_in() {
     let file = read_teams(GOOD).unwrap();
     let (line, names) = file.tenant_queue(0.0, &[]);
-    let of = |name| names.names()[names.of(Some(name))].clone();
+    let of = |name| names.names()[names.index_of(Some(name))].clone();
     assert_eq!((of("mondego"), of("vouga")), ("mondego".to_string(), "vouga".to_string()));
     // A group is no team, and a made-up name has a line among the others.
     assert!(of("north").starts_with("others-") && of("no-such").starts_with("others-"));
-    assert!(names.names()[names.of(None)].starts_with("others-") && line.is_empty());
+    assert!(names.names()[names.index_of(None)].starts_with("others-") && line.is_empty());
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/teams.schema.json");
     let text = std::fs::read_to_string(path).unwrap();
     assert!(text == teams_schema(), "stale: write `cleatgw schema teams` to deploy/teams.schema.json");
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -7,9 +7,9 @@
 fn the_example_is_read_and_the_schema_is_the_one_checked_in() {
     let file = read_service(GOOD).unwrap();
     assert_eq!((file.bgp.peers.len(), file.addresses.len()), (2, 2));
-    let terms = file.terms();
+    let terms = file.announcer_config();
     assert_eq!((terms.instance_community.instance, terms.max_changes), (u32::from(file.bgp.identifier), 6));
-    let peer = file.bgp.peers[0].terms(&file.bgp, &file.addresses);
+    let peer = file.bgp.peers[0].peer_config(&file.bgp, &file.addresses);
     assert_eq!((peer.families, peer.hold_time), ([true, true], 9));
     let checked_in = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/service.schema.json");
     let text = std::fs::read_to_string(checked_in).unwrap();
@@ -55,7 +55,7 @@
     assert!(read_service(&" ".repeat(MAX_FILE_BYTES + 1)).unwrap_err().to_string().contains("at most"));
     let same = read_service(GOOD).unwrap();
     let other = read_service(&GOOD.replacen("\"asn\": 64512", "\"asn\": 64513", 1)).unwrap();
-    assert_eq!(same.fixed_that_changed(&other), ["bgp.asn"]);
+    assert_eq!(same.changed_fixed_fields(&other), ["bgp.asn"]);
 }
 
 #[test]
--- a/crates/router/src/commands/mod.rs
+++ b/crates/router/src/commands/mod.rs
@@ -81,6 +81,6 @@
 /// This router in its cluster, in an incarnation that begins now.
 fn join_cluster(path: &Path, name: &str, seed: u64) -> Result<JoinedCluster, FileError> {
     let file = load_cluster(path)?;
-    let place = file.place(name).map_err(|error| FileError::new(path, error))?;
+    let place = file.router_index(name).map_err(|error| FileError::new(path, error))?;
     Ok(JoinedCluster { file, place, born: (unix_time() * MS_PER_S) as u64, seed })
 }
--- a/crates/router/src/protocol/discovery.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -103,7 +103,7 @@
         _ => None,
     };
     let text_or_empty =
-        |field: &str| value[field].as_str().map_or(String::new(), cleatgw_deployment_config::flat);
+        |field: &str| value[field].as_str().map_or(String::new(), cleatgw_deployment_config::normalize_name);
     let boot_ms = match &value["boot_ms"] {
         Value::Null => 0.0,
         given => require(given.as_f64(), "boot_ms", "a number of milliseconds")?,
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -16,7 +16,7 @@
 use cleatgw::{
     AttemptEnd, AttemptOutcome, Deployment, EngineStage, Gateway, Idempotency, IncomingRequest, LoadReport,
 };
-use cleatgw_deployment_config::{flat, name_hash, Names};
+use cleatgw_deployment_config::{name_hash, normalize_name, Names};
 pub use counters::Counters;
 use engine_registry::ListChange;
 use request_table::Request;
@@ -215,7 +215,7 @@
     }
 
     fn class_of(&self, statement: &ParsedStatement) -> Result<usize, StatementError> {
-        let name = flat(&statement.class);
+        let name = normalize_name(&statement.class);
         let known = self.names.classes.iter().position(|known| *known == name);
         known.ok_or_else(|| StatementError::unknown_class(name, &self.names.classes))
     }
@@ -223,7 +223,7 @@
     /// Where there are tenants, engines fail what comes from none of them.
     fn check_tenant(&self, statement: &ParsedStatement) -> Result<(), StatementError> {
         let known = &self.names.tenants;
-        match statement.tenant.as_deref().map(flat) {
+        match statement.tenant.as_deref().map(normalize_name) {
             Some(name) if !known.is_empty() && !known.contains(&name) => {
                 Err(StatementError::unknown_tenant(name, known))
             }
@@ -232,7 +232,7 @@
     }
 
     fn tenant_of(&self, statement: &ParsedStatement) -> usize {
-        self.tenants.as_ref().map_or(0, |tenants| tenants.names.of(statement.tenant.as_deref()))
+        self.tenants.as_ref().map_or(0, |tenants| tenants.names.index_of(statement.tenant.as_deref()))
     }
 
     /// The hash of the statement's idempotency key, which its class may ask for.
@@ -247,7 +247,7 @@
         }
         match &statement.idempotency_key {
             Some(key) => Ok(Some(name_hash(key))),
-            None => Err(StatementError::MissingIdempotencyKey { class: flat(&statement.class) }),
+            None => Err(StatementError::MissingIdempotencyKey { class: normalize_name(&statement.class) }),
         }
     }
 
--- a/crates/router/src/routing/tenants.rs
+++ b/crates/router/src/routing/tenants.rs
@@ -3,7 +3,7 @@
 use super::Routing;
 use crate::status_row::StatusRow;
 use cleatgw::queue::TenantLoad;
-use cleatgw_operator_config::{TeamNames, TeamsFile};
+use cleatgw_operator_config::{TeamsFile, TenantNames};
 
 /// Tenants that a table names, at most.
 const MAX_ROWS: usize = 256;
@@ -11,7 +11,7 @@
 /// Who shares the engines, and which queue a name belongs to.
 pub struct Tenants {
     pub file: TeamsFile,
-    pub names: TeamNames,
+    pub names: TenantNames,
 }
 
 impl Routing {
@@ -21,7 +21,7 @@
         let requests = &self.state.requests;
         let tenant_of = |id: usize| {
             let request = requests.get(id);
-            names.of(request.and_then(|request| request.statement.tenant.as_deref()))
+            names.index_of(request.and_then(|request| request.statement.tenant.as_deref()))
         };
         self.gateway.set_tenants(self.state.now, queue, &tenant_of);
         self.tenants = Some(Tenants { file, names });
--- a/crates/router/src/transport/bgp_connection.rs
+++ b/crates/router/src/transport/bgp_connection.rs
@@ -131,7 +131,7 @@
     pub fn new(config: &PeerPart, file: &ServiceFile, seed: u64, now: f64) -> BgpPeer {
         BgpPeer {
             config: config.clone(),
-            session: Peer::new(config.terms(&file.bgp, &file.addresses), seed, now),
+            session: Peer::new(config.peer_config(&file.bgp, &file.addresses), seed, now),
             is_leaving: false,
             applied_version: 0,
             connections: [None, None],
--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -90,7 +90,7 @@
             configs.map(|(index, config)| BgpPeer::new(config, &file, seed.wrapping_add(index as u64), now));
         Ok(BgpSpeaker {
             handle: handle.clone(),
-            announcer: Announcer::new(file.terms(), seed, now),
+            announcer: Announcer::new(file.announcer_config(), seed, now),
             peers: peers.collect(),
             file,
             listener,
@@ -106,7 +106,7 @@
     /// Applies a new service file. Peers that are new or changed get new sessions; the sessions of removed peers are shut
     /// down with a notification.
     pub fn reconfigure(&mut self, new: ServiceFile, now: f64) {
-        let fixed_changes = self.file.fixed_that_changed(&new);
+        let fixed_changes = self.file.changed_fixed_fields(&new);
         if !fixed_changes.is_empty() {
             log::warn!(
                 "service file: {} can't change while running; the values read at the start stay in force",
@@ -117,7 +117,7 @@
         file.bgp.asn = self.file.bgp.asn;
         file.bgp.identifier = self.file.bgp.identifier;
         file.bgp.listen = self.file.bgp.listen;
-        self.announcer.reconfigure(file.terms(), now);
+        self.announcer.reconfigure(file.announcer_config(), now);
         self.advertisements_changed();
         for peer in self.peers.iter_mut().filter(|peer| !peer.is_leaving) {
             reconfigure_peer(peer, &file, now);
@@ -242,7 +242,7 @@
     pub fn turn(&mut self, now: f64, readings: impl FnOnce() -> Readings) {
         if now >= self.announcer.due() {
             let paths = self.paths();
-            if self.announcer.turn(now, &readings(), &paths) {
+            if self.announcer.update(now, &readings(), &paths) {
                 self.advertisements_changed();
             }
         }
@@ -358,7 +358,9 @@
 fn reconfigure_peer(peer: &mut BgpPeer, file: &ServiceFile, now: f64) {
     let config = file.bgp.peers.iter().find(|config| config.name == peer.config.name);
     let unchanged = config.filter(|config| **config == peer.config);
-    if unchanged.is_some_and(|config| peer.session.reconfigure(&config.terms(&file.bgp, &file.addresses))) {
+    if unchanged
+        .is_some_and(|config| peer.session.reconfigure(&config.peer_config(&file.bgp, &file.addresses)))
+    {
         return;
     }
     let subcode = match config {
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -43,7 +43,8 @@
     fn members(&self, now: f64) -> Membership {
         let JoinedCluster { file, place, born, seed } = self;
         let routers = file.routers.len();
-        let mut members = Membership::new(file.hash(), routers, *place, *born, &file.pace(), *seed, now);
+        let mut members =
+            Membership::new(file.hash(), routers, *place, *born, &file.detector_settings(), *seed, now);
         let roles: Vec<_> = file.duties.iter().map(|name| role_resource(name)).collect();
         members.set_roles(&roles, now);
         members
--- a/crates/router/src/transport/connection_pool.rs
+++ b/crates/router/src/transport/connection_pool.rs
@@ -119,7 +119,7 @@
         self.next_id += 1;
         match begin_connect(&self.handle, address, EventSource::EngineConnection(id)) {
             Ok(connection) => {
-                let until = now + self.limits.connect_time_out;
+                let until = now + self.limits.connect_timeout;
                 self.connections.add(id, EngineConnection::new(connection, engine, address, until));
                 self.counters.engine_connections += 1;
                 Ok(id)
--- a/crates/router/src/transport/connection_pool/tests.rs
+++ b/crates/router/src/transport/connection_pool/tests.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 const LIMITS: ConnectionLimits =
-    ConnectionLimits { connect_time_out: 0.25, idle_after: 30.0, max_attempts_per_connection: 100 };
+    ConnectionLimits { connect_timeout: 0.25, idle_after: 30.0, max_attempts_per_connection: 100 };
 
 /// A connection pool with the test's own clock, and a listener on which the test plays the engine.
 struct PoolTest {
@@ -540,7 +540,7 @@
     for seed in 1..=12 {
         let event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
         let limits =
-            ConnectionLimits { connect_time_out: 0.25, idle_after: 2.0, max_attempts_per_connection: 3 };
+            ConnectionLimits { connect_timeout: 0.25, idle_after: 2.0, max_attempts_per_connection: 3 };
         let mut pool = ConnectionPool::new(&event_loop.handle(), limits, 25);
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -168,7 +168,7 @@
 
     /// Whether the engine has left a ping unanswered for too long. Its machine may have disappeared.
     pub fn is_unresponsive(&self, limits: &ConnectionLimits, now: f64) -> bool {
-        self.pinged_at.is_some_and(|pinged_at| now > pinged_at + limits.connect_time_out)
+        self.pinged_at.is_some_and(|pinged_at| now > pinged_at + limits.connect_timeout)
     }
 
     /// Whether the engine is expected to send something, because attempts are open or a ping is unanswered. Only such a connection
@@ -195,7 +195,7 @@
     /// out. Nothing more is to be expected from this connection then.
     pub fn is_superseded_by(&self, other: &EngineConnection, limits: &ConnectionLimits) -> bool {
         let ping_timeout =
-            self.pinged_at.map_or(f64::INFINITY, |pinged_at| pinged_at + limits.connect_time_out);
+            self.pinged_at.map_or(f64::INFINITY, |pinged_at| pinged_at + limits.connect_timeout);
         let same_engine = (self.engine, self.address) == (other.engine, other.address);
         self.known_unresponsive && same_engine && other.last_received_at > ping_timeout
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -12,7 +12,7 @@
     LoadReport, MeasuredCost,
 };
 use cleatgw_deployment_config::{index_of, name_hash, read_deployment, NamedDeployment, Names, Settings};
-use cleatgw_operator_config::{TeamNames, TeamsFile};
+use cleatgw_operator_config::{TeamsFile, TenantNames};
 
 /// The bit of a call's states that says that its cost is told.
 const COST_IS_STATED: u64 = 1;
@@ -26,7 +26,7 @@
     gateway: Gateway,
     names: Names,
     identities: Identities,
-    tenants: Option<TeamNames>,
+    tenants: Option<TenantNames>,
     digests: Option<PeerDigests>,
 }
 
@@ -39,7 +39,7 @@
         sends_digests: bool,
     ) -> Result<Instance, WireError> {
         let seed = fields.integer("entropy")?;
-        let settings = Settings::from_words(fields.remainder());
+        let settings = Settings::from_pairs(fields.remainder());
         let NamedDeployment { deployment, names } = read_deployment(&settings)?;
         let mut gateway = Gateway::new(deployment, seed, now);
         let tenants = teams.map(|file| {
@@ -128,7 +128,7 @@
         let id = fields.integer("req")?;
         let cost = fields.optional_integer("plan-cost-us")?;
         let tenant = fields.text();
-        let tenant = self.tenants.as_ref().map_or(0, |tenants| tenants.of(tenant));
+        let tenant = self.tenants.as_ref().map_or(0, |tenants| tenants.index_of(tenant));
         let key = read_key(fields)?;
         let class = fields.required("tier-class", "a class")?;
         let memory = fields.number("mem-mb")?;
--- a/crates/testbed/src/scenarios/announcers.rs
+++ b/crates/testbed/src/scenarios/announcers.rs
@@ -56,7 +56,8 @@
     let dear = |med| PathPreference { med: Some(med), ..PathPreference::default() };
     let off = |one| variant == one || variant == Variant::Check;
     let jitter = |most| if off(Variant::NoJitter) { 0.0 } else { most };
-    let damping = Damping { half_life: 60.0, suppress: 3.0, reuse: 1.0, longest: 300.0 };
+    let damping =
+        Damping { half_life: 60.0, suppress_threshold: 3.0, reuse_threshold: 1.0, max_suppress_time: 300.0 };
     AnnouncerConfig {
         addresses: vec![net()],
         instance_community: InstanceCommunity { asn: 64_512, healthy: 1, last_resort: 2, instance },
@@ -79,7 +80,7 @@
         guard: !off(Variant::NoGuard),
         settle_time: 5.0,
         damping: if off(Variant::NoDamping) {
-            Damping { suppress: f64::INFINITY, ..damping }
+            Damping { suppress_threshold: f64::INFINITY, ..damping }
         } else {
             damping
         },
@@ -208,7 +209,7 @@
                 usable_engines: usize::from(!sick(trouble, one, now)),
                 in_time_share: None,
             };
-            if one.announcer.turn(now, &readings, &paths) {
+            if one.announcer.update(now, &readings, &paths) {
                 one.changes.push(now);
             }
         }
