--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -1,15 +1,15 @@
 //! The command line.
 
 use crate::commands::OperatorFiles;
-use crate::log_lines::Form;
+use crate::log_lines::LogFormat;
 use bpaf::{construct, long, positional, pure, OptionParser, Parser};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What is to be done.
+/// A command with its arguments.
 #[derive(Clone, Debug)]
 pub enum Command {
-    Serve { config: Option<PathBuf>, files: OperatorFiles, form: Form },
+    Serve { config: Option<PathBuf>, files: OperatorFiles, log_format: LogFormat },
     Check { config: Option<PathBuf>, files: OperatorFiles },
     Schema { file: String },
     Status { address: SocketAddr, topic: String },
@@ -18,16 +18,16 @@
 }
 
 impl Command {
-    /// The form of the log lines.
-    pub fn log_form(&self) -> Form {
+    /// The format of the log lines. Only `serve` has an option for it.
+    pub fn log_format(&self) -> LogFormat {
         match self {
-            Command::Serve { form, .. } => *form,
-            _ => Form::Text,
+            Command::Serve { log_format, .. } => *log_format,
+            _ => LogFormat::Text,
         }
     }
 }
 
-/// All commands with their options.
+/// The parser of all commands with their options. Without a command, the program serves.
 pub fn options() -> OptionParser<Command> {
     let serve = serve();
     let check = check();
@@ -35,20 +35,23 @@
     let status = status();
     let lease_holder = lease_holder();
     let version = version();
-    let none = pure(Command::Serve { config: None, files: OperatorFiles::default(), form: Form::Text });
-    construct!([serve, check, schema, status, lease_holder, version, none])
+    let without_command =
+        pure(Command::Serve { config: None, files: OperatorFiles::default(), log_format: LogFormat::Text });
+    construct!([serve, check, schema, status, lease_holder, version, without_command])
         .to_options()
-        .descr("A query gateway: decides what runs, where, and with how much memory")
+        .descr("A query gateway: decides which requests run, on which engine, and with how much memory")
 }
 
 fn operator_files() -> impl Parser<OperatorFiles> {
-    let service = long("service").help("The service addresses that follow this router");
+    let service =
+        long("service").help("File with the service addresses that this router announces, and its BGP peers");
     let service = service.argument::<PathBuf>("FILE").optional();
-    let teams = long("teams").help("The teams that share the engines");
+    let teams = long("teams").help("File with the teams that share the engines");
     let teams = teams.argument::<PathBuf>("FILE").optional();
-    let cluster = long("cluster").help("The routers that know each other");
+    let cluster = long("cluster").help("File with the routers of this router's cluster");
     let cluster = cluster.argument::<PathBuf>("FILE").optional();
-    let store = long("store").help("Where this router keeps what it needs after a restart");
+    let store =
+        long("store").help("File that says where this router stores the state that it needs after a restart");
     let store = store.argument::<PathBuf>("FILE").optional();
     construct!(OperatorFiles { service, teams, cluster, store })
 }
@@ -56,59 +59,62 @@
 fn serve() -> impl Parser<Command> {
     let config = long("config")
         .short('c')
-        .help("The configuration; without it, the file that BALANCER_CONFIG names")
+        .help("Configuration file (default: the file that BALANCER_CONFIG names)")
         .argument("FILE")
         .optional();
-    let form = long("log-format").help("text (the usual one) or json").argument("FORM").fallback(Form::Text);
+    let log_format = long("log-format")
+        .help("Format of the log lines: text (default) or json")
+        .argument("FORM")
+        .fallback(LogFormat::Text);
     let files = operator_files();
-    construct!(Command::Serve { config, files, form })
+    construct!(Command::Serve { config, files, log_format })
         .to_options()
-        .descr("Serves clients until SIGTERM")
+        .descr("Serve clients until SIGTERM")
         .command("serve")
 }
 
 fn check() -> impl Parser<Command> {
-    let config = positional("FILE").help("The configuration").optional();
+    let config = positional("FILE").help("Configuration file").optional();
     let files = operator_files();
     construct!(Command::Check { files, config })
         .to_options()
-        .descr("Reads a configuration or operator's files, and says what they hold or what is wrong")
+        .descr("Read a configuration or operator's files, and print a summary or the first error")
         .command("check")
 }
 
 fn schema() -> impl Parser<Command> {
     let file = positional("FILE")
-        .help("service (the usual one), teams, cluster or store")
+        .help("Kind of file: service (default), teams, cluster or store")
         .fallback("service".to_string());
     construct!(Command::Schema { file })
         .to_options()
-        .descr("Prints the schema of an operator's file")
+        .descr("Print the JSON schema of an operator's file")
         .command("schema")
 }
 
 fn router_address() -> impl Parser<SocketAddr> {
-    positional("ADDRESS").help("Where the router listens, with its port")
+    positional("ADDRESS").help("Address and port that the router listens on")
 }
 
 fn status() -> impl Parser<Command> {
     let address = router_address();
-    let topic = positional("OF").help("announcements (the usual one), cluster, duties, store or teams");
+    let topic = positional("OF").help("Topic: announcements (default), cluster, duties, store or teams");
     let topic = topic.fallback("announcements".to_string());
     construct!(Command::Status { address, topic })
         .to_options()
-        .descr("Asks a router how something stands")
+        .descr("Print a status table of a running router")
         .command("status")
 }
 
 fn lease_holder() -> impl Parser<Command> {
     let address = router_address();
-    let role = positional("DUTY").help("A duty of the cluster file");
+    let role = positional("DUTY").help("Name of a duty in the cluster file");
     construct!(Command::LeaseHolder { address, role })
         .to_options()
-        .descr("Succeeds where a router holds a duty now, and tells its epoch")
+        .descr("Succeed if a router holds a duty now, and print the duty's epoch")
         .command("holds")
 }
 
 fn version() -> impl Parser<Command> {
-    pure(Command::Version).to_options().descr("Prints the version").command("version")
+    pure(Command::Version).to_options().descr("Print the version").command("version")
 }
--- a/crates/router/src/commands/check.rs
+++ b/crates/router/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a configuration or operators' files, and says what they hold or what is wrong.
+//! `check`: reads a configuration or operators' files, and prints a summary of each or the first error.
 
 use super::{
     config_path, join_cluster, load_cluster, load_config, load_service, load_store, load_teams, CommandError,
@@ -8,17 +8,18 @@
 use crate::files::FileError;
 use std::path::{Path, PathBuf};
 
-/// Checks the files that are given, and the configuration unless only other files are.
+/// Checks the given operators' files and the configuration. The configuration is skipped if operators' files are given and
+/// neither an argument nor the environment variable names a configuration.
 ///
 /// # Errors
-/// The first file that can't be used.
+/// A file can't be used; the first one is reported. Or no file is given at all.
 pub fn run(config: Option<PathBuf>, files: &OperatorFiles) -> Result<(), CommandError> {
     files.service.as_deref().map(check_service).transpose()?;
     files.teams.as_deref().map(check_teams).transpose()?;
     files.cluster.as_deref().map(check_cluster).transpose()?;
     files.store.as_deref().map(check_store).transpose()?;
-    let names_config = config.is_some() || std::env::var_os(CONFIG_VARIABLE).is_some();
-    if files.is_any() && !names_config {
+    let has_config = config.is_some() || std::env::var_os(CONFIG_VARIABLE).is_some();
+    if files.any_given() && !has_config {
         return Ok(());
     }
     let config = load_config(&config_path(config)?)?;
@@ -48,7 +49,7 @@
 
 fn check_teams(path: &Path) -> Result<(), FileError> {
     let (queue, names) = load_teams(path)?.tenant_queue(0.0, &[]);
-    println!("{}: {} lines ({})", path.display(), queue.tenant_count(), names.names().join(" "));
+    println!("{}: {} tenants ({})", path.display(), queue.tenant_count(), names.names().join(" "));
     Ok(())
 }
 
@@ -60,7 +61,7 @@
 }
 
 fn check_store(path: &Path) -> Result<(), FileError> {
-    println!("{}: keeps {}", path.display(), load_store(path)?.path.display());
+    println!("{}: state is stored in {}", path.display(), load_store(path)?.path.display());
     Ok(())
 }
 
@@ -68,15 +69,15 @@
     for contradiction in &config.contradictions {
         eprintln!("{}: contradictory {contradiction}", config.name);
     }
-    let lists = config.known.iter().filter_map(|event| event.list.as_ref());
+    let lists = config.known_events.iter().filter_map(|event| event.list.as_ref());
     let engines: usize = lists.map(|list| list.entries.len()).sum();
     println!(
-        "{}: listens on {}, {} categories ({}), {} gateways, {engines} engines told of in {} events",
+        "{}: listens on {}, {} categories ({}), {} gateways, {engines} engine entries in {} known events",
         config.name,
         config.router.listen,
         config.names.classes.len(),
         config.names.classes.join(" "),
         config.deployment.gateways,
-        config.known.len()
+        config.known_events.len()
     );
 }
--- a/crates/router/src/commands/lease_holder.rs
+++ b/crates/router/src/commands/lease_holder.rs
@@ -1,4 +1,4 @@
-//! `holds`: succeeds where a router holds the lease of a leader role now.
+//! `holds`: succeeds if a router holds the lease of a leader role now.
 
 use super::CommandError;
 use crate::status_query;
@@ -7,7 +7,7 @@
 /// Prints the row of the role, with its epoch.
 ///
 /// # Errors
-/// The router does not hold it, or did not answer.
+/// The router does not hold the role, does not know it, or did not answer.
 pub fn run(address: SocketAddr, role: &str) -> Result<(), CommandError> {
     println!("{}", status_query::held_role(address, role)?);
     Ok(())
--- a/crates/router/src/commands/mod.rs
+++ b/crates/router/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, one module each.
+//! The commands of the program, one module for each.
 
 pub mod check;
 pub mod lease_holder;
@@ -17,11 +17,11 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The variable that names the configuration where no argument does.
+/// The environment variable that names the configuration file if no argument does.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
 const MS_PER_S: f64 = 1e3;
 
-/// Why a command has failed.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     #[error("no configuration: give --config FILE or set {CONFIG_VARIABLE}")]
@@ -32,11 +32,11 @@
     Serve { listen: SocketAddr, source: io::Error },
     #[error(transparent)]
     Status(#[from] StatusError),
-    #[error("no file {0:?}: expected service, teams, cluster or store")]
+    #[error("unknown kind of file {0:?}: expected service, teams, cluster or store")]
     NoSuchSchema(String),
 }
 
-/// The operators' files, each of which may be absent.
+/// The paths of the operators' files. Each file may be absent.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorFiles {
     pub service: Option<PathBuf>,
@@ -46,15 +46,15 @@
 }
 
 impl OperatorFiles {
-    /// Any of them is given.
-    fn is_any(&self) -> bool {
+    /// Whether at least one file is given.
+    fn any_given(&self) -> bool {
         self.service.is_some() || self.teams.is_some() || self.cluster.is_some() || self.store.is_some()
     }
 }
 
-/// The configuration that an argument names, or else the variable.
-fn config_path(given: Option<PathBuf>) -> Result<PathBuf, CommandError> {
-    let path = given.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from));
+/// The path of the configuration: that of the argument, or else that of the environment variable.
+fn config_path(argument: Option<PathBuf>) -> Result<PathBuf, CommandError> {
+    let path = argument.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from));
     path.ok_or(CommandError::NoConfig)
 }
 
@@ -78,7 +78,7 @@
     read_file(path, read_store)
 }
 
-/// This router in its cluster, in an incarnation that begins now.
+/// The cluster file and the place in it of the router with this name. The router's incarnation begins now.
 fn join_cluster(path: &Path, name: &str, seed: u64) -> Result<JoinedCluster, FileError> {
     let file = load_cluster(path)?;
     let place = file.router_index(name).map_err(|error| FileError::new(path, error))?;
--- a/crates/router/src/commands/schema.rs
+++ b/crates/router/src/commands/schema.rs
@@ -1,12 +1,12 @@
-//! `schema`: prints the schema of an operators' file.
+//! `schema`: prints the JSON schema of a kind of operators' file.
 
 use super::CommandError;
 use cleatgw_operator_config::{cluster_schema, service_schema, store_schema, teams_schema};
 
-/// Prints the schema of the kind of file that `file` names.
+/// Prints the JSON schema of a kind of file: `service`, `teams`, `cluster` or `store`.
 ///
 /// # Errors
-/// There is no such kind.
+/// `file` is none of these.
 pub fn run(file: &str) -> Result<(), CommandError> {
     let schema = match file {
         "service" => service_schema(),
--- a/crates/router/src/commands/serve.rs
+++ b/crates/router/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: serves clients until it is told to stop.
+//! `serve`: serves clients until a signal stops the program.
 
 use super::{
     config_path, join_cluster, load_config, load_service, load_store, load_teams, CommandError, OperatorFiles,
@@ -13,10 +13,10 @@
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use std::path::{Path, PathBuf};
 
-/// Serves by a configuration and the operators' files.
+/// Serves clients with this configuration and these operators' files.
 ///
 /// # Errors
-/// A file can't be used, or an address can't be listened on.
+/// A file can't be used, or the router can't listen on an address.
 pub fn run(config: Option<PathBuf>, files: OperatorFiles) -> Result<(), CommandError> {
     let config_path = config_path(config)?;
     let mut config = load_config(&config_path)?;
@@ -29,10 +29,10 @@
     }
     let reloaders = reloaders(config_path, &files, &config);
     let mut routing = Routing::new(config.deployment, config.names, config.seed, unix_time());
-    if let Some(file) = teams {
-        routing.set_tenants(file);
+    if let Some(teams) = teams {
+        routing.set_tenants(teams);
     }
-    let input = TurnInput { list_events: config.known, ..TurnInput::default() };
+    let input = TurnInput { list_events: config.known_events, ..TurnInput::default() };
     let listen = config.router.listen;
     let counters = transport::serve(config.router, routing, input, subsystems, reloaders)
         .map_err(|source| CommandError::Serve { listen, source })?;
@@ -51,7 +51,7 @@
     })
 }
 
-/// How each file is read again.
+/// The functions that read each file again on a reload.
 fn reloaders(config_path: PathBuf, files: &OperatorFiles, config: &LoadedConfig) -> Reloaders {
     let fixed = config.fixed.clone();
     let name = config.name.clone();
@@ -68,20 +68,25 @@
     }
 }
 
-/// What of a new configuration takes effect while the router runs.
+/// Reads the configuration again and returns the fields that are applied while the router runs. Changes to other fields are
+/// logged and ignored.
 fn reload_config(path: &Path, fixed: &FixedFields) -> Result<ReloadedConfig, FileError> {
     let config = load_config(path)?;
     let changed = fixed.changed_in(&config.fixed);
     if !changed.is_empty() {
-        log::warn!("configuration: {} can't change while running, what was stands", changed.join(", "));
+        log::warn!(
+            "configuration: {} can't change while running, the values from the start stay in effect",
+            changed.join(", ")
+        );
     }
-    Ok(ReloadedConfig { discovery: config.router.discovery, known: config.known })
+    Ok(ReloadedConfig { discovery: config.router.discovery, known: config.known_events })
 }
 
-/// As many descriptors as the configuration states, or else as the system can be brought to allow.
-fn allowed_descriptors(stated: u64) -> u64 {
+/// Raises the process's limit of open file descriptors to `configured` if it is lower. Returns how many the router may use:
+/// `configured`, or less if the system allows only less.
+fn allowed_descriptors(configured: u64) -> u64 {
     let limit = getrlimit(Resource::Nofile);
-    let wanted = stated.min(limit.maximum.unwrap_or(u64::MAX));
+    let wanted = configured.min(limit.maximum.unwrap_or(u64::MAX));
     match limit.current {
         Some(current) if current < wanted => {
             let raised = Rlimit { current: Some(wanted), ..limit };
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration that a router is given at its start.
+//! Reads the configuration file of a router.
 
 use crate::protocol::discovery::{self, Event, Malformed};
 use crate::transport::RouterSettings;
@@ -10,16 +10,16 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 
-/// Of a value that is wrong, so many characters are told.
-const MAX_SHOWN: usize = 40;
+/// How many characters of an invalid value an error message shows.
+const MAX_SHOWN_CHARS: usize = 40;
 const DEFAULT_NAME: &str = "cleatgw";
 const DEFAULT_DESCRIPTORS: f64 = 65_536.0;
 const DEFAULT_MEMORY_MB: f64 = 256.0;
 const BYTES_PER_MB_BITS: u32 = 20;
-/// The fields that stand for as long as the router runs.
+/// The fields that can't change while the router runs.
 const FIXED_FIELDS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
-/// A configuration that can't be used.
+/// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     #[error("expected JSON: {0}")]
@@ -32,27 +32,28 @@
     Notice { index: usize, source: Malformed },
 }
 
-fn wrong(field: &'static str, expected: &'static str, got: &Value) -> ConfigError {
-    let got = got.to_string().chars().take(MAX_SHOWN).collect();
+fn field_error(field: &'static str, expected: &'static str, got: &Value) -> ConfigError {
+    let got = got.to_string().chars().take(MAX_SHOWN_CHARS).collect();
     ConfigError::Field { field, expected, got }
 }
 
-/// All of a configuration.
+/// A configuration that has been read.
 pub struct LoadedConfig {
     /// The name of this router.
     pub name: String,
-    /// What its chance is drawn from.
+    /// The seed of the router's random choices.
     pub seed: u64,
     pub router: RouterSettings,
-    /// The events of discovery that are known at the start.
-    pub known: Vec<Event>,
+    /// The events of the discovery service that the configuration lists.
+    pub known_events: Vec<Event>,
     pub deployment: Deployment,
     pub names: Names,
+    /// Settings that contradict each other. The router warns of them and runs.
     pub contradictions: Vec<Contradiction>,
     pub fixed: FixedFields,
 }
 
-/// The fields that can't change while the router runs, as they stand in a configuration.
+/// The values that a configuration has in the fields that can't change while the router runs.
 #[derive(Clone)]
 pub struct FixedFields([Value; FIXED_FIELDS.len()]);
 
@@ -61,35 +62,35 @@
         FixedFields(FIXED_FIELDS.map(|field| config[field].clone()))
     }
 
-    /// The names of those that another configuration changes.
+    /// The names of the fields that have other values in `new`.
     pub fn changed_in(&self, new: &FixedFields) -> Vec<&'static str> {
         let fields = FIXED_FIELDS.into_iter().zip(self.0.iter().zip(&new.0));
-        fields.filter(|(_, (was, is))| was != is).map(|(field, _)| field).collect()
+        fields.filter(|(_, (old, new))| old != new).map(|(field, _)| field).collect()
     }
 }
 
 fn address(value: &Value, field: &'static str) -> Result<SocketAddr, ConfigError> {
     let address = value.as_str().and_then(|text| text.parse().ok());
-    address.ok_or_else(|| wrong(field, "an address and a port", value))
+    address.ok_or_else(|| field_error(field, "an address and a port", value))
 }
 
-/// A number above 0, or `absent`.
-fn count(value: &Value, field: &'static str, absent: f64) -> Result<usize, ConfigError> {
+/// A number of at least 1 and below 1e9, rounded down, or `default` if the field is absent.
+fn count(value: &Value, field: &'static str, default: f64) -> Result<usize, ConfigError> {
     if value.is_null() {
-        return Ok(absent as usize);
+        return Ok(default as usize);
     }
     let number = value.as_f64().filter(|number| (1.0..1e9).contains(number));
-    number.map(|number| number as usize).ok_or_else(|| wrong(field, "a number above 0", value))
+    number.map(|number| number as usize).ok_or_else(|| field_error(field, "a number above 0", value))
 }
 
-/// Reads a configuration.
+/// Reads a configuration from the text of its file.
 ///
 /// # Errors
-/// The first thing that is wrong, by its field.
+/// The text is not JSON, or a field is missing or invalid. The first such field is named.
 pub fn read(text: &str) -> Result<LoadedConfig, ConfigError> {
     let value: Value = serde_json::from_str(text)?;
     if !value.is_object() {
-        return Err(wrong("(all)", "an object", &value));
+        return Err(field_error("(all)", "an object", &value));
     }
     let listen = address(&value["listen"], "listen")?;
     let discovery = match &value["board"] {
@@ -97,16 +98,16 @@
         given => Some(address(given, "board")?),
     };
     if !value["settings"].is_object() {
-        return Err(wrong("settings", "an object", &value["settings"]));
+        return Err(field_error("settings", "an object", &value["settings"]));
     }
     let settings = Settings::from_json(&value["settings"]);
     let NamedDeployment { deployment, names } = read_deployment(&settings)?;
     let contradictions = settings.contradictions()?;
     if deployment.classes.is_empty() {
-        return Err(wrong("settings.categories", "at least one", &value["settings"]["categories"]));
+        return Err(field_error("settings.categories", "at least one", &value["settings"]["categories"]));
     }
-    let known = known_events(&value["known"]["notices"])?;
-    let last_known = known.iter().map(|event| event.number).max().unwrap_or(0);
+    let known_events = read_known_events(&value["known"]["notices"])?;
+    let last_known = known_events.iter().map(|event| event.number).max().unwrap_or(0);
     let limits = &value["limits"];
     Ok(LoadedConfig {
         name: value["name"].as_str().unwrap_or(DEFAULT_NAME).to_string(),
@@ -120,7 +121,7 @@
             connections: settings.connection_limits()?,
             longest_request: settings.longest_request()?,
         },
-        known,
+        known_events,
         deployment,
         names,
         contradictions,
@@ -128,23 +129,24 @@
     })
 }
 
-/// The events of discovery that the configuration holds.
-fn known_events(notices: &Value) -> Result<Vec<Event>, ConfigError> {
+/// The events of the discovery service that the configuration lists.
+fn read_known_events(notices: &Value) -> Result<Vec<Event>, ConfigError> {
     let notices = match notices {
         Value::Null => return Ok(Vec::new()),
         Value::Array(notices) => notices,
-        other => return Err(wrong("known.notices", "a list of events", other)),
+        other => return Err(field_error("known.notices", "a list of events", other)),
     };
-    let read = |(index, notice)| {
+    let read_event = |(index, notice)| {
         discovery::parse_event(notice).map_err(|source| ConfigError::Notice { index, source })
     };
-    notices.iter().enumerate().map(read).collect()
+    notices.iter().enumerate().map(read_event).collect()
 }
 
+/// The seed: a number, the hash of a text, or a random number if the field is absent.
 fn seed(value: &Value) -> Result<u64, ConfigError> {
     match value {
         Value::Null => Ok(RandomState::new().hash_one(0)),
         Value::String(text) => Ok(name_hash(text)),
-        other => other.as_u64().ok_or_else(|| wrong("seed", "a text", other)),
+        other => other.as_u64().ok_or_else(|| field_error("seed", "a text", other)),
     }
 }
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -1,9 +1,9 @@
-//! Reading the configuration and the operators' files.
+//! Reads the configuration and the operators' files, with errors that name the file.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
-/// A file that can't be used: which one, and why.
+/// Why a file can't be used, with its path.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct FileError {
@@ -17,10 +17,10 @@
     }
 }
 
-/// Reads a file, and what `parse` makes of its text.
+/// Reads a file and parses its text.
 ///
 /// # Errors
-/// It can't be read, or `parse` finds something wrong.
+/// The file can't be read, or `parse` fails.
 pub fn read_file<T, E>(path: &Path, parse: impl FnOnce(&str) -> Result<T, E>) -> Result<T, FileError>
 where
     E: Error + Send + Sync + 'static,
--- a/crates/router/src/log_lines.rs
+++ b/crates/router/src/log_lines.rs
@@ -1,5 +1,5 @@
-//! Log lines go to standard error as far as it takes them at once, and no more than so many a second: a slow reader
-//! or a flood of one kind loses lines, and never holds up the loop.
+//! Writes log lines to standard error without blocking the event loop. A line is dropped if standard error is not ready to take
+//! it, as with a slow reader, or if the limit of lines per second is reached, as in a flood of lines.
 
 use log::kv::{Key, VisitSource};
 use log::Record;
@@ -9,32 +9,37 @@
 use std::str::FromStr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A pipe that is ready takes this much without waiting.
-const LONGEST: usize = 4096;
-const MOST_A_SECOND: u32 = 200;
+/// The longest text that is written at once, in bytes. A pipe that is ready takes this much without blocking.
+const MAX_WRITE: usize = 4096;
+const MAX_LINES_PER_SECOND: u32 = 200;
 
-struct Lines {
+/// Writes lines to standard error, or drops and counts them.
+struct LineWriter {
+    /// Lines that were dropped since the last one that was written.
     lost: u64,
-    second: Instant,
+    /// When the current period of one second began.
+    second_began_at: Instant,
+    /// Lines in the current period, dropped ones included.
     lines: u32,
 }
 
-impl Lines {
-    fn ready() -> bool {
+impl LineWriter {
+    /// Whether standard error takes bytes without blocking.
+    fn is_ready() -> bool {
         let stderr = io::stderr();
-        let mut wanted = [PollFd::new(&stderr, PollFlags::OUT)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        poll(&mut wanted, Some(&at_once)).is_ok_and(|ready| ready > 0)
+        let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        poll(&mut polled, Some(&no_wait)).is_ok_and(|ready| ready > 0)
     }
 }
 
-impl Write for Lines {
+impl Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.second.elapsed() >= Duration::from_secs(1) {
-            (self.second, self.lines) = (Instant::now(), 0);
+        if self.second_began_at.elapsed() >= Duration::from_secs(1) {
+            (self.second_began_at, self.lines) = (Instant::now(), 0);
         }
         self.lines += 1;
-        if self.lines > MOST_A_SECOND || !Lines::ready() {
+        if self.lines > MAX_LINES_PER_SECOND || !LineWriter::is_ready() {
             self.lost += 1;
             return Ok(line.len());
         }
@@ -43,11 +48,11 @@
             text = format!("[{} log lines lost]\n", std::mem::take(&mut self.lost)).into_bytes();
         }
         text.extend(line);
-        if text.len() > LONGEST {
-            text.truncate(LONGEST - 1);
+        if text.len() > MAX_WRITE {
+            text.truncate(MAX_WRITE - 1);
             text.push(b'\n');
         }
-        // Without a reader there is nobody to tell.
+        // An error means that nobody reads the log, so there is nowhere to report it.
         let _ = io::stderr().write(&text);
         Ok(line.len())
     }
@@ -57,29 +62,30 @@
     }
 }
 
-/// How a line is written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
-    /// For people: the level, the part of the program, the words, and pairs behind them.
+pub enum LogFormat {
+    /// For people: the level, the module, the message, and the key-value pairs after it.
     #[default]
     Text,
-    /// One JSON object a line: `level`, `part`, `message`, `unix`, and the pairs under `fields`.
+    /// One JSON object per line: `level`, `part` (the module), `message`, `unix` (the time), and the key-value pairs under
+    /// `fields`.
     Json,
 }
 
-impl FromStr for Form {
+impl FromStr for LogFormat {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Form, String> {
+    fn from_str(text: &str) -> Result<LogFormat, String> {
         match text {
-            "text" => Ok(Form::Text),
-            "json" => Ok(Form::Json),
+            "text" => Ok(LogFormat::Text),
+            "json" => Ok(LogFormat::Json),
             _ => Err(format!("expected text or json, got {text:?}")),
         }
     }
 }
 
-/// The pairs of a record, as JSON.
+/// The key-value pairs of a record, as JSON.
 #[derive(Default)]
 struct Pairs(Map<String, Value>);
 
@@ -89,7 +95,7 @@
             (Some(number), ..) => number.into(),
             (_, Some(number), ..) => number.into(),
             (_, _, Some(number), _) => number.into(),
-            (_, _, _, Some(truth)) => truth.into(),
+            (_, _, _, Some(boolean)) => boolean.into(),
             _ => value.to_string().into(),
         };
         self.0.insert(key.to_string(), json);
@@ -97,37 +103,40 @@
     }
 }
 
-fn line(form: Form, record: &Record) -> String {
+/// The line for a record, with its line end.
+fn format_line(format: LogFormat, record: &Record) -> String {
     let mut pairs = Pairs::default();
-    // Ours never fails.
+    // `Pairs::visit_pair` never fails.
     let _ = record.key_values().visit(&mut pairs);
-    // A line stays one, whatever strangers have put into its words.
-    let words = record.args().to_string().replace(['\n', '\r'], " ");
-    match form {
-        Form::Text => {
-            let plain = |value: &Value| value.as_str().map_or(value.to_string(), str::to_string);
-            let behind: String =
-                pairs.0.iter().map(|(key, value)| format!(" {key}={}", plain(value))).collect();
-            let behind = behind.replace(['\n', '\r'], " ");
-            format!("[{:<5} {}] {words}{behind}\n", record.level(), record.target())
+    // Line breaks are replaced, so that text from clients or peers can't add lines to the log.
+    let message = record.args().to_string().replace(['\n', '\r'], " ");
+    match format {
+        LogFormat::Text => {
+            let unquoted = |value: &Value| value.as_str().map_or(value.to_string(), str::to_string);
+            let suffix: String =
+                pairs.0.iter().map(|(key, value)| format!(" {key}={}", unquoted(value))).collect();
+            let suffix = suffix.replace(['\n', '\r'], " ");
+            format!("[{:<5} {}] {message}{suffix}\n", record.level(), record.target())
         }
-        Form::Json => {
+        LogFormat::Json => {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-            let whole = json!({
-                "unix": unix, "level": record.level().as_str(), "part": record.target(), "message": words,
+            let object = json!({
+                "unix": unix, "level": record.level().as_str(), "part": record.target(), "message": message,
                 "fields": pairs.0,
             });
-            format!("{whole}\n")
+            format!("{object}\n")
         }
     }
 }
 
-pub fn start(form: Form) {
+/// Starts logging in this format. `RUST_LOG` sets which levels are logged; the default is `info`.
+pub fn init(format: LogFormat) {
     let filter = env_logger::Env::default().default_filter_or("info");
-    let lines = env_logger::Target::Pipe(Box::new(Lines { lost: 0, second: Instant::now(), lines: 0 }));
+    let writer = LineWriter { lost: 0, second_began_at: Instant::now(), lines: 0 };
+    let target = env_logger::Target::Pipe(Box::new(writer));
     env_logger::Builder::from_env(filter)
-        .target(lines)
-        .format(move |to, record| to.write_all(line(form, record).as_bytes()))
+        .target(target)
+        .format(move |out, record| out.write_all(format_line(format, record).as_bytes()))
         .init();
 }
 
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! cleatgw: the query gateway on sockets.
+//! The program `cleatgw`: a query gateway that serves clients over sockets, and commands to check and query it.
 
 mod cli;
 mod commands;
@@ -31,7 +31,7 @@
 
 fn main() -> ExitCode {
     let command = cli::options().run();
-    log_lines::start(command.log_form());
+    log_lines::init(command.log_format());
     match run(command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/router/src/status_query.rs
+++ b/crates/router/src/status_query.rs
@@ -1,50 +1,55 @@
-//! Asks a running router, as a client does, how something of it stands.
+//! Queries the status tables of a running router, over its client port.
 
 use crate::protocol::mysql;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// Limit for connecting, and for each read.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// So many packets are read of an answer.
+/// Row packets that are read of one answer, at most.
 const MAX_PACKETS: usize = 4096;
-/// Bytes of the longest packet.
+/// Longest packet body that is accepted, in bytes.
 const MAX_PACKET: usize = 1024 * 1024;
-/// What may be asked for.
+/// The topics of status tables.
 const TOPICS: [&str; 5] = ["announcements", "cluster", "duties", "store", "teams"];
-/// Capabilities of the client: protocol 4.1, secure connection, connect with a schema.
+/// Capability flags of the login: protocol 4.1, secure connection, connect with a schema.
 const CLIENT_FLAGS: u32 = 1 << 9 | 1 << 15 | 1 << 3;
-/// Bytes of the login that stay 0.
+/// Bytes after the capability flags that are 0: the packet limit, the character set and the reserved bytes.
 const LOGIN_ZEROS: usize = 28;
+/// The first byte of an error packet.
 const ERROR_PACKET: u8 = 0xff;
-/// Bytes of an error packet ahead of its words.
+/// Bytes of an error packet before its message.
 const ERROR_HEADER: usize = 9;
+/// The first byte of an EOF packet. Such a packet is shorter than `MAX_EOF_PACKET` bytes; a row that begins with this byte
+/// is longer.
 const EOF_PACKET: u8 = 0xfe;
 const MAX_EOF_PACKET: usize = 9;
 
-/// Why there is no answer.
+/// Why a query failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
-    #[error("nothing is called {0:?}: expected announcements, cluster, duties, store or teams")]
+    #[error("unknown topic {0:?}: expected announcements, cluster, duties, store or teams")]
     UnknownTopic(String),
     #[error("{address}: {source}")]
     Connection { address: SocketAddr, source: io::Error },
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("an answer of {0} bytes")]
+    #[error("packet too long in the router's answer: {0} bytes, the limit is {MAX_PACKET}")]
     LongAnswer(usize),
-    #[error("an answer without end")]
+    #[error("the router's answer does not end within {MAX_PACKETS} rows")]
     EndlessAnswer,
-    /// The router says that it has nothing of the kind.
+    /// The router answered with this error, for example because it has no such table.
     #[error("{0}")]
     Refused(String),
-    #[error("duty {role} is not held there: {row}")]
+    #[error("the router does not hold duty {role}: {row}")]
     RoleNotHeld { role: String, row: String },
-    #[error("that router has no duty {0}")]
+    #[error("the router has no duty {0}")]
     NoSuchRole(String),
 }
 
-fn packet(stream: &mut TcpStream) -> Result<Vec<u8>, StatusError> {
+/// Reads the body of the next packet.
+fn read_packet(stream: &mut TcpStream) -> Result<Vec<u8>, StatusError> {
     let mut header = [0; mysql::HEADER];
     stream.read_exact(&mut header)?;
     let length = u32::from_le_bytes([header[0], header[1], header[2], 0]) as usize;
@@ -56,13 +61,15 @@
     Ok(body)
 }
 
-fn put_packet(out: &mut Vec<u8>, sequence: u8, body: &[u8]) {
+/// Writes a packet.
+fn write_packet(out: &mut Vec<u8>, sequence: u8, body: &[u8]) {
     out.extend(&(body.len() as u32).to_le_bytes()[..3]);
     out.push(sequence);
     out.extend(body);
 }
 
-/// Takes one text off a row: a length of one byte, or 0xfc and two.
+/// Takes the first text off a row. Its length is one byte, or 0xfc and two bytes. None at the end of the row or if the row is
+/// malformed.
 fn take_text<'a>(row: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (&first, rest) = row.split_first()?;
     let (length, rest) = match first {
@@ -77,7 +84,7 @@
     Some(value)
 }
 
-/// The cells of a row, as one line.
+/// The cells of a row as one line of text.
 fn line(mut row: &[u8]) -> String {
     let mut cells = Vec::new();
     while let Some(cell) = take_text(&mut row) {
@@ -86,10 +93,11 @@
     cells.join("  ") + "\n"
 }
 
-/// The row that says that a router holds a leader role now, with its epoch.
+/// The row of a leader role that the router holds now, with its epoch.
 ///
 /// # Errors
-/// It does not, has no such role, or did not answer; as far as the router knows, the error says who holds it.
+/// The router does not hold the role, does not know it, or did not answer. If it does not hold the role, the error has the row,
+/// which names the holder if the router knows it.
 pub fn held_role(address: SocketAddr, role: &str) -> Result<String, StatusError> {
     let table = table(address, "duties")?;
     let prefix = format!("duty {role}  ");
@@ -100,28 +108,29 @@
     }
 }
 
-/// The table of a topic, a row a line.
+/// The status table of a topic, with one line per row.
 ///
 /// # Errors
-/// There is no such topic, or the router did not answer.
+/// There is no such topic, the router refused the query, or it did not answer.
 pub fn table(address: SocketAddr, topic: &str) -> Result<String, StatusError> {
     if !TOPICS.contains(&topic) {
         return Err(StatusError::UnknownTopic(topic.to_string()));
     }
-    let mut stream = ask(address, topic)?;
-    packet(&mut stream)?;
-    let first = packet(&mut stream)?;
+    let mut stream = send_query(address, topic)?;
+    // The answer to the login.
+    read_packet(&mut stream)?;
+    let first = read_packet(&mut stream)?;
     if first.first() == Some(&ERROR_PACKET) {
-        let words = first.get(ERROR_HEADER..).unwrap_or(b"");
-        return Err(StatusError::Refused(String::from_utf8_lossy(words).into_owned()));
+        let message = first.get(ERROR_HEADER..).unwrap_or(b"");
+        return Err(StatusError::Refused(String::from_utf8_lossy(message).into_owned()));
     }
     let columns = first.first().copied().unwrap_or(0);
     for _ in 0..=columns {
-        packet(&mut stream)?;
+        read_packet(&mut stream)?;
     }
     let mut table = String::new();
     for _ in 0..MAX_PACKETS {
-        let body = packet(&mut stream)?;
+        let body = read_packet(&mut stream)?;
         if body.first() == Some(&EOF_PACKET) && body.len() < MAX_EOF_PACKET {
             return Ok(table);
         }
@@ -130,19 +139,19 @@
     Err(StatusError::EndlessAnswer)
 }
 
-/// Connects, logs in, and sends the question.
-fn ask(address: SocketAddr, topic: &str) -> Result<TcpStream, StatusError> {
-    let failed = |source| StatusError::Connection { address, source };
-    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).map_err(failed)?;
-    stream.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
-    packet(&mut stream)?;
+/// Connects, logs in, and sends the `SHOW` statement, without waiting for the answers.
+fn send_query(address: SocketAddr, topic: &str) -> Result<TcpStream, StatusError> {
+    let connection_error = |source| StatusError::Connection { address, source };
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).map_err(connection_error)?;
+    stream.set_read_timeout(Some(TIMEOUT)).map_err(connection_error)?;
+    read_packet(&mut stream)?;
     let mut login = CLIENT_FLAGS.to_le_bytes().to_vec();
     login.extend([0; LOGIN_ZEROS]);
     login.extend(b"status\0\0\0");
-    let question = format!("\x03SHOW {}", topic.to_ascii_uppercase());
+    let query = format!("\x03SHOW {}", topic.to_ascii_uppercase());
     let mut out = Vec::new();
-    put_packet(&mut out, 1, &login);
-    put_packet(&mut out, 0, question.as_bytes());
-    stream.write_all(&out).map_err(failed)?;
+    write_packet(&mut out, 1, &login);
+    write_packet(&mut out, 0, query.as_bytes());
+    stream.write_all(&out).map_err(connection_error)?;
     Ok(stream)
 }
--- a/crates/router/src/status_row.rs
+++ b/crates/router/src/status_row.rs
@@ -1,10 +1,13 @@
-//! The rows of the tables that `SHOW` answers with.
+//! The rows of the status tables that answer `SHOW` statements.
 
-/// One row: what it is about, how that stands, and why.
+/// One row of a status table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatusRow {
+    /// What the row is about.
     pub subject: String,
+    /// The state of the subject.
     pub state: String,
+    /// The reason for the state, or further details.
     pub detail: String,
 }
 
@@ -16,7 +19,7 @@
         StatusRow { subject: subject.into(), state: state.into(), detail: detail.into() }
     }
 
-    /// Its cells, in the order of the columns.
+    /// The cells of the row, in the order of [`Self::COLUMNS`].
     pub fn cells(&self) -> [&str; 3] {
         [&self.subject, &self.state, &self.detail]
     }
