--- a/crates/router/src/protocol/mysql.rs
+++ b/crates/router/src/protocol/mysql.rs
@@ -116,7 +116,7 @@
         Ok(text)
     }
 
-    /// Bytes with their length ahead. Lengths above 2 bytes are refused.
+    /// Bytes with their length before them. A length that is encoded in more than 2 bytes is refused.
     fn take_length_prefixed(&mut self) -> Result<&'a [u8], PacketError> {
         let first = self.take(1)?[0];
         let length = match first {
@@ -201,7 +201,7 @@
     *sequence = sequence.wrapping_add(1);
 }
 
-/// Writes bytes with their length ahead.
+/// Writes bytes with their length before them.
 fn write_length_prefixed(out: &mut Vec<u8>, text: &[u8]) {
     match text.len() {
         short @ 0..=250 => out.push(short as u8),
