--- a/crates/router/src/routing/action_executor.rs
+++ b/crates/router/src/routing/action_executor.rs
@@ -1,4 +1,5 @@
-//! Carries out the decisions' actions as they are written, after a check that each is legal.
+//! Carries out the actions of the decision core as it issues them. An attempt is checked first, and refused if it is
+//! illegal.
 
 use super::types::{Answer, AttemptId, Connections, Dispatch};
 use super::RoutingState;
@@ -6,35 +7,36 @@
 use cleatgw::queue::WaitEstimate;
 use cleatgw::{ActionWriter, AttemptOutcome, EngineStage};
 
-/// Why an attempt was not made.
+/// Why an attempt is illegal.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 enum IllegalAttempt {
     #[error("the request is not open")]
     RequestNotOpen,
-    #[error("it has an attempt in flight")]
+    #[error("the request has an attempt in flight")]
     AttemptInFlight,
-    #[error("it has no attempts left")]
+    #[error("the request has no attempts left")]
     NoAttemptsLeft,
-    #[error("the engine takes no requests")]
+    #[error("the engine is not ready")]
     EngineNotReady,
 }
 
-/// The state and the connections that actions are carried out on.
+/// Carries out actions on the routing state and the connections.
 pub struct ActionExecutor<'a> {
     pub state: &'a mut RoutingState,
     pub connections: &'a mut dyn Connections,
 }
 
 impl ActionExecutor<'_> {
-    /// Gives a request its answer; nothing more is done for it.
-    fn end(&mut self, id: usize, answer: Answer) {
+    /// Sends the final answer to a request and cancels its attempts in flight.
+    fn finish(&mut self, id: usize, answer: Answer) {
         for attempt in self.state.requests.attempts_in_flight(id) {
             self.state.cancel(attempt, AttemptOutcome::Cancelled, self.connections);
         }
         self.state.answer(id, answer, self.connections);
     }
 
-    fn check(&self, id: usize, engine: EngineStage) -> Result<(), IllegalAttempt> {
+    /// Checks that an attempt of this request may be sent to an engine in this stage.
+    fn check(&self, id: usize, engine_stage: EngineStage) -> Result<(), IllegalAttempt> {
         let Some(request) = self.state.requests.get(id) else { return Err(IllegalAttempt::RequestNotOpen) };
         let deployment = &self.state.deployment;
         if !request.is_open() || request.deadline <= self.state.now {
@@ -46,7 +48,7 @@
         if request.attempts.len() as u32 >= deployment.max_attempts.max(1) {
             return Err(IllegalAttempt::NoAttemptsLeft);
         }
-        if engine != EngineStage::Ready {
+        if engine_stage != EngineStage::Ready {
             return Err(IllegalAttempt::EngineNotReady);
         }
         Ok(())
@@ -72,14 +74,14 @@
         else {
             log::error!(
                 request = id, engine = engine_index;
-                "attempt rejected by invariant check: an unknown request or engine"
+                "attempt rejected by invariant check: unknown request or engine"
             );
             return;
         };
         let attempt = AttemptId { request: id, number: request.attempts.len() as u32 };
         let times_out_at = time_out.map_or(request.deadline, |wait| request.deadline.min(now + wait));
-        let checked = self.check(id, engine.listing.stage);
-        match checked {
+        let check_result = self.check(id, engine.listing.stage);
+        match check_result {
             Ok(()) => {
                 let statement = &request.statement;
                 let idempotency_key = request.idempotency_key;
@@ -98,7 +100,7 @@
                     },
                     leave_by,
                 });
-                self.state.note_dispatched(attempt, idempotency_key);
+                self.state.record_dispatch(attempt, idempotency_key);
             }
             Err(reason) => {
                 log::error!(
@@ -108,7 +110,7 @@
                 self.state.ended_in_round.push((attempt, AttemptOutcome::NeverSent));
             }
         }
-        let is_legal = checked.is_ok();
+        let is_legal = check_result.is_ok();
         self.state.requests.add_attempt(attempt, engine_index, now, times_out_at, is_legal);
     }
 
@@ -120,29 +122,29 @@
     }
 
     fn reject(&mut self, id: usize, retry_after: Option<f64>) {
-        self.end(id, Answer::Rejected { retry_after });
+        self.finish(id, Answer::Rejected { retry_after });
     }
 
     fn fail(&mut self, id: usize) {
-        self.end(id, Answer::Failed);
+        self.finish(id, Answer::Failed);
     }
 
     fn report_wait_estimate(&mut self, id: usize, wait: Option<WaitEstimate>) {
         let Some(request) = self.state.requests.get(id) else { return };
-        let call = request.statement.id.as_str();
+        let id = request.statement.id.as_str();
         match wait {
             Some(WaitEstimate { expected, lower, upper, .. }) => {
-                log::debug!(call = call, wait = expected, from = lower, to = upper; "request {call} is expected to wait {expected:.3} s");
+                log::debug!(call = id, wait = expected, from = lower, to = upper; "request {id} is expected to wait {expected:.3} s");
             }
-            None => log::debug!(call = call; "request {call} waits, for how long can't be told"),
+            None => log::debug!(call = id; "request {id} waits; there is no estimate for how long"),
         }
     }
 
-    /// Discovery sends its changes unasked.
+    /// The discovery service sends changes without being asked, so there is nothing to subscribe to or fetch.
     fn watch_engine_list(&mut self, _on: bool) {}
     fn fetch_engine_list(&mut self) {}
 
-    /// Engines can't be probed, nor peers sent to, on this protocol.
+    /// The protocol has neither probes of engines nor messages to peers.
     fn probe(&mut self, _engine: usize) {}
     fn send_to_peers(&mut self, _peer: Option<usize>, _content: &[u8]) {}
 
--- a/crates/router/src/routing/counters_tests.rs
+++ b/crates/router/src/routing/counters_tests.rs
@@ -1,4 +1,4 @@
-//! The names of the counters cross to clients and to the operators' collectors: they stay as they were.
+//! The names of the counters are sent to clients and read by the operators' collectors, so they must not change.
 
 use super::Counters;
 use expect_test::expect_file;
--- a/crates/router/src/routing/engine_registry.rs
+++ b/crates/router/src/routing/engine_registry.rs
@@ -1,5 +1,5 @@
-//! The engines that discovery has listed: their names, numbers and addresses, and the indices by which the decisions know
-//! them.
+//! The engines that the discovery service has listed: their names, numbers and addresses, and the indices that the
+//! decision core uses for them.
 
 use crate::protocol::discovery::{EngineEntry, EngineList, Event};
 use cleatgw::{EngineListing, EngineStage};
@@ -7,25 +7,28 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// So many engines of a complete list are named in one line of the log.
+/// The maximum number of engines in one log line about a complete list.
 const ENGINES_PER_LOG_LINE: usize = 40;
 
-/// One engine of the list. Its number is its own for good; its index goes to another once it is gone.
+/// An engine of the list. Its index in the registry is reused for another engine once it is gone; its number is not.
 pub struct RegisteredEngine {
+    /// The engine's unique name at the discovery service.
     pub uid: String,
+    /// A number that no other engine gets while this router runs. The connections know the engine by it.
     pub number: u64,
     pub address: SocketAddr,
+    /// The engine as the decision core knows it.
     pub listing: EngineListing,
 }
 
-/// What an event of the list means to the decisions.
+/// A change of the engine list, as it is passed to the decision core.
 pub struct ListChange {
     pub listings: Vec<EngineListing>,
-    /// It names all engines there are.
+    /// Whether the listings are those of all engines.
     pub is_complete: bool,
 }
 
-/// All engines, by their indices.
+/// The listed engines by their indices.
 #[derive(Default)]
 pub struct EngineRegistry {
     engines: Vec<RegisteredEngine>,
@@ -34,7 +37,7 @@
 }
 
 impl EngineRegistry {
-    /// A complete list has come: requests can be served.
+    /// Whether a complete list has been received, so that requests can be served.
     pub fn has_complete_list(&self) -> bool {
         self.has_complete_list
     }
@@ -57,9 +60,9 @@
         self.engines.iter().map(|engine| engine.listing).collect()
     }
 
-    /// Notes an event of the list; none where it tells of something else. `in_use` are the indices of engines that have
-    /// attempts in flight, which are not given to others.
-    pub fn note(&mut self, event: Event, names: &mut Names, in_use: &HashSet<usize>) -> Option<ListChange> {
+    /// Applies an event of the discovery service. Returns `None` if the event holds no engine list. `in_use` holds the
+    /// indices of the engines that have attempts in flight; these indices are not reused.
+    pub fn apply(&mut self, event: Event, names: &mut Names, in_use: &HashSet<usize>) -> Option<ListChange> {
         let EngineList { is_complete, entries } = event.list?;
         let mut new = Vec::new();
         let mut listings = Vec::new();
@@ -79,7 +82,8 @@
         Some(ListChange { listings, is_complete })
     }
 
-    /// The listing of an entry; an engine that is not known takes an index, which goes into `new`.
+    /// Registers the engine of an entry and returns its listing. An engine that is not known yet gets an index, which
+    /// is added to `new`.
     fn register(
         &mut self,
         entry: EngineEntry,
@@ -88,7 +92,7 @@
         new: &mut Vec<usize>,
     ) -> EngineListing {
         let known = self.engines.iter().position(|engine| engine.uid == entry.uid);
-        let index = known.or_else(|| self.spare_index(in_use)).unwrap_or(self.engines.len());
+        let index = known.or_else(|| self.reusable_index(in_use)).unwrap_or(self.engines.len());
         let listing = EngineListing {
             engine: index,
             name_hash: name_hash(&entry.uid),
@@ -114,15 +118,16 @@
         listing
     }
 
-    /// The index of an engine that is gone, with no attempt in flight on it.
-    fn spare_index(&self, in_use: &HashSet<usize>) -> Option<usize> {
-        let is_spare = |index: &usize| {
+    /// The index of an engine that is gone and has no attempt in flight.
+    fn reusable_index(&self, in_use: &HashSet<usize>) -> Option<usize> {
+        let is_reusable = |index: &usize| {
             self.engines[*index].listing.stage == EngineStage::Gone && !in_use.contains(index)
         };
-        (0..self.engines.len()).find(is_spare)
+        (0..self.engines.len()).find(is_reusable)
     }
 
-    /// Names new engines in the log, which takes so many lines a second: many a line for a complete list.
+    /// Logs the new engines. Those of a complete list share lines, because the log accepts a limited number of lines
+    /// per second.
     fn log_new(&self, new: &[usize], is_complete: bool) {
         if !is_complete {
             for &index in new {
@@ -131,13 +136,13 @@
             }
             return;
         }
-        for some in new.chunks(ENGINES_PER_LOG_LINE) {
-            let name = |index: &usize| {
+        for chunk in new.chunks(ENGINES_PER_LOG_LINE) {
+            let describe = |index: &usize| {
                 let RegisteredEngine { uid, address, .. } = &self.engines[*index];
                 format!("{index} is {uid} at {address}")
             };
-            let names: Vec<String> = some.iter().map(name).collect();
-            log::info!(engines = some.len(); "engine {}", names.join(", "));
+            let descriptions: Vec<String> = chunk.iter().map(describe).collect();
+            log::info!(engines = chunk.len(); "engine {}", descriptions.join(", "));
         }
     }
 }
--- a/crates/router/src/routing/history.rs
+++ b/crates/router/src/routing/history.rs
@@ -1,4 +1,5 @@
-//! What of this router's history the rules need after a restart, and what other routers are told of engines.
+//! This router's history: what is persisted and restored so that the decision core keeps its limits over a restart, and
+//! the observations of engines that routers exchange.
 
 use super::engine_registry::RegisteredEngine;
 use super::idempotency_records::IdempotencyRecords;
@@ -11,7 +12,7 @@
 };
 
 impl Routing {
-    /// How far back the rules look, by what the deployment states.
+    /// How far back the decision core's rules look, according to the deployment.
     pub fn look_back(&self) -> LookBack {
         let deployment = &self.state.deployment;
         let windows = deployment.classes.iter().filter_map(|class| match class.idempotency {
@@ -25,45 +26,48 @@
         }
     }
 
-    /// This router begins without knowing what it sent before; from now on that is persisted.
+    /// Starts without a record of what this router sent before it was restarted, and assumes the worst case for it. The
+    /// history is persisted from now on.
     pub fn assume_lost_history(&mut self, now: f64) {
         self.state.records = Some(IdempotencyRecords::default());
         self.gateway.assume_lost_history(now);
     }
 
-    /// What of a former incarnation still counts.
+    /// Restores the part of a former incarnation's history that is still valid. Work that was sent to engines which are
+    /// no longer listed is left out.
     pub fn restore_history(&mut self, now: f64, history: ValidHistory) {
         let retries: Vec<f64> = history.retries.iter().map(|age| now - age).collect();
-        let sent = |work: &AgedWork| {
-            let of = EngineIncarnation { name: work.sent.name_hash, incarnation: work.sent.incarnation };
-            let is_of = |engine: &&RegisteredEngine| engine_incarnation(&engine.listing) == of;
-            let engine = self.state.engines.iter().find(is_of)?.listing.engine;
+        let restored_work = |work: &AgedWork| {
+            let sent_to = EngineIncarnation { name: work.sent.name_hash, incarnation: work.sent.incarnation };
+            let is_receiver = |engine: &&RegisteredEngine| engine_incarnation(&engine.listing) == sent_to;
+            let engine = self.state.engines.iter().find(is_receiver)?.listing.engine;
             Some(SlowStartWork { engine, sent_at: now - work.age, work: work.sent.work })
         };
-        let slow_start: Vec<SlowStartWork> = history.slow_start.iter().filter_map(sent).collect();
+        let slow_start: Vec<SlowStartWork> = history.slow_start.iter().filter_map(restored_work).collect();
         self.gateway.restore_history(&retries, &slow_start);
         let records = self.state.records.get_or_insert_default();
         records.restore(&history.idempotency_records, now);
     }
 
-    /// Grows with each change of what is persisted.
+    /// A number that grows with every change of the history that is persisted.
     pub fn persisted_changes(&self) -> u64 {
         self.state.persisted_changes
     }
 
-    /// What is to be persisted, with ages at `now`, which is `taken_at` on this router's own clock.
+    /// The history to be persisted, with ages at `now`. `taken_at` is the same time on the clocks that a snapshot is
+    /// dated with.
     pub fn snapshot(&mut self, now: f64, taken_at: SnapshotTime) -> Snapshot {
         let look_back = self.look_back();
         let ages = self.gateway.retries().map(|at| (now - at).max(0.0));
         let retries = ages.filter(|age| *age < look_back.retries).collect();
-        let sent = |engine: &RegisteredEngine| {
+        let sent_work = |engine: &RegisteredEngine| {
             let EngineIncarnation { name, incarnation } = engine_incarnation(&engine.listing);
             let work = self.gateway.evidence(engine.listing.engine, now)?.slow_start_work;
             (work > 0.0).then_some(SentWork { name_hash: name, incarnation, work })
         };
-        let slow_start = self.state.engines.iter().filter_map(sent).collect();
+        let slow_start = self.state.engines.iter().filter_map(sent_work).collect();
         let records = self.state.records.get_or_insert_default();
-        records.forget_before(now - look_back.idempotency_records());
+        records.remove_before(now - look_back.idempotency_records());
         Snapshot {
             taken_at,
             retries,
@@ -73,28 +77,28 @@
         }
     }
 
-    /// The retries of late, by their times.
+    /// The times of the recent retries, oldest first.
     pub fn retries(&self) -> impl Iterator<Item = f64> + '_ {
         self.gateway.retries()
     }
 
-    /// How many more retries may be made before what is persisted has followed.
+    /// Limits how many more retries may be made before the persisted history includes them.
     pub fn limit_unpersisted_retries(&mut self, allowance: u32) {
         self.gateway.limit_unpersisted_retries(allowance);
     }
 
-    /// What this router has seen of engines of late, for other routers.
+    /// This router's recent observations of engines, for other routers.
     pub fn observations(&self) -> Vec<Observation> {
-        let seen = |engine: &RegisteredEngine| {
+        let observation = |engine: &RegisteredEngine| {
             let evidence = self.gateway.evidence(engine.listing.engine, self.state.now)?;
             let EngineEvidence { successes, failures, slow_start_work } = evidence;
             let own = OwnEvidence { successes, failures, slow_start_work };
             Some((engine_incarnation(&engine.listing), own))
         };
-        digest::observations(self.state.engines.iter().filter_map(seen))
+        digest::observations(self.state.engines.iter().filter_map(observation))
     }
 
-    /// Hands the decisions what other routers report of each engine.
+    /// Passes other routers' evidence on each engine to the decision core.
     pub fn set_peer_evidence(&mut self, evidence_on: impl Fn(&EngineIncarnation) -> PeerEvidence) {
         for engine in self.state.engines.iter() {
             let reported = evidence_on(&engine_incarnation(&engine.listing));
--- a/crates/router/src/routing/idempotency_records.rs
+++ b/crates/router/src/routing/idempotency_records.rs
@@ -1,10 +1,10 @@
-//! Deduplicated requests that were dispatched and may have run, by a hash of their idempotency keys: bounded, the oldest go
-//! first.
+//! The first attempts of deduplicated requests that may have run, by the hash of the request's idempotency key. The
+//! number of records is bounded; the oldest are dropped first.
 
 use cleatgw_recovery::{IdempotencyRecord, MAX_IDEMPOTENCY_RECORDS};
 use std::collections::{HashMap, VecDeque};
 
-/// A key and when its first attempt was made.
+/// The hash of an idempotency key, and when a request with this key was first attempted.
 #[derive(Clone, Copy, Debug)]
 struct FirstAttempt {
     key: u64,
@@ -14,64 +14,66 @@
 /// The records of one router.
 #[derive(Default)]
 pub struct IdempotencyRecords {
-    /// When each was first attempted.
-    first: HashMap<u64, f64>,
-    /// The same, the oldest first.
-    order: VecDeque<FirstAttempt>,
+    /// When each key was first attempted.
+    first_attempts: HashMap<u64, f64>,
+    /// The same records, the oldest first.
+    by_age: VecDeque<FirstAttempt>,
 }
 
 impl IdempotencyRecords {
-    /// A request with this key is attempted now; tells whether that is its first attempt.
-    pub fn attempted(&mut self, key: u64, now: f64) -> bool {
-        if self.first.contains_key(&key) {
+    /// Records an attempt of a request with this key, unless the key has a record already. Returns whether it is the
+    /// first attempt.
+    pub fn record_attempt(&mut self, key: u64, now: f64) -> bool {
+        if self.first_attempts.contains_key(&key) {
             return false;
         }
-        self.first.insert(key, now);
-        self.order.push_back(FirstAttempt { key, at: now });
-        if self.order.len() > MAX_IDEMPOTENCY_RECORDS {
-            if let Some(oldest) = self.order.pop_front() {
-                self.first.remove(&oldest.key);
+        self.first_attempts.insert(key, now);
+        self.by_age.push_back(FirstAttempt { key, at: now });
+        if self.by_age.len() > MAX_IDEMPOTENCY_RECORDS {
+            if let Some(oldest) = self.by_age.pop_front() {
+                self.first_attempts.remove(&oldest.key);
             }
         }
         true
     }
 
-    /// The attempt of that time never ran: if it was the first, nothing did.
-    pub fn never_ran(&mut self, key: u64, at: f64) {
-        if self.first.get(&key) == Some(&at) {
-            self.first.remove(&key);
-            self.order.retain(|attempt| attempt.key != key);
+    /// Removes the record of a key if it stands for an attempt that was sent at this time and never ran. An attempt
+    /// other than the first leaves the record as it is.
+    pub fn remove_never_ran(&mut self, key: u64, sent_at: f64) {
+        if self.first_attempts.get(&key) == Some(&sent_at) {
+            self.first_attempts.remove(&key);
+            self.by_age.retain(|attempt| attempt.key != key);
         }
     }
 
     /// When a request with this key was first attempted.
     pub fn first_attempt(&self, key: u64) -> Option<f64> {
-        self.first.get(&key).copied()
+        self.first_attempts.get(&key).copied()
     }
 
-    /// Forgets what is older than a time.
-    pub fn forget_before(&mut self, time: f64) {
-        while let Some(attempt) = self.order.pop_front_if(|attempt| attempt.at < time) {
-            self.first.remove(&attempt.key);
+    /// Removes the records of attempts before a time.
+    pub fn remove_before(&mut self, time: f64) {
+        while let Some(attempt) = self.by_age.pop_front_if(|attempt| attempt.at < time) {
+            self.first_attempts.remove(&attempt.key);
         }
     }
 
-    /// All records with their ages, the oldest first.
+    /// All records with their ages in seconds, the oldest first.
     pub fn ages(&self, now: f64) -> Vec<IdempotencyRecord> {
         let record =
             |attempt: &FirstAttempt| IdempotencyRecord { key: attempt.key, age: (now - attempt.at).max(0.0) };
-        self.order.iter().map(record).collect()
+        self.by_age.iter().map(record).collect()
     }
 
-    /// Adds the records of a former incarnation.
+    /// Adds the records of this router's former incarnation. Of two records with the same key the earlier one counts.
     pub fn restore(&mut self, records: &[IdempotencyRecord], now: f64) {
-        let former = |record: &IdempotencyRecord| FirstAttempt { key: record.key, at: now - record.age };
-        let mut all: Vec<FirstAttempt> = records.iter().map(former).collect();
-        all.extend(std::mem::take(&mut self.order));
-        all.sort_by(|a, b| a.at.total_cmp(&b.at));
-        self.first.clear();
-        for attempt in all {
-            self.attempted(attempt.key, attempt.at);
+        let restored = |record: &IdempotencyRecord| FirstAttempt { key: record.key, at: now - record.age };
+        let mut attempts: Vec<FirstAttempt> = records.iter().map(restored).collect();
+        attempts.extend(std::mem::take(&mut self.by_age));
+        attempts.sort_by(|a, b| a.at.total_cmp(&b.at));
+        self.first_attempts.clear();
+        for attempt in attempts {
+            self.record_attempt(attempt.key, attempt.at);
         }
     }
 }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,5 +1,6 @@
-//! Control state: engines, requests and attempts, and a turn that hands all events to the decisions and carries out what
-//! these write. It decides nothing; it only checks that what it does is legal.
+//! Routing: the engines, the requests and their attempts. In each turn, routing reports all events to the decision
+//! core, runs one round of it, and carries out its actions. It decides nothing itself; it only checks that an action is
+//! legal.
 
 mod action_executor;
 mod counters;
@@ -30,19 +31,23 @@
     SessionId, SessionStatement, TurnInput, TurnOutput,
 };
 
-/// The control state of a router.
+/// A router's decision core and the state around it.
 pub struct Routing {
     gateway: Gateway,
     names: Names,
     seed: u64,
     state: RoutingState,
-    /// Sessions whose statements came in this turn, and were not handed to the decisions yet.
-    unreceived: VecDeque<SessionId>,
+    /// The sessions whose statements arrived in this turn and have not been reported to the decision core yet. If the
+    /// core panics, they are answered as failed.
+    unreported_sessions: VecDeque<SessionId>,
+    /// Absent if the tenants are not configured.
     tenants: Option<Tenants>,
+    /// The index of the next request.
     next_request: usize,
+    /// When this router stops; infinite if no stop is planned.
     stops_at: f64,
-    /// When the drain of this router began.
-    drained_at: Option<f64>,
+    /// When this router began to drain.
+    drain_began_at: Option<f64>,
 }
 
 impl Routing {
@@ -52,30 +57,30 @@
             names,
             seed,
             state: RoutingState { now, wake_at: now, deployment, ..RoutingState::default() },
-            unreceived: VecDeque::new(),
+            unreported_sessions: VecDeque::new(),
             tenants: None,
             next_request: 0,
             stops_at: f64::INFINITY,
-            drained_at: None,
+            drain_began_at: None,
         }
     }
 
-    /// Engines are known: requests can be served.
+    /// Whether a complete engine list has been received, so that requests can be served.
     pub fn is_ready(&self) -> bool {
         self.state.engines.has_complete_list()
     }
 
-    /// How many requests are open.
+    /// The number of open requests.
     pub fn open_requests(&self) -> usize {
         self.state.requests.open_count()
     }
 
-    /// Engines that are ready and not ejected.
+    /// The number of engines that are ready and not ejected.
     pub fn usable_engines(&self) -> usize {
         self.gateway.usable_engines()
     }
 
-    /// All counters, up to date.
+    /// Updates and returns the counters.
     pub fn counters(&mut self) -> &mut Counters {
         let waits = &self.gateway.queue.waits;
         let counters = &mut self.state.counters;
@@ -87,47 +92,49 @@
         counters
     }
 
-    /// This router ends then: no request has longer.
-    pub fn stop_at(&mut self, at: f64) {
-        self.stops_at = at;
-        self.gateway.stop_at(at);
-        self.state.requests.limit_deadlines(at);
+    /// Sets when this router stops. Later deadlines of requests are cut to that time.
+    pub fn stop_at(&mut self, stops_at: f64) {
+        self.stops_at = stops_at;
+        self.gateway.stop_at(stops_at);
+        self.state.requests.limit_deadlines(stops_at);
     }
 
-    /// This router drains; returns until when it takes new requests.
+    /// Starts to drain this router. Requests that arrive from the returned time on are not attempted.
     pub fn drain(&mut self, now: f64) -> f64 {
-        self.drained_at = Some(now);
+        self.drain_began_at = Some(now);
         self.gateway.drain(now)
     }
 
-    /// One turn: all events in, one round, and what was decided carried out.
+    /// Runs one turn: reports all events, runs one round of the decision core, and carries out its actions.
     pub fn turn(&mut self, now: f64, mut input: TurnInput, connections: &mut dyn Connections) -> TurnOutput {
         self.state.now = now;
-        // What the decisions may fail over is noted first, so that no list and no client is forgotten with them.
-        let list_changes = self.note_lists(&mut input);
-        self.unreceived = input.statements.iter().map(|asked| asked.session).collect();
+        // The decision core may panic in this round. The engine lists and the sessions are recorded before, so that
+        // neither is lost with it.
+        let list_changes = self.apply_list_events(&mut input);
+        self.unreported_sessions = input.statements.iter().map(|statement| statement.session).collect();
         let mut refused = Vec::new();
         let round = || self.round(list_changes, input, connections, &mut refused);
         if catch_unwind(AssertUnwindSafe(round)).is_err() {
-            self.restart_decisions(connections);
+            self.restart_decision_core(connections);
         }
         let wake_at = if self.state.ended_in_round.is_empty() {
-            self.state.wake_at.min(self.state.requests.next_time_out())
+            self.state.wake_at.min(self.state.requests.next_time_out_at())
         } else {
             now
         };
         TurnOutput { refused, wake_at }
     }
 
-    fn note_lists(&mut self, input: &mut TurnInput) -> Vec<ListChange> {
+    fn apply_list_events(&mut self, input: &mut TurnInput) -> Vec<ListChange> {
         let mut changes = Vec::new();
         for event in std::mem::take(&mut input.list_events) {
             let in_use = self.state.requests.engines_in_use();
-            changes.extend(self.state.engines.note(event, &mut self.names, &in_use));
+            changes.extend(self.state.engines.apply(event, &mut self.names, &in_use));
         }
         changes
     }
 
+    /// Reports all events to the decision core and runs one round.
     fn round(
         &mut self,
         list_changes: Vec<ListChange>,
@@ -146,12 +153,12 @@
             let outcome = outcome_of(&result);
             self.attempt_ended(attempt, outcome, result.ok(), connections);
         }
-        while let Some(attempt) = self.state.requests.next_timed_out(self.state.now) {
+        while let Some(attempt) = self.state.requests.take_timed_out(self.state.now) {
             self.state.cancel(attempt, AttemptOutcome::TimedOut, connections);
         }
         for SessionStatement { session, statement } in input.statements {
             if let Err(error) = self.receive(session, statement, input.received_since) {
-                self.unreceived.pop_front();
+                self.unreported_sessions.pop_front();
                 refused.push(RefusedStatement { session, error });
             }
         }
@@ -163,7 +170,7 @@
         self.gateway.round(now, &mut executor);
     }
 
-    /// What still waits for connections to engines that take nothing new does not leave.
+    /// Withdraws the attempts that still wait for a connection to an engine which accepts no new requests.
     fn withdraw_unsent(&self, connections: &mut dyn Connections) {
         for engine in self.state.engines.iter() {
             if engine.listing.stage != EngineStage::Ready {
@@ -172,7 +179,12 @@
         }
     }
 
-    /// Takes a statement as a request. `received_since` is when it can have come at the earliest.
+    /// Accepts a statement as a request and reports it to the decision core. `received_since` is the earliest time at
+    /// which the statement can have arrived, if that is well before now.
+    ///
+    /// # Errors
+    /// An unknown class or tenant, an id that an open request has, or no idempotency key although the class requires
+    /// one.
     fn receive(
         &mut self,
         session: SessionId,
@@ -181,18 +193,19 @@
     ) -> Result<(), StatementError> {
         let class = self.class_of(&statement)?;
         self.check_tenant(&statement)?;
-        // The first request under an id has the one answer.
+        // Of two requests with the same id, the first gets the answer.
         if self.state.requests.is_id_in_use(&statement.id) {
             return Err(StatementError::IdInUse { id: statement.id });
         }
         let idempotency_key = self.idempotency_key(class, &statement)?;
-        let earlier_attempt_at = self.earlier_attempt(idempotency_key);
+        let earlier_attempt_at = self.earlier_attempt_at(idempotency_key);
         let now = self.state.now;
-        let asked_at = received_since.unwrap_or(now);
+        let received_at = received_since.unwrap_or(now);
         let configured = &self.state.deployment.classes[class];
-        // No client is to wait for longer, whatever it says: what is learned of usual ones would be upset.
-        let gives_up_at = asked_at + statement.time_to_live.min(configured.max_wait);
-        let objective_at = asked_at + configured.objective_for(statement.work.unwrap_or(0.0));
+        // A time to live above the class's maximum is cut to the maximum, because it would distort what the decision
+        // core learns from the usual ones.
+        let gives_up_at = received_at + statement.time_to_live.min(configured.max_wait);
+        let objective_at = received_at + configured.objective_for(statement.work.unwrap_or(0.0));
         let incoming = IncomingRequest {
             class,
             key: None,
@@ -209,18 +222,18 @@
         let request = Request::new(statement, session, deadline, objective_at, idempotency_key);
         self.state.requests.insert(id, request);
         self.state.counters.taken += 1;
-        self.unreceived.pop_front();
+        self.unreported_sessions.pop_front();
         self.gateway.request_received(now, id, incoming);
         Ok(())
     }
 
     fn class_of(&self, statement: &ParsedStatement) -> Result<usize, StatementError> {
         let name = normalize_name(&statement.class);
-        let known = self.names.classes.iter().position(|known| *known == name);
-        known.ok_or_else(|| StatementError::unknown_class(name, &self.names.classes))
+        let class = self.names.classes.iter().position(|known| *known == name);
+        class.ok_or_else(|| StatementError::unknown_class(name, &self.names.classes))
     }
 
-    /// Where there are tenants, engines fail what comes from none of them.
+    /// Refuses a statement with the name of an unknown tenant if tenants are configured: the engines would fail it.
     fn check_tenant(&self, statement: &ParsedStatement) -> Result<(), StatementError> {
         let known = &self.names.tenants;
         match statement.tenant.as_deref().map(normalize_name) {
@@ -235,7 +248,7 @@
         self.tenants.as_ref().map_or(0, |tenants| tenants.names.index_of(statement.tenant.as_deref()))
     }
 
-    /// The hash of the statement's idempotency key, which its class may ask for.
+    /// The hash of the statement's idempotency key. `None` if the class is not deduplicated, which requires no key.
     fn idempotency_key(
         &self,
         class: usize,
@@ -251,14 +264,17 @@
         }
     }
 
-    /// When a request with this key was first attempted, as far as that still counts.
-    fn earlier_attempt(&mut self, idempotency_key: Option<u64>) -> Option<f64> {
-        let earlier = self.state.records.as_ref()?.first_attempt(idempotency_key?)?;
-        let counts = self.state.now - earlier < self.look_back().idempotency_records();
-        self.state.counters.idempotency_records_matched += u64::from(counts);
-        counts.then_some(earlier)
+    /// When a request with this key was first attempted. `None` if there is no record of that, or if the record is too
+    /// old to matter.
+    fn earlier_attempt_at(&mut self, idempotency_key: Option<u64>) -> Option<f64> {
+        let first_attempt_at = self.state.records.as_ref()?.first_attempt(idempotency_key?)?;
+        let still_counts = self.state.now - first_attempt_at < self.look_back().idempotency_records();
+        self.state.counters.idempotency_records_matched += u64::from(still_counts);
+        still_counts.then_some(first_attempt_at)
     }
 
+    /// Records the end of an attempt, answers the request if the attempt brought its result, and reports the end to the
+    /// decision core. The end of an attempt that is not in flight is ignored.
     fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -286,12 +302,12 @@
             load: LoadReport::default(),
         };
         self.gateway.attempt_ended(self.state.now, &end);
-        self.state.requests.forget_if_done(attempt.request);
+        self.state.requests.remove_if_done(attempt.request);
     }
 
-    /// A client has given its request up, and so are its attempts in flight.
+    /// Ends the open request of a session whose client has withdrawn it, and cancels its attempts in flight.
     fn withdraw(&mut self, session: SessionId, connections: &mut dyn Connections) {
-        let Some(request) = self.state.requests.of_session(session) else { return };
+        let Some(request) = self.state.requests.open_in_session(session) else { return };
         let in_flight = self.state.requests.attempts_in_flight(request);
         self.state.answer(request, Answer::Withdrawn, connections);
         self.gateway.request_finished(request);
@@ -300,10 +316,11 @@
         }
     }
 
-    /// The decisions have failed: what is open fails, and they start anew from the list alone.
-    fn restart_decisions(&mut self, connections: &mut dyn Connections) {
+    /// Replaces the decision core after a panic. All open requests fail, and the new core starts from the engine list
+    /// alone.
+    fn restart_decision_core(&mut self, connections: &mut dyn Connections) {
         let open = self.open_requests();
-        log::error!(requests = open; "the decisions failed: {open} open requests fail, the gateway starts anew");
+        log::error!(requests = open; "the decision core panicked: failing {open} open requests and restarting the core");
         self.fail_all(connections);
         self.state.counters.module_panics += 1;
         self.state.ended_in_round.clear();
@@ -311,11 +328,11 @@
         let now = self.state.now;
         self.seed = self.seed.wrapping_add(1);
         self.gateway = Gateway::new(self.state.deployment.clone(), self.seed, now);
-        // What it sent before still counts, and it does not know it.
+        // The attempts sent before still count towards the limits, but the new core has no record of them.
         self.gateway.assume_lost_history(now);
         self.gateway.stop_at(self.stops_at);
-        if let Some(began) = self.drained_at {
-            self.gateway.drain(began);
+        if let Some(began_at) = self.drain_began_at {
+            self.gateway.drain(began_at);
         }
         if let Some(tenants) = &self.tenants {
             let (queue, _) = tenants.file.tenant_queue(now, &self.names.classes);
@@ -325,7 +342,8 @@
         self.state.wake_at = now;
     }
 
-    /// Every request that is open fails, and every attempt in flight ends.
+    /// Fails every open request, cancels and ends every attempt in flight, and fails the statements that were not
+    /// reported to the decision core.
     fn fail_all(&mut self, connections: &mut dyn Connections) {
         for id in self.state.requests.ids() {
             for attempt in self.state.requests.attempts_in_flight(id) {
@@ -334,7 +352,7 @@
             }
             self.state.answer(id, Answer::Failed, connections);
         }
-        for session in std::mem::take(&mut self.unreceived) {
+        for session in std::mem::take(&mut self.unreported_sessions) {
             self.state.counters.taken += 1;
             self.state.counters.failed += 1;
             connections.answer(session, Answer::Failed);
--- a/crates/router/src/routing/request_table.rs
+++ b/crates/router/src/routing/request_table.rs
@@ -1,41 +1,45 @@
-//! The requests of this router, each with its attempts, from its statement to its final answer.
+//! The table of this router's requests, each with its attempts. A request stays in it until it has its final answer and
+//! none of its attempts is in flight.
 
 use super::types::{Answer, AttemptId, SessionId};
 use crate::protocol::statement::ParsedStatement;
 use cleatgw::AttemptOutcome;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// Where an attempt stands.
+/// The state of an attempt.
 pub enum AttemptState {
-    /// Cancelled for that reason, it is in flight until its end has come.
+    /// The attempt's end has not been reported yet.
     InFlight {
+        /// The index of the engine.
         engine: usize,
         sent_at: f64,
         times_out_at: f64,
+        /// Why the attempt was cancelled, if it was. It stays in flight until its end is reported.
         cancelled_for: Option<AttemptOutcome>,
     },
     Ended,
 }
 
-/// Where a request stands.
+/// The state of a request.
 enum Stage {
-    Open {
-        session: SessionId,
-    },
-    /// It has its answer, or is owed none.
+    /// The client waits for the answer in this session.
+    Open { session: SessionId },
+    /// The request has its answer, or its client withdrew it.
     Answered,
 }
 
-/// One request.
+/// A request.
 pub struct Request {
     pub statement: ParsedStatement,
     pub deadline: f64,
-    /// An answer by then meets the latency objective.
+    /// The latest time at which an answer meets the latency objective.
     pub objective_at: f64,
+    /// The priority lane of the request's attempts.
     pub lane: u8,
+    /// The memory that an attempt is granted, in megabytes. 0 leaves the memory to the engine.
     pub grant_mb: f64,
     pub attempts: Vec<AttemptState>,
-    /// The hash of its idempotency key, where its class has such keys.
+    /// The hash of the idempotency key. Absent if the class is not deduplicated.
     pub idempotency_key: Option<u64>,
     stage: Stage,
 }
@@ -60,7 +64,7 @@
         }
     }
 
-    /// Its client still waits.
+    /// Whether the client still waits for the answer.
     pub fn is_open(&self) -> bool {
         matches!(self.stage, Stage::Open { .. })
     }
@@ -70,25 +74,27 @@
     }
 }
 
-/// An attempt that has ended, as its state was.
+/// An attempt that was in flight and has ended.
 pub struct ClosedAttempt {
+    /// The index of the engine.
     pub engine: usize,
     pub sent_at: f64,
-    /// The outcome, with what the attempt was cancelled for.
+    /// The outcome, adjusted by the reason of the cancellation if the attempt was cancelled.
     pub outcome: AttemptOutcome,
 }
 
-/// All requests that are open, or have an attempt in flight.
+/// The requests that are open or have an attempt in flight.
 #[derive(Default)]
 pub struct RequestTable {
     requests: HashMap<usize, Request>,
     by_session: HashMap<SessionId, usize>,
-    /// The ids of the requests that are open, as their clients chose them.
+    /// The ids that clients chose for the open requests.
     open_ids: HashSet<String>,
-    /// When each attempt in flight has taken too long, as ordered bits.
+    /// When each attempt in flight times out, as the bits of that time.
     time_outs: BTreeSet<(u64, AttemptId)>,
 }
 
+/// The bits of a time, which order as times do because times are not negative.
 fn order_key(time: f64) -> u64 {
     time.max(0.0).to_bits()
 }
@@ -102,18 +108,18 @@
         self.requests.get_mut(&id)
     }
 
-    /// How many requests are open.
+    /// The number of open requests.
     pub fn open_count(&self) -> usize {
         self.by_session.len()
     }
 
-    /// Whether a request under this id is open.
+    /// Whether an open request has this id, which clients choose.
     pub fn is_id_in_use(&self, id: &str) -> bool {
         self.open_ids.contains(id)
     }
 
-    /// The request that a session has open.
-    pub fn of_session(&self, session: SessionId) -> Option<usize> {
+    /// The open request of a session.
+    pub fn open_in_session(&self, session: SessionId) -> Option<usize> {
         self.by_session.get(&session).copied()
     }
 
@@ -125,14 +131,14 @@
         self.requests.insert(id, request);
     }
 
-    /// No request has longer than this.
+    /// Cuts later deadlines to this time.
     pub fn limit_deadlines(&mut self, until: f64) {
         for request in self.requests.values_mut() {
             request.deadline = request.deadline.min(until);
         }
     }
 
-    /// The engines that have an attempt in flight.
+    /// The indices of the engines that have an attempt in flight.
     pub fn engines_in_use(&self) -> HashSet<usize> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         let engine = |attempt: &AttemptState| match attempt {
@@ -142,7 +148,7 @@
         attempts.filter_map(engine).collect()
     }
 
-    /// A request's attempts in flight.
+    /// The attempts of a request that are in flight.
     pub fn attempts_in_flight(&self, id: usize) -> Vec<AttemptId> {
         let attempts = self.requests.get(&id).map_or(&[][..], |request| &request.attempts);
         let in_flight =
@@ -150,7 +156,8 @@
         in_flight.map(|(number, _)| AttemptId { request: id, number: number as u32 }).collect()
     }
 
-    /// Notes an attempt that was made. `has_time_out` tells whether it is to be given up then.
+    /// Adds an attempt. `has_time_out` says whether the attempt is to be cancelled at `times_out_at`. It is false for
+    /// an attempt that was refused as illegal and not sent, which ends in the next turn.
     pub fn add_attempt(
         &mut self,
         attempt: AttemptId,
@@ -168,7 +175,7 @@
         }
     }
 
-    /// Closes an attempt; none where it is not in flight.
+    /// Marks an attempt as ended. Returns `None` if the attempt is not in flight.
     pub fn close_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Option<ClosedAttempt> {
         let state = self.state_mut(attempt)?;
         let AttemptState::InFlight { engine, sent_at, times_out_at, cancelled_for } = *state else {
@@ -176,7 +183,9 @@
         };
         *state = AttemptState::Ended;
         self.time_outs.remove(&(order_key(times_out_at), attempt));
-        // What never left is reported so, whatever it was cancelled for; so is an answer that was quicker.
+        // A cancelled attempt that ends without an answer has the reason of its cancellation as its outcome. If it
+        // never left the router, its outcome is `Unreachable` instead, whatever the reason, so that it counts as never
+        // run. An answer that arrived despite the cancellation counts as it is.
         let outcome = match (cancelled_for, outcome) {
             (Some(reason), AttemptOutcome::ConnectionLost) => reason,
             (Some(_), AttemptOutcome::NeverSent) => AttemptOutcome::Unreachable,
@@ -185,7 +194,7 @@
         Some(ClosedAttempt { engine, sent_at, outcome })
     }
 
-    /// Marks an attempt as cancelled for a reason; false where it is not in flight, or was cancelled before.
+    /// Marks an attempt as cancelled. Returns false if the attempt is not in flight or was cancelled before.
     pub fn mark_cancelled(&mut self, attempt: AttemptId, reason: AttemptOutcome) -> bool {
         let Some(AttemptState::InFlight { times_out_at, cancelled_for: cancelled_for @ None, .. }) =
             self.state_mut(attempt)
@@ -202,20 +211,20 @@
         self.requests.get_mut(&attempt.request)?.attempts.get_mut(attempt.number as usize)
     }
 
-    /// Takes out the first attempt whose time-out has passed.
-    pub fn next_timed_out(&mut self, now: f64) -> Option<AttemptId> {
+    /// Removes the attempt with the earliest time-out from the time-outs and returns it, if that time-out has passed.
+    pub fn take_timed_out(&mut self, now: f64) -> Option<AttemptId> {
         let first = self.time_outs.first().copied().filter(|(at, _)| *at <= order_key(now))?;
         self.time_outs.remove(&first);
         Some(first.1)
     }
 
-    /// When the next attempt times out; infinite where none does.
-    pub fn next_time_out(&self) -> f64 {
+    /// When the next attempt times out; infinite if none does.
+    pub fn next_time_out_at(&self) -> f64 {
         self.time_outs.first().map_or(f64::INFINITY, |&(at, _)| f64::from_bits(at))
     }
 
-    /// A request gets its one final answer: the session that it goes to, and whether it meets the latency objective. None where it
-    /// has had one.
+    /// Marks a request as answered. Returns the session that the answer goes to, or `None` if the request is unknown or
+    /// has been answered before.
     pub fn answer(&mut self, id: usize, answer: &Answer, now: f64) -> Option<AnsweredRequest> {
         let request = self.requests.get_mut(&id)?;
         let Stage::Open { session } = std::mem::replace(&mut request.stage, Stage::Answered) else {
@@ -227,8 +236,8 @@
         Some(AnsweredRequest { session, in_time })
     }
 
-    /// Forgets a request that has its answer and no attempt in flight.
-    pub fn forget_if_done(&mut self, id: usize) {
+    /// Removes a request that has its answer and no attempt in flight.
+    pub fn remove_if_done(&mut self, id: usize) {
         let is_done = self
             .requests
             .get(&id)
@@ -238,14 +247,15 @@
         }
     }
 
-    /// The ids of all requests.
+    /// The indices of all requests.
     pub fn ids(&self) -> Vec<usize> {
         self.requests.keys().copied().collect()
     }
 }
 
-/// Whose answer it is.
+/// A request that has just been answered.
 pub struct AnsweredRequest {
     pub session: SessionId,
+    /// Whether the answer is a result and meets the latency objective.
     pub in_time: bool,
 }
--- a/crates/router/src/routing/state.rs
+++ b/crates/router/src/routing/state.rs
@@ -1,4 +1,4 @@
-//! The state that actions are carried out on: engines, requests and their attempts, counters.
+//! The state that the decision core's actions change: engines, requests with their attempts, and counters.
 
 use super::counters::Counters;
 use super::engine_registry::EngineRegistry;
@@ -7,15 +7,16 @@
 use super::types::{Answer, AttemptId, Connections};
 use cleatgw::{AttemptOutcome, Deployment};
 
-/// What has become of an attempt.
+/// An attempt that has ended, as it is reported to the decision core.
 pub struct EndedAttemptState {
     pub outcome: AttemptOutcome,
+    /// The index of the engine.
     pub engine: usize,
-    /// Seconds that it was in flight.
+    /// How long the attempt was in flight, in seconds.
     pub elapsed: f64,
 }
 
-/// Everything but the decisions themselves.
+/// Routing's state except for the decision core.
 #[derive(Default)]
 pub struct RoutingState {
     pub now: f64,
@@ -23,18 +24,18 @@
     pub engines: EngineRegistry,
     pub requests: RequestTable,
     pub counters: Counters,
-    /// Attempts that ended by a decision: events of the next turn.
+    /// Attempts that the executor refused to make in this round. The next turn reports their ends to the decision core.
     pub ended_in_round: Vec<(AttemptId, AttemptOutcome)>,
-    /// When the decisions want the next round.
+    /// When the decision core asks for its next round.
     pub wake_at: f64,
-    /// Requests that may have run, where something is persisted over restarts.
+    /// The first attempts of deduplicated requests. Absent unless the router persists its history over restarts.
     pub records: Option<IdempotencyRecords>,
-    /// Grows with each change of what is persisted.
+    /// Incremented with every change of the history that is persisted.
     pub persisted_changes: u64,
 }
 
 impl RoutingState {
-    /// Closes an attempt; none where it is not in flight.
+    /// Marks an attempt as ended. Returns `None` if the attempt is not in flight.
     pub fn close_attempt(
         &mut self,
         attempt: AttemptId,
@@ -49,11 +50,12 @@
         Some(EndedAttemptState { outcome: closed.outcome, engine: closed.engine, elapsed })
     }
 
-    /// The attempt never ran: it is no reason to hold a repeat for one.
+    /// Removes the idempotency record of an attempt that never ran, so that a request which is sent again under the
+    /// same key does not count as a repeat because of it.
     fn forget_record(&mut self, attempt: AttemptId, sent_at: f64) {
         let key = self.requests.get(attempt.request).and_then(|request| request.idempotency_key);
         if let (Some(records), Some(key)) = (&mut self.records, key) {
-            records.never_ran(key, sent_at);
+            records.remove_never_ran(key, sent_at);
         }
     }
 
@@ -72,23 +74,23 @@
         *counter += 1;
     }
 
-    /// Notes that an attempt has gone to the connections.
-    pub fn note_dispatched(&mut self, attempt: AttemptId, idempotency_key: Option<u64>) {
+    /// Records that an attempt was handed to the connections.
+    pub fn record_dispatch(&mut self, attempt: AttemptId, idempotency_key: Option<u64>) {
         if let (Some(records), Some(key)) = (&mut self.records, idempotency_key) {
-            self.persisted_changes += u64::from(records.attempted(key, self.now));
+            self.persisted_changes += u64::from(records.record_attempt(key, self.now));
         }
         self.persisted_changes += u64::from(attempt.number > 0);
         self.counters.attempts += 1;
     }
 
-    /// Cancels an attempt for a reason; its end is an event of a later turn.
+    /// Cancels an attempt and keeps the reason. The end of the attempt is reported in a later turn.
     pub fn cancel(&mut self, attempt: AttemptId, reason: AttemptOutcome, connections: &mut dyn Connections) {
         if self.requests.mark_cancelled(attempt, reason) {
             connections.cancel(attempt);
         }
     }
 
-    /// Gives a request its one final answer.
+    /// Sends the final answer to a request, unless the request has been answered before.
     pub fn answer(&mut self, id: usize, answer: Answer, connections: &mut dyn Connections) {
         let Some(AnsweredRequest { session, in_time }) = self.requests.answer(id, &answer, self.now) else {
             return;
@@ -103,6 +105,6 @@
         *counter += 1;
         counters.in_time += u64::from(in_time);
         connections.answer(session, answer);
-        self.requests.forget_if_done(id);
+        self.requests.remove_if_done(id);
     }
 }
--- a/crates/router/src/routing/tenants.rs
+++ b/crates/router/src/routing/tenants.rs
@@ -1,21 +1,22 @@
-//! The tenants that share the engines: their queues, and how they stand.
+//! The tenants that share the engines: their queues, and the rows of `SHOW TEAMS`.
 
 use super::Routing;
 use crate::status_row::StatusRow;
 use cleatgw::queue::TenantLoad;
 use cleatgw_operator_config::{TeamsFile, TenantNames};
 
-/// Tenants that a table names, at most.
+/// The maximum number of tenants in the table.
 const MAX_ROWS: usize = 256;
 
-/// Who shares the engines, and which queue a name belongs to.
+/// The teams file that is in force, and the queue that each name belongs to.
 pub struct Tenants {
     pub file: TeamsFile,
     pub names: TenantNames,
 }
 
 impl Routing {
-    /// Tenants share the engines by this file from now on; requests that wait move to their queues by their names.
+    /// Puts a teams file into force. Requests that wait are moved to the queues that their tenants' names have in this
+    /// file.
     pub fn set_tenants(&mut self, file: TeamsFile) {
         let (queue, names) = file.tenant_queue(self.state.now, &self.names.classes);
         let requests = &self.state.requests;
@@ -27,15 +28,15 @@
         self.tenants = Some(Tenants { file, names });
     }
 
-    /// How the tenants stand that have requests queued or in flight; none without a teams file.
+    /// The rows on the tenants that have requests queued or in flight. `None` without a teams file.
     pub fn tenant_status(&self) -> Option<Vec<StatusRow>> {
         let names = &self.tenants.as_ref()?.names;
         let queue = &self.gateway.queue;
         let mut rows = vec![self.estimates_row()];
         let tenants = names.names().iter().enumerate();
         let loads = tenants.map(|(index, name)| (index, name, queue.load(index)));
-        let busy = loads.filter(|(_, _, load)| load.queued + load.in_flight > 0);
-        for (index, name, load) in busy.take(MAX_ROWS) {
+        let busy_tenants = loads.filter(|(_, _, load)| load.queued + load.in_flight > 0);
+        for (index, name, load) in busy_tenants.take(MAX_ROWS) {
             let TenantLoad { queued, queued_work, in_flight } = load;
             let mean_work = queued_work / queued.max(1) as f64;
             let wait = match queue.estimate_wait_of_new(index, mean_work, self.state.now) {
@@ -51,7 +52,7 @@
         Some(rows)
     }
 
-    /// What the estimates of waits have been worth.
+    /// The row on the accuracy of the wait estimates.
     fn estimates_row(&self) -> StatusRow {
         let waits = &self.gateway.queue.waits;
         let compared = waits.compared;
--- a/crates/router/src/routing/types.rs
+++ b/crates/router/src/routing/types.rs
@@ -1,4 +1,4 @@
-//! What passes between routing and the connections.
+//! The types and the trait through which routing and the connections work together.
 
 use crate::protocol::discovery::Event;
 use crate::protocol::engine::EngineRequest;
@@ -6,46 +6,49 @@
 use cleatgw::{AttemptOutcome, MeasuredCost};
 use std::net::SocketAddr;
 
-/// The number of a client session, as its client is told it.
+/// The id of a client session, as its client received it at login.
 pub type SessionId = u32;
 
-/// One attempt: its request, and its number among the request's.
+/// The id of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
+    /// The request that the attempt belongs to.
     pub request: usize,
+    /// The attempt's number among the attempts of its request, from 0.
     pub number: u32,
 }
 
-/// What an engine answered to an attempt.
+/// An engine's answer to an attempt.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
-    /// The complete result, and what it needed.
+    /// The complete result, and what the request needed. `measured` is absent if the engine does not measure it.
     Completed { rows: Vec<u8>, measured: Option<MeasuredCost> },
-    /// It was full, and never began.
+    /// The engine was full and did not begin the request.
     EngineFull,
-    /// It failed.
+    /// The request failed at the engine.
     EngineError,
-    /// The deadline had passed before it began.
+    /// The deadline had passed before the engine began the request.
     DeadlinePassed,
 }
 
-/// How far an attempt had come that got no answer.
+/// How far an attempt without a complete answer had come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DeliveryFailure {
-    /// It did not leave this router, for the router's own reasons.
+    /// The attempt did not leave this router, for a reason on the router's side.
     NeverSent,
-    /// The engine's side did not let it come complete: no connection, or one that ended under it.
+    /// The attempt did not reach the engine completely, for a reason on the engine's side: no connection could be
+    /// established, or the connection was lost while the attempt was being sent.
     Refused,
-    /// It went out complete, and may have run.
+    /// The attempt was sent completely, and the engine may have run it.
     Unanswered,
-    /// A part of its result came.
+    /// A part of the result was received.
     AnsweredInPart,
 }
 
-/// What became of an attempt.
+/// The end of an attempt, as the connections report it.
 pub type AttemptResult = Result<Reply, DeliveryFailure>;
 
-/// The outcome of an attempt, as the decisions know it.
+/// Converts the end of an attempt to the decision core's outcome.
 pub fn outcome_of(result: &AttemptResult) -> AttemptOutcome {
     match result {
         Ok(Reply::Completed { .. }) => AttemptOutcome::Completed,
@@ -60,43 +63,49 @@
 /// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
+    /// The result.
     Completed(Vec<u8>),
+    /// The request was not completed, and sending it again is harmless.
     Rejected {
+        /// After how many seconds the client should send the request again, if that is known.
         retry_after: Option<f64>,
     },
+    /// The request was not completed, and it may have run.
     Failed,
-    /// None is owed: the client gave the request up.
+    /// The client withdrew the request, so that it expects no answer.
     Withdrawn,
 }
 
-/// An attempt that is to go out.
+/// An attempt that is to be sent to an engine.
 pub struct Dispatch<'a> {
     pub attempt: AttemptId,
-    /// The number of the engine.
+    /// The engine's number, see `RegisteredEngine::number`.
     pub engine: u64,
     pub address: SocketAddr,
     pub request: EngineRequest<'a>,
-    /// It leaves by then, or is over and never left.
+    /// An attempt that has not left the router by this time is not sent any more. It ends as never sent.
     pub leave_by: f64,
 }
 
-/// What routing asks of the connections.
+/// The connections to clients and engines, as routing uses them.
 pub trait Connections {
-    /// Gives a session the final answer to its request.
+    /// Sends the final answer to a request to its session.
     fn answer(&mut self, session: SessionId, answer: Answer);
-    /// Makes an attempt.
+    /// Sends an attempt to its engine.
     fn dispatch(&mut self, dispatch: Dispatch);
     /// Changes the priority lane of an attempt in flight.
     fn change_lane(&mut self, attempt: AttemptId, lane: u8);
-    /// Cancels an attempt. How far it had come is an event of a later turn, once its engine has let go of it, or had time to.
+    /// Cancels an attempt. Its end, which tells how far it had come, is reported in a later turn: once its engine has
+    /// confirmed the cancellation, or once the time for that is over.
     fn cancel(&mut self, attempt: AttemptId);
-    /// Closes the connections to an engine that carry nothing.
+    /// Closes the idle connections to an engine.
     fn close_idle(&mut self, engine: u64);
-    /// What still waits for a connection to an engine does not leave any more: the engine drains, or is gone.
+    /// Ends the attempts that still wait for a connection to an engine, without sending them: the engine drains or is
+    /// gone.
     fn withdraw_unsent(&mut self, engine: u64);
 }
 
-/// A statement and the session that asked for it.
+/// A request and the session that sent it.
 pub struct SessionStatement {
     pub session: SessionId,
     pub statement: ParsedStatement,
@@ -108,27 +117,28 @@
     pub result: AttemptResult,
 }
 
-/// All that came in since the last turn, each kind in the order of its coming.
+/// The events since the last turn, each kind in the order of arrival.
 #[derive(Default)]
 pub struct TurnInput {
     pub list_events: Vec<Event>,
     pub ended_attempts: Vec<EndedAttempt>,
     pub statements: Vec<SessionStatement>,
-    /// When the statements can have come at the earliest, if that was well before now.
+    /// The earliest time at which the statements can have arrived. Absent unless that is well before this turn.
     pub received_since: Option<f64>,
-    /// Sessions whose clients have given their requests up.
+    /// The sessions whose clients have withdrawn their requests.
     pub withdrawn: Vec<SessionId>,
 }
 
-/// A statement that no request could be made of.
+/// A statement that was refused as a request, and why.
 pub struct RefusedStatement {
     pub session: SessionId,
     pub error: StatementError,
 }
 
-/// What a turn leaves to the event loop.
+/// What the event loop does after a turn.
 pub struct TurnOutput {
+    /// The statements whose sessions get an error as their answer.
     pub refused: Vec<RefusedStatement>,
-    /// When the next turn is due.
+    /// When the next turn is due at the latest.
     pub wake_at: f64,
 }
