--- a/crates/simulator-adapter/src/engine_list.rs
+++ b/crates/simulator-adapter/src/engine_list.rs
@@ -1,4 +1,4 @@
-//! The engine lists of the wire: a sheet, and the entries that follow it.
+//! The engine lists of the wire protocol: each is a `SHEET` line and the `ENTRY` lines that follow it.
 
 use crate::error::WireError;
 use crate::fields::Fields;
@@ -13,20 +13,22 @@
     pub kind: String,
     pub stage: EngineStage,
     pub cell: u64,
+    /// When the engine started. Absent if the entry does not state it.
     pub started_at: Option<f64>,
 }
 
-/// A list whose entries are still to come.
-struct OpenList {
+/// A list whose entries have not all been read.
+struct IncompleteList {
     number: u64,
+    /// The number of entries that are still missing.
     missing: u64,
 }
 
-/// The lists of a process, by their numbers. A number given anew means the newer list.
+/// The engine lists of the process by their numbers. A list replaces an earlier one with the same number.
 #[derive(Default)]
 pub struct EngineLists {
     lists: HashMap<u64, Vec<EngineEntry>>,
-    open: Option<OpenList>,
+    incomplete: Option<IncompleteList>,
 }
 
 impl EngineLists {
@@ -34,10 +36,13 @@
         self.lists.get(&number).map(Vec::as_slice)
     }
 
-    /// While a list lacks entries, nothing else may come.
+    /// Checks that a line is an entry while a list is incomplete.
+    ///
+    /// # Errors
+    /// Any other line while entries are missing.
     pub fn check_expected(&self, fields: &Fields) -> Result<(), WireError> {
-        match &self.open {
-            Some(OpenList { number, missing }) if fields.message() != "ENTRY" => {
+        match &self.incomplete {
+            Some(IncompleteList { number, missing }) if fields.message() != "ENTRY" => {
                 let expected = format!("{missing} more ENTRY lines for sheet {number}");
                 Err(fields.error("members-list", expected, fields.message()))
             }
@@ -45,25 +50,31 @@
         }
     }
 
-    /// `SHEET`: begins a list.
+    /// Reads a `SHEET` line, which begins a list.
+    ///
+    /// # Errors
+    /// A field that is missing or malformed.
     pub fn begin(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         let number = fields.integer("ref")?;
         let missing = fields.integer("members-list")?;
         self.lists.insert(number, Vec::new());
-        self.open = (missing > 0).then_some(OpenList { number, missing });
+        self.incomplete = (missing > 0).then_some(IncompleteList { number, missing });
         Ok(())
     }
 
-    /// `ENTRY`: adds to the list that was begun.
+    /// Reads an `ENTRY` line and adds the entry to the incomplete list.
+    ///
+    /// # Errors
+    /// No list is incomplete, or a field is missing or malformed.
     pub fn add(&mut self, fields: &mut Fields) -> Result<(), WireError> {
-        let Some(open) = &mut self.open else {
+        let Some(list) = &mut self.incomplete else {
             return Err(fields.error("message", "a SHEET before its entries", fields.message()));
         };
         let entry = read_entry(fields)?;
-        self.lists.entry(open.number).or_default().push(entry);
-        open.missing -= 1;
-        if open.missing == 0 {
-            self.open = None;
+        self.lists.entry(list.number).or_default().push(entry);
+        list.missing -= 1;
+        if list.missing == 0 {
+            self.incomplete = None;
         }
         Ok(())
     }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,15 +1,18 @@
-//! Reading the lines of the wire: their fields from left to right, with errors that name line, field and expectation.
+//! Reads the fields of a line from left to right. Errors state the line, the field, what was expected and what was
+//! there.
 
 use crate::error::WireError;
 use std::str::FromStr;
 
-/// Of a field that is wrong, so many characters are told.
-const MAX_SHOWN: usize = 40;
+/// The maximum number of characters of a malformed field that an error quotes.
+const MAX_QUOTED_CHARS: usize = 40;
 
-/// One line, taken apart from left to right.
+/// The fields of one line. Each method that reads a field reads the next one; `field` is its name for errors.
 pub struct Fields<'a> {
+    /// The number of the line, from 1.
     line: u64,
     message: &'a str,
+    /// What has not been read yet; `None` at the end of the line.
     rest: Option<&'a str>,
 }
 
@@ -22,22 +25,23 @@
         Fields { line, message, rest }
     }
 
-    /// The kind of message.
+    /// The name of the message, which is the first word of the line.
     pub fn message(&self) -> &'a str {
         self.message
     }
 
+    /// An error about a field of this line.
     pub fn error(&self, field: &'static str, expected: impl Into<String>, got: &str) -> WireError {
         WireError::Field {
             line: self.line,
             message: self.message.to_string(),
             field,
             expected: expected.into(),
-            got: got.chars().take(MAX_SHOWN).collect(),
+            got: got.chars().take(MAX_QUOTED_CHARS).collect(),
         }
     }
 
-    /// The next field; `-` and a missing one are absent.
+    /// The next field. `None` if it is `-`, empty or missing.
     pub fn text(&mut self) -> Option<&'a str> {
         let rest = self.rest?;
         let (field, rest) = match rest.split_once(' ') {
@@ -48,7 +52,7 @@
         (field != "-" && !field.is_empty()).then_some(field)
     }
 
-    /// All that is left of the line.
+    /// The rest of the line.
     pub fn remainder(&mut self) -> &'a str {
         self.rest.take().unwrap_or("")
     }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! The instances of one process: reads the batches of the wire, and answers each with the lines of its actions.
+//! Holds the gateway instances of the process. Reads the batches of the wire protocol, and answers each with the
+//! actions of the instances that had events in it.
 
 use crate::engine_list::EngineLists;
 use crate::error::WireError;
@@ -11,7 +12,7 @@
 use std::collections::HashMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The events that name an instance.
+/// The messages that are events of one instance, whose name is their first field.
 const INSTANCE_EVENTS: [&str; 11] = [
     "BEGIN",
     "KILLED",
@@ -26,30 +27,34 @@
     "OUTCOME",
 ];
 
-/// All that one process holds.
+/// The state of the process.
 pub struct Host {
+    /// The time of the current batch, in seconds.
     now: f64,
+    /// The number of the current batch.
     batch: u64,
     in_batch: bool,
     instances: HashMap<String, Instance>,
-    /// The instances that this batch had events for, in their order.
-    touched: Vec<String>,
+    /// The instances that had events in the current batch, in the order of their first events.
+    active: Vec<String>,
     lists: EngineLists,
-    /// The lines on instances that panicked in this batch.
+    /// The `FAULT` lines of the instances that panicked in the current batch.
     faults: String,
     teams: Option<TeamsFile>,
+    /// Whether instances may send each other digests of what they observe of engines.
     sends_digests: bool,
 }
 
 impl Host {
-    /// A process whose instances know these teams, and tell each other of engines where that is wanted.
+    /// A process without instances. `teams` is the teams file of all instances. With `sends_digests`, instances whose
+    /// deployment allows it send each other digests of what they observe of engines.
     pub fn new(teams: Option<TeamsFile>, sends_digests: bool) -> Host {
         Host {
             now: 0.0,
             batch: 0,
             in_batch: false,
             instances: HashMap::new(),
-            touched: Vec::new(),
+            active: Vec::new(),
             lists: EngineLists::default(),
             faults: String::new(),
             teams,
@@ -62,7 +67,10 @@
         self.in_batch
     }
 
-    /// Takes one line; a batch's last one gives back the reply.
+    /// Handles one line. Returns the reply if the line ends a batch.
+    ///
+    /// # Errors
+    /// A line that is malformed or not allowed here.
     pub fn read_line(&mut self, number: u64, text: &str) -> Result<Option<String>, WireError> {
         let mut fields = Fields::new(number, text);
         let message = fields.message();
@@ -75,7 +83,7 @@
             ("EOB", true) => return Ok(Some(self.end_batch())),
             ("SHEET", true) => self.lists.begin(&mut fields)?,
             ("ENTRY", true) => self.lists.add(&mut fields)?,
-            _ if INSTANCE_EVENTS.contains(&message) => self.instance_event(&mut fields)?,
+            _ if INSTANCE_EVENTS.contains(&message) => self.handle_instance_event(&mut fields)?,
             _ => return Err(fields.error("message", "an event of the wire page", message)),
         }
         Ok(None)
@@ -88,21 +96,22 @@
         Ok(())
     }
 
-    fn instance_event(&mut self, fields: &mut Fields) -> Result<(), WireError> {
+    fn handle_instance_event(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         let name = fields.required("i", "an instance")?;
         match fields.message() {
             "BEGIN" => {
                 let instance = Instance::begin(self.now, fields, self.teams.as_ref(), self.sends_digests)?;
                 self.instances.insert(name.to_string(), instance);
-                self.touch(name);
+                self.mark_active(name);
             }
             "KILLED" => self.remove(name),
-            _ => self.event(name, fields)?,
+            _ => self.pass_event(name, fields)?,
         }
         Ok(())
     }
 
-    fn event(&mut self, name: &str, fields: &mut Fields) -> Result<(), WireError> {
+    /// Passes an event to an instance that has begun. An instance that panics is removed.
+    fn pass_event(&mut self, name: &str, fields: &mut Fields) -> Result<(), WireError> {
         let Some(instance) = self.instances.get_mut(name) else {
             return Err(fields.error("i", "an instance that has begun", name));
         };
@@ -111,24 +120,25 @@
         match catch_unwind(AssertUnwindSafe(|| instance.event(now, lists, fields))) {
             Ok(result) => {
                 result?;
-                self.touch(name);
+                self.mark_active(name);
             }
             Err(panic) => self.instance_panicked(name, &*panic),
         }
         Ok(())
     }
 
-    fn touch(&mut self, name: &str) {
-        if !self.touched.iter().any(|touched| touched == name) {
-            self.touched.push(name.to_string());
+    fn mark_active(&mut self, name: &str) {
+        if !self.active.iter().any(|active| active == name) {
+            self.active.push(name.to_string());
         }
     }
 
     fn remove(&mut self, name: &str) {
         self.instances.remove(name);
-        self.touched.retain(|touched| touched != name);
+        self.active.retain(|active| active != name);
     }
 
+    /// Writes a `FAULT` line and removes the instance.
     fn instance_panicked(&mut self, name: &str, panic: &(dyn Any + Send)) {
         let text = panic.downcast_ref::<String>().map(String::as_str);
         let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
@@ -136,9 +146,10 @@
         self.remove(name);
     }
 
+    /// Runs a round of each active instance. Returns their actions, the faults and the acknowledgement.
     fn end_batch(&mut self) -> String {
         let mut reply = String::new();
-        for name in std::mem::take(&mut self.touched) {
+        for name in std::mem::take(&mut self.active) {
             let Some(instance) = self.instances.get_mut(&name) else { continue };
             let now = self.now;
             if let Err(panic) = catch_unwind(AssertUnwindSafe(|| instance.decide(now, &name, &mut reply))) {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: each event of the wire becomes a call of its decisions.
+//! One gateway instance: reads the fields of each event and reports the event to the instance's decision core.
 
 use crate::engine_list::{EngineEntry, EngineLists};
 use crate::error::WireError;
@@ -14,24 +14,30 @@
 use cleatgw_deployment_config::{index_of, name_hash, read_deployment, NamedDeployment, Names, Settings};
 use cleatgw_operator_config::{TeamsFile, TenantNames};
 
-/// The bit of a call's states that says that its cost is told.
+/// The bit of `state-bits` in a `CALL` line that says that the estimated cost is to be used.
 const COST_IS_STATED: u64 = 1;
-/// A measured cost is one number: whole milliseconds above, units of memory below.
+/// A measured cost is one number: the work in whole milliseconds times this factor, plus the memory in units of
+/// [`MB_PER_MEMORY_UNIT`].
 const MEASURED_MEMORY_UNITS: u64 = 4096;
 const MB_PER_MEMORY_UNIT: f64 = 4.0;
 const MS_PER_S: f64 = 1e3;
 
-/// One instance of a process.
+/// One gateway instance.
 pub struct Instance {
     gateway: Gateway,
     names: Names,
     identities: Identities,
+    /// Absent without a teams file.
     tenants: Option<TenantNames>,
+    /// Absent if this instance exchanges no digests with its peers.
     digests: Option<PeerDigests>,
 }
 
 impl Instance {
-    /// Reads what follows the instance's name in `BEGIN`.
+    /// Starts an instance from the seed and the settings that follow its name in a `BEGIN` line.
+    ///
+    /// # Errors
+    /// A seed or setting that is missing or malformed.
     pub fn begin(
         now: f64,
         fields: &mut Fields,
@@ -52,14 +58,17 @@
         Ok(Instance { gateway, names, identities: Identities::default(), tenants, digests })
     }
 
-    /// Takes in one event.
+    /// Handles one event. Events that the decision core has no use for are only checked.
+    ///
+    /// # Errors
+    /// A field that is missing or malformed, an unknown class, or an engine list that was not sent.
     pub fn event(&mut self, now: f64, lists: &EngineLists, fields: &mut Fields) -> Result<(), WireError> {
         match fields.message() {
             "BACKENDS_CHANGED" => self.engines_listed(now, lists, fields),
             "CALL" => self.request_received(now, fields),
             "OUTCOME" => self.attempt_ended(now, fields),
             "WITHDRAWN" => self.request_withdrawn(fields),
-            "NOTICE" => self.attempt_noted(now, fields),
+            "NOTICE" => self.attempt_status_received(now, fields),
             "HEALTH" => self.probe_answered(fields),
             "PEER" => self.digest_received(now, fields),
             "OPENED" => connection_opened(fields),
@@ -67,14 +76,14 @@
         }
     }
 
-    /// Decides once for all events of a batch.
+    /// Runs one round of the decision core after all events of a batch, and writes the actions to the reply.
     pub fn decide(&mut self, now: f64, name: &str, reply: &mut String) {
-        let due = self.digests.as_mut().and_then(|digests| {
+        let due_digest = self.digests.as_mut().and_then(|digests| {
             digests.deliver(now, &mut self.gateway);
             digests.due(now, &self.gateway)
         });
         let mut writer = ReplyWriter { instance: name, identities: &mut self.identities, reply };
-        if let Some(digest) = due {
+        if let Some(digest) = due_digest {
             for peer in digest.receivers {
                 writer.send_to_peers(Some(usize::from(peer)), &digest.bytes);
             }
@@ -133,18 +142,18 @@
         let class = fields.required("tier-class", "a class")?;
         let memory = fields.number("mem-mb")?;
         let table_group = fields.number("schema-no")?.unwrap_or(0.0);
-        let states = fields.optional_integer("state-bits")?.unwrap_or(0);
+        let state_bits = fields.optional_integer("state-bits")?.unwrap_or(0);
         let deadline = seconds(fields.integer("valid-until-us")?);
         let Some(class) = self.names.classes.iter().position(|name| name == class) else {
             return Err(fields.error("tier-class", "a class named at the start", class));
         };
         let request = self.identities.add_request(id);
-        let is_stated = states & COST_IS_STATED != 0;
+        let is_cost_stated = state_bits & COST_IS_STATED != 0;
         let incoming = IncomingRequest {
             class,
             key,
             table_group: table_group.to_bits(),
-            estimated_work: cost.filter(|&cost| is_stated && cost > 0).map(seconds),
+            estimated_work: cost.filter(|&cost| is_cost_stated && cost > 0).map(seconds),
             estimated_memory_mb: memory.filter(|&memory| memory > 0.0),
             deadline,
             tenant,
@@ -180,13 +189,14 @@
         Ok(())
     }
 
-    fn attempt_noted(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
+    /// Handles an engine's message about an attempt in flight.
+    fn attempt_status_received(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
         let id = fields.integer("req")?;
         fields.integer("hop")?;
         fields.required("engine", "an address")?;
         let kind = fields.integer("kind")?;
         let value = fields.number("x")?.unwrap_or(0.0);
-        let note = match kind {
+        let status = match kind {
             1 => AttemptStatus::Progress(value),
             2 => AttemptStatus::Spills,
             3 if value == 2.0 => AttemptStatus::WaitsForLoad,
@@ -194,12 +204,12 @@
             _ => return Ok(()),
         };
         if let Some(request) = self.identities.request(id) {
-            self.gateway.attempt_status_received(now, request, note);
+            self.gateway.attempt_status_received(now, request, status);
         }
         Ok(())
     }
 
-    /// Checked, and put to no use: the decisions send no probes.
+    /// Checks the answer to a health check and drops it: the decision core sends no probes.
     fn probe_answered(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         fields.required("engine", "an address")?;
         read_outcome(fields)?;
@@ -217,7 +227,7 @@
         Ok(())
     }
 
-    /// Reads the next field as an engine's load report.
+    /// Reads the next field as an engine's load report, whose columns are named in the settings.
     fn read_load(&self, fields: &mut Fields) -> Result<LoadReport, WireError> {
         let mut load = LoadReport::default();
         let Some(row) = fields.text() else { return Ok(load) };
@@ -237,6 +247,7 @@
     }
 }
 
+/// Checks the event and drops it.
 fn connection_opened(fields: &mut Fields) -> Result<(), WireError> {
     fields.integer("req")?;
     fields.required("engine", "an address")?;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire on standard input and output, cleatgw's decisions between them.
+//! Runs cleatgw's decision core under a simulator: reads the simulator's wire protocol from standard input, and writes
+//! the actions of the decision core to standard output.
 
 mod engine_list;
 mod error;
@@ -16,7 +17,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Why the program ends early.
+/// Why the program ends with an error.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error("expected --teams FILE, --tell-of-engines or nothing, got {0}")]
@@ -30,13 +31,14 @@
     #[error("writing: {0}")]
     Writing(io::Error),
     #[error("line {0}: expected UTF-8 text")]
-    NoText(u64),
+    NotUtf8(u64),
     #[error("line {0}: expected EOB, got the end of input")]
-    OpenBatch(u64),
+    UnfinishedBatch(u64),
     #[error(transparent)]
     Line(#[from] WireError),
 }
 
+/// Answers the batches of the input until its end.
 fn serve(input: &mut dyn BufRead, output: &mut dyn Write, mut host: Host) -> Result<(), AdapterError> {
     let mut bytes = Vec::new();
     let mut number = 0;
@@ -46,14 +48,14 @@
             break;
         }
         number += 1;
-        let text = std::str::from_utf8(&bytes).map_err(|_| AdapterError::NoText(number))?;
+        let text = std::str::from_utf8(&bytes).map_err(|_| AdapterError::NotUtf8(number))?;
         if let Some(reply) = host.read_line(number, text.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes()).map_err(AdapterError::Writing)?;
             output.flush().map_err(AdapterError::Writing)?;
         }
     }
     if host.in_batch() {
-        return Err(AdapterError::OpenBatch(number));
+        return Err(AdapterError::UnfinishedBatch(number));
     }
     Ok(())
 }
@@ -64,8 +66,8 @@
     read_teams(&text).map_err(|source| AdapterError::Teams { path: path.to_string(), source })
 }
 
-/// The process that the command line asks for: with the operator's teams (`--teams FILE`), or with instances that tell
-/// each other of engines where the deployment allows that (`--tell-of-engines`).
+/// Reads the command line. `--teams FILE` configures the operator's teams. With `--tell-of-engines`, instances send
+/// each other digests of what they observe of engines, if the deployment allows it.
 fn host_from_arguments() -> Result<Host, AdapterError> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match &arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
@@ -77,11 +79,11 @@
 }
 
 fn main() -> ExitCode {
-    // A panic in the decisions goes out as the wire's fault report, not as a trace.
+    // A panic of the decision core is reported in a `FAULT` line of the reply. The hook suppresses the usual message.
     std::panic::set_hook(Box::new(|_| {}));
-    let done =
+    let result =
         host_from_arguments().and_then(|host| serve(&mut io::stdin().lock(), &mut io::stdout().lock(), host));
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("cleatgw-adapter: {error}");
--- a/crates/simulator-adapter/src/reply_writer.rs
+++ b/crates/simulator-adapter/src/reply_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the actions of one instance as lines of the wire, as they are decided.
+//! Writes the actions of an instance's decision core as lines of the wire protocol.
 
 use crate::identities::Identities;
 use crate::units::{micros, micros_not_before};
@@ -6,16 +6,16 @@
 use cleatgw::ActionWriter;
 use std::fmt::Write as _;
 
-/// Writes into the reply of the batch.
+/// Appends the actions of one instance to the reply to a batch.
 pub struct ReplyWriter<'a> {
     pub instance: &'a str,
     pub identities: &'a mut Identities,
     pub reply: &'a mut String,
 }
 
-/// Ends a line of the reply.
+/// Appends a line to the reply.
 pub fn write_line(reply: &mut String, line: std::fmt::Arguments) {
-    reply.write_fmt(line).expect("a string takes all");
+    reply.write_fmt(line).expect("writing to a string does not fail");
     reply.push('\n');
 }
 
@@ -25,11 +25,12 @@
         write_line(self.reply, format_args!("PROVIDE {} {id} {lane} {:.1}", self.instance, memory_mb));
     }
 
-    /// On this wire an attempt leaves at once.
+    /// The time by which the attempt must have left is ignored: on this wire it leaves at once. A time-out of 0 stands
+    /// for none.
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
         let Some(id) = self.identities.request_id(request) else { return };
         self.identities.attempt_sent(request);
-        let time_out = time_out.map_or(0, |limit| micros(limit).max(1));
+        let time_out = time_out.map_or(0, |seconds| micros(seconds).max(1));
         let address = self.identities.address(engine);
         write_line(self.reply, format_args!("ASSIGN {} {id} {time_out} {address}", self.instance));
     }
--- a/crates/simulator-adapter/tests/golden_wire.rs
+++ b/crates/simulator-adapter/tests/golden_wire.rs
@@ -1,5 +1,5 @@
-//! Golden bytes of the simulator's wire: a session with every event, and the replies of the version before the code was
-//! reshaped. `TRACE` lines are left out, as log text may change.
+//! Golden test of the simulator's wire protocol: the replies to a session with most of the events must be byte for byte
+//! those of the former version. `TRACE` lines are left out, as the text of log lines may change.
 
 use expect_test::expect_file;
 use std::fmt::Write as _;
@@ -18,42 +18,44 @@
     report.columns=outstanding,backlog,x0 \
     rules.cold-from=0.3 rules.warm-after-us=3000000 rules.fall-multiple=2 rules.overload-for-us=1000000";
 
-/// The replies of the program to these lines, and how it ended.
-fn replies(arguments: &[&str], input: &str) -> (String, String, bool) {
+/// Runs the program on this input. Returns its output, its error output, and whether it succeeded.
+fn run_program(arguments: &[&str], input: &str) -> (String, String, bool) {
     let mut child = Command::new(PROGRAM)
         .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let mut stdin = child.stdin.take().expect("it is piped");
-    let owned = input.to_string();
+        .expect("the program did not start");
+    let mut stdin = child.stdin.take().expect("standard input is not piped");
+    let input = input.to_string();
     let writer = std::thread::spawn(move || {
-        // It may end before all is read, where a line is malformed.
-        let _ = stdin.write_all(owned.as_bytes());
+        // Writing may fail, because the program ends at a malformed line without reading the rest.
+        let _ = stdin.write_all(input.as_bytes());
     });
-    let output = child.wait_with_output().expect("it ends");
-    writer.join().expect("the writer ends");
+    let output = child.wait_with_output().expect("waiting for the program failed");
+    writer.join().expect("the writer panicked");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (text(&output.stdout), text(&output.stderr), output.status.success())
 }
 
+/// The text without its `TRACE` lines.
 fn without_traces(text: &str) -> String {
     text.lines().filter(|line| !line.starts_with("TRACE ")).map(|line| line.to_string() + "\n").collect()
 }
 
-/// A session in which engines come, drain and go, answer, fail and fall silent.
+/// A session in which an engine drains, a request is withdrawn, the engine list fails, and attempts end in different
+/// ways or not at all.
 fn session() -> String {
     let mut text = String::new();
     let mut batch = 0;
-    let mut mark = |text: &mut String, now: u64, lines: &[String]| {
+    let mut write_batch = |text: &mut String, now: u64, lines: &[String]| {
         batch += 1;
-        writeln!(text, "MARK {now} {batch}").expect("a string takes all");
+        writeln!(text, "MARK {now} {batch}").expect("writing to a string does not fail");
         for line in lines {
-            writeln!(text, "{line}").expect("a string takes all");
+            writeln!(text, "{line}").expect("writing to a string does not fail");
         }
-        writeln!(text, "EOB").expect("a string takes all");
+        writeln!(text, "EOB").expect("writing to a string does not fail");
     };
     let entry = |number: usize, stage: &str| {
         let (kind, zone) = (["std", "big"][number % 2], ["a", "b"][number % 2]);
@@ -62,28 +64,28 @@
     let mut first = vec![format!("BEGIN router_1 7 {SETTINGS}"), "SHEET 0 4".to_string()];
     first.extend((1..=4).map(|number| entry(number, "Ready")));
     first.push("BACKENDS_CHANGED router_1 0 disk 1".to_string());
-    mark(&mut text, 1_000_000, &first);
+    write_batch(&mut text, 1_000_000, &first);
     for step in 0..40u64 {
         let now = 1_100_000 + step * 50_000;
         let request = 100 + step;
         let class = ["look", "report", "write"][(step % 3) as usize];
-        let bits = step % 2;
+        let state_bits = step % 2;
         let mut lines = vec![format!(
-            "CALL router_1 {request} {} - - {class} {} {} {bits} {}",
+            "CALL router_1 {request} {} - - {class} {} {} {state_bits} {}",
             20_000 + 1000 * step,
             100 + 10 * step,
             step % 5,
             now + 4_000_000
         )];
         if step % 4 == 3 {
-            let ending =
+            let outcome =
                 ["done", "err", "econnrefused", "etimedout", "busy", "econnreset"][(step / 4 % 6) as usize];
-            // Milliseconds of work and, in the low bits, units of 4 MB.
-            let (cost, over) =
-                if ending == "done" { ((21 * 4096 + 25).to_string(), 1) } else { ("-".to_string(), 0) };
+            // The measured cost holds milliseconds of work and, in its low 12 bits, units of 4 MB.
+            let (cost, request_done) =
+                if outcome == "done" { ((21 * 4096 + 25).to_string(), 1) } else { ("-".to_string(), 0) };
             for engine in 1..=4 {
                 lines.push(format!(
-                    "OUTCOME router_1 {} {cost} 0 10.0.0.{engine}:1 {ending} {over} 30000 3,0,0.5",
+                    "OUTCOME router_1 {} {cost} 0 10.0.0.{engine}:1 {outcome} {request_done} 30000 3,0,0.5",
                     request - 3
                 ));
             }
@@ -99,18 +101,18 @@
             lines.push("PEER router_1 2 AAAA".to_string());
             lines.push("BACKENDS_CHANGED router_1 - error -".to_string());
         }
-        mark(&mut text, now, &lines);
+        write_batch(&mut text, now, &lines);
     }
-    mark(&mut text, 9_000_000, &["DEADLINE_HIT router_1 due".to_string()]);
-    mark(&mut text, 9_100_000, &["KILLED router_1".to_string()]);
+    write_batch(&mut text, 9_000_000, &["DEADLINE_HIT router_1 due".to_string()]);
+    write_batch(&mut text, 9_100_000, &["KILLED router_1".to_string()]);
     text
 }
 
 #[test]
-fn replies_to_a_session_are_those_of_the_former_version() {
+fn replies_to_a_session_equal_those_of_the_former_version() {
     for (name, arguments) in [("plain", &[][..]), ("tells", &["--tell-of-engines"][..])] {
-        let (replies, errors, ended) = replies(arguments, &session());
-        assert!(ended, "{errors}");
+        let (replies, errors, succeeded) = run_program(arguments, &session());
+        assert!(succeeded, "{errors}");
         assert!(replies.matches("ASSIGN ").count() > 20, "{replies}");
         match name {
             "plain" => expect_file!["golden/plain.txt"].assert_eq(&without_traces(&replies)),
@@ -120,7 +122,7 @@
 }
 
 #[test]
-fn complaints_about_malformed_lines_are_those_of_the_former_version() {
+fn errors_about_malformed_lines_equal_those_of_the_former_version() {
     let lines = [
         "HELLO",
         "MARK soon 1",
@@ -135,12 +137,12 @@
     ];
     let mut text = String::new();
     for line in lines {
-        let (_, errors, ended) = replies(&[], &format!("{line}\n"));
-        assert!(!ended);
+        let (_, errors, succeeded) = run_program(&[], &format!("{line}\n"));
+        assert!(!succeeded);
         text += &format!("{} -> {errors}", line.escape_default());
     }
-    let (_, errors, ended) = replies(&["--unheard-of"], "");
-    assert!(!ended);
+    let (_, errors, succeeded) = run_program(&["--unheard-of"], "");
+    assert!(!succeeded);
     text += &errors;
     expect_file!["golden/complaints.txt"].assert_eq(&text);
 }
