--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,13 +1,13 @@
-//! From the start of a router to full service: what it persists of itself ([`Snapshot`]), for how long each piece of that is valid
-//! and what is assumed where it is missing ([`valid_history`]), the phases in which a fresh router takes it up
-//! ([`Recovery`]), and when it writes a snapshot ([`WriteSchedule`]).
+//! Recovery of a router from its start to full service: what it persists ([`Snapshot`]), for how long each part of a
+//! snapshot is valid ([`valid_history`]) and what is assumed if it is missing, the phases in which a restarted router
+//! restores it ([`Recovery`]), and when the router writes a snapshot ([`WriteSchedule`]).
 //!
-//! No I/O: the host hands in what its store found, what peers say, and two clocks; it carries out the [`Step`]s.
-//! Design: `docs/design/comeback.md`.
+//! The crate does no I/O: the host hands in what its store holds, what peers report, and the readings of two clocks, and
+//! carries out the resulting [`Step`]s. Design: `docs/design/comeback.md`.
 //!
-//! **Assumptions.** Ages are taken from the machine's own clock since its boot, where the file is of the same boot; else from
-//! the Unix clock, and nothing of a time in the future is believed. That the file is the last one that was acknowledged is
-//! proved by peers, to whom its epoch was shown; where none answers, it rests on the disk.
+//! **Assumptions.** The age of a snapshot is measured by the machine's own clock since boot if the snapshot was taken in the
+//! same boot, and otherwise by the Unix clock. A snapshot with a time in the future is not used. Peers show whether the
+//! snapshot is the last one that was written: they were shown its epoch. If no peer answers, the disk is trusted.
 
 mod look_back;
 mod recovery;
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -1,27 +1,29 @@
-//! The phases in which a fresh router takes up what a former incarnation has persisted.
+//! The phases in which a restarted router restores the history that its former incarnation persisted.
 
 use crate::{valid_history, LookBack, Pieces, Snapshot, SnapshotTime, ValidHistory};
 
-/// How long the store may take to say what it found, in seconds. After that what is missing counts as lost.
+/// Seconds within which the store must report its contents. After that, the snapshot counts as lost. The log text of
+/// [`LossReason::Timeout`] states this time.
 const READ_TIMEOUT: f64 = 1.0;
-/// How long peers may take to say which epoch they were shown, in seconds. After that what was found counts as proved.
-const PROVE_TIMEOUT: f64 = 1.0;
+/// Seconds to wait for a peer to report the latest epoch that it was shown. After that, the snapshot found is accepted
+/// without confirmation.
+const EPOCH_TIMEOUT: f64 = 1.0;
 
-/// Where a fresh router stands.
+/// The phase of a router's recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Its store has not said what it found.
+    /// The store has not reported its contents yet.
     Reading,
-    /// Peers are asked which epoch they were shown.
+    /// A snapshot was found; peers are asked for the latest epoch that they were shown, which shows whether it is the last.
     Proving,
-    /// What is not known is assumed at its worst, until no window reaches back beyond the start.
+    /// The history is lost and the worst is assumed of it, until no window reaches back beyond the start.
     Settling,
     /// Full service.
     Full,
 }
 
 impl Phase {
-    /// The word for logs and status.
+    /// The name of the phase in logs and in the status.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Reading => "reading",
@@ -32,80 +34,83 @@
     }
 }
 
-/// Why nothing is taken up.
+/// The reason why no history is restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// There is nothing, or it was set aside by the store.
+    /// The store holds no snapshot, or has quarantined it.
     NoSnapshot,
-    /// The store did not answer in time.
+    /// The store did not report its contents within 1 s.
     Timeout,
-    /// A piece can't be read.
+    /// A piece of the snapshot is missing or can't be decoded.
     Unreadable,
-    /// It is of the future: a clock was set back, and no age can be told.
+    /// The snapshot's time lies in the future: a clock was set back, and the age can't be determined.
     FromFuture,
-    /// Peers were shown a later epoch: an older copy was put back.
+    /// Peers were shown a later epoch: an older copy of the store was restored.
     Outdated,
 }
 
 impl LossReason {
-    /// The words for logs.
+    /// The description of the reason in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            LossReason::NoSnapshot => "nothing was kept",
-            LossReason::Timeout => "the store did not say in time",
-            LossReason::Unreadable => "a piece can't be read",
-            LossReason::FromFuture => "it is of the future",
-            LossReason::Outdated => "peers were shown a later one",
+            LossReason::NoSnapshot => "the store holds no snapshot",
+            LossReason::Timeout => "the store did not answer within 1 s",
+            LossReason::Unreadable => "a piece of the snapshot is missing or can't be decoded",
+            LossReason::FromFuture => "the snapshot is dated in the future",
+            LossReason::Outdated => "peers were shown a later epoch",
         }
     }
 }
 
-/// What the host is to do.
+/// A step for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The decisions are to assume the worst.
+    /// The decision core is to assume the worst of the lost history.
     AssumeLostHistory,
-    /// They are told what is still valid instead.
+    /// The decision core is to use this history instead.
     RestoreHistory(ValidHistory),
-    /// Nothing is taken up, for this reason.
+    /// No history is restored, for this reason; the host logs it.
     Discarded(LossReason),
-    /// A phase begins.
+    /// A phase has begun; the host logs it.
     Entered(Phase),
 }
 
-/// What the store found, if anything: its epoch and its pieces.
+/// The contents of the store: epoch and pieces of the snapshot; `None` if there is no usable snapshot.
 pub type StoreContents = Option<(u64, Pieces)>;
 
-/// Faults for the model checker to find.
+/// Faults that tests inject to show that the model checker finds them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
-    /// The code as it is.
+    /// No fault.
     #[default]
     None,
-    /// What is found is taken up without being proved.
+    /// The snapshot found is restored without checking its epoch.
     EpochNotChecked,
-    /// What may have been attempted since the last write is left out.
+    /// Retries that may have been made since the last write are ignored.
     UnpersistedRetriesIgnored,
 }
 
-/// The way of a fresh router to full service.
+/// The recovery of a restarted router, as a state machine.
 #[derive(Clone, Debug)]
 pub struct Recovery {
     look_back: LookBack,
     started: f64,
+    /// Time at which the present phase was entered.
     entered: f64,
     phase: Phase,
+    /// The snapshot that waits for confirmation, and its epoch.
     found: Option<(u64, Snapshot)>,
     has_peers: bool,
-    /// The latest epoch that a peer was shown, once one has said so.
-    shown: Option<u64>,
+    /// The latest epoch that a peer reports to have been shown; `None` before any peer has reported.
+    epoch_seen: Option<u64>,
     steps: Vec<Step>,
-    /// What is left out on purpose, so that a test of the model checker can see that it is found.
+    /// The fault that a test of the model checker injects.
     pub injected: InjectedFault,
 }
 
 impl Recovery {
-    /// Begins at `now`, in seconds of any clock that is not set; `has_peers` tells whether there are any to be asked.
+    /// Starts recovery at `now`, in seconds of any clock that can't be set. `has_peers`: whether there are peers that can
+    /// confirm the epoch.
     pub fn new(look_back: LookBack, has_peers: bool, now: f64) -> Recovery {
         Recovery {
             look_back,
@@ -114,7 +119,7 @@
             phase: Phase::Reading,
             found: None,
             has_peers,
-            shown: None,
+            epoch_seen: None,
             steps: vec![Step::AssumeLostHistory, Step::Entered(Phase::Reading)],
             injected: InjectedFault::None,
         }
@@ -125,7 +130,7 @@
         self.phase
     }
 
-    /// Seconds since the start.
+    /// Seconds since recovery started.
     pub fn age(&self, now: f64) -> f64 {
         now - self.started
     }
@@ -136,52 +141,52 @@
         self.steps.push(Step::Entered(phase));
     }
 
-    fn lose(&mut self, reason: LossReason, now: f64) {
+    fn discard(&mut self, reason: LossReason, now: f64) {
         self.found = None;
         self.steps.push(Step::Discarded(reason));
         self.enter(Phase::Settling, now);
     }
 
-    /// Takes what the store found. What comes after its time counts for nothing.
-    pub fn store_read(&mut self, found: StoreContents, now: f64) {
+    /// Takes the contents of the store. They are ignored once the phase [`Phase::Reading`] has ended.
+    pub fn store_read(&mut self, contents: StoreContents, now: f64) {
         if self.phase != Phase::Reading {
             return;
         }
-        let Some((epoch, pieces)) = found else { return self.lose(LossReason::NoSnapshot, now) };
+        let Some((epoch, pieces)) = contents else { return self.discard(LossReason::NoSnapshot, now) };
         let Some(snapshot) = Snapshot::from_pieces(&pieces) else {
-            return self.lose(LossReason::Unreadable, now);
+            return self.discard(LossReason::Unreadable, now);
         };
         self.found = Some((epoch, snapshot));
         self.enter(Phase::Proving, now);
     }
 
-    /// A peer says which epoch of this router's store it was shown at the latest; 0 for none.
+    /// A peer reports the latest epoch of this router's store that it was shown; 0 if none.
     pub fn peer_saw_epoch(&mut self, epoch: u64) {
-        self.shown = Some(self.shown.unwrap_or(0).max(epoch));
+        self.epoch_seen = Some(self.epoch_seen.unwrap_or(0).max(epoch));
     }
 
-    /// The next steps, which are to be carried out in this order; `time` is the present one.
+    /// The next steps, to be carried out in this order. `time` is the present time on the snapshot clocks.
     pub fn poll(&mut self, now: f64, time: &SnapshotTime) -> Vec<Step> {
         match self.phase {
-            Phase::Reading if now >= self.entered + READ_TIMEOUT => self.lose(LossReason::Timeout, now),
-            Phase::Proving => self.prove(now, time),
+            Phase::Reading if now >= self.entered + READ_TIMEOUT => self.discard(LossReason::Timeout, now),
+            Phase::Proving => self.check_epoch(now, time),
             Phase::Settling if now >= self.started + self.look_back.longest() => self.enter(Phase::Full, now),
             _ => {}
         }
         std::mem::take(&mut self.steps)
     }
 
-    fn prove(&mut self, now: f64, time: &SnapshotTime) {
-        let Some((epoch, snapshot)) = &self.found else { return self.lose(LossReason::NoSnapshot, now) };
-        let unproved = self.injected == InjectedFault::EpochNotChecked;
-        if self.shown.is_some_and(|shown| shown > *epoch) && !unproved {
-            return self.lose(LossReason::Outdated, now);
+    fn check_epoch(&mut self, now: f64, time: &SnapshotTime) {
+        let Some((epoch, snapshot)) = &self.found else { return self.discard(LossReason::NoSnapshot, now) };
+        let skips_check = self.injected == InjectedFault::EpochNotChecked;
+        if self.epoch_seen.is_some_and(|epoch_seen| epoch_seen > *epoch) && !skips_check {
+            return self.discard(LossReason::Outdated, now);
         }
         let Some(passed) = snapshot.taken_at.elapsed_until(time) else {
-            return self.lose(LossReason::FromFuture, now);
+            return self.discard(LossReason::FromFuture, now);
         };
-        let proved = self.shown.is_some() || !self.has_peers || now >= self.entered + PROVE_TIMEOUT;
-        if !proved && !unproved {
+        let is_accepted = self.epoch_seen.is_some() || !self.has_peers || now >= self.entered + EPOCH_TIMEOUT;
+        if !is_accepted && !skips_check {
             return;
         }
         let mut snapshot = snapshot.clone();
@@ -194,11 +199,11 @@
         self.enter(Phase::Full, now);
     }
 
-    /// When [`Recovery::poll`] is to be called next, in seconds; infinite in full service.
+    /// Time at which [`Recovery::poll`] is to be called next; infinite in full service.
     pub fn due(&self) -> f64 {
         match self.phase {
             Phase::Reading => self.entered + READ_TIMEOUT,
-            Phase::Proving => self.entered + PROVE_TIMEOUT,
+            Phase::Proving => self.entered + EPOCH_TIMEOUT,
             Phase::Settling => self.started + self.look_back.longest(),
             Phase::Full => f64::INFINITY,
         }
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -1,37 +1,39 @@
-//! What a router persists of itself, and its form in the store.
+//! The state that a router persists, and its encoding in the store.
 
 use crate::{SnapshotTime, MAX_UNPERSISTED_RETRIES};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Idempotency records that are persisted; the oldest are left out first.
+/// Maximum number of persisted idempotency records; the oldest are left out first.
 pub const MAX_IDEMPOTENCY_RECORDS: usize = 4096;
-/// Retries that are persisted; the oldest are left out first.
+/// Maximum number of persisted retries; the oldest are left out first.
 const MAX_RETRIES: usize = 4096;
-/// Engines in slow start that are persisted.
+/// Maximum number of persisted engines in slow start.
 const MAX_SLOW_START_ENGINES: usize = 1024;
 
-/// The numbers of the pieces in the store.
+/// Number of the piece that holds the time, the retries and the number of unpersisted retries.
 pub(crate) const RETRIES: u32 = 1;
+/// Number of the piece that holds the engines in slow start.
 pub(crate) const SLOW_START: u32 = 2;
+/// Number of the piece that holds the idempotency records.
 pub(crate) const IDEMPOTENCY_RECORDS: u32 = 3;
 
-/// Pieces by their numbers, as a store keeps them.
+/// Encoded pieces by their numbers, as the store holds them.
 pub type Pieces = BTreeMap<u32, Vec<u8>>;
 
-/// Work that was sent to an engine in slow start within its window. The order of the fields is the format of the store.
+/// Work that was sent to an engine in slow start within its window. The order of the fields is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SentWork {
     /// A hash of the engine's name.
     pub name_hash: u64,
     /// The incarnation of the engine.
     pub incarnation: u32,
-    /// How much was sent, in seconds of work.
+    /// The work that was sent, in seconds.
     pub work: f64,
 }
 
-/// A deduplicated request that was dispatched and may have run. The order of the fields is the format of the store.
+/// A deduplicated request that was dispatched and may have run. The order of the fields is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IdempotencyRecord {
     /// A hash of its idempotency key.
@@ -40,23 +42,23 @@
     pub age: f64,
 }
 
-/// What is persisted, as of one time. Times are ages in seconds then.
+/// The persisted state at one point in time. Times are given as ages in seconds at that point.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// When it was taken.
+    /// Time at which the snapshot was taken.
     pub taken_at: SnapshotTime,
-    /// The retries of late, each by its age.
+    /// Ages of the recent retries.
     pub retries: Vec<f64>,
-    /// How many retries may be made after it until the next snapshot is written.
+    /// Maximum number of retries that may be made after this snapshot until the next one is written.
     pub unpersisted_retries: u32,
-    /// The engines in slow start.
+    /// Work that was sent to engines in slow start.
     pub slow_start: Vec<SentWork>,
     /// The deduplicated requests that may have run.
     pub idempotency_records: Vec<IdempotencyRecord>,
 }
 
 impl Snapshot {
-    /// The pieces to be written to the store. What is too much is left out, the oldest first.
+    /// Encodes the snapshot as pieces for the store. Entries above a maximum are left out, the oldest first.
     pub fn to_pieces(&self) -> Pieces {
         let retries = newest(&self.retries, MAX_RETRIES);
         let slow_start = &self.slow_start[..self.slow_start.len().min(MAX_SLOW_START_ENGINES)];
@@ -68,41 +70,41 @@
         ])
     }
 
-    /// Reads the pieces of a store; `None` where one is missing, or holds what no router of this version writes.
+    /// Decodes the pieces of a store; `None` if one is missing, or holds values that no router of this version writes.
     pub fn from_pieces(pieces: &Pieces) -> Option<Snapshot> {
         let (taken_at, retries, unpersisted_retries) = decode(pieces.get(&RETRIES)?)?;
         let slow_start = decode(pieces.get(&SLOW_START)?)?;
         let idempotency_records = decode(pieces.get(&IDEMPOTENCY_RECORDS)?)?;
         let snapshot = Snapshot { taken_at, retries, unpersisted_retries, slow_start, idempotency_records };
-        snapshot.is_sound().then_some(snapshot)
+        snapshot.is_valid().then_some(snapshot)
     }
 
-    /// Within all bounds, and without an age that can't be.
-    fn is_sound(&self) -> bool {
-        let age = |age: f64| age.is_finite() && age >= 0.0;
+    /// Whether all lengths are within their maxima and all times and ages are possible.
+    fn is_valid(&self) -> bool {
+        let is_possible = |age: f64| age.is_finite() && age >= 0.0;
         self.retries.len() <= MAX_RETRIES
             && self.slow_start.len() <= MAX_SLOW_START_ENGINES
             && self.idempotency_records.len() <= MAX_IDEMPOTENCY_RECORDS
             && self.unpersisted_retries <= MAX_UNPERSISTED_RETRIES
             && self.taken_at.since_boot.is_finite()
             && self.taken_at.unix.is_finite()
-            && self.retries.iter().all(|retry| age(*retry))
-            && self.slow_start.iter().all(|sent| age(sent.work))
-            && self.idempotency_records.iter().all(|record| age(record.age))
+            && self.retries.iter().all(|retry| is_possible(*retry))
+            && self.slow_start.iter().all(|sent| is_possible(sent.work))
+            && self.idempotency_records.iter().all(|record| is_possible(record.age))
     }
 }
 
-/// The last of them, at most so many.
-fn newest<T>(all: &[T], most: usize) -> &[T] {
-    &all[all.len().saturating_sub(most)..]
+/// The last `max` entries, which are the newest.
+fn newest<T>(entries: &[T], max: usize) -> &[T] {
+    &entries[entries.len().saturating_sub(max)..]
 }
 
-/// Nothing for what can't be encoded, which is read as unsound.
+/// Encodes a value. If that fails, the result is empty, which can't be decoded.
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_extend(value, Vec::new()).unwrap_or_default()
 }
 
-/// `None` for bytes that are no such value, or more than one.
+/// Decodes a value; `None` if the bytes are not such a value or are longer than it.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let (value, rest) = postcard::take_from_bytes(bytes).ok()?;
     rest.is_empty().then_some(value)
--- a/crates/recovery/src/snapshot_time.rs
+++ b/crates/recovery/src/snapshot_time.rs
@@ -1,14 +1,14 @@
-//! When a snapshot was taken, on two clocks, so that its age can be told over a restart.
+//! The time of a snapshot on two clocks, from which its age can be determined after a restart.
 
 use serde::{Deserialize, Serialize};
 
-/// Clocks of one machine that are read one after the other differ by no more than this, in seconds.
+/// Readings of a machine's clocks that are taken one after the other differ by at most this many seconds.
 const READING_TOLERANCE: f64 = 0.05;
 
-/// One point in time as two clocks read it, and the boot of the machine that the first of them counts from.
+/// One point in time on two clocks, and the machine's boot from which the first of them counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotTime {
-    /// A hash of the boot; 0 where it can't be told.
+    /// A hash of the boot's identifier; 0 if that is unknown.
     pub boot: u64,
     /// Seconds since that boot.
     pub since_boot: f64,
@@ -17,7 +17,8 @@
 }
 
 impl SnapshotTime {
-    /// Seconds from this time to a later one; `None` where they can't be told, as the later one reads earlier.
+    /// Seconds from this time to a later one. `None` if the `later` time reads earlier than this one by more than the
+    /// tolerance, or if the difference is not finite.
     pub fn elapsed_until(&self, later: &SnapshotTime) -> Option<f64> {
         let passed = if self.boot == later.boot && self.boot != 0 {
             later.since_boot - self.since_boot
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -19,16 +19,22 @@
     }
 }
 
-fn found(at: f64, epoch: u64) -> StoreContents {
+fn contents(at: f64, epoch: u64) -> StoreContents {
     Some((epoch, snapshot(at).to_pieces()))
 }
 
-/// All steps so far, by a router that found this.
-fn play(found: StoreContents, peers: bool, shown: &[u64], until: f64) -> (Recovery, Vec<Step>) {
-    let mut recovery = Recovery::new(LOOK_BACK, peers, 100.0);
+/// Runs recovery from 100.0 s to `until`, with these contents of the store and these epochs reported by peers. Returns the
+/// recovery and all its steps.
+fn recover(
+    contents: StoreContents,
+    has_peers: bool,
+    reported_epochs: &[u64],
+    until: f64,
+) -> (Recovery, Vec<Step>) {
+    let mut recovery = Recovery::new(LOOK_BACK, has_peers, 100.0);
     let mut steps = recovery.poll(100.0, &time(100.0));
-    recovery.store_read(found, 100.1);
-    shown.iter().for_each(|epoch| recovery.peer_saw_epoch(*epoch));
+    recovery.store_read(contents, 100.1);
+    reported_epochs.iter().for_each(|epoch| recovery.peer_saw_epoch(*epoch));
     let mut now = 100.1;
     while now < until {
         steps.extend(recovery.poll(now, &time(now)));
@@ -38,55 +44,57 @@
 }
 
 #[test]
-fn takes_up_a_snapshot_with_its_age_once_a_peer_proves_it() {
-    let (recovery, steps) = play(found(98.0, 5), true, &[4], 100.3);
+fn restores_a_snapshot_with_its_age_once_a_peer_confirms_its_epoch() {
+    let (recovery, steps) = recover(contents(98.0, 5), true, &[4], 100.3);
     assert_eq!(steps[0], Step::AssumeLostHistory);
-    let Some(Step::RestoreHistory(taken)) = steps.iter().find(|step| matches!(step, Step::RestoreHistory(_)))
+    let Some(Step::RestoreHistory(history)) =
+        steps.iter().find(|step| matches!(step, Step::RestoreHistory(_)))
     else {
         panic!("{steps:?}")
     };
-    let ages: Vec<f64> = taken.retries.iter().map(|age| (age * 10.0).round() / 10.0).collect();
-    // 2.1 s later: both, and two that may have been made ahead of what was kept.
+    let ages: Vec<f64> = history.retries.iter().map(|age| (age * 10.0).round() / 10.0).collect();
+    // Both retries are 2.1 s older; two more may have been made after the snapshot.
     assert_eq!(ages, [8.1, 3.1, 0.0, 0.0]);
-    assert!(taken.slow_start.is_empty(), "its window is over");
-    assert!((taken.idempotency_records[0].age - 5.1).abs() < 1e-6);
+    assert!(history.slow_start.is_empty(), "the slow-start window is over");
+    assert!((history.idempotency_records[0].age - 5.1).abs() < 1e-6);
     assert_eq!(recovery.phase(), Phase::Full);
 }
 
 #[test]
 fn waits_one_second_for_peers_and_not_at_all_without_any() {
-    let remembers = |steps: &[Step]| steps.iter().any(|step| matches!(step, Step::RestoreHistory(_)));
-    assert!(!remembers(&play(found(99.0, 5), true, &[], 100.9).1));
-    assert!(remembers(&play(found(99.0, 5), true, &[], 101.4).1));
-    assert!(remembers(&play(found(99.0, 5), false, &[], 100.3).1));
+    let restores = |steps: &[Step]| steps.iter().any(|step| matches!(step, Step::RestoreHistory(_)));
+    assert!(!restores(&recover(contents(99.0, 5), true, &[], 100.9).1));
+    assert!(restores(&recover(contents(99.0, 5), true, &[], 101.4).1));
+    assert!(restores(&recover(contents(99.0, 5), false, &[], 100.3).1));
 }
 
-/// Hard case: an older copy of the whole file was write back.
+/// Guards against restoring an older copy of the whole store.
 #[test]
 fn rejects_a_store_older_than_what_peers_were_shown() {
-    let (recovery, steps) = play(found(99.0, 5), true, &[3, 9, 5], 100.5);
+    let (recovery, steps) = recover(contents(99.0, 5), true, &[3, 9, 5], 100.5);
     assert!(steps.contains(&Step::Discarded(LossReason::Outdated)), "{steps:?}");
     assert_eq!(recovery.phase(), Phase::Settling);
 }
 
 #[test]
-fn loses_missing_unreadable_late_or_future_state_and_settles() {
-    for (found, why) in [
+fn discards_missing_unreadable_late_or_future_snapshots_and_settles() {
+    for (contents, reason) in [
         (None, LossReason::NoSnapshot),
         (Some((5, Pieces::from([(RETRIES, vec![1, 2])]))), LossReason::Unreadable),
-        (found(104.0, 5), LossReason::FromFuture),
+        (contents(104.0, 5), LossReason::FromFuture),
     ] {
-        let (recovery, steps) = play(found, false, &[], 110.3);
-        assert!(steps.contains(&Step::Discarded(why)), "{why:?}: {steps:?}");
+        let (recovery, steps) = recover(contents, false, &[], 110.3);
+        assert!(steps.contains(&Step::Discarded(reason)), "{reason:?}: {steps:?}");
         assert_eq!(recovery.phase(), Phase::Full, "no window reaches back beyond the start");
     }
-    let mut silent = Recovery::new(LOOK_BACK, true, 100.0);
-    assert!(silent.poll(101.1, &time(101.1)).contains(&Step::Discarded(LossReason::Timeout)));
-    silent.store_read(found(99.0, 5), 101.2);
-    assert_eq!(silent.phase(), Phase::Settling, "too late");
+    let mut recovery = Recovery::new(LOOK_BACK, true, 100.0);
+    assert!(recovery.poll(101.1, &time(101.1)).contains(&Step::Discarded(LossReason::Timeout)));
+    recovery.store_read(contents(99.0, 5), 101.2);
+    assert_eq!(recovery.phase(), Phase::Settling, "contents reported after the time limit are ignored");
 }
 
-/// Hard case: the Unix clock was set while it was away. On the same boot only the other clock counts.
+/// Guards against wrong ages when the Unix clock is set while the router is down: within one boot only the clock since boot
+/// counts.
 #[test]
 fn ages_within_one_boot_ignore_the_unix_clock() {
     let now = SnapshotTime { unix: 5.0, ..time(100.0) };
@@ -96,9 +104,10 @@
     assert_eq!(time(98.0).elapsed_until(&SnapshotTime { unix: 1e9, ..rebooted }), None);
 }
 
-/// Hard case: a deduplicated request was dispatched just before the end, and comes again 1 s and 13 s after the start.
+/// Guards against running a deduplicated request twice: it was dispatched just before the router ended, and is sent again 1 s
+/// and 13 s after the snapshot was taken.
 #[test]
-fn records_last_for_twice_their_window() {
+fn idempotency_records_are_valid_for_twice_their_window() {
     let age = |passed: f64| {
         valid_history(&snapshot(0.0), passed, &LOOK_BACK).idempotency_records.first().map(|record| record.age)
     };
@@ -110,7 +119,7 @@
     let mut schedule = WriteSchedule::new(10.0);
     assert!(schedule.begin_if_due(10.0) && !schedule.begin_if_due(10.1));
     schedule.changed();
-    assert!(!schedule.begin_if_due(10.2), "one at a time");
+    assert!(!schedule.begin_if_due(10.2), "only one write at a time");
     assert_eq!(
         (schedule.slow_changed(10.9), schedule.slow_changed(11.1), schedule.slow_changed(11.2)),
         (None, Some(true), None)
@@ -123,41 +132,45 @@
 }
 
 #[test]
-fn limits_further_attempts_ahead_of_an_unanswered_put() {
+fn limits_retries_while_a_write_is_not_on_the_disk() {
     let mut schedule = WriteSchedule::new(10.0);
-    let ahead = |schedule: &WriteSchedule, made: &[f64], now| {
-        schedule.retry_allowance(made.iter().copied(), 10.0, now)
+    let allowance = |schedule: &WriteSchedule, retries: &[f64], now| {
+        schedule.retry_allowance(retries.iter().copied(), 10.0, now)
     };
     assert_eq!(
-        (ahead(&schedule, &[], 11.0), ahead(&schedule, &[], 20.1)),
+        (allowance(&schedule, &[], 11.0), allowance(&schedule, &[], 20.1)),
         (0, MAX_UNPERSISTED_RETRIES),
-        "none is on the disk"
+        "no write is on the disk"
     );
     assert!(schedule.begin_if_due(10.0));
     schedule.finished(true);
-    assert_eq!(ahead(&schedule, &[10.5, 11.0], 11.0), MAX_UNPERSISTED_RETRIES - 2);
+    assert_eq!(allowance(&schedule, &[10.5, 11.0], 11.0), MAX_UNPERSISTED_RETRIES - 2);
     assert!(schedule.begin_if_due(12.0));
-    assert_eq!(ahead(&schedule, &[10.5, 11.0, 12.5], 13.0), 0, "the put is not on the disk");
+    assert_eq!(allowance(&schedule, &[10.5, 11.0, 12.5], 13.0), 0, "the write is not on the disk yet");
     schedule.finished(false);
-    assert_eq!(ahead(&schedule, &[10.5, 11.0, 12.5], 13.0), 0, "it failed");
+    assert_eq!(allowance(&schedule, &[10.5, 11.0, 12.5], 13.0), 0, "the write failed");
     assert!(schedule.begin_if_due(13.0));
     schedule.finished(true);
-    assert_eq!(ahead(&schedule, &[10.5, 11.0, 12.5, 13.1], 13.2), MAX_UNPERSISTED_RETRIES - 1);
+    assert_eq!(allowance(&schedule, &[10.5, 11.0, 12.5, 13.1], 13.2), MAX_UNPERSISTED_RETRIES - 1);
     assert_eq!(
-        ahead(&schedule, &[13.0 - 1e-6], 13.2),
+        allowance(&schedule, &[13.0 - 1e-6], 13.2),
         MAX_UNPERSISTED_RETRIES - 1,
-        "of the put's own moment, but for rounding"
+        "a retry at the start of the write is not persisted, despite rounding"
+    );
+    assert_eq!(
+        allowance(&schedule, &[13.1], 23.2),
+        MAX_UNPERSISTED_RETRIES,
+        "the window of the retry is over"
     );
-    assert_eq!(ahead(&schedule, &[13.1], 23.2), MAX_UNPERSISTED_RETRIES, "its window is over");
 }
 
 #[test]
-fn keeps_only_the_newest_records() {
-    let many = Snapshot {
+fn persists_only_the_newest_idempotency_records() {
+    let oversized = Snapshot {
         idempotency_records: (0..9000).map(|key| IdempotencyRecord { key, age: 1.0 }).collect(),
         ..snapshot(1.0)
     };
-    let read = Snapshot::from_pieces(&many.to_pieces()).unwrap();
+    let read = Snapshot::from_pieces(&oversized.to_pieces()).unwrap();
     assert_eq!(
         (read.idempotency_records.len(), read.idempotency_records[0].key),
         (MAX_IDEMPOTENCY_RECORDS, 9000 - MAX_IDEMPOTENCY_RECORDS as u64)
@@ -166,19 +179,19 @@
 
 proptest! {
     #[test]
-    fn reads_any_bytes_without_panic(one in proptest::collection::vec(any::<u8>(), 0..200),
-                        two in proptest::collection::vec(any::<u8>(), 0..100)) {
-        let _ = Snapshot::from_pieces(&Pieces::from([(RETRIES, one.clone()), (SLOW_START, two.clone()), (IDEMPOTENCY_RECORDS, two)]));
+    fn decodes_any_bytes_without_panic(retries in proptest::collection::vec(any::<u8>(), 0..200),
+                        other in proptest::collection::vec(any::<u8>(), 0..100)) {
+        let _ = Snapshot::from_pieces(&Pieces::from([(RETRIES, retries.clone()), (SLOW_START, other.clone()), (IDEMPOTENCY_RECORDS, other)]));
         let mut damaged = snapshot(1.0).to_pieces();
-        damaged.insert(RETRIES, one);
+        damaged.insert(RETRIES, retries);
         if let Some(snapshot) = Snapshot::from_pieces(&damaged) {
             prop_assert!(valid_history(&snapshot, 1.0, &LOOK_BACK).retries.iter().all(|age| *age >= 0.0));
         }
     }
 
-    /// Nothing counts for longer than its window, and with time only fewer count.
+    /// No entry is valid for longer than its window, and the number of valid entries never grows with time.
     #[test]
-    fn validity_only_fades_with_time(ages in proptest::collection::vec(0.0..20.0f64, 0..20), passed in 0.0..30.0f64) {
+    fn fewer_entries_are_valid_as_time_passes(ages in proptest::collection::vec(0.0..20.0f64, 0..20), passed in 0.0..30.0f64) {
         let snapshot = Snapshot { retries: ages, ..snapshot(0.0) };
         let (now, later) = (valid_history(&snapshot, passed, &LOOK_BACK), valid_history(&snapshot, passed + 1.0, &LOOK_BACK));
         prop_assert!(now.retries.iter().all(|age| *age < LOOK_BACK.retries));
--- a/crates/recovery/src/write_schedule.rs
+++ b/crates/recovery/src/write_schedule.rs
@@ -1,87 +1,90 @@
-//! When the host writes a snapshot, and how many retries may be made ahead of that.
+//! When the host writes a snapshot, and how many retries may be made before they are persisted.
 
-/// Retries that may be made ahead of what is persisted of them, in one window.
+/// Maximum number of retries in one window that are not persisted yet.
 pub const MAX_UNPERSISTED_RETRIES: u32 = 3;
-/// A write is made so often though nothing changed, so that the age of the last one tells when a process ended, in seconds.
+/// Seconds between writes if nothing has changed. The time of the last write thus tells when the process ended.
 const WRITE_INTERVAL: f64 = 0.25;
-/// A write is made so soon after something changed, in seconds.
+/// Minimum number of seconds between the starts of two writes if something has changed.
 const WRITE_AFTER_CHANGE: f64 = 0.02;
-/// A store that has not answered for so long is reported, in seconds.
+/// Seconds after which a write that has not finished is reported as slow.
 const SLOW_WRITE: f64 = 1.0;
-/// A time that was converted from one clock to another may be off by so much, in seconds.
+/// Seconds by which a time may be off after conversion from one clock to another.
 const CONVERSION_TOLERANCE: f64 = 0.001;
 
-/// When the host writes a snapshot, and how many retries may be made ahead of that.
+/// Decides when the host writes a snapshot, and how many retries may be made before they are persisted.
 #[derive(Clone, Debug, Default)]
 pub struct WriteSchedule {
-    /// When the write under way began.
-    under_way: Option<f64>,
-    /// When the last write that is on the disk began.
-    done: Option<f64>,
-    began: f64,
-    last_asked: f64,
+    /// Start of the write in progress; `None` if there is none.
+    in_progress: Option<f64>,
+    /// Start of the last write that is on the disk; `None` if this incarnation has not completed one.
+    last_persisted: Option<f64>,
+    created: f64,
+    /// Start of the last write, whether it succeeded or not.
+    last_started: f64,
+    /// Whether persisted state has changed since the last write started.
     changed: bool,
-    /// The write under way is slow, as [`WriteSchedule::slow_changed`] has told.
+    /// Whether the write in progress is slow, as last reported by [`WriteSchedule::slow_changed`].
     pub slow: bool,
 }
 
 impl WriteSchedule {
-    /// Nothing is written yet.
+    /// A schedule without any write so far; the first one is due at once.
     pub fn new(now: f64) -> WriteSchedule {
-        WriteSchedule { began: now, last_asked: f64::NEG_INFINITY, ..WriteSchedule::default() }
+        WriteSchedule { created: now, last_started: f64::NEG_INFINITY, ..WriteSchedule::default() }
     }
 
-    /// Something that is persisted has changed.
+    /// Records that persisted state has changed.
     pub fn changed(&mut self) {
         self.changed = true;
     }
 
-    /// Whether to write now; if so the write is under way from now on.
+    /// Whether a write is due now; if so, it counts as in progress from now on.
     pub fn begin_if_due(&mut self, now: f64) -> bool {
-        let is_due = self.under_way.is_none() && now >= self.due();
+        let is_due = self.in_progress.is_none() && now >= self.due();
         if is_due {
-            self.under_way = Some(now);
-            self.last_asked = now;
+            self.in_progress = Some(now);
+            self.last_started = now;
             self.changed = false;
         }
         is_due
     }
 
-    /// The write that was asked for is on the disk, or failed.
+    /// Records that the write in progress has finished: it is on the disk, or it has failed.
     pub fn finished(&mut self, succeeded: bool) {
-        let began = self.under_way.take();
-        self.done = began.filter(|_| succeeded).or(self.done);
+        let started = self.in_progress.take();
+        self.last_persisted = started.filter(|_| succeeded).or(self.last_persisted);
     }
 
-    /// How many retries may be made now, where `retries` are the times of those that were made. Those that are not persisted yet
-    /// count for as long as a window looks back.
+    /// How many further retries may be made now. `retries` are the times of the retries made so far; those within the
+    /// `window` that are not persisted yet reduce the allowance.
     ///
-    /// None may be made before a write of this incarnation is on the disk, as the next incarnation would not know of two
-    /// incarnations before it; but no longer than a window, after which what former incarnations made does not count.
+    /// No retry may be made before a write of this incarnation is on the disk: otherwise the next incarnation would lack the
+    /// retries of two incarnations. This holds for one window at most; after that the retries of former incarnations no
+    /// longer count.
     pub fn retry_allowance(&self, retries: impl Iterator<Item = f64>, window: f64, now: f64) -> u32 {
-        if self.done.is_none() && now < self.began + window {
+        if self.last_persisted.is_none() && now < self.created + window {
             return 0;
         }
-        let done = self.done.unwrap_or(self.began);
-        // An attempt at the very time of the write is not in it.
+        let persisted_to = self.last_persisted.unwrap_or(self.created);
+        // A retry made exactly when the write started is not part of that write.
         let unpersisted =
-            retries.filter(|at| *at >= done - CONVERSION_TOLERANCE && *at >= now - window).count();
+            retries.filter(|at| *at >= persisted_to - CONVERSION_TOLERANCE && *at >= now - window).count();
         MAX_UNPERSISTED_RETRIES.saturating_sub(unpersisted as u32)
     }
 
-    /// Tells once that the store has become slow, and once that it no longer is.
+    /// Returns `Some(true)` once when the write in progress has become slow, and `Some(false)` once when it no longer is.
     pub fn slow_changed(&mut self, now: f64) -> Option<bool> {
-        let slow = self.under_way.is_some_and(|since| now - since > SLOW_WRITE);
+        let slow = self.in_progress.is_some_and(|since| now - since > SLOW_WRITE);
         let changed = std::mem::replace(&mut self.slow, slow) != slow;
         changed.then_some(slow)
     }
 
-    /// When a write is due, in seconds; infinite while one is under way.
+    /// Time at which the next write is due; infinite while one is in progress.
     pub fn due(&self) -> f64 {
-        match self.under_way {
+        match self.in_progress {
             Some(_) => f64::INFINITY,
-            None if self.changed => self.last_asked + WRITE_AFTER_CHANGE,
-            None => self.last_asked + WRITE_INTERVAL,
+            None if self.changed => self.last_started + WRITE_AFTER_CHANGE,
+            None => self.last_started + WRITE_INTERVAL,
         }
     }
 }
--- a/crates/recovery/tests/golden_bytes.rs
+++ b/crates/recovery/tests/golden_bytes.rs
@@ -1,5 +1,5 @@
-//! Golden bytes: the pieces of a snapshot, written by the version before the code was reshaped. A router that is replaced by
-//! a newer version reads what its predecessor has written.
+//! Compares the pieces of a snapshot with those that an earlier version wrote. A router that is replaced by a newer version
+//! must be able to read what its predecessor has written.
 
 use cleatgw_recovery::{IdempotencyRecord, Pieces, SentWork, Snapshot, SnapshotTime};
 use expect_test::expect_file;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn pieces_have_the_bytes_of_the_former_version_and_are_read_from_them() {
+fn pieces_have_the_bytes_of_the_earlier_version_and_decode_to_the_same_snapshot() {
     let pieces = snapshot().to_pieces();
     expect_file!["golden/pieces.txt"].assert_eq(&text(&pieces));
     assert_eq!(Snapshot::from_pieces(&pieces), Some(snapshot()));
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -1,5 +1,5 @@
-//! Rule 7 over restarts, walked by stateright over the real code of recovery and writes, with a disk that hangs, loses what
-//! it acknowledged, or has an older copy write back; and phases that always end.
+//! Model checking (stateright) of the actual recovery and write schedule: the retry budget (rule 7) holds over restarts, also
+//! when the disk hangs, loses an acknowledged write, or has an older copy restored; and the recovery phases always end.
 
 use cleatgw_recovery::{
     InjectedFault, LookBack, Phase, Pieces, Recovery, Snapshot, SnapshotTime, Step, WriteSchedule,
@@ -8,43 +8,50 @@
 use cleatgw_testbed::identify_by_digest;
 use stateright::{Checker, Model, Property};
 
-const SPARE: usize = 4;
+/// Retries that the budget allows in one window.
+const RETRY_BUDGET: usize = 4;
 const LOOK_BACK: LookBack = LookBack { retries: 10.0, slow_start: 2.0, deduplication: 12.0 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum FaultAction {
-    /// A retry, if it is allowed.
-    Attempt,
-    /// The disk takes what is asked of it: for good, or only as it says.
-    Put {
-        lost: bool,
-    },
+enum Action {
+    /// A retry is made; only while it is allowed.
+    Retry,
+    /// The disk acknowledges the pending write. `lost`: the write is acknowledged but lost.
+    AcknowledgeWrite { lost: bool },
     /// A peer is shown the epoch of the last write.
-    Shown,
-    Kill,
-    /// The first file that ever was is write back in place of the last one; then as above.
-    KillAndPutBack,
+    ShowEpoch,
+    /// The router is killed and restarted.
+    Restart,
+    /// The router is killed, the very first file replaces the last one, and the router is restarted.
+    RestartWithFirstFile,
+    /// This many seconds pass.
     Wait(u8),
 }
 
 #[derive(Clone, Debug)]
 struct State {
     now: f64,
-    /// All retries that were really made.
+    /// Times of all retries that were actually made within the window.
     made: Vec<f64>,
-    /// What the present incarnation counts, and what it assumes of former ones.
+    /// Times of the retries of the present incarnation.
     counted: Vec<f64>,
+    /// Times of the retries that the present incarnation assumes of former ones.
     assumed: Vec<f64>,
     recovery: Recovery,
     schedule: WriteSchedule,
     epoch: u64,
-    /// On the disk: the last write, and the first; what is to be write.
+    /// The last write on the disk.
     file: Option<(u64, Pieces)>,
-    first: Option<(u64, Pieces)>,
+    /// The first write that was on the disk.
+    first_file: Option<(u64, Pieces)>,
+    /// The write that the disk has not acknowledged yet.
     pending: Option<(u64, Pieces)>,
-    shown: u64,
-    lies: u32,
-    acts: u32,
+    /// The latest epoch that a peer was shown.
+    epoch_seen: u64,
+    /// Number of disk faults so far.
+    disk_faults: u32,
+    /// Number of actions so far.
+    actions: u32,
 }
 
 impl State {
@@ -61,21 +68,21 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lies {
+enum DiskFault {
     None,
-    /// Once, a write that was acknowledged is lost.
-    Loses,
-    /// Once, an older copy is write back, when a peer has been shown a later one.
-    PutsBack,
+    /// Once, an acknowledged write is lost.
+    LosesWrite,
+    /// Once, the first file is restored after a peer was shown a later epoch.
+    RestoresOlderFile,
 }
 
-struct Restarts {
+struct RestartModel {
     injected: InjectedFault,
-    lies: Lies,
-    most: u32,
+    disk_fault: DiskFault,
+    max_actions: u32,
 }
 
-impl Restarts {
+impl RestartModel {
     fn start(&self, state: &mut State) {
         let mut recovery = Recovery::new(LOOK_BACK, true, state.now);
         recovery.injected = self.injected;
@@ -88,8 +95,8 @@
         let steps = state.recovery.poll(now, &time(now));
         carry_out(state, steps);
         state.recovery.store_read(state.file.clone(), now);
-        // A peer says at once what it was shown.
-        state.recovery.peer_saw_epoch(state.shown);
+        // A peer reports at once the latest epoch that it was shown.
+        state.recovery.peer_saw_epoch(state.epoch_seen);
         self.turn(state);
     }
 
@@ -114,22 +121,22 @@
 fn carry_out(state: &mut State, steps: Vec<Step>) {
     for step in steps {
         match step {
-            Step::AssumeLostHistory => state.assumed = vec![state.now; SPARE],
-            Step::RestoreHistory(taken) => {
-                state.assumed = taken.retries.iter().map(|age| state.now - age).collect()
+            Step::AssumeLostHistory => state.assumed = vec![state.now; RETRY_BUDGET],
+            Step::RestoreHistory(history) => {
+                state.assumed = history.retries.iter().map(|age| state.now - age).collect()
             }
             Step::Discarded(_) | Step::Entered(_) => {}
         }
     }
 }
 
-fn within(all: &[f64], now: f64) -> usize {
-    all.iter().filter(|at| now - **at < LOOK_BACK.retries).count()
+fn count_in_window(times: &[f64], now: f64) -> usize {
+    times.iter().filter(|at| now - **at < LOOK_BACK.retries).count()
 }
 
-impl Model for Restarts {
+impl Model for RestartModel {
     type State = State;
-    type Action = FaultAction;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let now = 100.0;
@@ -142,21 +149,21 @@
             schedule: WriteSchedule::new(now),
             epoch: 0,
             file: None,
-            first: None,
+            first_file: None,
             pending: None,
-            shown: 0,
-            lies: 0,
-            acts: 0,
+            epoch_seen: 0,
+            disk_faults: 0,
+            actions: 0,
         };
         self.start(&mut state);
-        // It has run for long, and its first write is on the disk.
+        // The router has run for long, and its first write is on the disk.
         state.now += 20.0;
         state.assumed.clear();
         self.turn(&mut state);
         state.file = state.pending.take();
-        state.first = state.file.clone();
+        state.first_file = state.file.clone();
         state.schedule.finished(true);
-        // Or it has made some retries since, and a peer was shown the write that tells of them.
+        // Second initial state: it has made retries since, and a peer was shown the epoch of the write that contains them.
         let mut busy = state.clone();
         busy.now += 1.0;
         (busy.made, busy.counted) = (vec![busy.now; 3], vec![busy.now; 3]);
@@ -164,65 +171,65 @@
         self.turn(&mut busy);
         busy.file = busy.pending.take();
         busy.schedule.finished(true);
-        busy.shown = busy.epoch;
+        busy.epoch_seen = busy.epoch;
         vec![state, busy]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<FaultAction>) {
-        if state.acts >= self.most {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        if state.actions >= self.max_actions {
             return;
         }
-        let all = [&state.counted[..], &state.assumed[..]].concat();
-        let window = within(&all, state.now) < SPARE;
-        let ahead =
+        let known_retries = [&state.counted[..], &state.assumed[..]].concat();
+        let is_within_budget = count_in_window(&known_retries, state.now) < RETRY_BUDGET;
+        let is_within_allowance =
             state.schedule.retry_allowance(state.counted.iter().copied(), LOOK_BACK.retries, state.now) > 0;
-        if window && ahead {
-            actions.push(FaultAction::Attempt);
+        if is_within_budget && is_within_allowance {
+            actions.push(Action::Retry);
         }
         if state.pending.is_some() {
-            actions.push(FaultAction::Put { lost: false });
-            if self.lies == Lies::Loses && state.lies == 0 {
-                actions.push(FaultAction::Put { lost: true });
+            actions.push(Action::AcknowledgeWrite { lost: false });
+            if self.disk_fault == DiskFault::LosesWrite && state.disk_faults == 0 {
+                actions.push(Action::AcknowledgeWrite { lost: true });
             }
         }
-        if state.shown < state.epoch && state.pending.is_none() {
-            actions.push(FaultAction::Shown);
+        if state.epoch_seen < state.epoch && state.pending.is_none() {
+            actions.push(Action::ShowEpoch);
         }
-        actions.push(FaultAction::Kill);
-        let shown = state.file.as_ref().is_some_and(|(epoch, _)| *epoch == state.shown);
-        if self.lies == Lies::PutsBack && state.lies == 0 && shown {
-            actions.push(FaultAction::KillAndPutBack);
+        actions.push(Action::Restart);
+        let is_file_shown = state.file.as_ref().is_some_and(|(epoch, _)| *epoch == state.epoch_seen);
+        if self.disk_fault == DiskFault::RestoresOlderFile && state.disk_faults == 0 && is_file_shown {
+            actions.push(Action::RestartWithFirstFile);
         }
-        actions.extend([FaultAction::Wait(1), FaultAction::Wait(4)]);
+        actions.extend([Action::Wait(1), Action::Wait(4)]);
     }
 
-    fn next_state(&self, state: &State, act: FaultAction) -> Option<State> {
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut state = state.clone();
-        state.acts += 1;
-        match act {
-            FaultAction::Attempt => {
+        state.actions += 1;
+        match action {
+            Action::Retry => {
                 state.made.push(state.now);
                 state.counted.push(state.now);
                 state.schedule.changed();
             }
-            FaultAction::Put { lost } => {
-                let put = state.pending.take();
-                state.lies += u32::from(lost);
-                state.file = if lost { state.file.take() } else { put };
+            Action::AcknowledgeWrite { lost } => {
+                let written = state.pending.take();
+                state.disk_faults += u32::from(lost);
+                state.file = if lost { state.file.take() } else { written };
                 state.schedule.finished(true);
             }
-            FaultAction::Shown => state.shown = state.epoch,
-            FaultAction::Kill => {
+            Action::ShowEpoch => state.epoch_seen = state.epoch,
+            Action::Restart => {
                 state.now += 0.1;
                 self.start(&mut state);
             }
-            FaultAction::KillAndPutBack => {
-                state.lies += 1;
+            Action::RestartWithFirstFile => {
+                state.disk_faults += 1;
                 state.now += 0.1;
-                state.file = state.first.clone();
+                state.file = state.first_file.clone();
                 self.start(&mut state);
             }
-            FaultAction::Wait(seconds) => state.now += f64::from(seconds),
+            Action::Wait(seconds) => state.now += f64::from(seconds),
         }
         self.turn(&mut state);
         state.made.retain(|at| state.now - at < LOOK_BACK.retries);
@@ -232,12 +239,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the budget holds over restarts", |model: &Restarts, state: &State| {
-                // A write that was acknowledged and lost ahead of its being shown to anybody can't be missed.
-                let unseen = if model.lies == Lies::Loses { MAX_UNPERSISTED_RETRIES as usize } else { 0 };
-                within(&state.made, state.now) <= SPARE + unseen
-            }),
-            Property::always("phases end", |_: &Restarts, state: &State| {
+            Property::always(
+                "the retry budget holds over restarts",
+                |model: &RestartModel, state: &State| {
+                    // The loss of an acknowledged write can't be detected if no peer was shown its epoch.
+                    let undetected = if model.disk_fault == DiskFault::LosesWrite {
+                        MAX_UNPERSISTED_RETRIES as usize
+                    } else {
+                        0
+                    };
+                    count_in_window(&state.made, state.now) <= RETRY_BUDGET + undetected
+                },
+            ),
+            Property::always("recovery phases end", |_: &RestartModel, state: &State| {
                 let age = state.recovery.age(state.now);
                 state.recovery.phase() == Phase::Full || age <= LOOK_BACK.retries + 4.0
             }),
@@ -246,17 +260,17 @@
 }
 
 #[test]
-fn keeps_the_budget_over_restarts_with_an_honest_disk_that_may_hang() {
-    let model = Restarts { injected: InjectedFault::None, lies: Lies::None, most: 9 };
+fn retry_budget_holds_over_restarts_with_a_faultless_disk_that_may_hang() {
+    let model = RestartModel { injected: InjectedFault::None, disk_fault: DiskFault::None, max_actions: 9 };
     let checker = model.checker().threads(4).spawn_bfs().join();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn lost_put_costs_at_most_the_attempts_ahead_and_an_older_copy_nothing() {
-    for lies in [Lies::Loses, Lies::PutsBack] {
-        let model = Restarts { injected: InjectedFault::None, lies, most: 9 };
+fn lost_write_costs_at_most_the_unpersisted_retries_and_an_older_copy_none() {
+    for disk_fault in [DiskFault::LosesWrite, DiskFault::RestoresOlderFile] {
+        let model = RestartModel { injected: InjectedFault::None, disk_fault, max_actions: 9 };
         let checker = model.checker().threads(4).spawn_bfs().join();
         assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
         checker.assert_properties();
@@ -265,11 +279,11 @@
 
 #[test]
 fn finds_each_injected_fault() {
-    let broken = |injected, lies| {
-        let checker = Restarts { injected, lies, most: 10 }.checker().threads(4);
+    let finds_violation = |injected, disk_fault| {
+        let checker = RestartModel { injected, disk_fault, max_actions: 10 }.checker().threads(4);
         let checker = checker.target_state_count(1_000_000).spawn_bfs().join();
-        checker.discovery("the budget holds over restarts").is_some()
+        checker.discovery("the retry budget holds over restarts").is_some()
     };
-    assert!(broken(InjectedFault::UnpersistedRetriesIgnored, Lies::None));
-    assert!(broken(InjectedFault::EpochNotChecked, Lies::PutsBack));
+    assert!(finds_violation(InjectedFault::UnpersistedRetriesIgnored, DiskFault::None));
+    assert!(finds_violation(InjectedFault::EpochNotChecked, DiskFault::RestoresOlderFile));
 }
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -124,7 +124,7 @@
     };
     restart(&mut cluster, &|path| std::fs::remove_file(path).unwrap());
     settled(&cluster, 0);
-    assert!(says(&cluster, 0, "recovery without stored history: nothing was kept"));
+    assert!(says(&cluster, 0, "recovery without stored history: the store holds no snapshot"));
     restart(&mut cluster, &|path| std::fs::write(path, [7; 9000]).unwrap());
     cluster.router(0).log.wait("is set aside as", 1);
     settled(&cluster, 0);
@@ -166,7 +166,7 @@
     std::thread::sleep(Duration::from_millis(200));
     std::fs::copy(&copy, cluster.store(0)).unwrap();
     cluster.act(&FaultAction::Start(0));
-    cluster.router(0).log.wait("without stored history: peers were shown a later one", 1);
+    cluster.router(0).log.wait("without stored history: peers were shown a later epoch", 1);
 }
 
 /// Hard cases: the disk hangs from the first second, or later, fails, or is full. The loop does not wait for it.
@@ -190,7 +190,7 @@
     // And from the first second on.
     shims.disk(0, b'h');
     cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 2.0);
-    cluster.router(0).log.wait("the store did not say in time", 1);
+    cluster.router(0).log.wait("the store did not answer within 1 s", 1);
     let tally = load.tally(&cluster);
     let check_result = cluster.check_result(&tally.asked, true);
     assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
