--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -138,7 +138,7 @@
     // Another router's file: a copy of what the second one keeps.
     let other = cluster.store(1);
     restart(&mut cluster, &|path| assert!(std::fs::copy(&other, path).unwrap() > 0));
-    cluster.router(0).log.wait("it is another router's", 1);
+    cluster.router(0).log.wait("the snapshot belongs to another router", 1);
     settled(&cluster, 0);
     let tally = load.tally(&cluster);
     let check_result = cluster.check_result(&tally.asked, true);
--- a/crates/snapshot-store/src/error.rs
+++ b/crates/snapshot-store/src/error.rs
@@ -1,30 +1,30 @@
-//! What can be wrong with a file, and how a write can fail.
+//! Reasons for which a file is quarantined, and errors of opening and writing.
 
-use crate::snapshot::{FORMAT, HEAD};
+use crate::snapshot::{FORMAT, HEADER, MAX_PIECES, MAX_PIECE_BYTES};
 use std::fmt::Display;
 use std::io;
 
-/// Why what was found is not used.
+/// The reason why a stored snapshot is not used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum QuarantineReason {
-    /// The engine could not read the file, as it says.
-    #[error("the file can't be read: {0}")]
+    /// The storage engine could not read the file; with its message.
+    #[error("the storage engine can't read the file: {0}")]
     Unreadable(String),
-    /// It is another router's.
-    #[error("it is another router's")]
+    /// The snapshot belongs to another router.
+    #[error("the snapshot belongs to another router")]
     OtherOwner,
-    /// It was written by a newer version.
-    #[error("its format {0} is newer than ours, {FORMAT}")]
+    /// The snapshot has this format, which is newer than [`FORMAT`].
+    #[error("the snapshot has format {0}, which is newer than the supported format {FORMAT}")]
     NewerFormat(u32),
-    /// This piece is missing, cut, damaged or of another snapshot; `HEAD` for what describes the snapshot itself.
-    #[error("{}", damage(*.0))]
+    /// The piece of this number is missing, truncated, damaged or of another snapshot; `u32::MAX` stands for the header.
+    #[error("{}", describe_damage(*.0))]
     Damaged(u32),
 }
 
-fn damage(piece: u32) -> String {
+fn describe_damage(piece: u32) -> String {
     match piece {
-        HEAD => "it does not describe itself".to_string(),
-        piece => format!("piece {piece} is damaged or of another snapshot"),
+        HEADER => "the header of the snapshot is damaged".to_string(),
+        piece => format!("piece {piece} is missing, damaged or of another snapshot"),
     }
 }
 
@@ -34,34 +34,36 @@
     }
 }
 
-/// Why a write, or the opening of a file, has failed.
+/// An error of opening a store or writing to it.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Nothing of it was written: more pieces, or a longer one, than are stored.
-    #[error("more than is stored")]
+    /// The pieces exceed a limit or use the number of the header; nothing was written.
+    #[error(
+        "the snapshot was not written: it exceeds {MAX_PIECES} pieces or {MAX_PIECE_BYTES} bytes in a piece"
+    )]
     TooLarge,
-    /// The engine failed under it: what is there is the last snapshot, or this one.
+    /// The storage engine reported an error. The file holds the last snapshot or the new one.
     #[error(transparent)]
     Engine(Box<redb::Error>),
-    /// The disk failed.
+    /// A file operation failed.
     #[error(transparent)]
     Disk(#[from] io::Error),
-    /// The engine panicked.
-    #[error("its engine failed {0}")]
+    /// The storage engine panicked; with the operation.
+    #[error("the storage engine panicked while {0}")]
     EnginePanicked(&'static str),
-    /// The file could not be used, and there is no other.
-    #[error("there is no file")]
+    /// The storage could not be opened, or the engine has panicked since.
+    #[error("no usable file is open")]
     NoFile,
-    /// A file that was begun anew can't be used either.
-    #[error("a new file can't be used: {0}")]
+    /// The file created in place of a quarantined one can't be used either.
+    #[error("the newly created file can't be used: {0}")]
     NewFileUnusable(QuarantineReason),
-    /// A file that was begun anew holds a snapshot.
-    #[error("a new file is not empty")]
+    /// The file created in place of a quarantined one already holds a snapshot.
+    #[error("the newly created file already holds a snapshot")]
     NewFileNotEmpty,
 }
 
 impl StoreError {
-    /// An error of the engine, of any of its types.
+    /// Wraps an error of any of the storage engine's types.
     pub(crate) fn engine(error: impl Into<redb::Error>) -> StoreError {
         StoreError::Engine(Box::new(error.into()))
     }
--- a/crates/snapshot-store/src/lib.rs
+++ b/crates/snapshot-store/src/lib.rs
@@ -1,13 +1,15 @@
-//! What survives a process. An embedded engine (`redb`) holds a handful of pieces, which are always written together; what is
-//! found at the next start is either one complete snapshot of this owner and this format, or quarantined and said so.
+//! Persistent storage of one snapshot across process restarts. An embedded storage engine (`redb`) holds a few pieces that are
+//! always written together. At the next start the store either loads one complete snapshot of this owner and format, or
+//! quarantines the file and reports the reason.
 //!
-//! **Disks lie**: they acknowledge what they lose, write half, in another order, flip bits, and give back older files. The engine
-//! finds most of that; what it does not is found by a checksum over each piece together with its owner, its number
-//! and its snapshot, so that pieces of two snapshots, of two routers or of two files never stand beside each other. That a
-//! complete file is older than the last one can't be seen in it: its epoch tells, to whoever has been shown a later one.
+//! **Disk faults.** Disks lose acknowledged writes, write in part or in another order, flip bits, and return older files. The
+//! engine detects most of these faults. The others are detected by a checksum over each piece together with its owner, its
+//! number and its snapshot, so that pieces of two snapshots, two routers or two files are never combined. A complete file
+//! that is older than the last one can't be detected from its contents, but only by its epoch, by a peer that was shown a
+//! later one.
 //!
-//! Design: `docs/design/store.md`. Everything here may take as long as the disk does: the host calls it from a thread
-//! of its own.
+//! Design: `docs/design/store.md`. All calls block for as long as the disk takes, so the host makes them from a dedicated
+//! thread.
 
 mod error;
 mod file;
@@ -19,6 +21,6 @@
 mod transaction;
 
 pub use error::{QuarantineReason, StoreError};
-pub use file::{quarantine_path, MAX_FILE};
-pub use snapshot::{LoadOutcome, Pieces, StoredSnapshot, FORMAT, MAX_PIECE, MAX_PIECES};
+pub use file::{quarantine_path, MAX_FILE_BYTES};
+pub use snapshot::{LoadOutcome, Pieces, StoredSnapshot, FORMAT, MAX_PIECES, MAX_PIECE_BYTES};
 pub use store::Store;
--- a/crates/snapshot-store/src/snapshot.rs
+++ b/crates/snapshot-store/src/snapshot.rs
@@ -1,45 +1,46 @@
-//! What is stored, and what is found at the start.
+//! A stored snapshot, and the result of loading one.
 
 use crate::QuarantineReason;
 use std::collections::BTreeMap;
 
-/// The form in which pieces are stored. A larger number than this is not ours to read; a smaller one is migrated by its
-/// reader, or quarantined.
+/// Version of the stored format. A store with a higher version is not read; a lower one is to be migrated by the code that
+/// reads it, or quarantined.
 pub const FORMAT: u32 = 1;
-/// A piece is no longer than this, in bytes.
-pub const MAX_PIECE: usize = 1 << 20;
-/// Pieces of one snapshot at most.
+/// Maximum length of a piece in bytes.
+pub const MAX_PIECE_BYTES: usize = 1 << 20;
+/// Maximum number of pieces of one snapshot.
 pub const MAX_PIECES: usize = 16;
-/// The number under which a snapshot describes itself.
-pub(crate) const HEAD: u32 = u32::MAX;
+/// The number under which the header of a snapshot is stored.
+pub(crate) const HEADER: u32 = u32::MAX;
 
-/// Pieces by their numbers.
+/// The pieces of a snapshot by their numbers.
 pub type Pieces = BTreeMap<u32, Vec<u8>>;
 
 /// One complete snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredSnapshot {
-    /// Grows with each snapshot, over all incarnations of the owner.
+    /// Number of the snapshot; increases with each snapshot over all incarnations of the owner.
     pub epoch: u64,
-    /// Unix time at which it was taken, by the owner's clock, in seconds.
+    /// Unix time in seconds, by the owner's clock, at which the snapshot was taken.
     pub taken_at: f64,
-    /// What was stored.
+    /// The stored pieces.
     pub pieces: Pieces,
 }
 
-/// What was found at the start.
+/// The result of loading a store when it is opened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoadOutcome {
-    /// Nothing was stored yet.
+    /// No snapshot was stored yet.
     Empty,
     /// One complete snapshot.
     Complete(StoredSnapshot),
-    /// Something that is not used, for this reason.
+    /// The store can't be used, for this reason.
     Quarantined(QuarantineReason),
 }
 
-/// Whether these pieces may be stored.
+/// Whether these pieces are within the limits and do not use the number of the header.
 pub(crate) fn can_be_stored(pieces: &Pieces) -> bool {
-    let fit = pieces.len() <= MAX_PIECES && pieces.values().all(|body| body.len() <= MAX_PIECE);
-    fit && !pieces.contains_key(&HEAD)
+    let is_within_limits =
+        pieces.len() <= MAX_PIECES && pieces.values().all(|body| body.len() <= MAX_PIECE_BYTES);
+    is_within_limits && !pieces.contains_key(&HEADER)
 }
--- a/crates/snapshot-store/src/store.rs
+++ b/crates/snapshot-store/src/store.rs
@@ -1,36 +1,36 @@
-//! The store of one owner. The engine may panic over damaged files: every call into it is guarded.
+//! The store of one owner. The storage engine may panic on damaged files, so panics are caught around every call into it.
 
 use crate::error::{QuarantineReason, StoreError};
-use crate::file::{self, MAX_FILE};
+use crate::file::{self, MAX_FILE_BYTES};
 use crate::snapshot::{can_be_stored, LoadOutcome, Pieces, StoredSnapshot};
 use crate::transaction::{read, write};
 use redb::{Database, StorageBackend};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 
-/// Memory that the engine may use to cache the file, in bytes.
-const CACHE: usize = 1 << 20;
-/// A file is compacted from this length on, in bytes.
-const COMPACTED_FROM: u64 = MAX_FILE / 8;
-/// And no more often than after so many writes, as it rewrites the file.
+/// Memory in bytes that the engine may use to cache the file.
+const CACHE_BYTES: usize = 1 << 20;
+/// Length in bytes above which a file is compacted.
+const COMPACTION_THRESHOLD_BYTES: u64 = MAX_FILE_BYTES / 8;
+/// Minimum number of writes between two compactions, as a compaction rewrites the file.
 const WRITES_BETWEEN_COMPACTIONS: u64 = 1000;
 
 /// The store of one owner.
 pub struct Store {
-    /// `None` where the file can't be used, or after the engine has failed.
+    /// `None` if the storage can't be used, or after the engine has panicked in a write.
     pub(crate) engine: Option<Database>,
     owner: u64,
-    /// The epoch of the last snapshot.
+    /// The epoch of the last snapshot, or a higher one set by [`Store::continue_after`].
     epoch: u64,
     writes_since_compaction: u64,
 }
 
 impl Store {
-    /// Opens a storage for this owner. Where what is in it can't be used, nothing can be written either: a new storage is to
-    /// be begun ([`Store::open_file`] does that with files).
+    /// Opens a storage for this owner. If its contents can't be used, the store can't be written to either, and the caller has
+    /// to open a new storage ([`Store::open_file`] does that with files).
     pub fn open(storage: impl StorageBackend, owner: u64) -> (Store, LoadOutcome) {
         let opened = catch_unwind(AssertUnwindSafe(|| open_engine(storage, owner)));
-        let panicked = |_| Err(QuarantineReason::unreadable("its engine failed over it"));
+        let panicked = |_| Err(QuarantineReason::unreadable("it panicked while opening the file"));
         match opened.unwrap_or_else(panicked) {
             Ok((engine, outcome)) => {
                 let epoch = match &outcome {
@@ -46,11 +46,12 @@
         }
     }
 
-    /// Opens a file. One that can't be used is moved out of the way, under a name beside it that tells so, and a new one is
-    /// begun.
+    /// Opens a file. A file that can't be used is renamed to [`quarantine_path`](crate::quarantine_path) and a new one is
+    /// created.
     ///
     /// # Errors
-    /// Not even a new file can be had: a folder that is missing, read-only or full.
+    /// The file can't be opened, or no new file can be created in its place, for example because the folder is missing,
+    /// read-only or full.
     pub fn open_file(path: &Path, owner: u64) -> Result<(Store, LoadOutcome), StoreError> {
         let (store, outcome) = Store::open(file::open(path)?, owner);
         if store.engine.is_some() {
@@ -65,21 +66,21 @@
         }
     }
 
-    /// Later snapshots have later epochs than this.
+    /// Makes the epochs of later snapshots higher than this one.
     pub fn continue_after(&mut self, epoch: u64) {
         self.epoch = self.epoch.max(epoch);
     }
 
-    /// The epoch of the last snapshot.
+    /// The epoch of the last snapshot, or a higher one set by [`Store::continue_after`].
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Writes all pieces in place of what was there, and returns once the disk says that it has them. `taken_at` is the Unix
-    /// time in seconds. Returns the epoch of this snapshot.
+    /// Writes the pieces as a new snapshot that replaces the last one, and returns once the disk has acknowledged it.
+    /// `taken_at` is the Unix time in seconds. Returns the epoch of the snapshot.
     ///
     /// # Errors
-    /// How far it came.
+    /// The pieces exceed a limit, no usable file is open, or the storage engine reports an error or panics.
     pub fn save(&mut self, pieces: &Pieces, taken_at: f64) -> Result<u64, StoreError> {
         if !can_be_stored(pieces) {
             return Err(StoreError::TooLarge);
@@ -87,12 +88,12 @@
         let epoch = self.epoch + 1;
         let snapshot = StoredSnapshot { epoch, taken_at, pieces: pieces.clone() };
         let engine = self.engine.as_mut().ok_or(StoreError::NoFile)?;
-        // After an error the engine may go on, or not: that shows at the next write.
+        // After an error the engine may or may not be usable; the next write shows which.
         match catch_unwind(AssertUnwindSafe(|| write(engine, self.owner, &snapshot))) {
             Ok(written) => written?,
             Err(_) => {
                 self.drop_engine();
-                return Err(StoreError::EnginePanicked("under a write"));
+                return Err(StoreError::EnginePanicked("writing a snapshot"));
             }
         }
         self.epoch = epoch;
@@ -100,19 +101,20 @@
         Ok(epoch)
     }
 
-    /// Gives back the space that earlier snapshots took, where the file has grown to this length.
+    /// Releases the space of earlier snapshots if the file, of this `length` in bytes, has grown beyond a threshold and enough
+    /// writes were made since the last compaction.
     ///
     /// # Errors
-    /// As for a write.
+    /// The storage engine reports an error or panics.
     pub fn compact(&mut self, length: u64) -> Result<(), StoreError> {
-        if length <= COMPACTED_FROM || self.writes_since_compaction < WRITES_BETWEEN_COMPACTIONS {
+        if length <= COMPACTION_THRESHOLD_BYTES || self.writes_since_compaction < WRITES_BETWEEN_COMPACTIONS {
             return Ok(());
         }
         self.writes_since_compaction = 0;
         let Some(engine) = &mut self.engine else { return Ok(()) };
         let compacted =
             catch_unwind(AssertUnwindSafe(|| engine.compact().map(|_| ()).map_err(StoreError::engine)));
-        compacted.unwrap_or(Err(StoreError::EnginePanicked("as it was compacted")))
+        compacted.unwrap_or(Err(StoreError::EnginePanicked("compacting the file")))
     }
 
     fn drop_engine(&mut self) {
@@ -125,13 +127,13 @@
     storage: impl StorageBackend,
     owner: u64,
 ) -> Result<(Database, LoadOutcome), QuarantineReason> {
-    let engine = Database::builder().set_cache_size(CACHE).create_with_backend(storage);
+    let engine = Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(storage);
     let engine = engine.map_err(QuarantineReason::unreadable)?;
     let outcome = read(&engine, owner)?;
     Ok((engine, outcome))
 }
 
-/// The engine writes when it is closed, and may fail over a file that is damaged where nothing was read so far.
+/// The engine writes to the file when it is closed, and may panic if the file is damaged in a part that was not read before.
 impl Drop for Store {
     fn drop(&mut self) {
         self.drop_engine();
--- a/crates/snapshot-store/src/tests.rs
+++ b/crates/snapshot-store/src/tests.rs
@@ -1,6 +1,6 @@
-//! Storage that lies, in every way that we could think of: what is read back is one whole put, or set aside.
+//! Tests on faulty storage: after any fault, either one complete snapshot is loaded or the store is quarantined.
 
-use super::format::{read_head, seal};
+use super::format::{read_header, seal};
 use super::transaction::TABLE;
 use super::*;
 use rand::rngs::SmallRng;
@@ -10,316 +10,346 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Clone, Debug, PartialEq)]
-enum Op {
+enum Operation {
     Write(u64, Vec<u8>),
-    Length(u64),
+    SetLength(u64),
     Sync,
 }
 
-/// Memory that keeps what was done to it, so that a crash can lose any of that.
+/// A storage in memory that records all operations, so that a test can lose any of them in a simulated crash.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Inner>>);
+struct RecordingStorage(Arc<Mutex<RecordedState>>);
 
 #[derive(Debug, Default)]
-struct Inner {
-    before: Vec<u8>,
+struct RecordedState {
+    /// The bytes before the first operation.
+    initial: Vec<u8>,
     bytes: Vec<u8>,
-    ops: Vec<Op>,
-    fails: Option<&'static str>,
+    operations: Vec<Operation>,
+    /// If set, all operations that change the storage fail with this message.
+    failure: Option<&'static str>,
 }
 
-fn apply(bytes: &mut Vec<u8>, op: &Op) {
-    match op {
-        Op::Write(at, data) => {
-            let end = *at as usize + data.len();
+fn apply(bytes: &mut Vec<u8>, operation: &Operation) {
+    match operation {
+        Operation::Write(offset, data) => {
+            let end = *offset as usize + data.len();
             if bytes.len() < end {
                 bytes.resize(end, 0);
             }
-            bytes[*at as usize..end].copy_from_slice(data);
+            bytes[*offset as usize..end].copy_from_slice(data);
         }
-        Op::Length(length) => bytes.resize(*length as usize, 0),
-        Op::Sync => {}
+        Operation::SetLength(length) => bytes.resize(*length as usize, 0),
+        Operation::Sync => {}
     }
 }
 
-impl Disk {
-    fn holding(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Inner { before: bytes.clone(), bytes, ..Inner::default() })))
+impl RecordingStorage {
+    fn with_bytes(bytes: Vec<u8>) -> RecordingStorage {
+        RecordingStorage(Arc::new(Mutex::new(RecordedState {
+            initial: bytes.clone(),
+            bytes,
+            ..RecordedState::default()
+        })))
     }
 
     fn bytes(&self) -> Vec<u8> {
         self.0.lock().unwrap().bytes.clone()
     }
 
-    fn ops(&self) -> (Vec<u8>, Vec<Op>) {
-        let inner = self.0.lock().unwrap();
-        (inner.before.clone(), inner.ops.clone())
+    fn operations(&self) -> (Vec<u8>, Vec<Operation>) {
+        let state = self.0.lock().unwrap();
+        (state.initial.clone(), state.operations.clone())
     }
 
-    fn does(&self, op: Op) -> io::Result<()> {
-        let mut inner = self.0.lock().unwrap();
-        if let Some(why) = inner.fails {
-            return Err(io::Error::other(why));
+    fn perform(&self, operation: Operation) -> io::Result<()> {
+        let mut state = self.0.lock().unwrap();
+        if let Some(message) = state.failure {
+            return Err(io::Error::other(message));
         }
-        apply(&mut inner.bytes, &op);
-        inner.ops.push(op);
+        apply(&mut state.bytes, &operation);
+        state.operations.push(operation);
         Ok(())
     }
 }
 
-impl StorageBackend for Disk {
+impl StorageBackend for RecordingStorage {
     fn len(&self) -> io::Result<u64> {
         Ok(self.0.lock().unwrap().bytes.len() as u64)
     }
     fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        let inner = self.0.lock().unwrap();
-        let bytes = inner.bytes.get(offset as usize..offset as usize + len);
+        let state = self.0.lock().unwrap();
+        let bytes = state.bytes.get(offset as usize..offset as usize + len);
         bytes.map(<[u8]>::to_vec).ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.does(Op::Length(len))
+        self.perform(Operation::SetLength(len))
     }
     fn sync_data(&self, _eventual: bool) -> io::Result<()> {
-        self.does(Op::Sync)
+        self.perform(Operation::Sync)
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.does(Op::Write(offset, data.to_vec()))
+        self.perform(Operation::Write(offset, data.to_vec()))
     }
 }
 
 const OWNER: u64 = 77;
 
+/// Three pieces whose bodies repeat this number.
 fn pieces(number: u64) -> Pieces {
     let body = |piece: u32| number.to_le_bytes().repeat(1 + 40 * piece as usize);
     (0..3).map(|piece| (piece, body(piece))).collect()
 }
 
-/// It is one of these puts, whole.
-fn is_a_put(put: &StoredSnapshot) -> bool {
-    let first = put.pieces.get(&0).and_then(|body| body[..8].try_into().ok()).map(u64::from_le_bytes);
+/// Whether it is one of the snapshots written by [`save_snapshots`], complete.
+fn is_complete(snapshot: &StoredSnapshot) -> bool {
+    let first = snapshot.pieces.get(&0).and_then(|body| body[..8].try_into().ok()).map(u64::from_le_bytes);
     first.is_some_and(|number| {
-        put.pieces == pieces(number) && put.epoch == number && put.taken_at == number as f64
+        snapshot.pieces == pieces(number) && snapshot.epoch == number && snapshot.taken_at == number as f64
     })
 }
 
-fn put_some(store: &mut Store, from: u64, to: u64) {
+/// Saves the snapshots of the numbers `from` to `to`; each number is also the epoch and the time.
+fn save_snapshots(store: &mut Store, from: u64, to: u64) {
     for number in from..=to {
         assert_eq!(store.save(&pieces(number), number as f64).unwrap(), number);
     }
 }
 
-fn found_in(bytes: Vec<u8>) -> LoadOutcome {
-    Store::open(Disk::holding(bytes), OWNER).1
+fn load(bytes: Vec<u8>) -> LoadOutcome {
+    Store::open(RecordingStorage::with_bytes(bytes), OWNER).1
 }
 
-/// Panics of the engine over damaged files are part of what is tested here, and would fill the output.
-fn quietly<T>(work: impl FnOnce() -> T) -> T {
-    let loud = std::panic::take_hook();
-    // The engine's own panics only.
+/// Runs a test without printing the panics of the storage engine: panics on damaged files are expected here and would fill the
+/// output.
+fn without_engine_panics<T>(test: impl FnOnce() -> T) -> T {
+    let former_hook = std::panic::take_hook();
+    // Panics of the tests themselves are still printed.
     std::panic::set_hook(Box::new(|panic| {
-        if panic.location().is_some_and(|at| at.file().contains("tests")) {
+        if panic.location().is_some_and(|location| location.file().contains("tests")) {
             eprintln!("{panic}");
         }
     }));
-    let done = work();
-    std::panic::set_hook(loud);
-    done
+    let result = test();
+    std::panic::set_hook(former_hook);
+    result
 }
 
 #[test]
-fn finds_the_last_put_and_continues_epochs_over_restarts() {
-    let disk = Disk::default();
-    let (mut store, found) = Store::open(disk.clone(), OWNER);
-    assert_eq!(found, LoadOutcome::Empty);
-    put_some(&mut store, 1, 5);
+fn loads_the_last_snapshot_and_continues_epochs_over_restarts() {
+    let storage = RecordingStorage::default();
+    let (mut store, outcome) = Store::open(storage.clone(), OWNER);
+    assert_eq!(outcome, LoadOutcome::Empty);
+    save_snapshots(&mut store, 1, 5);
     drop(store);
-    let (mut store, found) = Store::open(Disk::holding(disk.bytes()), OWNER);
-    assert_eq!(found, LoadOutcome::Complete(StoredSnapshot { epoch: 5, taken_at: 5.0, pieces: pieces(5) }));
+    let (mut store, outcome) = Store::open(RecordingStorage::with_bytes(storage.bytes()), OWNER);
+    assert_eq!(outcome, LoadOutcome::Complete(StoredSnapshot { epoch: 5, taken_at: 5.0, pieces: pieces(5) }));
     store.continue_after(90);
     assert_eq!(store.save(&pieces(91), 91.0).unwrap(), 91);
-    // A piece that is no longer put is gone.
-    let one: Pieces = [(0, vec![1])].into();
-    assert_eq!(store.save(&one, 92.0).unwrap(), 92);
-    assert!(matches!(store.save(&[(0, vec![0; MAX_PIECE + 1])].into(), 93.0), Err(StoreError::TooLarge)));
+    // A snapshot may have fewer pieces than the one before it.
+    let single_piece: Pieces = [(0, vec![1])].into();
+    assert_eq!(store.save(&single_piece, 92.0).unwrap(), 92);
+    assert!(matches!(
+        store.save(&[(0, vec![0; MAX_PIECE_BYTES + 1])].into(), 93.0),
+        Err(StoreError::TooLarge)
+    ));
 }
 
-/// Hard case: killed at every write, with what came after the last sync lost, kept in part, or in another order.
+/// Guards against a crash at any operation in which the operations after the last sync are lost, applied in part, or applied in
+/// another order.
 #[test]
-fn crash_at_any_write_leaves_one_whole_put() {
-    quietly(|| {
-        let disk = Disk::default();
-        let (mut store, _) = Store::open(disk.clone(), OWNER);
-        put_some(&mut store, 1, 4);
-        let (before, ops) = disk.ops();
-        let synced = |upto: usize| ops[..upto].iter().filter(|op| **op == Op::Sync).count();
+fn crash_at_any_operation_leaves_one_complete_snapshot() {
+    without_engine_panics(|| {
+        let storage = RecordingStorage::default();
+        let (mut store, _) = Store::open(storage.clone(), OWNER);
+        save_snapshots(&mut store, 1, 4);
+        let (initial, operations) = storage.operations();
+        let syncs = |count: usize| {
+            operations[..count].iter().filter(|operation| **operation == Operation::Sync).count()
+        };
         let mut rng = SmallRng::seed_from_u64(3);
-        let (mut whole, mut least) = (0, 0);
-        for upto in 0..=ops.len() {
+        let (mut complete, mut min_epoch) = (0, 0);
+        for count in 0..=operations.len() {
             for _ in 0..3 {
-                // All up to the last sync, then any of the rest, in any order.
-                let last = ops[..upto].iter().rposition(|op| *op == Op::Sync).map_or(0, |at| at + 1);
-                let mut loose: Vec<&Op> =
-                    ops[last..upto].iter().filter(|_| rng.random::<f64>() < 0.6).collect();
-                for at in (1..loose.len()).rev() {
-                    loose.swap(at, rng.random_range(0..=at));
+                // All operations up to the last sync, then a random choice of the others in random order.
+                let synced_count = operations[..count]
+                    .iter()
+                    .rposition(|operation| *operation == Operation::Sync)
+                    .map_or(0, |index| index + 1);
+                let mut unsynced: Vec<&Operation> =
+                    operations[synced_count..count].iter().filter(|_| rng.random::<f64>() < 0.6).collect();
+                for at in (1..unsynced.len()).rev() {
+                    unsynced.swap(at, rng.random_range(0..=at));
                 }
-                let mut bytes = before.clone();
-                ops[..last].iter().chain(loose).for_each(|op| apply(&mut bytes, op));
-                match found_in(bytes) {
-                    LoadOutcome::Complete(put) => {
-                        assert!(is_a_put(&put), "{put:?} after {upto}");
-                        // What was acknowledged on an honest disk is never lost.
-                        assert!(put.epoch >= least, "{} after {least}, {upto} operations", put.epoch);
-                        whole += 1;
-                        if synced(upto) == synced(ops.len()) {
-                            least = least.max(put.epoch);
+                let mut bytes = initial.clone();
+                operations[..synced_count]
+                    .iter()
+                    .chain(unsynced)
+                    .for_each(|operation| apply(&mut bytes, operation));
+                match load(bytes) {
+                    LoadOutcome::Complete(snapshot) => {
+                        assert!(is_complete(&snapshot), "{snapshot:?} after {count} operations");
+                        // Without a disk fault, an acknowledged snapshot is never lost.
+                        assert!(
+                            snapshot.epoch >= min_epoch,
+                            "epoch {} after epoch {min_epoch}, {count} operations",
+                            snapshot.epoch
+                        );
+                        complete += 1;
+                        if syncs(count) == syncs(operations.len()) {
+                            min_epoch = min_epoch.max(snapshot.epoch);
                         }
                     }
-                    LoadOutcome::Empty => assert_eq!(least, 0),
+                    LoadOutcome::Empty => assert_eq!(min_epoch, 0),
                     LoadOutcome::Quarantined(_) => {}
                 }
             }
         }
-        assert!(whole > ops.len(), "{whole} whole of {} crashes", 3 * ops.len());
+        assert!(
+            complete > operations.len(),
+            "{complete} complete snapshots after {} crashes",
+            3 * operations.len()
+        );
     });
 }
 
-/// Hard case: writes that were acknowledged and synced are lost, torn or doubled, at random: 600 times,
-/// or as often as `STORE_KILLS` says.
+/// Guards against a disk that loses or tears acknowledged and synced writes at random, then crashes: 600 times, or as many times
+/// as the environment variable `STORE_KILLS` says.
 #[test]
-fn disk_that_loses_acknowledged_writes_gives_one_whole_put_or_none() {
-    quietly(|| {
-        let disk = Disk::default();
-        let (mut store, _) = Store::open(disk.clone(), OWNER);
-        put_some(&mut store, 1, 6);
-        let (before, ops) = disk.ops();
+fn disk_that_loses_acknowledged_writes_yields_one_complete_snapshot_or_none() {
+    without_engine_panics(|| {
+        let storage = RecordingStorage::default();
+        let (mut store, _) = Store::open(storage.clone(), OWNER);
+        save_snapshots(&mut store, 1, 6);
+        let (initial, operations) = storage.operations();
         let mut rng = SmallRng::seed_from_u64(4);
-        let (mut whole, mut aside) = (0, 0);
+        let (mut complete, mut quarantined) = (0, 0);
         let kills = std::env::var("STORE_KILLS").ok().and_then(|kills| kills.parse().ok()).unwrap_or(600);
         for _ in 0..kills {
-            let upto = rng.random_range(0..=ops.len());
-            let mut bytes = before.clone();
-            for op in &ops[..upto] {
-                match (rng.random_range(0..60), op) {
-                    (0, Op::Write(..)) => {}
-                    (1, Op::Write(at, data)) => {
-                        let torn = rng.random_range(0..=data.len());
-                        apply(&mut bytes, &Op::Write(*at, data[..torn].to_vec()));
+            let count = rng.random_range(0..=operations.len());
+            let mut bytes = initial.clone();
+            for operation in &operations[..count] {
+                match (rng.random_range(0..60), operation) {
+                    (0, Operation::Write(..)) => {}
+                    (1, Operation::Write(offset, data)) => {
+                        let torn_length = rng.random_range(0..=data.len());
+                        apply(&mut bytes, &Operation::Write(*offset, data[..torn_length].to_vec()));
                     }
-                    _ => apply(&mut bytes, op),
+                    _ => apply(&mut bytes, operation),
                 }
             }
-            match found_in(bytes) {
-                LoadOutcome::Complete(put) => {
-                    assert!(is_a_put(&put), "{put:?}");
-                    whole += 1;
+            match load(bytes) {
+                LoadOutcome::Complete(snapshot) => {
+                    assert!(is_complete(&snapshot), "{snapshot:?}");
+                    complete += 1;
                 }
                 LoadOutcome::Empty => {}
-                LoadOutcome::Quarantined(_) => aside += 1,
+                LoadOutcome::Quarantined(_) => quarantined += 1,
             }
         }
-        println!("{kills} kills: {whole} whole, {aside} aside");
-        assert!(whole > 50 && aside > 5, "{whole} whole, {aside} aside");
+        println!("{kills} kills: {complete} complete, {quarantined} quarantined");
+        assert!(complete > 50 && quarantined > 5, "{complete} complete, {quarantined} quarantined");
     });
 }
 
-/// Hard case: the file is cut, or one of its bits is flipped.
+/// Guards against loading a snapshot from a file that is truncated or has a flipped bit.
 #[test]
-fn cut_or_damaged_file_gives_one_whole_put_or_none() {
-    quietly(|| {
-        let disk = Disk::default();
-        let (mut store, _) = Store::open(disk.clone(), OWNER);
-        put_some(&mut store, 1, 3);
+fn truncated_or_damaged_file_yields_one_complete_snapshot_or_none() {
+    without_engine_panics(|| {
+        let storage = RecordingStorage::default();
+        let (mut store, _) = Store::open(storage.clone(), OWNER);
+        save_snapshots(&mut store, 1, 3);
         drop(store);
-        let bytes = disk.bytes();
-        let sound = |found: &LoadOutcome| !matches!(found, LoadOutcome::Complete(put) if !is_a_put(put));
+        let bytes = storage.bytes();
+        let is_valid = |outcome: &LoadOutcome| !matches!(outcome, LoadOutcome::Complete(snapshot) if !is_complete(snapshot));
         let mut rng = SmallRng::seed_from_u64(5);
         for _ in 0..300 {
-            let cut = rng.random_range(0..bytes.len());
-            let found = found_in(bytes[..cut].to_vec());
-            assert!(sound(&found), "cut at {cut}: {found:?}");
+            let length = rng.random_range(0..bytes.len());
+            let outcome = load(bytes[..length].to_vec());
+            assert!(is_valid(&outcome), "truncated to {length} bytes: {outcome:?}");
         }
-        let mut noticed = 0;
+        let mut detected = 0;
         for _ in 0..1500 {
             let mut damaged = bytes.clone();
-            // Most of a file is empty: half of the flips go where something stands.
-            let at = loop {
-                let at = rng.random_range(0..damaged.len());
-                if damaged[at] != 0 || rng.random::<f64>() < 0.1 {
-                    break at;
+            // Most bytes of a file are unused and 0. A byte of 0 is only chosen with a probability of 0.1, so that about
+            // half of the flips hit used bytes.
+            let position = loop {
+                let position = rng.random_range(0..damaged.len());
+                if damaged[position] != 0 || rng.random::<f64>() < 0.1 {
+                    break position;
                 }
             };
-            damaged[at] ^= 1 << rng.random_range(0..8);
-            let found = found_in(damaged);
-            assert!(sound(&found), "byte {at}: {found:?}");
-            noticed += usize::from(matches!(found, LoadOutcome::Quarantined(_)));
+            damaged[position] ^= 1 << rng.random_range(0..8);
+            let outcome = load(damaged);
+            assert!(is_valid(&outcome), "byte {position}: {outcome:?}");
+            detected += usize::from(matches!(outcome, LoadOutcome::Quarantined(_)));
         }
-        // Most flips hit what is free or is repaired from the copy beside it.
-        assert!(noticed > 0, "{noticed}");
+        // Most flips hit unused bytes, or the engine repairs them from its second copy.
+        assert!(detected > 0, "{detected}");
     });
 }
 
 #[test]
-fn sets_aside_files_of_other_owners_and_newer_versions() {
-    let disk = Disk::default();
-    let (mut store, _) = Store::open(disk.clone(), OWNER);
-    put_some(&mut store, 1, 2);
+fn quarantines_stores_of_other_owners_and_newer_formats() {
+    let storage = RecordingStorage::default();
+    let (mut store, _) = Store::open(storage.clone(), OWNER);
+    save_snapshots(&mut store, 1, 2);
     drop(store);
-    let other = Store::open(Disk::holding(disk.bytes()), OWNER + 1).1;
+    let other = Store::open(RecordingStorage::with_bytes(storage.bytes()), OWNER + 1).1;
     assert_eq!(other, LoadOutcome::Quarantined(QuarantineReason::OtherOwner));
     let mut newer = (FORMAT + 1).to_le_bytes().to_vec();
     newer.extend([0; 16]);
-    assert_eq!(read_head(&newer).err(), Some(QuarantineReason::NewerFormat(FORMAT + 1)));
+    assert_eq!(read_header(&newer).err(), Some(QuarantineReason::NewerFormat(FORMAT + 1)));
     assert!(QuarantineReason::NewerFormat(2).to_string().contains("newer"));
 }
 
-/// Pieces of two puts beside each other, each whole by itself, are no put.
+/// Guards against loading pieces of two snapshots together, each of which is undamaged by itself.
 #[test]
-fn never_mixes_pieces_of_two_puts() {
-    let disk = Disk::default();
-    let (mut store, _) = Store::open(disk.clone(), OWNER);
-    put_some(&mut store, 1, 2);
+fn never_mixes_pieces_of_two_snapshots() {
+    let storage = RecordingStorage::default();
+    let (mut store, _) = Store::open(storage.clone(), OWNER);
+    save_snapshots(&mut store, 1, 2);
     let engine = store.engine.as_ref().unwrap();
-    let writing = engine.begin_write().unwrap();
+    let transaction = engine.begin_write().unwrap();
     {
-        let mut table = writing.open_table(TABLE).unwrap();
+        let mut table = transaction.open_table(TABLE).unwrap();
         table.insert(1, seal(OWNER, 1, 1, &pieces(1)[&1]).as_slice()).unwrap();
     }
-    writing.commit().unwrap();
+    transaction.commit().unwrap();
     drop(store);
-    assert_eq!(found_in(disk.bytes()), LoadOutcome::Quarantined(QuarantineReason::Damaged(1)));
+    assert_eq!(load(storage.bytes()), LoadOutcome::Quarantined(QuarantineReason::Damaged(1)));
 }
 
 #[test]
-fn failing_disk_reports_an_error_and_keeps_the_last_put() {
-    quietly(|| {
-        let disk = Disk::default();
-        let (mut store, _) = Store::open(disk.clone(), OWNER);
-        put_some(&mut store, 1, 2);
-        disk.0.lock().unwrap().fails = Some("no space left on device");
-        let Err(error) = store.save(&pieces(3), 3.0) else { panic!("it was written") };
+fn failing_disk_reports_an_error_and_keeps_the_last_snapshot() {
+    without_engine_panics(|| {
+        let storage = RecordingStorage::default();
+        let (mut store, _) = Store::open(storage.clone(), OWNER);
+        save_snapshots(&mut store, 1, 2);
+        storage.0.lock().unwrap().failure = Some("no space left on device");
+        let Err(error) = store.save(&pieces(3), 3.0) else { panic!("the save should fail") };
         assert!(matches!(error, StoreError::Engine(_)) && !error.to_string().is_empty(), "{error:?}");
         assert_eq!(store.epoch(), 2);
         drop(store);
-        let LoadOutcome::Complete(put) = found_in(disk.bytes()) else { panic!("nothing whole") };
-        assert!(is_a_put(&put) && put.epoch == 2);
+        let LoadOutcome::Complete(snapshot) = load(storage.bytes()) else { panic!("no complete snapshot") };
+        assert!(is_complete(&snapshot) && snapshot.epoch == 2);
     });
 }
 
 #[test]
-fn moves_an_unusable_file_aside_and_begins_a_new_one() {
-    quietly(|| {
+fn quarantines_an_unusable_file_and_creates_a_new_one() {
+    without_engine_panics(|| {
         let folder = std::env::temp_dir().join(format!("cleatgw-store-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("kept");
         std::fs::write(&path, b"this is no store of ours, and longer than nothing").unwrap();
-        let (mut store, found) = Store::open_file(&path, OWNER).unwrap();
-        assert!(matches!(found, LoadOutcome::Quarantined(QuarantineReason::Unreadable(_))), "{found:?}");
+        let (mut store, outcome) = Store::open_file(&path, OWNER).unwrap();
+        assert!(matches!(outcome, LoadOutcome::Quarantined(QuarantineReason::Unreadable(_))), "{outcome:?}");
         assert!(quarantine_path(&path).exists());
-        put_some(&mut store, 1, 2);
+        save_snapshots(&mut store, 1, 2);
         drop(store);
         assert!(
-            matches!(Store::open_file(&path, OWNER), Ok((_, LoadOutcome::Complete(put))) if put.epoch == 2)
+            matches!(Store::open_file(&path, OWNER), Ok((_, LoadOutcome::Complete(snapshot))) if snapshot.epoch == 2)
         );
         assert!(Store::open_file(&folder.join("missing").join("kept"), OWNER).is_err());
         std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/snapshot-store/tests/golden_file.rs
+++ b/crates/snapshot-store/tests/golden_file.rs
@@ -1,5 +1,5 @@
-//! A golden file: a store that the version before the code was reshaped (1b8dd66) has written by two puts of three pieces each,
-//! compacted. It is read whole, and the next put follows its epoch.
+//! Opens a store file that an earlier version (1b8dd66) wrote: two snapshots of three pieces each, then compacted. The last
+//! snapshot must be loaded complete, and the next one must continue its epoch.
 
 use cleatgw_snapshot_store::{LoadOutcome, Pieces, Store, StoredSnapshot};
 use std::path::{Path, PathBuf};
@@ -10,37 +10,37 @@
     (1..=3).map(|piece: u32| (piece, vec![number ^ piece as u8; 10 * piece as usize])).collect()
 }
 
-/// A copy of the fixture that the test may write to.
-fn copy(name: &str) -> PathBuf {
+/// The path of a new copy of the fixture, which the test may write to.
+fn copy_fixture(name: &str) -> PathBuf {
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/store.redb");
     let path = std::env::temp_dir().join(format!("cleatgw-golden-{}-{name}.redb", std::process::id()));
-    std::fs::copy(fixture, &path).expect("the fixture is there");
+    std::fs::copy(fixture, &path).expect("the fixture can be copied");
     path
 }
 
 #[test]
-fn a_file_of_the_former_version_is_read_whole_and_written_on() {
-    let path = copy("whole");
-    let (mut store, found) = Store::open_file(&path, OWNER).expect("it opens");
+fn a_file_of_an_earlier_version_is_loaded_complete_and_can_be_written_to() {
+    let path = copy_fixture("complete");
+    let (mut store, outcome) = Store::open_file(&path, OWNER).expect("the store opens");
     assert_eq!(
-        found,
+        outcome,
         LoadOutcome::Complete(StoredSnapshot { epoch: 2, taken_at: 1_800_000_002.0, pieces: pieces(2) })
     );
-    assert_eq!(store.save(&pieces(3), 1_800_000_003.0).expect("it is written"), 3);
+    assert_eq!(store.save(&pieces(3), 1_800_000_003.0).expect("the snapshot is written"), 3);
     drop(store);
-    let (_, found) = Store::open_file(&path, OWNER).expect("it opens again");
+    let (_, outcome) = Store::open_file(&path, OWNER).expect("the store opens again");
     assert_eq!(
-        found,
+        outcome,
         LoadOutcome::Complete(StoredSnapshot { epoch: 3, taken_at: 1_800_000_003.0, pieces: pieces(3) })
     );
-    std::fs::remove_file(path).expect("it is ours");
+    std::fs::remove_file(path).expect("the copy can be removed");
 }
 
 #[test]
-fn a_file_of_the_former_version_is_set_aside_for_another_owner() {
-    let path = copy("owner");
-    let (_, found) = Store::open_file(&path, OWNER + 1).expect("it opens");
-    assert!(matches!(found, LoadOutcome::Quarantined(_)), "{found:?}");
-    std::fs::remove_file(cleatgw_snapshot_store::quarantine_path(&path)).expect("it was set aside");
+fn a_file_of_an_earlier_version_is_quarantined_for_another_owner() {
+    let path = copy_fixture("owner");
+    let (_, outcome) = Store::open_file(&path, OWNER + 1).expect("the store opens");
+    assert!(matches!(outcome, LoadOutcome::Quarantined(_)), "{outcome:?}");
+    std::fs::remove_file(cleatgw_snapshot_store::quarantine_path(&path)).expect("the file was quarantined");
     let _ = std::fs::remove_file(path);
 }
