--- a/crates/deployment-config/src/engine_incarnation.rs
+++ b/crates/deployment-config/src/engine_incarnation.rs
@@ -1,11 +1,12 @@
-//! Engines as routers speak of them to each other.
+//! How routers identify engines to each other.
 
 use cleatgw::EngineListing;
 use cleatgw_membership::digest::EngineIncarnation;
 
-/// An engine in the incarnation that the engine list gives it.
+/// Identifies an engine by the hash of its name and by its incarnation, which is derived from the start time in the
+/// engine list.
 pub fn engine_incarnation(listing: &EngineListing) -> EngineIncarnation {
-    let started_at = listing.started_at.unwrap_or(0.0).to_bits();
-    let incarnation = (started_at ^ (started_at >> 32)) as u32;
+    let start_bits = listing.started_at.unwrap_or(0.0).to_bits();
+    let incarnation = (start_bits ^ (start_bits >> 32)) as u32;
     EngineIncarnation { name: listing.name_hash, incarnation }
 }
--- a/crates/deployment-config/src/error.rs
+++ b/crates/deployment-config/src/error.rs
@@ -1,20 +1,20 @@
-//! What can be wrong with a setting.
+//! The error of a malformed setting.
 
-/// A setting that can't be read.
+/// A setting whose value is malformed or out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("setting {setting}: expected {expected}, got {got}")]
 pub struct SettingError {
-    /// Its path.
+    /// The path of the setting.
     pub setting: String,
     /// What was expected.
     pub expected: &'static str,
-    /// What stood there.
+    /// The value of the setting.
     pub got: String,
 }
 
 impl SettingError {
-    /// A text that is no such value.
-    pub(crate) fn text(setting: &str, expected: &'static str, got: &str) -> SettingError {
+    /// An error for a text that is not a value of the expected kind.
+    pub(crate) fn malformed(setting: &str, expected: &'static str, got: &str) -> SettingError {
         SettingError { setting: setting.to_string(), expected, got: format!("\"{got}\"") }
     }
 }
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,5 +1,6 @@
-//! Reads what a deployment states at the start: `path=value` pairs of the simulator's wire, or the same as nested JSON, into
-//! what the decisions are told, the names behind the small indices, and what connections need to know.
+//! Reads the settings that a deployment has at the start: `path=value` pairs as the simulator sends them, or the same
+//! as nested JSON. The results are the parameters of the decision module, the names that its indices stand for, and the
+//! limits of connections to engines.
 
 mod contradictions;
 mod engine_incarnation;
--- a/crates/deployment-config/src/reader.rs
+++ b/crates/deployment-config/src/reader.rs
@@ -1,31 +1,31 @@
-//! Reads the settings into what the decisions are told, section by section.
+//! Reads the settings into the parameters of the decision module, section by section.
 
 use crate::{index_of, Names, SettingError, Settings};
 use cleatgw::{
     DeduplicationScope, Deployment, EngineKind, Idempotency, RequestClass, RetryBudget, SlowStart,
 };
 
-/// A deployment, and the names behind its indices.
+/// A deployment with the names that its indices stand for.
 pub struct NamedDeployment {
-    /// What the decisions are told.
+    /// The parameters of the decision module.
     pub deployment: Deployment,
-    /// The names behind its indices.
+    /// The names that indices in `deployment` stand for.
     pub names: Names,
 }
 
-fn owned(list: &[&str]) -> Vec<String> {
+fn to_strings(list: &[&str]) -> Vec<String> {
     list.iter().map(|text| text.to_string()).collect()
 }
 
 /// Reads a deployment.
 ///
 /// # Errors
-/// The first setting that can't be read.
+/// The first setting that is malformed or out of range.
 pub fn read_deployment(settings: &Settings) -> Result<NamedDeployment, SettingError> {
     let mut names = Names {
-        zones: owned(&settings.list("zones")),
-        kinds: owned(&settings.list("shapes")),
-        columns: owned(&settings.list("report.columns")),
+        zones: to_strings(&settings.list("zones")),
+        kinds: to_strings(&settings.list("shapes")),
+        columns: to_strings(&settings.list("report.columns")),
         tenants: tenant_names(settings)?,
         ..Names::default()
     };
@@ -60,7 +60,7 @@
     Ok(names)
 }
 
-/// The classes, whose names join the others; so do zones and kinds that only they name.
+/// Reads the request classes and adds their names to `names`, together with zones and kinds that only classes mention.
 fn request_classes(settings: &Settings, names: &mut Names) -> Result<Vec<RequestClass>, SettingError> {
     let threads = settings.numbers("family-info.parallelism")?;
     let locks_tables = settings.list("family-info.is-load");
@@ -69,13 +69,13 @@
     for index in 0..settings.count("categories")? {
         let path = |key: &str| format!("categories.{index}.{key}");
         names.classes.push(settings.text(&path("name")).unwrap_or_default().to_string());
-        let allowed = |key: &str, known: &mut Vec<String>| {
+        let allowed_indices = |key: &str, known: &mut Vec<String>| {
             let allowed = settings.list(&path(key));
             (!allowed.is_empty()).then(|| allowed.iter().map(|name| index_of(known, name)).collect())
         };
         classes.push(RequestClass {
-            allowed_zones: allowed("confined-to", &mut names.zones),
-            allowed_kinds: allowed("allowed-on", &mut names.kinds),
+            allowed_zones: allowed_indices("confined-to", &mut names.zones),
+            allowed_kinds: allowed_indices("allowed-on", &mut names.kinds),
             value: settings.number(&path("gain"), 1.0)?,
             late_value_share: settings.number(&path("late-worth"), 0.0)?,
             latency_objective: settings.time(&path("objective-us"), 1.0)?,
@@ -117,6 +117,7 @@
     Ok((0..names.kinds.len()).map(kind).collect())
 }
 
+/// The longest Retry-After that clients obey, in seconds; `None` if they ignore it.
 fn max_retry_after(settings: &Settings) -> Result<Option<f64>, SettingError> {
     if !settings.flag("limits.retry-after") {
         return Ok(None);
@@ -124,7 +125,8 @@
     settings.time("limits.max-retry-after-us", 0.0).map(Some)
 }
 
-/// Where the engine list has to be polled: how old it may get.
+/// The largest allowed age in seconds of the engine list, whose default is 10; `None` unless the `discovery` setting is
+/// `subscribe`.
 fn max_list_age(settings: &Settings) -> Result<Option<f64>, SettingError> {
     if settings.text("discovery") != Some("subscribe") {
         return Ok(None);
@@ -141,6 +143,7 @@
     })
 }
 
+/// The retry budget; `None` if its window is absent.
 fn retry_budget(settings: &Settings) -> Result<Option<RetryBudget>, SettingError> {
     if settings.optional_number("rules.look-back-us")?.is_none() {
         return Ok(None);
--- a/crates/deployment-config/src/settings.rs
+++ b/crates/deployment-config/src/settings.rs
@@ -1,22 +1,24 @@
-//! The settings of a deployment, by their paths.
+//! The settings of a deployment by path, such as `limits.max-attempts`.
 
 use crate::SettingError;
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// The longest list of objects.
+/// The largest length of a list of objects.
 const MAX_COUNT: f64 = 10_000.0;
+/// Microseconds in a second.
 const MICROSECONDS: f64 = 1e6;
 
-/// What is stated, by the paths of the simulator's wire.
+/// The settings of a deployment, by the paths that the simulator uses.
 pub struct Settings(HashMap<String, String>);
 
-/// A value as the simulator's wire writes it: without spaces and commas.
+/// Normalizes a name to the form that the simulator sends: spaces and commas, which separate values there, become `_`.
 pub fn normalize_name(text: &str) -> String {
     text.replace([' ', ','], "_")
 }
 
-fn plain(value: &Value) -> String {
+/// The text of a JSON value that is not a list or an object.
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => normalize_name(text),
         Value::Null => String::new(),
@@ -25,74 +27,75 @@
 }
 
 impl Settings {
-    /// Reads the form of the simulator's wire: `path=value`, parted by spaces.
+    /// Reads the settings that the simulator sends: `path=value` pairs, separated by spaces.
     pub fn from_pairs(text: &str) -> Settings {
         let pairs = text.split(' ').filter_map(|pair| pair.split_once('='));
         Settings(pairs.map(|(path, value)| (path.to_string(), value.to_string())).collect())
     }
 
-    /// Reads nested JSON.
+    /// Reads the settings from nested JSON.
     pub fn from_json(value: &Value) -> Settings {
         let mut settings = Settings(HashMap::new());
         settings.flatten("", value);
         settings
     }
 
+    /// Adds a JSON value and everything in it, each by its path.
     fn flatten(&mut self, path: &str, value: &Value) {
-        let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+        let child_path = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
         match value {
             Value::Object(members) => {
                 for (key, value) in members {
-                    self.flatten(&below(key), value);
+                    self.flatten(&child_path(key), value);
                 }
             }
             Value::Array(items) => {
-                self.0.insert(below("count"), items.len().to_string());
+                self.0.insert(child_path("count"), items.len().to_string());
                 if items.iter().any(|item| item.is_object() || item.is_array()) {
                     for (index, item) in items.iter().enumerate() {
-                        self.flatten(&below(&index.to_string()), item);
+                        self.flatten(&child_path(&index.to_string()), item);
                     }
                 } else {
-                    let items: Vec<String> = items.iter().map(plain).collect();
+                    let items: Vec<String> = items.iter().map(scalar_text).collect();
                     self.0.insert(path.to_string(), items.join(","));
                 }
             }
             Value::Null | Value::Bool(_) | Value::Number(_) | Value::String(_) => {
-                self.0.insert(path.to_string(), plain(value));
+                self.0.insert(path.to_string(), scalar_text(value));
             }
         }
     }
 
-    /// A text; absent ones are empty or `-`.
+    /// The text of a setting. An empty text or `-` means that the setting is absent.
     pub(crate) fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).map(String::as_str).filter(|text| !text.is_empty() && *text != "-")
     }
 
-    /// A number, if it is there.
+    /// A number; `None` if it is absent.
     pub(crate) fn optional_number(&self, path: &str) -> Result<Option<f64>, SettingError> {
         let Some(text) = self.text(path) else { return Ok(None) };
         match text.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(Some(number)),
-            _ => Err(SettingError::text(path, "a number", text)),
+            _ => Err(SettingError::malformed(path, "a number", text)),
         }
     }
 
-    /// A number, or `absent`.
-    pub(crate) fn number(&self, path: &str, absent: f64) -> Result<f64, SettingError> {
-        Ok(self.optional_number(path)?.unwrap_or(absent))
+    /// A number, or `default` if it is absent.
+    pub(crate) fn number(&self, path: &str, default: f64) -> Result<f64, SettingError> {
+        Ok(self.optional_number(path)?.unwrap_or(default))
     }
 
-    /// A time in seconds, which is stated in microseconds, or `absent`.
-    pub(crate) fn time(&self, path: &str, absent: f64) -> Result<f64, SettingError> {
-        Ok(self.optional_number(path)?.map_or(absent, |us| us / MICROSECONDS))
+    /// A time in seconds, read from a setting in microseconds, or `default` seconds if it is absent.
+    pub(crate) fn time(&self, path: &str, default: f64) -> Result<f64, SettingError> {
+        Ok(self.optional_number(path)?.map_or(default, |us| us / MICROSECONDS))
     }
 
-    /// Whether something is stated to be so.
+    /// Whether the setting is `true` or `1`.
     pub(crate) fn flag(&self, path: &str) -> bool {
         matches!(self.text(path), Some("true" | "1"))
     }
 
-    /// A list of texts; empty where it is absent.
+    /// A list of texts; empty if it is absent.
     pub(crate) fn list(&self, path: &str) -> Vec<&str> {
         self.text(path).map_or(Vec::new(), |text| text.split(',').collect())
     }
@@ -109,14 +112,14 @@
 
     /// A list of numbers.
     pub(crate) fn numbers(&self, path: &str) -> Result<Vec<f64>, SettingError> {
-        let number = |text: &str| text.parse().map_err(|_| SettingError::text(path, "numbers", text));
+        let number = |text: &str| text.parse().map_err(|_| SettingError::malformed(path, "numbers", text));
         self.list(path).into_iter().map(number).collect()
     }
 
-    /// Which of how many instances this one is, where they may send each other something.
+    /// The index of this gateway and the number of gateways; `None` if they may not send messages to each other.
     ///
     /// # Errors
-    /// A number that can't be read.
+    /// One of the two numbers is malformed.
     pub fn peer_instance(&self) -> Result<Option<PeerInstance>, SettingError> {
         let number = |path| Ok::<f64, SettingError>(self.number(path, 0.0)?.clamp(0.0, f64::from(u16::MAX)));
         let index = number("self-index")?;
@@ -125,10 +128,10 @@
         Ok(self.flag("limits.peers").then_some(instance))
     }
 
-    /// How long a client waits for a request at most.
+    /// The longest time in seconds that a client waits for a request of any class; `None` if no class has a limit.
     ///
     /// # Errors
-    /// A number that can't be read.
+    /// A number is malformed, or the number of classes is out of range.
     pub fn longest_request(&self) -> Result<Option<f64>, SettingError> {
         let mut longest = 0.0f64;
         for index in 0..self.count("categories")? {
@@ -137,10 +140,10 @@
         Ok((longest > 0.0).then_some(longest))
     }
 
-    /// What is stated of connections to engines.
+    /// The limits of connections to engines.
     ///
     /// # Errors
-    /// A number that can't be read.
+    /// One of the limits is malformed.
     pub fn connection_limits(&self) -> Result<ConnectionLimits, SettingError> {
         Ok(ConnectionLimits {
             connect_timeout: self.time("limits.connect-timeout-us", 0.25)?,
@@ -150,22 +153,22 @@
     }
 }
 
-/// One of several instances that may send each other something.
+/// One of several gateways that may send messages to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerInstance {
-    /// Its index.
+    /// The index of this gateway, from 0.
     pub index: u16,
-    /// How many there are.
+    /// The number of gateways.
     pub instances: u64,
 }
 
-/// What is stated of connections to engines; times in seconds.
+/// The limits of connections to engines; times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// How long a connection may take to come up.
+    /// The longest time for establishing a connection.
     pub connect_timeout: f64,
-    /// After how long an engine closes a connection that carries nothing.
+    /// The time after which an engine closes an idle connection.
     pub idle_after: f64,
-    /// Attempts that one connection may carry at once.
+    /// The largest number of attempts on one connection at the same time.
     pub max_attempts_per_connection: usize,
 }
--- a/crates/operator-config/src/cluster.rs
+++ b/crates/operator-config/src/cluster.rs
@@ -1,8 +1,11 @@
-//! The cluster file: which routers know each other, and how they go about it.
+//! The cluster file: which routers know each other, and how they detect failures.
 
-#![allow(missing_docs, reason = "doc comments here are texts of the checked-in schema, which stays as it is")]
+#![allow(
+    missing_docs,
+    reason = "some fields need no description in the schema, which is derived from the doc comments"
+)]
 
-use crate::bgp::seconds;
+use crate::bgp::check_seconds;
 use crate::{invalid, read_checked, schema_text, OperatorFile, OperatorFileError};
 use cleatgw_membership::leader::{role_resource, MAX_ROLES};
 use cleatgw_membership::swim::{Defences, DetectorSettings};
@@ -13,28 +16,30 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// `deploy/cluster.json`: the routers of one cluster. All of them have the same name and routers in the same order;
-/// a router whose list is another is none of theirs. Times are seconds.
+/// `deploy/cluster.json`: the routers of one cluster. The files of all routers contain the same cluster name and the
+/// same router names in the same order; a router whose file differs in these belongs to another cluster. Times are in
+/// seconds.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterFile {
-    /// The cluster's name: 1 to 64 letters without blanks.
+    /// The cluster's name: 1 to 64 printable ASCII characters without spaces.
     pub name: String,
-    /// Every router that is expected, this one among them, at most 2000. A majority is one of these.
+    /// All routers of the cluster, including this one, at most 2000. A majority is counted among these routers.
     #[schemars(length(min = 1, max = 2000))]
     pub routers: Vec<RouterPart>,
-    /// Where this router hears the others; absent: its own address in `routers`. UDP.
+    /// The UDP address at which this router receives datagrams from the others. Absent: its own address in `routers`.
     #[serde(default)]
     #[schemars(with = "Option<String>")]
     pub listen: Option<SocketAddr>,
-    /// Datagrams are taken from these networks alone.
+    /// Datagrams from addresses outside these networks are ignored.
     #[schemars(with = "Vec<String>", length(min = 1, max = 64))]
     pub networks: Vec<IpNet>,
-    /// Whether this router tells the others what it has seen of engines, and weighs what they tell.
+    /// Whether this router sends its observations of engines to the other routers, and uses theirs.
     #[serde(default = "yes")]
     pub tell_of_engines: bool,
-    /// What one router at a time does for all of them, each a name of 1 to 64 letters without blanks; at most 64. Which one
-    /// it is, `cleatgw holds ADDRESS NAME` tells, and `cleatgw status ADDRESS duties`.
+    /// Duties that one router at a time performs for all of them; at most 64. Each is a name of 1 to 64 printable ASCII
+    /// characters without spaces. `cleatgw holds ADDRESS NAME` and `cleatgw status ADDRESS duties` show which router
+    /// holds a duty.
     #[serde(default)]
     #[schemars(length(max = 64))]
     pub duties: Vec<String>,
@@ -42,26 +47,28 @@
     pub pace: PacePart,
 }
 
-/// One router.
+/// One router of the cluster.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RouterPart {
-    /// As its configuration has it (`name`).
+    /// The name of the router, as in `name` of its configuration.
     pub name: String,
-    /// Where it hears the others.
+    /// The UDP address to which the other routers send datagrams for it.
     #[schemars(with = "String")]
     pub address: SocketAddr,
 }
 
-/// How fast failures are found, against how much is said for it.
+/// The timing of failure detection: shorter times find failures sooner and cost more messages.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct PacePart {
-    /// Each router probes another so often, 0.05 to 60.
+    /// How often each router probes another one, 0.05 to 60.
     pub probe_period_s: f64,
-    /// An answer that has not come by then is asked for by way of others; under half of the period.
+    /// How long a router waits for the answer to a probe before it asks others to probe the same router; at least 0.001
+    /// and at most half of `probe_period_s`.
     pub round_trip_s: f64,
-    /// One that is suspected has so long to say that it is there; more in clusters of more than ten. 0.1 to 600.
+    /// How long a suspected router has to refute the suspicion before it counts as failed, 0.1 to 600. The time is
+    /// longer in clusters of more than ten routers.
     pub suspicion_s: f64,
 }
 
@@ -80,7 +87,8 @@
 /// Reads a cluster file.
 ///
 /// # Errors
-/// The first thing that is wrong, by the field's path.
+/// The first error found: the file is too long, is not JSON, has an unknown, missing or malformed field, or a field
+/// whose value is out of bounds. An error of a field names it by its path.
 pub fn read_cluster(text: &str) -> Result<ClusterFile, OperatorFileError> {
     read_checked(text)
 }
@@ -90,16 +98,17 @@
     schema_text::<ClusterFile>()
 }
 
-fn name(path: &str, name: &str) -> Result<(), OperatorFileError> {
+/// Checks a name of a cluster, a router or a duty.
+fn check_name(path: &str, name: &str) -> Result<(), OperatorFileError> {
     match (1..=64).contains(&name.len()) && name.bytes().all(|byte| byte.is_ascii_graphic()) {
         true => Ok(()),
-        false => invalid(path, "1 to 64 letters without blanks", format!("{name:?}")),
+        false => invalid(path, "1 to 64 printable ASCII characters without spaces", format!("{name:?}")),
     }
 }
 
 impl OperatorFile for ClusterFile {
     fn check(&self) -> Result<(), OperatorFileError> {
-        name("name", &self.name)?;
+        check_name("name", &self.name)?;
         if !(1..=MAX_ROUTERS).contains(&self.routers.len()) {
             return invalid("routers", "1 to 2000 routers", self.routers.len());
         }
@@ -108,57 +117,62 @@
         }
         let mut names = BTreeSet::new();
         let mut addresses = BTreeSet::new();
-        for (at, router) in self.routers.iter().enumerate() {
-            let field = |field: &str| format!("routers[{at}].{field}");
-            name(&field("name"), &router.name)?;
+        for (index, router) in self.routers.iter().enumerate() {
+            let field = |field: &str| format!("routers[{index}].{field}");
+            check_name(&field("name"), &router.name)?;
             if !names.insert(&router.name) {
-                return invalid(field("name"), "a name of its own", &router.name);
+                return invalid(field("name"), "a unique name", &router.name);
             }
             if !addresses.insert(router.address) {
-                return invalid(field("address"), "an address of its own", router.address);
+                return invalid(field("address"), "a unique address", router.address);
             }
             if router.address.port() == 0 || router.address.ip().is_unspecified() {
-                return invalid(field("address"), "an address that others can send to", router.address);
+                return invalid(
+                    field("address"),
+                    "an address that other routers can send to",
+                    router.address,
+                );
             }
             if !self.networks.iter().any(|network| network.contains(&router.address.ip())) {
-                return invalid(field("address"), "one in the `networks`", router.address);
+                return invalid(field("address"), "an address in one of the `networks`", router.address);
             }
         }
         if self.duties.len() > MAX_ROLES {
             return invalid("duties", "at most 64", self.duties.len());
         }
         let mut resources = BTreeSet::new();
-        for (at, duty) in self.duties.iter().enumerate() {
-            name(&format!("duties[{at}]"), duty)?;
+        for (index, duty) in self.duties.iter().enumerate() {
+            check_name(&format!("duties[{index}]"), duty)?;
             if !resources.insert(role_resource(duty)) {
-                return invalid(format!("duties[{at}]"), "a name of its own", duty);
+                return invalid(format!("duties[{index}]"), "a unique name", duty);
             }
         }
         let PacePart { probe_period_s, round_trip_s, suspicion_s } = self.pace;
-        seconds("pace.probe_period_s", probe_period_s, 0.05, 60.0)?;
-        seconds("pace.round_trip_s", round_trip_s, 0.001, probe_period_s / 2.0)?;
-        seconds("pace.suspicion_s", suspicion_s, 0.1, 600.0)
+        check_seconds("pace.probe_period_s", probe_period_s, 0.05, 60.0)?;
+        check_seconds("pace.round_trip_s", round_trip_s, 0.001, probe_period_s / 2.0)?;
+        check_seconds("pace.suspicion_s", suspicion_s, 0.1, 600.0)
     }
 }
 
 impl ClusterFile {
-    /// This router's place among those expected.
+    /// The index of a router in `routers`, by its name.
     ///
     /// # Errors
-    /// The file does not have it.
+    /// No router of the file has the name.
     pub fn router_index(&self, name: &str) -> Result<usize, OperatorFileError> {
         match self.routers.iter().position(|router| router.name == name) {
-            Some(place) => Ok(place),
-            None => invalid("routers", &format!("one named {name}, as this router is"), "none"),
+            Some(index) => Ok(index),
+            None => invalid("routers", &format!("a router with the name {name} of this router"), "none"),
         }
     }
 
-    /// What ties datagrams to this cluster. Addresses do not count: one router may be reached differently by others.
+    /// The hash that identifies the cluster in datagrams. Addresses are not part of it, because routers may reach
+    /// another router at different addresses.
     pub fn hash(&self) -> u64 {
         cluster_hash(&self.name, self.routers.iter().map(|router| router.name.as_str()))
     }
 
-    /// The pace of failure detection.
+    /// The settings of failure detection.
     pub fn detector_settings(&self) -> DetectorSettings {
         let PacePart { probe_period_s, round_trip_s, suspicion_s } = self.pace;
         DetectorSettings {
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,45 +1,45 @@
-//! What can be wrong with a file.
+//! The errors of operators' files.
 
 use crate::MAX_FILE_BYTES;
 use std::fmt::Display;
 
-/// An operator's file that can't be used. An error of a field names it by its path, what was expected and what stood
-/// there.
+/// An operator's file that can't be used. An error of a field names the path of the field, the expected value and the
+/// actual one.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
-    /// It is longer than any may be; its length in bytes.
+    /// The file is longer than [`MAX_FILE_BYTES`]; contains its length in bytes.
     #[error("expected at most {MAX_FILE_BYTES} bytes, got {0}")]
     TooLong(usize),
-    /// It is no JSON.
+    /// The file is not JSON.
     #[error("expected JSON: {0}")]
     Syntax(serde_json::Error),
-    /// Something follows the JSON.
+    /// There is more text after the JSON value.
     #[error("expected the end of the JSON: {0}")]
     Trailing(serde_json::Error),
-    /// It is JSON of another kind.
+    /// The error concerns the top level of the JSON value: a field is missing there, or the value is not an object.
     #[error("{0}")]
     Kind(serde_json::Error),
-    /// A field whose value is of another kind, or that is unknown or missing.
+    /// A field has a value of the wrong type, is unknown, or is missing below the top level.
     #[error("field {path}: {source}")]
     Field {
-        /// Where it stands.
+        /// The path of the field.
         path: String,
-        /// What is wrong.
+        /// The error.
         source: serde_json::Error,
     },
-    /// A field whose value can be read but is out of bounds.
+    /// A field has a value of the right type that is not allowed.
     #[error("field {path}: expected {expected}, got {got}")]
     Value {
-        /// Where it stands.
+        /// The path of the field.
         path: String,
-        /// What it should be.
+        /// The allowed values.
         expected: String,
-        /// What it is.
+        /// The actual value.
         got: String,
     },
 }
 
-/// A field whose value can be read but is out of bounds.
+/// Returns the error of a field whose value has the right type but is not allowed.
 pub(crate) fn invalid<T>(
     path: impl Display,
     expected: &str,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operators' files: on service addresses (which are announced, to whom, and when), on teams (who shares the engines,
-//! and how), on the cluster (which routers know each other) and on the store (what is kept over a restart). JSON, with
-//! schemas derived from the types.
+//! Reads and checks the files that operators write. The service file configures the service addresses (which are
+//! announced, to which peers, and when), the teams file the tenants that share the engines, the cluster file the
+//! routers that know each other, and the store file where a router keeps its state over a restart. The files are JSON,
+//! and their schemas are derived from the types.
 
 mod bgp;
 mod cluster;
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -1,19 +1,19 @@
-//! Reading a file of any kind: its length, its JSON, its fields and their values.
+//! Reads a file of any kind: checks its length, parses the JSON and its fields, and checks the values.
 
 use crate::OperatorFileError;
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 
-/// A file is no longer than this.
+/// The largest length of a file.
 pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 
-/// A kind of file.
+/// A kind of operators' file.
 pub(crate) trait OperatorFile: DeserializeOwned {
     /// Checks the values of its fields.
     fn check(&self) -> Result<(), OperatorFileError>;
 }
 
-/// Reads a file's text, and checks what it says.
+/// Parses the text of a file and checks its values.
 pub(crate) fn read_checked<F: OperatorFile>(text: &str) -> Result<F, OperatorFileError> {
     if text.len() > MAX_FILE_BYTES {
         return Err(OperatorFileError::TooLong(text.len()));
--- a/crates/operator-config/src/service.rs
+++ b/crates/operator-config/src/service.rs
@@ -1,6 +1,9 @@
-//! The service addresses, and when they are announced.
+//! The service file: the service addresses, and when and how they are announced.
 
-#![allow(missing_docs, reason = "doc comments here are texts of the checked-in schema, which stays as it is")]
+#![allow(
+    missing_docs,
+    reason = "some fields need no description in the schema, which is derived from the doc comments"
+)]
 
 mod checks;
 
@@ -13,7 +16,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// `deploy/service.json`: service addresses that follow this router. Times are seconds.
+/// `deploy/service.json`: the service addresses that this router announces while it is healthy. Times are in seconds.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceFile {
@@ -21,96 +24,110 @@
     /// The prefixes to announce, at most 256, without host bits.
     #[schemars(with = "Vec<String>", length(min = 1, max = 256))]
     pub addresses: Vec<IpNet>,
+    /// The health checks that decide how the addresses are announced.
     #[serde(default)]
     pub signs: HealthChecksPart,
-    /// What a path carries on each level.
+    /// The path attributes of an address that is announced normally.
     #[serde(default)]
     pub announced: PathPreferencePart,
+    /// The path attributes of an address to which other instances are preferred.
     #[serde(default = "depreferred")]
     pub depreferred: PathPreferencePart,
+    /// The path attributes of an address that an unhealthy instance announces.
     #[serde(default = "last_resort")]
     pub last_resort: PathPreferencePart,
-    /// The function numbers of the large community that marks our paths: sound, and last resort.
+    /// The function numbers of the large community that marks our paths: that of healthy paths, and that of paths of
+    /// last resort. They must differ.
     #[serde(default = "mark_functions")]
     pub mark_functions: (u32, u32),
-    /// How long all must be well before the first announcement, and before a return.
+    /// How long all checks whose effect is `withdraw` must pass before the first announcement.
     #[serde(default = "start_after")]
     pub start_after_s: f64,
+    /// How long all checks whose effect is `withdraw` must pass before a withdrawn address is announced again.
     #[serde(default = "return_after")]
     pub return_after_s: f64,
-    /// How long a return stays depreferred first.
+    /// How long an address that is announced again stays depreferred.
     #[serde(default = "stage")]
     pub stage_s: f64,
-    /// A move waits up to so long more, by lot.
+    /// The longest random delay of a move to a worse level.
     #[serde(default = "jitter_down")]
     pub jitter_down_s: f64,
+    /// The longest random delay of a move to a better level.
     #[serde(default = "jitter_up")]
     pub jitter_up_s: f64,
-    /// A sick instance stays as last resort where it sees no sound path of another one.
+    /// Whether an unhealthy instance keeps its path as last resort while it sees no healthy path of another instance.
     #[serde(default = "yes")]
     pub guard: bool,
-    /// How long a sick instance shows itself as last resort before it may go. Longer than a change takes to be seen by
-    /// all instances, or the guard guards nothing.
+    /// How long an unhealthy instance announces its path as last resort before it may withdraw it. It must be longer
+    /// than a change takes to become visible to all instances; otherwise the guard has no effect.
     #[serde(default = "settle")]
     pub settle_s: f64,
+    /// Damping of addresses that fail often.
     #[serde(default)]
     pub damping: DampingPart,
-    /// Changes of one address a minute, 2 to 60; moves up keep to half of them.
+    /// The largest number of level changes of one address within a minute, 2 to 60. Moves to a better level may use
+    /// half of them.
     #[serde(default = "most_changes")]
     pub most_changes_a_minute: u32,
-    /// How long a drain shows GRACEFUL_SHUTDOWN (RFC 8326) before it withdraws, 0 to 0.8.
+    /// How long a drain announces GRACEFUL_SHUTDOWN (RFC 8326) before it withdraws, 0 to 0.8.
     #[serde(default)]
     pub shutdown_lead_s: f64,
-    /// Holds all addresses at a level until it is taken out of the file again.
+    /// Holds all addresses at this level until the field is removed from the file.
     #[serde(default)]
     pub hold: Option<HoldPart>,
 }
 
-/// What makes a path dearer.
+/// The attributes of a path, by which peers prefer one path to another.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct PathPreferencePart {
+    /// MULTI_EXIT_DISC; a lower one is preferred.
     pub med: Option<u32>,
-    /// Our AS so many times more, at most 16; nothing within one AS.
+    /// How many more times our AS is prepended to the path, at most 16. Has no effect within one AS.
     #[schemars(range(max = 16))]
     pub prepend: u8,
-    /// Within one AS only.
+    /// LOCAL_PREF, used only within one AS; a higher one is preferred.
     pub local_pref: Option<u32>,
-    /// RFC 1997, each as `64512:666`.
+    /// Communities (RFC 1997), each in the form `64512:666`; at most 16.
     pub communities: Vec<String>,
 }
 
-/// What is watched.
+/// The health checks.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct HealthChecksPart {
-    /// Clients can connect.
+    /// Whether clients can connect. `bound` has no meaning and must be 0.
     pub listening: HealthCheckPart,
-    /// The decisions run; `bound` is how long a failure of theirs counts.
+    /// Whether the decision module works. `bound` is how many seconds a failure of it counts.
     pub deciding: HealthCheckPart,
-    /// The notice board is heard; `bound` is how long it may be silent.
+    /// Whether the discovery service is heard from. `bound` is how many seconds it may be silent.
     pub board: HealthCheckPart,
-    /// Engines that are ready and not doubted; `bound` is how many there must be.
+    /// Whether enough engines are ready and not suspected of having failed. `bound` is the least number of them.
     pub engines: HealthCheckPart,
-    /// Jobs answered in time of late; `bound` is their share.
+    /// Whether enough recent requests were answered in time. `bound` is the least share of them, 0 to 1.
     pub in_time: HealthCheckPart,
 }
 
-/// When a sign is bad, and how fast that is believed.
+/// When a health check fails, how fast its state follows the readings, and its effect.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckPart {
+    /// What happens to the addresses while the check fails.
     pub effect: EffectPart,
+    /// The threshold of the check; its meaning depends on the check.
     #[serde(default)]
     pub bound: f64,
-    /// Readings in a row, four a second, that make it good, and bad: 1 to 1000.
+    /// The number of consecutive good readings after which a failing check passes, 1 to 1000. There are four readings a
+    /// second.
     #[serde(default = "rise")]
     pub rise: u32,
+    /// The number of consecutive bad readings after which a passing check fails, 1 to 1000.
     #[serde(default = "fall")]
     pub fall: u32,
-    /// It stays good, and bad, for so long at least.
+    /// The least time for which the check stays passing.
     #[serde(default)]
     pub least_good_s: f64,
+    /// The least time for which the check stays failing.
     #[serde(default = "least_bad")]
     pub least_bad_s: f64,
 }
@@ -130,13 +147,17 @@
     Withdrawn,
 }
 
-/// Damping after RFC 2439, in units of one fall.
+/// Route flap damping (RFC 2439). A penalty is in units of one fall.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct DampingPart {
+    /// The time in which a penalty halves.
     pub half_life_s: f64,
+    /// The penalty from which on an address is held back; more than `reuse`.
     pub suppress: f64,
+    /// The penalty at which an address is no longer held back.
     pub reuse: f64,
+    /// The longest time for which an address is held back after its last fall.
     pub longest_s: f64,
 }
 
@@ -148,7 +169,7 @@
 
 impl Default for HealthChecksPart {
     fn default() -> HealthChecksPart {
-        let sign = |effect, bound| HealthCheckPart {
+        let check = |effect, bound| HealthCheckPart {
             effect,
             bound,
             rise: rise(),
@@ -157,11 +178,11 @@
             least_bad_s: least_bad(),
         };
         HealthChecksPart {
-            listening: sign(EffectPart::Withdraw, 0.0),
-            deciding: sign(EffectPart::Deprefer, 10.0),
-            board: sign(EffectPart::Deprefer, 10.0),
-            engines: sign(EffectPart::Withdraw, 1.0),
-            in_time: sign(EffectPart::Deprefer, 0.5),
+            listening: check(EffectPart::Withdraw, 0.0),
+            deciding: check(EffectPart::Deprefer, 10.0),
+            board: check(EffectPart::Deprefer, 10.0),
+            engines: check(EffectPart::Withdraw, 1.0),
+            in_time: check(EffectPart::Deprefer, 0.5),
         }
     }
 }
@@ -222,7 +243,8 @@
     3.0
 }
 
-fn community(text: &str) -> Option<u32> {
+/// Parses a community in the form `64512:666`.
+fn parse_community(text: &str) -> Option<u32> {
     let (high, low) = text.split_once(':')?;
     Some(u32::from(high.parse::<u16>().ok()?) << 16 | u32::from(low.parse::<u16>().ok()?))
 }
@@ -233,7 +255,7 @@
             med: self.med,
             prepend: self.prepend,
             local_pref: self.local_pref,
-            communities: self.communities.iter().filter_map(|text| community(text)).collect(),
+            communities: self.communities.iter().filter_map(|text| parse_community(text)).collect(),
         }
     }
 }
@@ -258,7 +280,8 @@
 /// Reads a service file.
 ///
 /// # Errors
-/// The first thing that is wrong, by the field's path. An unknown field is one.
+/// The first error found: the file is too long, is not JSON, has an unknown, missing or malformed field, or a field
+/// whose value is out of bounds. An error of a field names it by its path.
 pub fn read_service(text: &str) -> Result<ServiceFile, OperatorFileError> {
     read_checked(text)
 }
@@ -269,7 +292,7 @@
 }
 
 impl ServiceFile {
-    /// What is settled for the announcing decisions.
+    /// The configuration of the announcing decisions.
     pub fn announcer_config(&self) -> AnnouncerConfig {
         let HealthChecksPart { listening, deciding, board, engines, in_time } = &self.signs;
         AnnouncerConfig {
@@ -307,7 +330,7 @@
         }
     }
 
-    /// What can't change while the router runs, and did: the names of the fields.
+    /// The names of the fields that differ in `new` although they can't change while the router runs.
     pub fn changed_fixed_fields(&self, new: &ServiceFile) -> Vec<&'static str> {
         let fields = [
             ("bgp.asn", self.bgp.asn != new.bgp.asn),
--- a/crates/operator-config/src/store.rs
+++ b/crates/operator-config/src/store.rs
@@ -1,18 +1,21 @@
-//! The store file: where this router keeps what it needs after a restart.
+//! The store file: where this router keeps the state that it needs after a restart.
 
-#![allow(missing_docs, reason = "doc comments here are texts of the checked-in schema, which stays as it is")]
+#![allow(
+    missing_docs,
+    reason = "some fields need no description in the schema, which is derived from the doc comments"
+)]
 
 use crate::{invalid, read_checked, schema_text, OperatorFile, OperatorFileError};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// `deploy/store.json`: a lasting disk of this router's own.
+/// `deploy/store.json`: where this router keeps its state on a persistent disk.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StoreFile {
-    /// The file that is kept, in a folder that is there and that survives the process. No two routers may share it; beside
-    /// it goes one that could not be used, as `NAME.aside`.
+    /// The path of the store. Its folder must exist and must survive the process. Two routers must not share a store. A
+    /// store that can't be used is renamed to `NAME.aside` in the same folder.
     #[schemars(with = "String")]
     pub path: PathBuf,
 }
@@ -20,7 +23,8 @@
 /// Reads a store file.
 ///
 /// # Errors
-/// The first thing that is wrong, by the field's path.
+/// The first error found: the file is too long, is not JSON, has an unknown, missing or malformed field, or a field
+/// whose value is out of bounds. An error of a field names it by its path.
 pub fn read_store(text: &str) -> Result<StoreFile, OperatorFileError> {
     read_checked(text)
 }
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -162,7 +162,7 @@
         "setting family-info.parallelism: expected 3 values, one for each of categories, got 2",
         "setting family-info.cores-by-kind: expected 2 values, one for each of shapes, got 1",
         "setting family-info.ram-of-kind-mb: expected 2 values, one for each of shapes, got 1",
-        "setting categories.1.name: expected a name of its own, got that of categories.0",
+        "setting categories.1.name: expected a unique name, got the name of categories.0",
         "setting categories.0.objective-us: expected at most categories.0.hard-limit-us (20000000), got 30000000",
         "setting categories.1.confined-to: expected names of zones, got \"west\"",
         "setting categories.1.objective-us: expected at most categories.1.hard-limit-us (20000000), got 30000000",
