--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -103,8 +103,8 @@
         })
     }
 
-    /// Applies a new service file. Peers that are new or changed get new sessions; the sessions of removed peers are shut
-    /// down with a notification.
+    /// Applies a new service file. Peers that are new or changed get new sessions; the sessions of removed peers are
+    /// shut down with a notification.
     pub fn reconfigure(&mut self, new: ServiceFile, now: f64) {
         let fixed_changes = self.file.changed_fixed_fields(&new);
         if !fixed_changes.is_empty() {
@@ -208,8 +208,8 @@
         peer.session.closed(direction, &error.to_string(), now);
     }
 
-    /// Replaces a peer whose session code panicked. Its connections are closed, so the peer drops the routes announced to
-    /// it, and a new session starts.
+    /// Replaces a peer whose session code panicked. Its connections are closed, so the peer drops the routes announced
+    /// to it, and a new session starts.
     fn restart_peer(&mut self, index: usize, now: f64) {
         self.counters.panics += 1;
         let peer = &mut self.peers[index];
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -1,5 +1,5 @@
-//! The cluster's socket: exchanges the UDP datagrams of `cleatgw-membership` with the other routers. It makes no decisions
-//! itself: it passes received datagrams on, sends the resulting ones, and logs changes.
+//! The cluster's socket: exchanges the UDP datagrams of `cleatgw-membership` with the other routers. It makes no
+//! decisions itself: it passes received datagrams on, sends the resulting ones, and logs changes.
 
 use super::event_source::{watch, EventSource, LoopHandle};
 use super::panic_guard::catch_panic;
@@ -19,7 +19,8 @@
 
 /// Datagrams read in one turn of the event loop. Further ones wait for the next turn, or are dropped by the system.
 const MAX_RECEIVED_PER_TURN: usize = 64;
-/// Datagrams sent in one turn; further ones are dropped. The limit is high because a lease is requested from every router.
+/// Datagrams sent in one turn; further ones are dropped. The limit is high because a lease is requested from every
+/// router.
 const MAX_SENT_PER_TURN: usize = 4096;
 
 /// A cluster file and what this router needs to join the cluster as a member.
@@ -140,8 +141,8 @@
         })
     }
 
-    /// Applies a new cluster file. If the list of routers is unchanged, only addresses and the pace of the protocol change;
-    /// a different list is a different cluster. In both cases this router joins under a new incarnation.
+    /// Applies a new cluster file. If the list of routers is unchanged, only addresses and the pace of the protocol
+    /// change; a different list is a different cluster. In both cases this router joins under a new incarnation.
     pub fn reconfigure(&mut self, mut joined: JoinedCluster, now: f64) {
         if joined.file == self.joined.file {
             return;
@@ -183,8 +184,8 @@
                     self.readable = false;
                     return;
                 }
-                // The system reports that a datagram of this router could not be delivered; the failure detector notices
-                // that by itself.
+                // The system reports that a datagram of this router could not be delivered; the failure detector
+                // notices that by itself.
                 Err(_) => continue,
             };
             let Some(router) = self.sender(from) else {
@@ -271,8 +272,8 @@
         }
     }
 
-    /// A status row for each leader role: its holder and, if this router holds it, the epoch and the remaining time of the
-    /// lease. `unix` is the current Unix time in seconds, which the row states.
+    /// A status row for each leader role: its holder and, if this router holds it, the epoch and the remaining time of
+    /// the lease. `unix` is the current Unix time in seconds, which the row states.
     pub fn roles(&self, now: f64, unix: f64) -> Vec<StatusRow> {
         let row = |name: &String| {
             let subject = format!("duty {name}");
@@ -299,7 +300,8 @@
         self.members.set_store_epoch(epoch);
     }
 
-    /// The latest epoch of this router's store that other routers report to have received; absent if none has reported one.
+    /// The latest epoch of this router's store that other routers report to have received; absent if none has reported
+    /// one.
     pub fn store_epoch_seen(&self) -> Option<u64> {
         self.members.store_epoch_seen_by_peers()
     }
--- a/crates/router/src/transport/connection_index.rs
+++ b/crates/router/src/transport/connection_index.rs
@@ -1,6 +1,6 @@
-//! The connections to engines, indexed so that those with a given property are found without visiting the others. A connection
-//! is modified only through [`ConnectionIndex::update`], which updates its index entries afterwards, so the index always
-//! matches the connections.
+//! The connections to engines, indexed so that those with a given property are found without visiting the others. A
+//! connection is modified only through [`ConnectionIndex::update`], which updates its index entries afterwards, so the
+//! index always matches the connections.
 
 use super::engine_connection::EngineConnection;
 use std::cell::Cell;
@@ -63,7 +63,8 @@
 pub struct ConnectionIndex {
     connections: HashMap<u64, IndexedConnection>,
     idle_after: f64,
-    /// Engine, whether the connection is up, and id: connections of one engine that are up come after those still connecting.
+    /// Engine, whether the connection is up, and id: connections of one engine that are up come after those still
+    /// connecting.
     by_engine: BTreeSet<(u64, bool, u64)>,
     /// When each connection is due, except those that never are.
     due: BTreeSet<(OrderedTime, u64)>,
--- a/crates/router/src/transport/connection_pool.rs
+++ b/crates/router/src/transport/connection_pool.rs
@@ -19,8 +19,8 @@
 /// How the log line for a panic in connection code names the connection.
 const CONNECTION_LABEL: &str = "a connection to an engine";
 
-/// The end of an attempt whose connection this router closed. It is reported only when the engine has had time to notice
-/// that, because the engine may run the attempt until then.
+/// The end of an attempt whose connection this router closed. It is reported only when the engine has had time to
+/// notice that, because the engine may run the attempt until then.
 struct DelayedEnd {
     at: f64,
     ended: EndedAttempt,
@@ -97,8 +97,8 @@
         self.connections.get(id).is_some_and(|connection| connection.is_up() && connection.load() == 0)
     }
 
-    /// Finds a connection that accepts the attempt, preferring one that is up. An attempt that must be sent by some time is not
-    /// queued behind bytes that have not been written to the socket.
+    /// Finds a connection that accepts the attempt, preferring one that is up. An attempt that must be sent by some
+    /// time is not queued behind bytes that have not been written to the socket.
     fn find(&self, dispatch: &Dispatch, now: f64) -> Option<u64> {
         let fits = |connection: &EngineConnection| {
             connection.address == dispatch.address
@@ -180,7 +180,8 @@
                 self.close(id, now);
             }
         }
-        // The older connections are unresponsive and no new one comes up: the machine is gone, and no answers will arrive.
+        // The older connections are unresponsive and no new one comes up: the machine is gone, and no answers will
+        // arrive.
         if !was_up && matches!(&error, ConnectionError::Io(error) if error.kind() == ErrorKind::TimedOut) {
             self.fail_unresponsive(engine, address, now);
         }
@@ -218,8 +219,8 @@
         self.handle_result(id, result, now);
     }
 
-    /// Sends the queued attempts of connections that came up in this turn. It is called after routing's turn, which first withdraws
-    /// attempts for clients that have left and for engines that are draining.
+    /// Sends the queued attempts of connections that came up in this turn. It is called after routing's turn, which
+    /// first withdraws attempts for clients that have left and for engines that are draining.
     pub fn send_queued(&mut self, now: f64) {
         for id in std::mem::take(&mut self.newly_up) {
             let ended = &mut self.ended;
@@ -245,8 +246,8 @@
         }
     }
 
-    /// Ends an attempt whose dispatch panicked. If it was put on a connection, that connection is closed and the attempt may
-    /// have been sent; else it was never sent.
+    /// Ends an attempt whose dispatch panicked. If it was put on a connection, that connection is closed and the
+    /// attempt may have been sent; else it was never sent.
     pub fn fail_panicked_dispatch(&mut self, attempt: AttemptId, now: f64) {
         self.counters.panics += 1;
         match self.connection_by_attempt.get(&attempt) {
--- a/crates/router/src/transport/connection_pool/liveness.rs
+++ b/crates/router/src/transport/connection_pool/liveness.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 impl ConnectionPool {
-    /// Pings engines that are silent. If a ping stays unanswered, a new connection is opened to find out whether the machine is
-    /// reachable; an unresponsive connection without open attempts is closed. Connections whose engine responds on another
-    /// one are failed.
+    /// Pings engines that are silent. If a ping stays unanswered, a new connection is opened to find out whether the
+    /// machine is reachable; an unresponsive connection without open attempts is closed. Connections whose engine
+    /// responds on another one are failed.
     pub fn sweep(&mut self, now: f64) {
         for id in self.connections.awaiting_engine() {
             let Some(connection) = self.connections.get(id) else { continue };
--- a/crates/router/src/transport/connection_pool/tests.rs
+++ b/crates/router/src/transport/connection_pool/tests.rs
@@ -217,7 +217,8 @@
     assert_eq!(test.pool.connections.len(), 1, "the other connection stays open");
 }
 
-/// A repeat of a deduplicated request waits for a connection that comes up just after the request's deduplication window.
+/// A repeat of a deduplicated request waits for a connection that comes up just after the request's deduplication
+/// window.
 #[test]
 fn an_attempt_is_not_sent_after_the_time_by_which_it_must_be() {
     let mut test = PoolTest::new();
@@ -246,8 +247,8 @@
     assert_eq!(test.take_ended(), [(4, Err(DeliveryFailure::NeverSent))]);
 }
 
-/// An engine rejects a request and then gets it again, and a duplicate of its first answer arrives late. If that counted as the
-/// answer to the second attempt, it would wrongly prove that nothing ran, while that attempt runs.
+/// An engine rejects a request and then gets it again, and a duplicate of its first answer arrives late. If that
+/// counted as the answer to the second attempt, it would wrongly prove that nothing ran, while that attempt runs.
 #[test]
 fn a_late_duplicate_of_an_answer_does_not_answer_the_next_attempt() {
     for (word, reply) in
@@ -309,8 +310,8 @@
     assert!(received.contains(&format!("GET {:016x}", 3)) && !received.contains("DROP"), "{received}");
 }
 
-/// A pool with `size` connections, three to each engine. All are up and share one socket, whose other end is returned so that it
-/// stays open.
+/// A pool with `size` connections, three to each engine. All are up and share one socket, whose other end is returned
+/// so that it stays open.
 fn pool_with_connections(size: u64) -> (PoolTest, TcpStream) {
     let mut test = PoolTest::new();
     test.pool.max_connections = size as usize;
@@ -343,8 +344,8 @@
     test.pool.take_ended(&mut Vec::new());
 }
 
-/// Dispatching an attempt, running a turn and acting on one engine look up only the connections concerned, whether the pool has
-/// 30 connections or 3,000.
+/// Dispatching an attempt, running a turn and acting on one engine look up only the connections concerned, whether the
+/// pool has 30 connections or 3,000.
 #[test]
 fn an_action_on_one_engine_looks_up_its_connections_alone() {
     for size in [30, 3000] {
@@ -355,8 +356,8 @@
         }
         assert_eq!(count_lookups(&mut test, run_idle_turn), 0, "a turn with nothing due, {size} connections");
         assert!(count_lookups(&mut test, |test| test.pool.withdraw_unsent(7)) <= 6, "{size} connections");
-        // The engine's third connection carries the attempts, so two are closed. Connections to engines without one can then be opened
-        // without searching for idle ones to close.
+        // The engine's third connection carries the attempts, so two are closed. Connections to engines without one
+        // can then be opened without searching for idle ones to close.
         assert!(
             count_lookups(&mut test, |test| test.pool.close_idle(7, test.now)) <= 5,
             "{size} connections"
@@ -380,9 +381,9 @@
     }
 }
 
-/// A sweep takes the same number of lookups for each connection that awaits its engine, however many there are. That holds also
-/// when no engine responds and the other connections to each engine are searched. For connections without open attempts a
-/// sweep takes no lookups.
+/// A sweep takes the same number of lookups for each connection that awaits its engine, however many there are. That
+/// holds also when no engine responds and the other connections to each engine are searched. For connections without
+/// open attempts a sweep takes no lookups.
 #[test]
 fn a_sweep_takes_a_constant_number_of_lookups_per_connection() {
     let mut lookups_per_connection = Vec::new();
@@ -469,8 +470,8 @@
     }
 }
 
-/// Compares what the index returns with a scan over all connections. Returns how many connections were found for an attempt, due,
-/// idle, unfinished and known to be unresponsive.
+/// Compares what the index returns with a scan over all connections. Returns how many connections were found for an
+/// attempt, due, idle, unfinished and known to be unresponsive.
 fn compare_index_with_scan(
     pool: &ConnectionPool,
     addresses: &[SocketAddr],
@@ -535,7 +536,8 @@
 /// One of the addresses accepts a single connection; further ones to it never come up.
 #[test]
 fn the_index_returns_what_a_scan_over_all_connections_finds() {
-    // A single seed does not reach every case, because the order of iteration over all connections differs from run to run.
+    // A single seed does not reach every case, because the order of iteration over all connections differs from run to
+    // run.
     let (mut totals, mut counter_totals) = ([0; 5], [0; 3]);
     for seed in 1..=12 {
         let event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
--- a/crates/router/src/transport/discovery_client.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The connection to the discovery service. It is re-established whenever it is lost or silent, and resumes after the last
-//! event that is known.
+//! The connection to the discovery service. It is re-established whenever it is lost or silent, and resumes after the
+//! last event that is known.
 
 use super::buffer::{Buffer, ReadOutcome};
 use super::sockets::{is_connected, RegisteredStream};
@@ -10,15 +10,15 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// The connection counts as lost after this many seconds without a line; the service sends one each second. Even with one
-/// failed connection attempt before the next one succeeds, that is well within the 4 s after which the events of a silent
-/// service count as told.
+/// The connection counts as lost after this many seconds without a line; the service sends one each second. Even if the
+/// next connection fails and only the one after it succeeds, that is well within the 4 s after which a router counts as
+/// informed of a silent service's events.
 const SILENCE_TIMEOUT: f64 = 1.8;
 /// How long a connection may take to come up, in seconds.
 const CONNECT_TIMEOUT: f64 = 0.5;
-/// The backoff between connection attempts, in seconds. It grows while the service is unavailable, and is randomised so that
-/// many routers that lost the service together do not all reconnect at once. The maximum stays well within the 2 s after
-/// which the events of a lost service count as told.
+/// The backoff between connection attempts, in seconds. It grows while the service is unavailable, and is randomised so
+/// that many routers that lost the service together do not all reconnect at once. The maximum stays well within the 2 s
+/// after which a router counts as informed of a lost service's events.
 const INITIAL_BACKOFF: f64 = 0.1;
 const MAX_BACKOFF: f64 = 0.4;
 const BACKOFF_FACTOR: f64 = 1.6;
@@ -67,8 +67,8 @@
     readable: bool,
     /// The number of the last event that was applied.
     last_event: u64,
-    /// An event was missing and the service was asked again for it. If it is still missing then, the service no longer has
-    /// it, and later events are applied without it.
+    /// An event was missing and the service was asked again for it. If it is still missing then, the service no longer
+    /// has it, and later events are applied without it.
     has_gap: bool,
     /// The connection was lost, and no line has arrived since.
     is_lost: bool,
@@ -141,9 +141,9 @@
         self.readable = false;
     }
 
-    /// Applies the `known` events that are newer than the last one, and switches to a new address, to which a connection is due
-    /// at once. Nothing more is read from the old address, even if its connection stays open for a while; returns the
-    /// registration of that connection, which the caller has to remove.
+    /// Applies the `known` events that are newer than the last one, and switches to a new address, to which a
+    /// connection is due at once. Nothing more is read from the old address, even if its connection stays open for a
+    /// while; returns the registration of that connection, which the caller has to remove.
     pub fn reconfigure(
         &mut self,
         address: Option<SocketAddr>,
@@ -191,8 +191,8 @@
     /// Reads what is ready; new events are appended to `events`.
     ///
     /// # Errors
-    /// The connection could not be established, failed, was closed or was silent for too long, or the service sent a line
-    /// that is too long or malformed, or left out an event.
+    /// The connection could not be established, failed, was closed or was silent for too long, or the service sent a
+    /// line that is too long or malformed, or left out an event.
     pub fn process_io(
         &mut self,
         readable: bool,
--- a/crates/router/src/transport/discovery_client/tests.rs
+++ b/crates/router/src/transport/discovery_client/tests.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 
 #[test]
-fn a_service_that_falls_silent_is_reconnected_well_before_its_events_count_as_told() {
+fn a_silent_service_is_reconnected_well_before_the_router_counts_as_informed_of_its_events() {
     let event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -106,8 +106,8 @@
     assert_eq!(read_once_arrived(&mut client, 1000, 100.1), Err(DiscoveryError::LineTooLong(1000)));
 }
 
-/// A line on the old connection and a change of address fall into one turn, and the change is handled first. The line is then
-/// left to the new service, so that no event is lost or applied twice.
+/// A line on the old connection and a change of address fall into one turn, and the change is handled first. The line
+/// is then left to the new service, so that no event is lost or applied twice.
 #[test]
 fn a_line_of_the_old_service_in_the_turn_of_an_address_change_is_left_to_the_new_service() {
     let (_event_loop, mut client, mut discovery) = connected();
@@ -125,8 +125,8 @@
     assert_eq!((client.due(), client.wants_connection(100.21)), (100.21, third));
 }
 
-/// 300 routers lose the discovery service at the same moment and it returns after 8 s. They must not all reconnect at once,
-/// nor take long to do so.
+/// 300 routers lose the discovery service at the same moment and it returns after 8 s. They must not all reconnect at
+/// once, nor take long to do so.
 #[test]
 fn clients_that_lost_the_service_together_reconnect_spread_out_and_soon() {
     let lost_at = 100.0;
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -19,19 +19,21 @@
 const MAX_INPUT: usize = 64 * 1024;
 /// A connection with more unsent bytes than this accepts no new attempts: its engine is not reading.
 const MAX_UNSENT: usize = 256 * 1024;
-/// The ids of attempts that ended on a connection without a result are kept for the lifetime of the connection, because more
-/// answers to them may still arrive. With this many ids the connection accepts no new attempts.
+/// The ids of attempts that ended on a connection without a result are kept for the lifetime of the connection,
+/// because more answers to them may still arrive. With this many ids the connection accepts no new attempts.
 const MAX_USED_IDS: usize = 1000;
 /// An engine with attempts in flight that has sent nothing for this long is pinged, in seconds.
 const PING_AFTER: f64 = 0.25;
 /// The tag of a ping that checks whether the engine responds.
 const PING_TAG: &str = "sign";
-/// A cancelled attempt ends when the engine has read the cancellation, which its answer to the ping sent behind it shows, or
-/// at the latest after this time, in seconds.
+/// A cancelled attempt ends when the engine has read the cancellation, which its answer to the ping sent behind it
+/// shows, or at the latest after this time, in seconds.
 const CANCELLATION_TIMEOUT: f64 = 0.1;
-/// An answer of which a part has arrived must be complete within this time, in seconds; after that the connection fails.
+/// An answer of which a part has arrived must be complete within this time, in seconds; after that the connection
+/// fails.
 const ANSWER_TIMEOUT: f64 = 0.5;
-/// The fraction of the idle time-out for which an idle connection is still used. After that its engine may be closing it.
+/// The fraction of the idle time-out for which an idle connection is still used. After that its engine may be closing
+/// it.
 const IDLE_FRACTION: f64 = 0.9;
 
 /// A cancelled attempt whose engine may not have read the cancellation yet.
@@ -153,8 +155,8 @@
         matches!(self.state, State::Up)
     }
 
-    /// Whether the connection accepts an attempt under this request id. An id that was used on it before is not accepted, so that
-    /// answers to the earlier attempt can't be mistaken for answers to this one.
+    /// Whether the connection accepts an attempt under this request id. An id that was used on it before is not
+    /// accepted, so that answers to the earlier attempt can't be mistaken for answers to this one.
     pub fn can_take(&self, id: &str, limits: &ConnectionLimits, now: f64) -> bool {
         let is_stale = self.load() == 0 && now > self.idle_since + limits.idle_after * IDLE_FRACTION;
         let is_id_taken = self.used_ids.contains(id)
@@ -171,8 +173,8 @@
         self.pinged_at.is_some_and(|pinged_at| now > pinged_at + limits.connect_timeout)
     }
 
-    /// Whether the engine is expected to send something, because attempts are open or a ping is unanswered. Only such a connection
-    /// is pinged or found to be unresponsive.
+    /// Whether the engine is expected to send something, because attempts are open or a ping is unanswered. Only such
+    /// a connection is pinged or found to be unresponsive.
     pub fn is_awaiting_engine(&self) -> bool {
         self.load() > 0 || self.pinged_at.is_some()
     }
@@ -191,8 +193,8 @@
         self.send(|out| engine::write_ping(out, PING_TAG))
     }
 
-    /// Whether this connection is unresponsive although the engine has sent something on `other` after the ping here had timed
-    /// out. Nothing more is to be expected from this connection then.
+    /// Whether this connection is unresponsive although the engine has sent something on `other` after the ping here
+    /// had timed out. Nothing more is to be expected from this connection then.
     pub fn is_superseded_by(&self, other: &EngineConnection, limits: &ConnectionLimits) -> bool {
         let ping_timeout =
             self.pinged_at.map_or(f64::INFINITY, |pinged_at| pinged_at + limits.connect_timeout);
@@ -248,8 +250,9 @@
         self.send(|out| engine::write_lane(out, &id, lane))
     }
 
-    /// Cancels an attempt. A new attempt on another connection could overtake the cancellation, so that the engine would run both
-    /// at once. Therefore the attempt ends only when the engine has answered a ping that is sent behind the cancellation.
+    /// Cancels an attempt. A new attempt on another connection could overtake the cancellation, so that the engine
+    /// would run both at once. Therefore the attempt ends only when the engine has answered a ping that is sent behind
+    /// the cancellation.
     pub fn cancel(&mut self, attempt: AttemptId, now: f64, ended: &mut Vec<EndedAttempt>) -> io::Result<()> {
         if let Some(index) = self.queued.iter().position(|queued| queued.attempt == attempt) {
             self.queued.remove(index);
@@ -295,8 +298,8 @@
         }
     }
 
-    /// Reads what is ready; attempts that ended are appended to `ended`. If the connection comes up in this call, its queued
-    /// attempts are sent later by [`Self::send_queued`], when all other input of the turn has been handled.
+    /// Reads what is ready; attempts that ended are appended to `ended`. If the connection comes up in this call, its
+    /// queued attempts are sent later by [`Self::send_queued`], when all other input of the turn has been handled.
     ///
     /// # Errors
     /// The connection could not be established, failed or was closed, or the engine sent a malformed answer.
@@ -379,8 +382,8 @@
                         if let Some(reply) = reply {
                             self.exchanges.remove(answer.id);
                             self.idle_since = now;
-                            // A duplicate of this answer, or further pages, may still arrive. They must not be taken for an
-                            // answer to the request's next attempt, so the id is not reused on this connection.
+                            // A duplicate of this answer, or further pages, may still arrive. They must not be taken
+                            // for an answer to the request's next attempt, so the id is not reused on this connection.
                             if !matches!(reply, Reply::Completed { .. }) {
                                 self.used_ids.insert(answer.id.to_string());
                             }
--- a/crates/router/src/transport/engine_exchange.rs
+++ b/crates/router/src/transport/engine_exchange.rs
@@ -16,7 +16,8 @@
 }
 
 impl Exchange {
-    /// Processes one answer, and returns the reply if it is complete. Requests for further pages are appended to `requests`.
+    /// Processes one answer, and returns the reply if it is complete. Requests for further pages are appended to
+    /// `requests`.
     ///
     /// # Errors
     /// The answer is malformed or does not fit the answers received before.
--- a/crates/router/src/transport/store_writer.rs
+++ b/crates/router/src/transport/store_writer.rs
@@ -1,6 +1,6 @@
 //! Persists snapshots of the router's state on a thread of its own, and drives the recovery after a restart
-//! (`cleatgw-recovery`). The event loop never waits for the disk: it hands the newest snapshot to the thread, and checks for
-//! reports of the thread in each turn.
+//! (`cleatgw-recovery`). The event loop never waits for the disk: it hands the newest snapshot to the thread, and
+//! checks for reports of the thread in each turn.
 
 use crate::routing::{Counters, Routing};
 use crate::status_row::StatusRow;
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Waits for a snapshot, and returns it with the epoch that its own epoch must exceed. Returns `None` if the other thread
-    /// has panicked while it held the lock.
+    /// Waits for a snapshot, and returns it with the epoch that its own epoch must exceed. Returns `None` if the other
+    /// thread has panicked while it held the lock.
     fn wait(&self) -> Option<(PendingSnapshot, u64)> {
         let mailbox = self.mailbox.lock().ok()?;
         let mut mailbox = self.filled.wait_while(mailbox, |mailbox| mailbox.pending.is_none()).ok()?;
@@ -76,8 +76,8 @@
     }
 }
 
-/// The body of the store's thread: opens the store, reports its contents, then writes the newest snapshot whenever there
-/// is one.
+/// The body of the store's thread: opens the store, reports its contents, then writes the newest snapshot whenever
+/// there is one.
 fn run_store(path: &Path, owner: u64, mailbox: &SharedMailbox, events: &Sender<StoreEvent>) {
     let Some(mut store) = open_store(path, owner, events) else { return };
     while let Some((snapshot, epoch_after)) = mailbox.wait() {
@@ -159,8 +159,8 @@
 }
 
 impl StoreWriter {
-    /// Starts the store's thread, which persists this router's snapshots. `owner` identifies the router to which the file
-    /// belongs. `has_peers` says whether there are other routers that can report which epoch they received.
+    /// Starts the store's thread, which persists this router's snapshots. `owner` identifies the router to which the
+    /// file belongs. `has_peers` says whether there are other routers that can report which epoch they received.
     ///
     /// # Errors
     /// The thread can't be started.
@@ -256,9 +256,9 @@
         }
     }
 
-    /// Runs the store's turn, which comes before routing's. `now` is on the monotonic clock, `unix` on the Unix clock that
-    /// routing uses. `epoch_seen` is the latest epoch that other routers report to have received. Returns the epoch to
-    /// send to them.
+    /// Runs the store's turn, which comes before routing's. `now` is on the monotonic clock, `unix` on the Unix clock
+    /// that routing uses. `epoch_seen` is the latest epoch that other routers report to have received. Returns the
+    /// epoch to send to them.
     pub fn turn(&mut self, now: f64, unix: f64, epoch_seen: Option<u64>, routing: &mut Routing) -> u64 {
         self.take_events(now);
         self.update_epoch_seen(epoch_seen);
