--- a/crates/router/src/commands/mod.rs
+++ b/crates/router/src/commands/mod.rs
@@ -82,5 +82,5 @@
 fn join_cluster(path: &Path, name: &str, seed: u64) -> Result<JoinedCluster, FileError> {
     let file = load_cluster(path)?;
     let place = file.router_index(name).map_err(|error| FileError::new(path, error))?;
-    Ok(JoinedCluster { file, place, born: (unix_time() * MS_PER_S) as u64, seed })
+    Ok(JoinedCluster { file, place, generation: (unix_time() * MS_PER_S) as u64, seed })
 }
--- a/crates/router/src/transport/bgp_connection.rs
+++ b/crates/router/src/transport/bgp_connection.rs
@@ -122,7 +122,8 @@
     pub session: Peer,
     /// The peer was removed from the service file or changed there, so its session is shutting down.
     pub is_leaving: bool,
-    /// The version of the advertisements that were last handed to the session.
+    /// The version of the advertisements that were last handed to the session; 0 before the first, so that a new
+    /// session gets the current ones.
     pub applied_version: u64,
     connections: [Option<BgpConnection>; 2],
 }
@@ -193,12 +194,13 @@
     }
 
     /// Whether a connection opened by the peer exists and all bytes queued on it have been written.
-    pub fn has_idle_incoming(&self) -> bool {
+    pub fn has_flushed_incoming(&self) -> bool {
         self.connections[Direction::Incoming as usize].is_some()
             && self.session.unsent(Direction::Incoming).is_empty()
     }
 
-    /// Adopts a connection opened by the peer, in place of an older one.
+    /// Adopts a connection opened by the peer, in place of an older one. If it can't be registered with the event loop,
+    /// the older one is closed all the same, and the session is notified that its connection is closed.
     pub fn accept(&mut self, handle: &LoopHandle, socket: Socket, id: u64, now: f64) {
         let connection = BgpConnection::new(handle, TcpStream::from(socket), id, true);
         if let Some(old) = self.take_connection(Direction::Incoming) {
--- a/crates/router/src/transport/bgp_speaker.rs
+++ b/crates/router/src/transport/bgp_speaker.rs
@@ -23,8 +23,8 @@
 const LISTEN_BACKLOG: i32 = 16;
 /// Connections accepted in one turn of the event loop.
 const MAX_ACCEPTED: usize = 16;
-/// Actions performed for one session in one turn. An action may cause another one, but no more than both connections
-/// being closed and one being started are expected.
+/// Actions performed for one session at a time; further ones wait for the next turn. An action may cause another one,
+/// but no more than both connections being closed and one being started are expected.
 const MAX_ACTIONS: usize = 8;
 /// How the log line for a panic in session code names the session.
 const SESSION_LABEL: &str = "a routing peer's session";
@@ -34,7 +34,7 @@
 enum RefusedConnection {
     #[error("no configured peer has this address")]
     UnknownPeer,
-    #[error("a connection opened by this peer is already in use")]
+    #[error("a connection opened by this peer is already open, with no bytes left to write")]
     AlreadyOpen,
     #[error("the session accepts no connection in its present state")]
     NotAcceptedBySession,
@@ -44,7 +44,7 @@
 
 /// The routes to announce to all peers.
 struct Advertisements {
-    /// Incremented with each change.
+    /// Starts at 1 and grows with each change.
     version: u64,
     by_prefix: BTreeMap<IpNet, Advertisement>,
 }
@@ -103,8 +103,8 @@
         })
     }
 
-    /// Applies a new service file. Peers that are new or changed get new sessions; the sessions of removed peers are
-    /// shut down with a notification.
+    /// Applies a new service file. The sessions of removed and changed peers are shut down with a notification; new and
+    /// changed peers get new sessions, except during a drain.
     pub fn reconfigure(&mut self, new: ServiceFile, now: f64) {
         let fixed_changes = self.file.changed_fixed_fields(&new);
         if !fixed_changes.is_empty() {
@@ -158,7 +158,7 @@
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    log::debug!("bgp accept: {error}");
+                    log::debug!("bgp can't accept a connection: {error}");
                     return;
                 }
             }
@@ -171,7 +171,8 @@
         let has_address = |peer: &&mut BgpPeer| !peer.is_leaving && peer.config.address.ip() == from;
         let peer = self.peers.iter_mut().find(has_address).ok_or(RefusedConnection::UnknownPeer)?;
         let socket = peer.prepare_accepted(stream)?;
-        if peer.has_idle_incoming() {
+        // A connection on which bytes are still unwritten is replaced by the new one.
+        if peer.has_flushed_incoming() {
             return Err(RefusedConnection::AlreadyOpen);
         }
         if !peer.session.connected(Direction::Incoming, now) {
@@ -209,7 +210,8 @@
     }
 
     /// Replaces a peer whose session code panicked. Its connections are closed, so the peer drops the routes announced
-    /// to it, and a new session starts.
+    /// to it, and a new session starts. The counters of the old session are lost, and so is the mark that the peer is
+    /// leaving.
     fn restart_peer(&mut self, index: usize, now: f64) {
         self.counters.panics += 1;
         let peer = &mut self.peers[index];
@@ -238,7 +240,7 @@
         paths
     }
 
-    /// Runs one turn of the event loop: announcement decisions, then the sessions, then the writes.
+    /// Runs the speaker's turn: announcement decisions, then the sessions, then the writes.
     pub fn turn(&mut self, now: f64, readings: impl FnOnce() -> Readings) {
         if now >= self.announcer.due() {
             let paths = self.paths();
@@ -255,7 +257,7 @@
             }
         }
         for index in 0..self.peers.len() {
-            self.perform_actions(index, now);
+            self.perform_actions_and_flush(index, now);
         }
         self.drop_finished_peers();
     }
@@ -299,7 +301,7 @@
     }
 
     /// Performs a session's actions, writes its queued bytes, and writes its log entries to the log.
-    fn perform_actions(&mut self, index: usize, now: f64) {
+    fn perform_actions_and_flush(&mut self, index: usize, now: f64) {
         for _ in 0..MAX_ACTIONS {
             let Some(action) = self.peers[index].session.next_action() else { break };
             self.perform_action(index, action, now);
@@ -353,8 +355,8 @@
     }
 }
 
-/// Applies a new service file to one peer. Changed service addresses are announced on the existing session; any other
-/// change in the peer's configuration shuts the session down.
+/// Applies a new service file to one peer. Changed service addresses are applied to the existing session, unless they
+/// add an address family; that, and any change in the peer's own configuration, shuts the session down.
 fn reconfigure_peer(peer: &mut BgpPeer, file: &ServiceFile, now: f64) {
     let config = file.bgp.peers.iter().find(|config| config.name == peer.config.name);
     let unchanged = config.filter(|config| **config == peer.config);
@@ -371,7 +373,7 @@
     peer.is_leaving = true;
 }
 
-/// Logs one line for each change of an address's announcement level.
+/// Logs a change of an address's announcement level, or one that was held back.
 fn log_event(event: &AddressEvent) {
     let AddressEvent { prefix, level, reason, healthy_paths, total_paths, suppressed_by } = event;
     let is_planned = matches!(reason, Reason::Draining | Reason::Drained | Reason::Starting);
--- a/crates/router/src/transport/bgp_speaker/shutdown.rs
+++ b/crates/router/src/transport/bgp_speaker/shutdown.rs
@@ -33,7 +33,7 @@
             for index in 0..self.peers.len() {
                 let session = &mut self.peers[index].session;
                 session.shut_down(CeaseSubcode::AdministrativeShutdown, SHUTDOWN_COMMUNICATION, now);
-                self.perform_actions(index, now);
+                self.perform_actions_and_flush(index, now);
             }
         }
         let are_finished = self.peers.iter().all(|peer| peer.session.is_finished());
--- a/crates/router/src/transport/cluster_socket.rs
+++ b/crates/router/src/transport/cluster_socket.rs
@@ -28,8 +28,8 @@
     pub file: ClusterFile,
     /// The index of this router in the file's list of routers.
     pub place: usize,
-    /// When this incarnation began, in Unix milliseconds.
-    pub born: u64,
+    /// The number of this incarnation, larger than those of earlier ones: the Unix milliseconds at which it began.
+    pub generation: u64,
     /// Initialises the random numbers of the membership protocol.
     pub seed: u64,
 }
@@ -42,10 +42,10 @@
 
     /// The membership state of a router that has just joined, with the leader roles of the file.
     fn members(&self, now: f64) -> Membership {
-        let JoinedCluster { file, place, born, seed } = self;
+        let JoinedCluster { file, place, generation, seed } = self;
         let routers = file.routers.len();
         let mut members =
-            Membership::new(file.hash(), routers, *place, *born, &file.detector_settings(), *seed, now);
+            Membership::new(file.hash(), routers, *place, *generation, &file.detector_settings(), *seed, now);
         let roles: Vec<_> = file.duties.iter().map(|name| role_resource(name)).collect();
         members.set_roles(&roles, now);
         members
@@ -105,7 +105,7 @@
     unknown_senders: u64,
     /// Datagrams that the system refused to send.
     failed_sends: u64,
-    /// Counters of the membership state that was replaced when the file was last applied.
+    /// The sum of the counters of all membership states that were replaced by new cluster files.
     previous_counters: Counters,
     /// Whether each leader role was held here when that was last logged, by its index in the file.
     held_roles: Vec<bool>,
@@ -147,7 +147,8 @@
         if joined.file == self.joined.file {
             return;
         }
-        joined.born = joined.born.max(self.members.members()[self.joined.place].generation + 1);
+        // The new incarnation must be later than the present one, even if the clock was set back.
+        joined.generation = joined.generation.max(self.members.members()[self.joined.place].generation + 1);
         let address = joined.address();
         if address != self.joined.address() {
             match bind(&self.handle, address) {
@@ -196,6 +197,7 @@
             let outcome = catch_panic("a datagram of the cluster", || {
                 members.receive_datagram(router, &bytes[..length], now)
             });
+            // After a panic the remaining datagrams are left for the next turn.
             if outcome.is_none() {
                 return;
             }
--- a/crates/router/src/transport/connection_index.rs
+++ b/crates/router/src/transport/connection_index.rs
@@ -62,6 +62,7 @@
 /// All connections, by their ids.
 pub struct ConnectionIndex {
     connections: HashMap<u64, IndexedConnection>,
+    /// After how long an engine closes a connection without open attempts, in seconds.
     idle_after: f64,
     /// Engine, whether the connection is up, and id: connections of one engine that are up come after those still
     /// connecting.
--- a/crates/router/src/transport/connection_pool.rs
+++ b/crates/router/src/transport/connection_pool.rs
@@ -26,6 +26,7 @@
     ended: EndedAttempt,
 }
 
+/// The times that are passed to its methods are on routing's clock, the Unix clock, in seconds.
 pub struct ConnectionPool {
     handle: LoopHandle,
     connections: ConnectionIndex,
@@ -169,6 +170,7 @@
         let level = self.count_failure(&error, was_up, load);
         log::log!(level, "connection to {address}: {error}, with {load} attempts");
         match error {
+            // The engine or the system ended the connection, so no time is needed for the engine to notice.
             ConnectionError::Closed | ConnectionError::Io(_) => {
                 let mut ended = std::mem::take(&mut self.ended);
                 self.remove(id, &mut ended);
@@ -289,7 +291,7 @@
         }
     }
 
-    /// When the pool must act even if the event loop reports nothing as ready.
+    /// When the pool must act even if the event loop reports nothing as ready, on routing's clock in seconds.
     pub fn due(&self) -> f64 {
         let delayed = self.delayed.front().map_or(f64::INFINITY, |delayed| delayed.at);
         delayed.min(self.connections.next_due())
@@ -307,7 +309,7 @@
         !self.ended.is_empty()
     }
 
-    /// Cancels an attempt. Unless its end was reported already, that follows in a later turn.
+    /// Cancels an attempt. The attempt's end is reported in a later turn, unless it was reported already.
     pub fn cancel(&mut self, attempt: AttemptId, now: f64) {
         let Some(&id) = self.connection_by_attempt.get(&attempt) else { return };
         let ended = &mut self.ended;
@@ -336,7 +338,7 @@
         }
     }
 
-    /// Drops attempts that are queued for a connection to this engine to come up.
+    /// Ends, as never sent, the attempts that wait for a connection to this engine to come up.
     pub fn withdraw_unsent(&mut self, engine: u64) {
         let connections: Vec<u64> = self.connections.to_engine(engine).map(|(id, _)| id).collect();
         for id in connections {
--- a/crates/router/src/transport/connection_pool/liveness.rs
+++ b/crates/router/src/transport/connection_pool/liveness.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Marks a connection as unresponsive, and opens another one as a probe unless there is one.
+    /// Marks a connection as unresponsive, and opens another one as a probe unless there is one. If the probe can't be
+    /// opened, that is not tried again for this connection until the engine has sent something on it.
     fn handle_unresponsive(&mut self, id: u64, now: f64) {
         let Some(connection) = self.connections.get(id) else { return };
         let engine = connection.engine;
--- a/crates/router/src/transport/connection_pool/tests.rs
+++ b/crates/router/src/transport/connection_pool/tests.rs
@@ -100,8 +100,14 @@
         self.pool.run_due(self.now);
     }
 
-    /// Sends `text` as the engine, and runs the pool until at least `count` attempts have ended.
-    fn send(&mut self, engine: &mut TcpStream, text: &str, count: usize) -> Vec<(usize, AttemptResult)> {
+    /// Sends `text` as the engine and runs the pool until at least `count` attempts have ended, or gives up after 2000
+    /// rounds. Returns the attempts that have ended.
+    fn send_and_take_ended(
+        &mut self,
+        engine: &mut TcpStream,
+        text: &str,
+        count: usize,
+    ) -> Vec<(usize, AttemptResult)> {
         engine.write_all(text.as_bytes()).unwrap();
         let mut ended = Vec::new();
         for _ in 0..2000 {
@@ -142,7 +148,7 @@
     test.pool.cancel(attempt(1), test.now);
     test.receive(&mut engine, &format!("DROP {:016x}\r\nPING {:016x}\r\n", 1, 1));
     assert_eq!(test.take_ended(), [], "the engine may not have read the cancellation yet");
-    let ends = test.send(&mut engine, &answer(1, "FIT", "-", ""), 1);
+    let ends = test.send_and_take_ended(&mut engine, &answer(1, "FIT", "-", ""), 1);
     assert_eq!(ends, [(1, Err(DeliveryFailure::Unanswered))]);
     test.pool.cancel(attempt(2), test.now);
     // An answer that crosses the cancellation does not count.
@@ -183,11 +189,11 @@
     let page = |number: usize| answer(1, "MORE", &format!("part_no={number}"), row);
     let answers =
         [answer(9, "DONE", "-", row), first_page.clone(), first_page, page(2), page(2), page(1), page(1)];
-    let ends = test.send(&mut engine, &answers.concat(), 1);
+    let ends = test.send_and_take_ended(&mut engine, &answers.concat(), 1);
     let complete = Reply::Completed { rows: row.repeat(3).into_bytes(), measured: None };
     assert_eq!(ends, [(1, Ok(complete))]);
     test.dispatch(2);
-    assert_eq!(test.send(&mut engine, &answer(2, "DONE", "-", row), 1), [(2, done())]);
+    assert_eq!(test.send_and_take_ended(&mut engine, &answer(2, "DONE", "-", row), 1), [(2, done())]);
     assert_eq!((test.pool.connections.len(), test.pool.counters.engine_connections_malformed), (1, 0));
 }
 
@@ -209,7 +215,7 @@
         "a new connection that came up does not prove that the engine responds"
     );
     test.now += 0.01;
-    test.send(&mut other, "sign FIT - 0\r\n\r\n", 0);
+    test.send_and_take_ended(&mut other, "sign FIT - 0\r\n\r\n", 0);
     test.run_turn();
     test.pool.sweep(test.now);
     test.now += 0.06;
@@ -258,13 +264,16 @@
         test.dispatch(1);
         let mut engine = test.accept("GET");
         let first = answer(1, word, "-", "");
-        assert_eq!(test.send(&mut engine, &first, 1), [(1, Ok(reply))]);
+        assert_eq!(test.send_and_take_ended(&mut engine, &first, 1), [(1, Ok(reply))]);
         test.dispatch_by(AttemptId { request: 1, number: 1 }, f64::INFINITY);
         let mut other = test.accept("GET");
         engine.write_all(first.as_bytes()).unwrap();
         test.dispatch(2);
         assert_eq!(test.take_ended(), [], "{word}");
-        assert_eq!(test.send(&mut other, &answer(1, "DONE", "-", "a\tb\tc\n"), 1), [(1, done())]);
+        assert_eq!(
+            test.send_and_take_ended(&mut other, &answer(1, "DONE", "-", "a\tb\tc\n"), 1),
+            [(1, done())]
+        );
     }
 }
 
@@ -283,7 +292,7 @@
     test.dispatch(2);
     let mut engine = test.accept(&format!("GET {:016x}", 2));
     test.pool.withdraw_unsent(1);
-    assert_eq!(test.send(&mut engine, &answer(2, "DONE", "-", "a\tb\tc\n"), 1), [(2, done())]);
+    assert_eq!(test.send_and_take_ended(&mut engine, &answer(2, "DONE", "-", "a\tb\tc\n"), 1), [(2, done())]);
 }
 
 /// A client leaves while its attempt waits for a connection.
@@ -351,21 +360,22 @@
     for size in [30, 3000] {
         let (mut test, _other_end) = pool_with_connections(size);
         for request in 0..20 {
-            let attempt = |test: &mut PoolTest| test.dispatch_to(attempt(request), 7, f64::INFINITY);
-            assert!(count_lookups(&mut test, attempt) <= 6, "{size} connections");
+            let dispatch = |test: &mut PoolTest| test.dispatch_to(attempt(request), 7, f64::INFINITY);
+            assert!(count_lookups(&mut test, dispatch) <= 6, "{size} connections");
         }
         assert_eq!(count_lookups(&mut test, run_idle_turn), 0, "a turn with nothing due, {size} connections");
         assert!(count_lookups(&mut test, |test| test.pool.withdraw_unsent(7)) <= 6, "{size} connections");
-        // The engine's third connection carries the attempts, so two are closed. Connections to engines without one
-        // can then be opened without searching for idle ones to close.
+        // The engine's third connection carries the attempts, so two are closed. Of the three connections opened
+        // next, the last one exceeds the limit; the idle connection to close is then found without a search.
         assert!(
             count_lookups(&mut test, |test| test.pool.close_idle(7, test.now)) <= 5,
             "{size} connections"
         );
         assert_eq!(test.pool.connections.len() as u64, size - 2);
         for (engine, id) in [(size, size), (size + 1, size + 1), (size + 2, size + 2)] {
-            let attempt = |test: &mut PoolTest| test.dispatch_to(attempt(id as usize), engine, f64::INFINITY);
-            assert!(count_lookups(&mut test, attempt) <= 4, "{size} connections");
+            let dispatch =
+                |test: &mut PoolTest| test.dispatch_to(attempt(id as usize), engine, f64::INFINITY);
+            assert!(count_lookups(&mut test, dispatch) <= 4, "{size} connections");
         }
         assert_eq!(
             (test.pool.connections.len() as u64, test.pool.connections.oldest_idle()),
--- a/crates/router/src/transport/discovery_client.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -10,15 +10,15 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// The connection counts as lost after this many seconds without a line; the service sends one each second. Even if the
-/// next connection fails and only the one after it succeeds, that is well within the 4 s after which a router counts as
-/// informed of a silent service's events.
+/// The connection counts as lost after this many seconds without a line; the service sends one each second. A router is
+/// held to know the service's events 4 s after the service fell silent, and 2 s after it was lost. Even if the next
+/// connection does not come up and only the one after it does, this time-out keeps well within those 4 s.
 const SILENCE_TIMEOUT: f64 = 1.8;
 /// How long a connection may take to come up, in seconds.
 const CONNECT_TIMEOUT: f64 = 0.5;
 /// The backoff between connection attempts, in seconds. It grows while the service is unavailable, and is randomised so
 /// that many routers that lost the service together do not all reconnect at once. The maximum stays well within the 2 s
-/// after which a router counts as informed of a lost service's events.
+/// of a lost service (see [`SILENCE_TIMEOUT`]).
 const INITIAL_BACKOFF: f64 = 0.1;
 const MAX_BACKOFF: f64 = 0.4;
 const BACKOFF_FACTOR: f64 = 1.6;
@@ -42,7 +42,7 @@
     LineTooLong(usize),
     #[error("malformed: {0}")]
     Malformed(#[from] Malformed),
-    #[error("event {expected} is missing: received event {got} instead")]
+    #[error("events are missing: expected number {expected}, received {got}")]
     Gap { expected: u64, got: u64 },
     #[error("{0}")]
     Io(String),
@@ -141,9 +141,10 @@
         self.readable = false;
     }
 
-    /// Applies the `known` events that are newer than the last one, and switches to a new address, to which a
-    /// connection is due at once. Nothing more is read from the old address, even if its connection stays open for a
-    /// while; returns the registration of that connection, which the caller has to remove.
+    /// Applies those of the `known` events, from the configuration, that follow the last one without a gap or are
+    /// newer complete lists. Then switches to a new address, to which a connection is due at once. Nothing more is
+    /// read from the old address, even if its connection stays open for a while; returns the registration of that
+    /// connection, which the caller has to remove.
     pub fn reconfigure(
         &mut self,
         address: Option<SocketAddr>,
@@ -163,7 +164,7 @@
             return None;
         }
         let shown_address = address.map_or("none".to_string(), |address| address.to_string());
-        log::info!("discovery service is {shown_address} now, watched from event {}", self.last_event);
+        log::info!("discovery service is {shown_address} now; last event {}", self.last_event);
         self.address = address;
         self.state = State::Down { retry_at: now };
         self.readable = false;
@@ -223,7 +224,7 @@
 
     fn handle_connected(&mut self, now: f64) {
         let level = if self.is_lost { log::Level::Debug } else { log::Level::Info };
-        log::log!(level, "discovery service connected, from event {}", self.last_event);
+        log::log!(level, "discovery service connected; last event {}", self.last_event);
         self.state = State::Up { silent_since: now };
         self.counters.discovery_connects += 1;
         let mut request = Vec::new();
@@ -257,7 +258,7 @@
         self.last_line_at = now;
         self.failures = 0;
         if std::mem::replace(&mut self.is_lost, false) {
-            log::info!("discovery service heard again, from event {}", self.last_event);
+            log::info!("discovery service sends lines again; last event {}", self.last_event);
         }
     }
 
@@ -266,6 +267,7 @@
             Line::LastNumber(number) => (number, None),
             Line::Event(event) => (event.number, Some(event)),
         };
+        // The service's last number should be the one known here; an event should be the one after it.
         let expected = self.last_event + u64::from(event.is_some());
         let is_full_list = event.as_ref().is_some_and(Event::is_complete_list);
         if number > expected && !is_full_list && !std::mem::replace(&mut self.has_gap, true) {
--- a/crates/router/src/transport/discovery_client/tests.rs
+++ b/crates/router/src/transport/discovery_client/tests.rs
@@ -4,8 +4,9 @@
 use calloop::EventLoop;
 use std::io::Write;
 
+/// 3 s are well within the 4 s after which a router is held to know the events of a silent service.
 #[test]
-fn a_silent_service_is_reconnected_well_before_the_router_counts_as_informed_of_its_events() {
+fn a_silent_service_is_reconnected_within_3_s() {
     let event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/router/src/transport/engine_connection.rs
+++ b/crates/router/src/transport/engine_connection.rs
@@ -15,7 +15,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Limit on the input buffered for a connection in one turn of the event loop, in bytes.
+/// Reading stops for this turn of the event loop when this many bytes of input are buffered, so that one engine does
+/// not starve the others.
 const MAX_INPUT: usize = 64 * 1024;
 /// A connection with more unsent bytes than this accepts no new attempts: its engine is not reading.
 const MAX_UNSENT: usize = 256 * 1024;
@@ -80,9 +81,9 @@
     stream: Rc<TcpStream>,
     state: State,
     buffer: Buffer,
-    /// Attempts that have not been sent yet.
+    /// Attempts whose request has not been put on the connection yet.
     queued: Vec<QueuedAttempt>,
-    /// Attempts that were sent, by request id.
+    /// Attempts whose request was put on the connection, by request id. It may not be written to the socket yet.
     exchanges: HashMap<String, Exchange>,
     /// Cancelled attempts that have not ended yet, by request id.
     cancelled: HashMap<String, Cancelled>,
@@ -94,8 +95,11 @@
     bytes_written: u64,
     /// Whether the socket may hold bytes that were not read yet.
     readable: bool,
+    /// When an attempt was last sent or ended; before that, the time by which the connection must be up. It counts only
+    /// while no attempts are open.
     idle_since: f64,
-    /// When the connection came up or the engine last sent something on it.
+    /// When the connection came up or the engine last sent something on it; before that, the time by which the
+    /// connection must be up.
     last_alive_at: f64,
     /// When the engine was pinged, if it has sent nothing since.
     pinged_at: Option<f64>,
@@ -244,7 +248,8 @@
         self.exchanges.iter().find(|(_, exchange)| exchange.attempt == attempt).map(|(id, _)| id.clone())
     }
 
-    /// Sends the engine a new priority lane for an attempt that was sent; does nothing for one that is queued.
+    /// Sends the engine a new priority lane for an attempt that was sent; a queued attempt is
+    /// later sent with its old lane.
     pub fn change_lane(&mut self, attempt: AttemptId, lane: u8) -> io::Result<()> {
         let Some(id) = self.id_of(attempt) else { return Ok(()) };
         self.send(|out| engine::write_lane(out, &id, lane))
--- a/crates/router/src/transport/engine_connection/queued_attempts.rs
+++ b/crates/router/src/transport/engine_connection/queued_attempts.rs
@@ -54,7 +54,7 @@
         self.flush()
     }
 
-    /// Drops queued attempts that were to be sent by now.
+    /// Ends, as never sent, queued attempts that were to be sent by now.
     pub(super) fn drop_overdue(&mut self, now: f64, ended: &mut Vec<EndedAttempt>) {
         self.queued.retain(|queued| {
             let is_overdue = now >= queued.leave_by;
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Drops all queued attempts.
+    /// Ends all queued attempts as never sent.
     pub fn withdraw_unsent(&mut self, ended: &mut Vec<EndedAttempt>) {
         ended.extend(self.queued.drain(..).map(|queued| never_sent(queued.attempt)));
     }
--- a/crates/router/src/transport/store_writer.rs
+++ b/crates/router/src/transport/store_writer.rs
@@ -1,6 +1,9 @@
 //! Persists snapshots of the router's state on a thread of its own, and drives the recovery after a restart
 //! (`cleatgw-recovery`). The event loop never waits for the disk: it hands the newest snapshot to the thread, and
 //! checks for reports of the thread in each turn.
+//!
+//! Each snapshot has an epoch, a number that grows with each write. It is sent to the other routers, so that a
+//! restarted router can tell whether its file is the last one that was written.
 
 use crate::routing::{Counters, Routing};
 use crate::status_row::StatusRow;
@@ -92,7 +95,7 @@
             return;
         }
         let length = std::fs::metadata(path).map_or(0, |file| file.len());
-        // A failed compaction can be ignored: the file only stays longer.
+        // A failed compaction can be ignored: the file is only larger than necessary.
         let _ = store.compact(length);
         if has_failed {
             std::thread::sleep(WRITE_RETRY);
@@ -295,7 +298,8 @@
     fn log_disk_state(&mut self, now: f64) {
         match self.schedule.slow_changed(now) {
             Some(true) => log::warn!(
-                "store: the disk does not answer; at most {MAX_UNPERSISTED_RETRIES} retries per look-back window until it does"
+                "store: the disk does not answer; at most {MAX_UNPERSISTED_RETRIES} retries in {} s until it does",
+                self.look_back.retries
             ),
             Some(false) => log::info!("store: the disk answers again"),
             None => {}
--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -75,7 +75,7 @@
     let lines = router.log.all();
     let count_of = |words: &str| lines.iter().filter(|line| line.contains(words)).count();
     Counted {
-        lines: ["engine ", "discovery service is", "can't change while running", "connected, from event 1"]
+        lines: ["engine ", "discovery service is", "can't change while running", "connected; last event 1"]
             .map(count_of),
         calls: discovery.seen.all().len() + moved.seen.all().len() - 1,
         connections: engine.seen.all().iter().filter(|line| line.starts_with("connection")).count(),
