--- a/crates/router/src/commands/serve.rs
+++ b/crates/router/src/commands/serve.rs
@@ -16,7 +16,7 @@
 /// Serves clients with this configuration and these operators' files.
 ///
 /// # Errors
-/// A file can't be used, or the router can't listen on an address.
+/// A file can't be used, the router can't listen on an address, a thread can't be started, or the event loop fails.
 pub fn run(config: Option<PathBuf>, files: OperatorFiles) -> Result<(), CommandError> {
     let config_path = config_path(config)?;
     let mut config = load_config(&config_path)?;
@@ -68,8 +68,8 @@
     }
 }
 
-/// Reads the configuration again and returns the fields that are applied while the router runs. Changes to other fields are
-/// logged and ignored.
+/// Reads the configuration again and returns the fields that are applied while the router runs. Changes to the fixed fields
+/// (see [`FixedFields`]) are logged and have no effect. Other changes, such as to the seed, are ignored.
 fn reload_config(path: &Path, fixed: &FixedFields) -> Result<ReloadedConfig, FileError> {
     let config = load_config(path)?;
     let changed = fixed.changed_in(&config.fixed);
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -15,7 +15,7 @@
 const DEFAULT_NAME: &str = "cleatgw";
 const DEFAULT_DESCRIPTORS: f64 = 65_536.0;
 const DEFAULT_MEMORY_MB: f64 = 256.0;
-const BYTES_PER_MB_BITS: u32 = 20;
+const BYTES_PER_MB: usize = 1 << 20;
 /// The fields that can't change while the router runs.
 const FIXED_FIELDS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
@@ -43,10 +43,13 @@
     pub name: String,
     /// The seed of the router's random choices.
     pub seed: u64,
+    /// The settings of the sockets and connections.
     pub router: RouterSettings,
     /// The events of the discovery service that the configuration lists.
     pub known_events: Vec<Event>,
+    /// The deployment as the decision core sees it, with indices in place of names.
     pub deployment: Deployment,
+    /// The names of classes, tenants, zones and engine kinds, by their indices.
     pub names: Names,
     /// Settings that contradict each other. The router warns of them and runs.
     pub contradictions: Vec<Contradiction>,
@@ -80,7 +83,9 @@
         return Ok(default as usize);
     }
     let number = value.as_f64().filter(|number| (1.0..1e9).contains(number));
-    number.map(|number| number as usize).ok_or_else(|| field_error(field, "a number above 0", value))
+    number
+        .map(|number| number as usize)
+        .ok_or_else(|| field_error(field, "a number above 0, at least 1 and below 1e9", value))
 }
 
 /// Reads a configuration from the text of its file.
@@ -90,7 +95,7 @@
 pub fn read(text: &str) -> Result<LoadedConfig, ConfigError> {
     let value: Value = serde_json::from_str(text)?;
     if !value.is_object() {
-        return Err(field_error("(all)", "an object", &value));
+        return Err(field_error("(top level)", "an object", &value));
     }
     let listen = address(&value["listen"], "listen")?;
     let discovery = match &value["board"] {
@@ -115,9 +120,10 @@
         router: RouterSettings {
             listen,
             discovery,
+            // The event number that is stated, but at least that of the last event that is listed.
             last_event: value["known"]["rev"].as_u64().unwrap_or(last_known).max(last_known),
             descriptors: count(&limits["sockets"], "limits.sockets", DEFAULT_DESCRIPTORS)?,
-            memory: count(&limits["memory_mb"], "limits.memory_mb", DEFAULT_MEMORY_MB)? << BYTES_PER_MB_BITS,
+            memory: count(&limits["memory_mb"], "limits.memory_mb", DEFAULT_MEMORY_MB)? * BYTES_PER_MB,
             connections: settings.connection_limits()?,
             longest_request: settings.longest_request()?,
         },
@@ -147,6 +153,8 @@
     match value {
         Value::Null => Ok(RandomState::new().hash_one(0)),
         Value::String(text) => Ok(name_hash(text)),
-        other => other.as_u64().ok_or_else(|| field_error("seed", "a text", other)),
+        other => {
+            other.as_u64().ok_or_else(|| field_error("seed", "a text or a whole number of at least 0", other))
+        }
     }
 }
--- a/crates/router/src/log_lines.rs
+++ b/crates/router/src/log_lines.rs
@@ -68,8 +68,8 @@
     /// For people: the level, the module, the message, and the key-value pairs after it.
     #[default]
     Text,
-    /// One JSON object per line: `level`, `part` (the module), `message`, `unix` (the time), and the key-value pairs under
-    /// `fields`.
+    /// One JSON object per line: `level`, `part` (the module), `message`, `unix` (the time, in seconds of Unix time), and the
+    /// key-value pairs under `fields`.
     Json,
 }
 
--- a/crates/router/src/protocol/discovery.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -11,11 +11,13 @@
     pub uid: String,
     pub address: SocketAddr,
     pub zone: String,
+    /// The kind of machine that the engine runs on.
     pub kind: String,
+    /// The group of engines that may recognise repeats of each other's requests.
     pub cell: u64,
     pub stage: EngineStage,
-    /// When the engine started, in seconds of Unix time. The list has it for engines that started late; none if it is absent
-    /// or 0.
+    /// When the engine started, in seconds of Unix time. None if the list omits it or has 0, as it does for
+    /// engines that did not start late.
     pub started_at: Option<f64>,
 }
 
@@ -102,7 +104,8 @@
         Some("gone") => Some(EngineStage::Gone),
         _ => None,
     };
-    let text_or_empty =
+    // Normalised as the names in the settings are, with which they are compared.
+    let normalized_or_empty =
         |field: &str| value[field].as_str().map_or(String::new(), cleatgw_deployment_config::normalize_name);
     let boot_ms = match &value["boot_ms"] {
         Value::Null => 0.0,
@@ -111,8 +114,8 @@
     Ok(EngineEntry {
         uid: uid.to_string(),
         address: require(address, "endpoint", "an address and a port")?,
-        zone: text_or_empty("az"),
-        kind: text_or_empty("model"),
+        zone: normalized_or_empty("az"),
+        kind: normalized_or_empty("model"),
         cell: value["pod_group"].as_u64().unwrap_or(0),
         stage: require(stage, "state", "ready, draining or gone")?,
         started_at: Some(boot_ms / 1e3).filter(|&seconds| seconds > 0.0),
--- a/crates/router/src/protocol/engine.rs
+++ b/crates/router/src/protocol/engine.rs
@@ -25,12 +25,13 @@
 pub struct EngineRequest<'a> {
     pub id: &'a str,
     pub class: &'a str,
-    /// How long the gateway will wait for the answer, in seconds.
+    /// How long the gateway will wait for the answer, in seconds. [`EncodedRequest`] does not hold it; the sender computes the
+    /// attempt's deadline from it.
     pub wait: f64,
     pub idempotency_key: Option<&'a str>,
     /// The memory grant, in megabytes. 0 if there is none.
     pub grant_mb: f64,
-    /// The priority lane.
+    /// The priority lane, 0 to 3. A higher number is a faster lane.
     pub lane: u8,
     pub statement: &'a [u8],
 }
@@ -88,12 +89,12 @@
     write_line(out, format_args!("PAGE {id} {number}"));
 }
 
-/// Tells the engine that all pages of the result have arrived.
+/// Tells the engine that all pages of the result have arrived. Sent only for results of more than one page.
 pub fn write_close(out: &mut Vec<u8>, id: &str) {
     write_line(out, format_args!("CLOSE {id}"));
 }
 
-/// Asks for a sign of life. The engine answers with the same tag.
+/// Sends a ping, to test whether the connection works. The engine answers with the same tag.
 pub fn write_ping(out: &mut Vec<u8>, tag: &str) {
     write_line(out, format_args!("PING {tag}"));
 }
@@ -122,13 +123,13 @@
     /// The id of the request, or the tag of the ping.
     pub id: &'a str,
     pub kind: AnswerKind,
-    /// The work that the request needed, in milliseconds.
+    /// The work that the request needed, in milliseconds. None if the field is absent or invalid.
     pub work: Option<f64>,
-    /// The most memory that the request held at a time, in megabytes.
+    /// The most memory that the request held at a time, in megabytes. None if the field is absent or invalid.
     pub peak: Option<f64>,
-    /// How many pages the result has.
+    /// How many pages the result has. None if the field is absent, which means one page.
     pub pages: Option<usize>,
-    /// The number of the page in the body. The first page is 0.
+    /// The number of the page in the body. None if the field is absent, which means the first page, number 0.
     pub page: Option<usize>,
     pub body: &'a [u8],
     /// Bytes of the input that the answer occupies.
@@ -138,8 +139,9 @@
 /// Parses the first answer in the input. Returns none while it is incomplete.
 ///
 /// # Errors
-/// The head line is too long, is not UTF-8, does not consist of four words or has an invalid number, or the body is too long
-/// or is not followed by a line end.
+/// The head line is too long, is not UTF-8, or does not consist of four words; the body length, the page count or the page number
+/// is not a number; or the body is too long or is not followed by a line end. An invalid `work` or `peak` is not an error, but
+/// counts as absent.
 pub fn parse_answer(input: &[u8]) -> Result<Option<Answer<'_>>, Malformed> {
     let head = &input[..input.len().min(MAX_LINE)];
     let Some(line_end) = head.windows(2).position(|pair| pair == b"\r\n") else {
@@ -193,7 +195,8 @@
     }))
 }
 
-/// The rows of one or more joined pages, without their line ends.
+/// The rows of one or more joined pages, without their line ends. Each page must be empty or end with a line end, as
+/// [`Pages::add`] checks.
 pub fn rows(pages: &[u8]) -> impl Iterator<Item = &[u8]> {
     pages.split_inclusive(|&byte| byte == b'\n').map(|row| &row[..row.len() - 1])
 }
--- a/crates/router/src/protocol/mysql.rs
+++ b/crates/router/src/protocol/mysql.rs
@@ -60,13 +60,15 @@
     pub body: &'a [u8],
 }
 
+/// The longest message of an error that is sent, in bytes.
+const MAX_MESSAGE: usize = 480;
 /// Length of a packet's header, in bytes.
 pub const HEADER: usize = 4;
 
 /// Parses the first packet in the input. Returns none while it is incomplete.
 ///
 /// # Errors
-/// The body is longer than `max_body` bytes, as the header says. The rest of the packet is not waited for.
+/// According to its header, the body is longer than `max_body` bytes. This is reported without waiting for the body.
 pub fn parse_packet(input: &[u8], max_body: usize) -> Result<Option<Packet<'_>>, PacketError> {
     let Some(header) = input.get(..HEADER) else { return Ok(None) };
     let length = usize::from(header[0]) | usize::from(header[1]) << 8 | usize::from(header[2]) << 16;
@@ -116,7 +118,8 @@
         Ok(text)
     }
 
-    /// Bytes with their length before them. A length that is encoded in more than 2 bytes is refused.
+    /// Bytes with their length before them. Lengths up to 65,535 are accepted. NULL (0xfb) and the longer encodings of lengths
+    /// (0xfd and above) are refused.
     fn take_length_prefixed(&mut self) -> Result<&'a [u8], PacketError> {
         let first = self.take(1)?[0];
         let length = match first {
@@ -138,9 +141,12 @@
     if flags & PROTOCOL_41 == 0 {
         return refuse(MALFORMED_PACKET, "protocol 4.1 is needed");
     }
+    // A request for encryption (SSLRequest) has 32 bytes. A client that sets the flag but sends a complete login is accepted and
+    // goes on unencrypted.
     if flags & SSL != 0 && body.len() == 32 {
         return refuse(MALFORMED_PACKET, "encryption is not offered");
     }
+    // The longest packet, the character set and the reserved bytes are skipped.
     reader.take(4 + 1 + 23)?;
     let user = String::from_utf8_lossy(reader.take_zero_terminated()?).into_owned();
     let auth_response = if flags & (LENENC_AUTH | SECURE_CONNECTION) != 0 {
@@ -161,7 +167,8 @@
     Statistics,
     /// Kills the session with this id.
     Kill(u32),
-    /// A choice of a schema or user, or a reset of the session. Answered with OK, as there is no state that it could change.
+    /// A choice of a schema or user, or a reset of the session. Answered with OK, as sessions have no
+    /// such state.
     NoOp,
     SetOption,
     /// A command with this number, which is not served.
@@ -217,9 +224,11 @@
     out.extend(text);
 }
 
-/// Writes the greeting of a session, whose id clients know as the connection id.
+/// Writes the greeting of a session, whose id clients know as the connection id. The challenge for the password (`scramble`) is
+/// sent in two parts, of 8 and 12 bytes.
 pub fn write_greeting(out: &mut Vec<u8>, session: u32, scramble: [u8; 20]) {
     write_packet(out, &mut 0, |out| {
+        // The protocol version.
         out.push(10);
         out.extend(VERSION.bytes().chain([0]));
         out.extend(session.to_le_bytes());
@@ -228,6 +237,7 @@
         out.push(UTF8MB4);
         out.extend(AUTOCOMMIT);
         out.extend(&OFFERED.to_le_bytes()[2..]);
+        // The length of the challenge with its closing zero, and the reserved bytes.
         out.push(21);
         out.extend([0; 10]);
         out.extend(scramble[8..].iter().chain(&[0]));
@@ -248,14 +258,14 @@
     write_packet(out, sequence, |out| out.extend(text.bytes()));
 }
 
-/// Writes an error. Only the first 480 bytes of the message are sent.
+/// Writes an error. A message that is longer than `MAX_MESSAGE` is cut.
 pub fn write_error(out: &mut Vec<u8>, sequence: &mut u8, code: ErrorCode, message: &str) {
     write_packet(out, sequence, |out| {
         out.push(0xff);
         out.extend(code.0.to_le_bytes());
         out.push(b'#');
         out.extend(code.1.bytes());
-        out.extend(message.bytes().take(480));
+        out.extend(message.bytes().take(MAX_MESSAGE));
     });
 }
 
@@ -290,6 +300,8 @@
             for name in names {
                 write_length_prefixed(out, name);
             }
+            // The length of the fixed fields, the character set (2 bytes), the column length (4 bytes), the type VAR_STRING, the
+            // flags (2 bytes), the decimals, and the reserved bytes (2).
             out.extend([0x0c, UTF8MB4, 0, 0xff, 0xff, 0, 0, 0xfd, 0, 0, 0, 0, 0]);
         });
     }
--- a/crates/router/src/protocol/mysql/tests.rs
+++ b/crates/router/src/protocol/mysql/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_packet_split_at_any_byte_is_incomplete_until_its_last() {
+fn a_packet_is_incomplete_until_its_last_byte_has_arrived() {
     let bytes = [3, 0, 0, 7, b'a', b'b', b'c', 9];
     for end in 0..7 {
         assert_eq!(parse_packet(&bytes[..end], 10), Ok(None), "{end} bytes");
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -18,7 +18,8 @@
     /// An operator's request for a status table: `SHOW ANNOUNCEMENTS`, `SHOW TEAMS`, `SHOW CLUSTER`, `SHOW DUTIES` or
     /// `SHOW STORE`.
     Show(StatusTopic),
-    /// Answered with OK, as there is no state that it could change.
+    /// A statement that would set session or transaction state, such as `SET`, `USE` or `COMMIT`. It is answered with OK, as the
+    /// gateway keeps no such state.
     NoOp,
 }
 
@@ -26,13 +27,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StatusTopic {
     Announcements,
+    /// The tenants, which are called teams in statements and files.
     Teams,
     Cluster,
+    /// The leader roles, which are called duties in statements and files.
     Roles,
     Store,
 }
 
-/// A request as its client sent it.
+/// A request as its client sent it: a statement with a fields comment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedStatement {
     pub id: String,
@@ -192,8 +195,8 @@
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Parses a request. Every field that is present must be valid: the usual clients send no invalid fields, and engines would fail
-/// such a request.
+/// Parses a request. Fields with unknown names are ignored. Every known field that is present must be valid: the usual clients
+/// send no invalid fields, and engines would fail such a request.
 fn parse_request(fields: &str, text: &[u8]) -> Result<ParsedStatement, StatementError> {
     if text.trim_ascii().is_empty() {
         return Err(StatementError::Empty);
--- a/crates/router/src/protocol/statement/table_group.rs
+++ b/crates/router/src/protocol/statement/table_group.rs
@@ -37,8 +37,9 @@
 /// The state inside an open parenthesis, or of the statement outside of all parentheses.
 #[derive(Clone, Copy)]
 struct Scope {
-    /// Whether it holds a query.
-    is_query: bool,
+    /// Whether it is a query or a parenthesised list of tables, in which keywords such as FROM begin a list of tables. False for
+    /// function arguments, as in `EXTRACT(DAY FROM x)`.
+    can_list_tables: bool,
     /// Whether the scan is within a list of tables.
     lists_tables: bool,
 }
@@ -57,7 +58,7 @@
 
 impl<'a> Scanner<'a> {
     fn new(tokens: &'a [Token<'a>]) -> Scanner<'a> {
-        let statement = Scope { is_query: true, lists_tables: false };
+        let statement = Scope { can_list_tables: true, lists_tables: false };
         Scanner {
             tokens,
             scopes: vec![statement],
@@ -83,7 +84,7 @@
         let next = self.tokens.get(index + 1);
         let is_query = next.is_some_and(|token| token.is_one_of(&QUERY_KEYWORDS));
         let is_table = index > 0 && is_place_of_table(&self.tokens[index - 1], lists_tables);
-        let scope = Scope { is_query: is_query || is_table, lists_tables: is_table && !is_query };
+        let scope = Scope { can_list_tables: is_query || is_table, lists_tables: is_table && !is_query };
         self.scopes.push(scope);
         if scope.lists_tables && self.qualified_schema(index + 1).is_some() {
             self.tables.push(index + 1);
@@ -93,7 +94,7 @@
     fn scan_token(&mut self, index: usize) {
         let token = &self.tokens[index];
         let mut scope = self.scope();
-        if scope.is_query && token.is_one_of(&BEFORE_TABLES) {
+        if scope.can_list_tables && token.is_one_of(&BEFORE_TABLES) {
             scope.lists_tables = true;
         } else if token.is_one_of(&AFTER_TABLES) {
             scope.lists_tables = false;
@@ -102,17 +103,19 @@
             *innermost = scope;
         }
         let is_place = is_place_of_table(token, scope.lists_tables);
-        if is_place && scope.is_query && self.qualified_schema(index + 1).is_some() {
+        if is_place && scope.can_list_tables && self.qualified_schema(index + 1).is_some() {
             self.tables.push(index + 1);
+            // The qualified name has three tokens: the schema, the dot and the table.
             self.aliases.extend(self.alias_at(index + 4));
         }
     }
 
     fn scope(&self) -> Scope {
-        self.scopes.last().copied().unwrap_or(Scope { is_query: true, lists_tables: false })
+        self.scopes.last().copied().unwrap_or(Scope { can_list_tables: true, lists_tables: false })
     }
 
-    /// The table alias at this index, if there is one.
+    /// The word at this index, or the one after AS: the table's alias, if it has one. A keyword there is returned too, which does
+    /// no harm, since it is not the schema of a qualified name.
     fn alias_at(&self, index: usize) -> Option<&'a str> {
         let has_keyword = self.tokens.get(index).is_some_and(|token| token.is("AS"));
         let alias_index = if has_keyword { index + 1 } else { index };
@@ -132,20 +135,20 @@
         self.tokens.get(index + 2)?.name().map(|_| schema)
     }
 
-    /// As [`Self::qualified_schema`], but without the staging schema.
-    fn schema_with_group(&self, index: usize) -> Option<&'a str> {
+    /// The schema of the qualified name at this index. None also for the staging schema, which belongs to no group.
+    fn schema_except_staging(&self, index: usize) -> Option<&'a str> {
         self.qualified_schema(index).filter(|schema| !schema.eq_ignore_ascii_case(STAGING))
     }
 
     /// The group of the first table that has one.
     fn group_of_tables(&self) -> Option<u64> {
-        let mut schemas = self.tables.iter().filter_map(|&index| self.schema_with_group(index));
+        let mut schemas = self.tables.iter().filter_map(|&index| self.schema_except_staging(index));
         schemas.find_map(group_of)
     }
 
     /// The group of the first qualified name that has one and whose schema part is not an alias.
     fn group_of_names(&self) -> Option<u64> {
-        let schemas = self.names.iter().filter_map(|&index| self.schema_with_group(index));
+        let schemas = self.names.iter().filter_map(|&index| self.schema_except_staging(index));
         schemas.filter(|schema| !self.aliases.contains(schema)).find_map(group_of)
     }
 }
--- a/crates/router/src/protocol/statement/tests.rs
+++ b/crates/router/src/protocol/statement/tests.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn statements_without_fields_are_refused_unless_they_only_set_session_state() {
+fn statements_that_would_set_session_state_are_no_ops_and_queries_without_fields_are_refused() {
     for text in ["SET NAMES utf8mb4", "set autocommit=0", "USE reports", "COMMIT", "/* x */ ROLLBACK"] {
         assert_eq!(parse(text.as_bytes()), Ok(Statement::NoOp), "{text}");
     }
--- a/crates/router/src/status_query.rs
+++ b/crates/router/src/status_query.rs
@@ -7,10 +7,10 @@
 
 /// Limit for connecting, and for each read.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Row packets that are read of one answer, at most.
-const MAX_PACKETS: usize = 4096;
+/// Rows that are read of one answer, at most.
+const MAX_ROWS: usize = 4096;
 /// Longest packet body that is accepted, in bytes.
-const MAX_PACKET: usize = 1024 * 1024;
+const MAX_PACKET_BYTES: usize = 1024 * 1024;
 /// The topics of status tables.
 const TOPICS: [&str; 5] = ["announcements", "cluster", "duties", "store", "teams"];
 /// Capability flags of the login: protocol 4.1, secure connection, connect with a schema.
@@ -21,10 +21,10 @@
 const ERROR_PACKET: u8 = 0xff;
 /// Bytes of an error packet before its message.
 const ERROR_HEADER: usize = 9;
-/// The first byte of an EOF packet. Such a packet is shorter than `MAX_EOF_PACKET` bytes; a row that begins with this byte
-/// is longer.
+/// The first byte of an EOF packet. Such a packet has fewer than `EOF_PACKET_BELOW` bytes; a row that begins with this byte
+/// has more.
 const EOF_PACKET: u8 = 0xfe;
-const MAX_EOF_PACKET: usize = 9;
+const EOF_PACKET_BELOW: usize = 9;
 
 /// Why a query failed.
 #[derive(Debug, thiserror::Error)]
@@ -33,11 +33,11 @@
     UnknownTopic(String),
     #[error("{address}: {source}")]
     Connection { address: SocketAddr, source: io::Error },
-    #[error(transparent)]
+    #[error("no complete answer from the router: {0}")]
     Io(#[from] io::Error),
-    #[error("packet too long in the router's answer: {0} bytes, the limit is {MAX_PACKET}")]
+    #[error("packet too long in the router's answer: {0} bytes, the limit is {MAX_PACKET_BYTES}")]
     LongAnswer(usize),
-    #[error("the router's answer does not end within {MAX_PACKETS} rows")]
+    #[error("the router's answer does not end within {MAX_ROWS} rows")]
     EndlessAnswer,
     /// The router answered with this error, for example because it has no such table.
     #[error("{0}")]
@@ -53,7 +53,7 @@
     let mut header = [0; mysql::HEADER];
     stream.read_exact(&mut header)?;
     let length = u32::from_le_bytes([header[0], header[1], header[2], 0]) as usize;
-    if length > MAX_PACKET {
+    if length > MAX_PACKET_BYTES {
         return Err(StatusError::LongAnswer(length));
     }
     let mut body = vec![0; length];
@@ -93,13 +93,14 @@
     cells.join("  ") + "\n"
 }
 
-/// The row of a leader role that the router holds now, with its epoch.
+/// The row of a leader role that the router holds now, without its subject: the state and the epoch.
 ///
 /// # Errors
-/// The router does not hold the role, does not know it, or did not answer. If it does not hold the role, the error has the row,
+/// The router does not hold the role or does not know it, or [`table`] fails. If it does not hold the role, the error has the row,
 /// which names the holder if the router knows it.
 pub fn held_role(address: SocketAddr, role: &str) -> Result<String, StatusError> {
     let table = table(address, "duties")?;
+    // `line` joins the cells of a row with two spaces. The state `ours` means that the router itself holds the role.
     let prefix = format!("duty {role}  ");
     match table.lines().find_map(|row| row.strip_prefix(&prefix)) {
         Some(row) if row.starts_with("ours  ") => Ok(row.to_string()),
@@ -111,7 +112,9 @@
 /// The status table of a topic, with one line per row.
 ///
 /// # Errors
-/// There is no such topic, the router refused the query, or it did not answer.
+/// There is no such topic, the router can't be reached, it answered with an error, it did not answer within `TIMEOUT`, or its
+/// answer is too long. An error packet in place of the greeting or in answer to the login is not recognised; such a session ends
+/// with the error of the next read.
 pub fn table(address: SocketAddr, topic: &str) -> Result<String, StatusError> {
     if !TOPICS.contains(&topic) {
         return Err(StatusError::UnknownTopic(topic.to_string()));
@@ -125,13 +128,14 @@
         return Err(StatusError::Refused(String::from_utf8_lossy(message).into_owned()));
     }
     let columns = first.first().copied().unwrap_or(0);
+    // The column definitions, and the EOF packet after them.
     for _ in 0..=columns {
         read_packet(&mut stream)?;
     }
     let mut table = String::new();
-    for _ in 0..MAX_PACKETS {
+    for _ in 0..MAX_ROWS {
         let body = read_packet(&mut stream)?;
-        if body.first() == Some(&EOF_PACKET) && body.len() < MAX_EOF_PACKET {
+        if body.first() == Some(&EOF_PACKET) && body.len() < EOF_PACKET_BELOW {
             return Ok(table);
         }
         table += &line(&body);
@@ -147,6 +151,7 @@
     read_packet(&mut stream)?;
     let mut login = CLIENT_FLAGS.to_le_bytes().to_vec();
     login.extend([0; LOGIN_ZEROS]);
+    // The user with its closing zero, a password of length 0, and an empty schema with its closing zero.
     login.extend(b"status\0\0\0");
     let query = format!("\x03SHOW {}", topic.to_ascii_uppercase());
     let mut out = Vec::new();
