--- a/crates/recovery/src/look_back.rs
+++ b/crates/recovery/src/look_back.rs
@@ -2,7 +2,8 @@
 
 use crate::{IdempotencyRecord, SentWork, Snapshot};
 
-/// The windows of the past that the rules take into account, in seconds, as configured for the deployment.
+/// The windows of the past that the retry budget, slow start and deduplication take into account, in seconds, as configured for
+/// the deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LookBack {
     /// The window of the retry budget.
@@ -14,13 +15,15 @@
 }
 
 impl LookBack {
-    /// Seconds after which nothing that a former incarnation did matters, except for its idempotency records.
+    /// Seconds after which nothing that a former incarnation did matters, except for its idempotency records. Lost idempotency
+    /// records are not waited for: a request that is sent again then counts as one that was never attempted.
     pub(crate) fn longest(&self) -> f64 {
         self.retries.max(self.slow_start)
     }
 
-    /// Seconds for which idempotency records are kept: twice the deduplication window. A request that is sent again after
-    /// it may have run must not run a second time.
+    /// Seconds for which idempotency records are kept: twice the deduplication window. Within the window engines recognize a
+    /// request that is sent again; after it they do not, and the record is kept for a second window so that the request is
+    /// refused instead of running a second time.
     pub fn idempotency_records(&self) -> f64 {
         2.0 * self.deduplication
     }
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -14,9 +14,10 @@
 pub enum Phase {
     /// The store has not reported its contents yet.
     Reading,
-    /// A snapshot was found; peers are asked for the latest epoch that they were shown, which shows whether it is the last.
+    /// A snapshot was found; peers are asked for the latest epoch that they were shown, to find out whether a later snapshot
+    /// was written.
     Proving,
-    /// The history is lost and the worst is assumed of it, until no window reaches back beyond the start.
+    /// The history is lost. The worst case stays assumed until no window reaches back beyond the start.
     Settling,
     /// Full service.
     Full,
@@ -65,9 +66,10 @@
 /// A step for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The decision core is to assume the worst of the lost history.
+    /// The decision core is to assume the worst case of the unknown history: the retry budget counts as used up just now. This
+    /// is the first step, and holds until [`Step::RestoreHistory`] replaces it or no window reaches back beyond the start.
     AssumeLostHistory,
-    /// The decision core is to use this history instead.
+    /// The decision core is to replace the assumed worst case by this history.
     RestoreHistory(ValidHistory),
     /// No history is restored, for this reason; the host logs it.
     Discarded(LossReason),
@@ -160,7 +162,8 @@
         self.enter(Phase::Proving, now);
     }
 
-    /// A peer reports the latest epoch of this router's store that it was shown; 0 if none.
+    /// A peer reports the latest epoch of this router's store that it was shown; 0 if none. Reports have no effect once the
+    /// phase [`Phase::Proving`] has ended.
     pub fn peer_saw_epoch(&mut self, epoch: u64) {
         self.epoch_seen = Some(self.epoch_seen.unwrap_or(0).max(epoch));
     }
@@ -169,14 +172,16 @@
     pub fn poll(&mut self, now: f64, time: &SnapshotTime) -> Vec<Step> {
         match self.phase {
             Phase::Reading if now >= self.entered + READ_TIMEOUT => self.discard(LossReason::Timeout, now),
-            Phase::Proving => self.check_epoch(now, time),
+            Phase::Proving => self.restore_if_confirmed(now, time),
             Phase::Settling if now >= self.started + self.look_back.longest() => self.enter(Phase::Full, now),
             _ => {}
         }
         std::mem::take(&mut self.steps)
     }
 
-    fn check_epoch(&mut self, now: f64, time: &SnapshotTime) {
+    /// Discards the snapshot if a peer was shown a later epoch or if its time is in the future. Otherwise restores it once any
+    /// peer has reported, or if there are no peers, or after [`EPOCH_TIMEOUT`].
+    fn restore_if_confirmed(&mut self, now: f64, time: &SnapshotTime) {
         let Some((epoch, snapshot)) = &self.found else { return self.discard(LossReason::NoSnapshot, now) };
         let skips_check = self.injected == InjectedFault::EpochNotChecked;
         if self.epoch_seen.is_some_and(|epoch_seen| epoch_seen > *epoch) && !skips_check {
@@ -199,7 +204,8 @@
         self.enter(Phase::Full, now);
     }
 
-    /// Time at which [`Recovery::poll`] is to be called next; infinite in full service.
+    /// Latest time at which [`Recovery::poll`] is to be called next; infinite in full service. A call is also due after
+    /// [`Recovery::store_read`] and [`Recovery::peer_saw_epoch`].
     pub fn due(&self) -> f64 {
         match self.phase {
             Phase::Reading => self.entered + READ_TIMEOUT,
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -47,18 +47,19 @@
 pub struct Snapshot {
     /// Time at which the snapshot was taken.
     pub taken_at: SnapshotTime,
-    /// Ages of the recent retries.
+    /// Ages of the recent retries, oldest first.
     pub retries: Vec<f64>,
     /// Maximum number of retries that may be made after this snapshot until the next one is written.
     pub unpersisted_retries: u32,
     /// Work that was sent to engines in slow start.
     pub slow_start: Vec<SentWork>,
-    /// The deduplicated requests that may have run.
+    /// Records of the deduplicated requests that may have run, oldest first.
     pub idempotency_records: Vec<IdempotencyRecord>,
 }
 
 impl Snapshot {
-    /// Encodes the snapshot as pieces for the store. Entries above a maximum are left out, the oldest first.
+    /// Encodes the snapshot as pieces for the store. Of retries and idempotency records above their maximum, the oldest are
+    /// left out; of engines in slow start, the last in the list.
     pub fn to_pieces(&self) -> Pieces {
         let retries = newest(&self.retries, MAX_RETRIES);
         let slow_start = &self.slow_start[..self.slow_start.len().min(MAX_SLOW_START_ENGINES)];
@@ -79,9 +80,10 @@
         snapshot.is_valid().then_some(snapshot)
     }
 
-    /// Whether all lengths are within their maxima and all times and ages are possible.
+    /// Whether all lengths and the number of unpersisted retries are within their maxima, all times are finite, and all ages and
+    /// amounts of work are finite and not negative.
     fn is_valid(&self) -> bool {
-        let is_possible = |age: f64| age.is_finite() && age >= 0.0;
+        let is_possible = |value: f64| value.is_finite() && value >= 0.0;
         self.retries.len() <= MAX_RETRIES
             && self.slow_start.len() <= MAX_SLOW_START_ENGINES
             && self.idempotency_records.len() <= MAX_IDEMPOTENCY_RECORDS
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -104,8 +104,8 @@
     assert_eq!(time(98.0).elapsed_until(&SnapshotTime { unix: 1e9, ..rebooted }), None);
 }
 
-/// Guards against running a deduplicated request twice: it was dispatched just before the router ended, and is sent again 1 s
-/// and 13 s after the snapshot was taken.
+/// Guards against running a deduplicated request twice: it was dispatched 3 s before the snapshot was taken, and is sent again
+/// 1 s and 13 s after it.
 #[test]
 fn idempotency_records_are_valid_for_twice_their_window() {
     let age = |passed: f64| {
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -1,4 +1,4 @@
-//! Model checking (stateright) of the actual recovery and write schedule: the retry budget (rule 7) holds over restarts, also
+//! Model checking (stateright) of the actual recovery and write schedule: the retry budget holds over restarts, also
 //! when the disk hangs, loses an acknowledged write, or has an older copy restored; and the recovery phases always end.
 
 use cleatgw_recovery::{
@@ -252,6 +252,7 @@
                 },
             ),
             Property::always("recovery phases end", |_: &RestartModel, state: &State| {
+                // Settling ends after the longest window; it is only noticed after the present wait, of 4 s at most.
                 let age = state.recovery.age(state.now);
                 state.recovery.phase() == Phase::Full || age <= LOOK_BACK.retries + 4.0
             }),
--- a/crates/snapshot-store/src/error.rs
+++ b/crates/snapshot-store/src/error.rs
@@ -39,7 +39,7 @@
 pub enum StoreError {
     /// The pieces exceed a limit or use the number of the header; nothing was written.
     #[error(
-        "the snapshot was not written: it exceeds {MAX_PIECES} pieces or {MAX_PIECE_BYTES} bytes in a piece"
+        "the snapshot was not written: it exceeds {MAX_PIECES} pieces or {MAX_PIECE_BYTES} bytes in a piece, or uses the reserved piece number {HEADER}"
     )]
     TooLarge,
     /// The storage engine reported an error. The file holds the last snapshot or the new one.
@@ -51,7 +51,7 @@
     /// The storage engine panicked; with the operation.
     #[error("the storage engine panicked while {0}")]
     EnginePanicked(&'static str),
-    /// The storage could not be opened, or the engine has panicked since.
+    /// The storage could not be opened, or the engine has panicked in a write since.
     #[error("no usable file is open")]
     NoFile,
     /// The file created in place of a quarantined one can't be used either.
--- a/crates/snapshot-store/src/file.rs
+++ b/crates/snapshot-store/src/file.rs
@@ -21,7 +21,8 @@
     Ok(rename(path, quarantine_path(path))?)
 }
 
-/// Opens a file for the storage engine. A file that is too long is quarantined and a new one is created.
+/// Opens a file for the storage engine. A file that is too long is quarantined without a report, and
+/// a new one is created.
 pub(crate) fn open(path: &Path) -> Result<FileBackend, StoreError> {
     let mut file = open_or_create(path)?;
     if file.metadata()?.len() > MAX_FILE_BYTES {
--- a/crates/snapshot-store/src/format.rs
+++ b/crates/snapshot-store/src/format.rs
@@ -42,7 +42,7 @@
     is_correct.then(|| Unsealed { epoch: u64::from_le_bytes(*epoch), body })
 }
 
-/// The description of a snapshot.
+/// The header of a snapshot: its owner, its time, and which pieces it has.
 pub(crate) struct Header {
     pub(crate) owner: u64,
     /// Unix time in seconds at which the snapshot was taken.
--- a/crates/snapshot-store/src/store.rs
+++ b/crates/snapshot-store/src/store.rs
@@ -30,7 +30,8 @@
     /// to open a new storage ([`Store::open_file`] does that with files).
     pub fn open(storage: impl StorageBackend, owner: u64) -> (Store, LoadOutcome) {
         let opened = catch_unwind(AssertUnwindSafe(|| open_engine(storage, owner)));
-        let panicked = |_| Err(QuarantineReason::unreadable("it panicked while opening the file"));
+        let panicked =
+            |_| Err(QuarantineReason::unreadable("the engine panicked while opening or reading it"));
         match opened.unwrap_or_else(panicked) {
             Ok((engine, outcome)) => {
                 let epoch = match &outcome {
@@ -47,11 +48,13 @@
     }
 
     /// Opens a file. A file that can't be used is renamed to [`quarantine_path`](crate::quarantine_path) and a new one is
-    /// created.
+    /// created. A file longer than [`MAX_FILE_BYTES`] is replaced in the same way, but without a report:
+    /// [`LoadOutcome::Empty`] is returned.
     ///
     /// # Errors
-    /// The file can't be opened, or no new file can be created in its place, for example because the folder is missing,
-    /// read-only or full.
+    /// [`StoreError::Disk`] or [`StoreError::Engine`]: the file can't be opened, renamed or newly created, for example because
+    /// the folder is missing, read-only or full. [`StoreError::NewFileUnusable`] or [`StoreError::NewFileNotEmpty`]: the newly
+    /// created file can't be used, or already holds a snapshot.
     pub fn open_file(path: &Path, owner: u64) -> Result<(Store, LoadOutcome), StoreError> {
         let (store, outcome) = Store::open(file::open(path)?, owner);
         if store.engine.is_some() {
@@ -102,7 +105,8 @@
     }
 
     /// Releases the space of earlier snapshots if the file, of this `length` in bytes, has grown beyond a threshold and enough
-    /// writes were made since the last compaction.
+    /// writes were made since the last compaction. After an error, also a panic, the engine stays open; a later write shows
+    /// whether it is still usable.
     ///
     /// # Errors
     /// The storage engine reports an error or panics.
@@ -133,7 +137,8 @@
     Ok((engine, outcome))
 }
 
-/// The engine writes to the file when it is closed, and may panic if the file is damaged in a part that was not read before.
+/// Closes the engine and ignores a panic: the engine writes to the file when it is closed, and may panic if the file is damaged in
+/// a part that was not read before.
 impl Drop for Store {
     fn drop(&mut self) {
         self.drop_engine();
--- a/crates/snapshot-store/src/tests.rs
+++ b/crates/snapshot-store/src/tests.rs
@@ -101,7 +101,7 @@
     (0..3).map(|piece| (piece, body(piece))).collect()
 }
 
-/// Whether it is one of the snapshots written by [`save_snapshots`], complete.
+/// Whether the snapshot equals one that [`save_snapshots`] wrote, with all its pieces.
 fn is_complete(snapshot: &StoredSnapshot) -> bool {
     let first = snapshot.pieces.get(&0).and_then(|body| body[..8].try_into().ok()).map(u64::from_le_bytes);
     first.is_some_and(|number| {
@@ -122,7 +122,7 @@
 
 /// Runs a test without printing the panics of the storage engine: panics on damaged files are expected here and would fill the
 /// output.
-fn without_engine_panics<T>(test: impl FnOnce() -> T) -> T {
+fn hiding_engine_panics<T>(test: impl FnOnce() -> T) -> T {
     let former_hook = std::panic::take_hook();
     // Panics of the tests themselves are still printed.
     std::panic::set_hook(Box::new(|panic| {
@@ -159,7 +159,7 @@
 /// another order.
 #[test]
 fn crash_at_any_operation_leaves_one_complete_snapshot() {
-    without_engine_panics(|| {
+    hiding_engine_panics(|| {
         let storage = RecordingStorage::default();
         let (mut store, _) = Store::open(storage.clone(), OWNER);
         save_snapshots(&mut store, 1, 4);
@@ -189,7 +189,7 @@
                 match load(bytes) {
                     LoadOutcome::Complete(snapshot) => {
                         assert!(is_complete(&snapshot), "{snapshot:?} after {count} operations");
-                        // Without a disk fault, an acknowledged snapshot is never lost.
+                        // Once the last sync is done, the loaded epoch no longer falls: no acknowledged snapshot is lost.
                         assert!(
                             snapshot.epoch >= min_epoch,
                             "epoch {} after epoch {min_epoch}, {count} operations",
@@ -217,7 +217,7 @@
 /// as the environment variable `STORE_KILLS` says.
 #[test]
 fn disk_that_loses_acknowledged_writes_yields_one_complete_snapshot_or_none() {
-    without_engine_panics(|| {
+    hiding_engine_panics(|| {
         let storage = RecordingStorage::default();
         let (mut store, _) = Store::open(storage.clone(), OWNER);
         save_snapshots(&mut store, 1, 6);
@@ -255,7 +255,7 @@
 /// Guards against loading a snapshot from a file that is truncated or has a flipped bit.
 #[test]
 fn truncated_or_damaged_file_yields_one_complete_snapshot_or_none() {
-    without_engine_panics(|| {
+    hiding_engine_panics(|| {
         let storage = RecordingStorage::default();
         let (mut store, _) = Store::open(storage.clone(), OWNER);
         save_snapshots(&mut store, 1, 3);
@@ -322,7 +322,7 @@
 
 #[test]
 fn failing_disk_reports_an_error_and_keeps_the_last_snapshot() {
-    without_engine_panics(|| {
+    hiding_engine_panics(|| {
         let storage = RecordingStorage::default();
         let (mut store, _) = Store::open(storage.clone(), OWNER);
         save_snapshots(&mut store, 1, 2);
@@ -338,7 +338,7 @@
 
 #[test]
 fn quarantines_an_unusable_file_and_creates_a_new_one() {
-    without_engine_panics(|| {
+    hiding_engine_panics(|| {
         let folder = std::env::temp_dir().join(format!("cleatgw-store-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("kept");
--- a/crates/snapshot-store/src/transaction.rs
+++ b/crates/snapshot-store/src/transaction.rs
@@ -63,7 +63,8 @@
     transaction.commit().map_err(StoreError::engine)
 }
 
-/// Removes stored pieces that the new snapshot does not have.
+/// Removes stored pieces that the new snapshot does not have. Entries that can't be read are skipped: on loading, pieces that
+/// the header does not list are ignored.
 fn remove_stale(table: &mut Table<u32, &'static [u8]>, pieces: &Pieces) -> Result<(), StoreError> {
     let stored = table.iter().map_err(StoreError::engine)?;
     let numbers = stored.filter_map(Result::ok).map(|(number, _)| number.value());
--- a/crates/tenant-queue/src/config.rs
+++ b/crates/tenant-queue/src/config.rs
@@ -21,17 +21,19 @@
     pub weight: f64,
     /// The budget of work. `None`: there is no budget that could be exceeded.
     pub budget: Option<Budget>,
-    /// Maximum number of queued requests. Above it the last request in the queue is displaced.
+    /// Maximum number of queued requests; in the root the maximum over all tenants, ignored in other groups. Above it the
+    /// last request that cannot have run is displaced.
     pub max_queued: usize,
-    /// Maximum queued work in seconds. Above it the last request in the queue is displaced.
+    /// Maximum queued work in seconds; ignored in groups. Above it the last request that cannot have run is displaced.
     pub max_queued_work: f64,
-    /// Maximum number of requests in flight at engines.
+    /// Maximum number of requests in flight at engines; ignored in groups.
     pub max_in_flight: usize,
     /// Seconds of head start per doubling of value density: a request goes before one of twice its density if it was
-    /// received more than this earlier. `None`: requests are ordered by density alone, however long they have waited.
+    /// received more than this many seconds earlier. `None`: requests are ordered by density alone, however long they
+    /// have waited.
     pub ageing: Option<f64>,
     /// Per request class: the number of doublings by which a request's value density is raised in the order of the
-    /// queue. Classes beyond the end of the list are not raised.
+    /// queue. Values not above 0, and classes beyond the end of the list, do not raise it.
     pub class_boosts: Vec<f64>,
 }
 
--- a/crates/tenant-queue/src/estimates.rs
+++ b/crates/tenant-queue/src/estimates.rs
@@ -3,7 +3,7 @@
 use crate::config::ROOT;
 use crate::queue::TenantQueue;
 use crate::queued_request::QueuedRequest;
-use crate::wait_estimates::{WaitEstimate, WorkAhead};
+use crate::wait_estimates::{EstimateInputs, WaitEstimate};
 
 /// At most this many siblings are summed up; with more, the sum is scaled to their number.
 const MAX_SIBLINGS: usize = 64;
@@ -33,20 +33,20 @@
     /// of the tenant's requests. `None` if the tenant is unknown or the service rate is not known.
     pub fn estimate_wait_of_new(&self, tenant: usize, work: f64, now: f64) -> Option<WaitEstimate> {
         let queued_work = self.nodes.get(tenant)?.queued_work;
-        let ahead = WorkAhead { ahead: queued_work, queue: queued_work, share: self.share(tenant) };
-        self.waits.estimate(tenant, work, &ahead, now)
+        let inputs = EstimateInputs { work_ahead: queued_work, queued_work, share: self.share(tenant) };
+        self.waits.estimate(tenant, work, &inputs, now)
     }
 
     /// Estimates the wait of a queued request from now to its first attempt. `None` if the request is not queued or the
     /// service rate is not known.
     pub fn estimate_wait_of_queued(&self, request: usize, now: f64) -> Option<WaitEstimate> {
         let queued = self.waiting.get(&request)?;
-        let ahead = WorkAhead {
-            ahead: self.work_ahead(queued),
-            queue: self.nodes[queued.tenant].queued_work,
+        let inputs = EstimateInputs {
+            work_ahead: self.work_ahead(queued),
+            queued_work: self.nodes[queued.tenant].queued_work,
             share: self.share(queued.tenant),
         };
-        self.waits.estimate(queued.tenant, queued.work, &ahead, now)
+        self.waits.estimate(queued.tenant, queued.work, &inputs, now)
     }
 
     /// The work ahead of a request in its tenant's queue.
--- a/crates/tenant-queue/src/node.rs
+++ b/crates/tenant-queue/src/node.rs
@@ -18,10 +18,10 @@
     pub config: TenantConfig,
     /// Children that can offer a request, by rank.
     pub active: BTreeSet<(SiblingRank, usize)>,
-    /// The start tag at which a child was last served; children that become active start here.
+    /// The highest start tag at which a child was served; children that become active start here at least.
     pub virtual_time: f64,
-    /// Start tag of start-time fair queueing: the work that this node has received, divided by its weight, on the
-    /// parent's virtual time.
+    /// Start tag of start-time fair queueing: grows by the node's charged work divided by its weight, and is raised to the
+    /// parent's `virtual_time` when an idle node becomes active. The active node with the lowest tag is served first.
     pub start_tag: f64,
     /// Its rank in the parent's `active` set; `None` while it is not in that set.
     pub rank: Option<SiblingRank>,
--- a/crates/tenant-queue/src/queue.rs
+++ b/crates/tenant-queue/src/queue.rs
@@ -130,7 +130,8 @@
         })
     }
 
-    /// The tenant itself, or the last one if the index is out of range.
+    /// The tenant itself. An index out of range stands for the last tenant; the host lists the leaves for requests of unknown
+    /// tenants last.
     fn known_tenant(&self, tenant: usize) -> usize {
         tenant.min(self.nodes.len() - 1)
     }
@@ -170,9 +171,11 @@
         self.count_removed(queued);
     }
 
-    /// Removes a request that no longer waits: it was answered, or its client has disconnected.
+    /// Removes a request that no longer waits: it was answered, or its client has disconnected. If the request is on offer,
+    /// all requests on offer are put back into the queue.
     pub fn remove(&mut self, request: usize) {
-        // If it is on offer, all offers are returned first, which refunds its charge.
+        // Putting it back into the queue refunds its charge. The present time is not known here; with negative infinity the
+        // budgets are refunded, but earn nothing.
         if self.offers.iter().any(|offer| offer.queued.request == request) {
             self.return_offers(f64::NEG_INFINITY);
         }
@@ -222,7 +225,7 @@
         self.waits.request_dispatched(&queued, now);
     }
 
-    /// Returns the requests on offer that were not dispatched to the queue, and refunds their charges.
+    /// Puts the requests that are still on offer back into the queue, and refunds their charges.
     pub fn return_offers(&mut self, now: f64) {
         while let Some(Offer { queued, path }) = self.offers.pop() {
             for ChargedNode { node, .. } in path {
@@ -243,8 +246,8 @@
         self.update_ranks(tenant);
     }
 
-    /// Records the end of an attempt of the tenant, and corrects the charge to the work that the attempt `needed`, in
-    /// seconds: a tenant whose requests need more than they were charged is charged the rest, one whose requests need less
+    /// Records the end of an attempt of the tenant, and corrects the charge from `charged`, the work in seconds with which the
+    /// request was queued, to the work that the attempt `needed`, in seconds: a tenant whose requests need more than they were charged is charged the rest, one whose requests need less
     /// is refunded.
     pub fn attempt_ended(&mut self, tenant: usize, charged: f64, needed: f64, now: f64) {
         let tenant = self.known_tenant(tenant);
@@ -255,7 +258,8 @@
             let virtual_time = self.nodes[parent].virtual_time;
             let former_start_tag = self.nodes[node].start_tag;
             self.charge(node, correction, now);
-            // A refund must not move the node ahead of the virtual time that its siblings have been served to since.
+            // A refund must not lower the start tag below the parent's virtual time: the node would go before siblings that
+            // were served in the meantime.
             let charged = &mut self.nodes[node];
             charged.start_tag = charged.start_tag.max(former_start_tag.min(virtual_time));
             node = parent;
--- a/crates/tenant-queue/src/service_rate.rs
+++ b/crates/tenant-queue/src/service_rate.rs
@@ -9,6 +9,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceRate {
+    /// Dispatched work in seconds; earlier work counts half every [`HALF_LIFE`] seconds.
     work: f64,
     /// Observed time in which requests waited, in seconds; decays like `work`.
     time: f64,
--- a/crates/tenant-queue/src/tests.rs
+++ b/crates/tenant-queue/src/tests.rs
@@ -74,8 +74,8 @@
             }
             self.now = self.now.max(self.free_at);
             let Some(request) = self.queue.next(self.now) else {
-                // Time passing could add to the offers only through a budget, and tenants over their budgets are served
-                // as well.
+                // Nothing can be offered until the next request is added: tenants over their budgets are served too, so a
+                // refill would not add an offer.
                 self.now = until;
                 return;
             };
@@ -132,7 +132,7 @@
     let [_, first, second, third] = simulation.served_work[..] else { panic!() };
     assert!(
         (first / second - 3.0).abs() < 0.2 && (third / second - 1.0).abs() < 0.1,
-        "{:?}",
+        "served work in seconds: {:?}",
         simulation.served_work
     );
 }
@@ -148,7 +148,7 @@
     simulation.run_until(40.0);
     assert!(
         (simulation.served_work[2] - 20.0).abs() < 0.5 && (simulation.served_work[3] - 5.0).abs() < 0.5,
-        "{:?}",
+        "served work in seconds: {:?}",
         simulation.served_work
     );
 }
@@ -167,7 +167,7 @@
     }
     let modest = simulation.waits[2].iter().copied().fold(0.0, f64::max);
     let greedy = simulation.waits[1].iter().copied().fold(0.0, f64::max);
-    assert!(modest < 0.25 && greedy > 10.0, "{modest} {greedy}");
+    assert!(modest < 0.25 && greedy > 10.0, "longest wait: modest {modest} s, greedy {greedy} s");
 }
 
 /// Guards against a tenant that was idle for long, returns with a burst and takes over the server.
@@ -182,7 +182,10 @@
     simulation.enqueue_many(2, 1000, 0.1);
     simulation.run_until(simulation.now + 20.0);
     let (first, second) = (simulation.served_work[1] - before, simulation.served_work[2]);
-    assert!((second - 10.0).abs() < 0.5 && (first - 10.0).abs() < 0.5, "{first} {second}");
+    assert!(
+        (second - 10.0).abs() < 0.5 && (first - 10.0).abs() < 0.5,
+        "served work: first tenant {first} s, second tenant {second} s"
+    );
 }
 
 #[test]
@@ -194,12 +197,16 @@
     simulation.enqueue_many(2, 800, 0.05);
     simulation.run_until(40.0);
     // 1 s of work saved up, plus a fifth of 40 s.
-    assert!((simulation.served_work[1] - 9.0).abs() < 0.6, "{:?}", simulation.served_work);
+    assert!(
+        (simulation.served_work[1] - 9.0).abs() < 0.6,
+        "served work in seconds: {:?}",
+        simulation.served_work
+    );
     // The other tenant is done after about 49 s; from then on all capacity goes to this one.
     simulation.run_until(80.0);
     assert!(
         simulation.served_work[2] > 39.0 && simulation.served_work[1] > 38.0,
-        "{:?}",
+        "served work in seconds: {:?}",
         simulation.served_work
     );
 }
@@ -214,7 +221,11 @@
     simulation.enqueue_many(2, 10_000, 0.01);
     simulation.run_until(60.0);
     // 0.5 s saved up and 6 s earned: three or four requests of 2 s each.
-    assert!((6.0..=8.0).contains(&simulation.served_work[1]), "{:?}", simulation.served_work);
+    assert!(
+        (6.0..=8.0).contains(&simulation.served_work[1]),
+        "served work in seconds: {:?}",
+        simulation.served_work
+    );
 }
 
 /// Guards against starvation when the budgets add up to more than the capacity: no tenant exceeds its budget, so the
@@ -229,7 +240,7 @@
     simulation.run_until(40.0);
     assert!(
         (simulation.served_work[1] - 30.0).abs() < 0.5 && (simulation.served_work[2] - 10.0).abs() < 0.5,
-        "{:?}",
+        "served work in seconds: {:?}",
         simulation.served_work
     );
 }
@@ -260,7 +271,10 @@
     simulation.queue = new;
     simulation.run_until(80.0);
     let after = simulation.served_work[1] - before;
-    assert!((before - 16.0).abs() < 0.8 && (after - 8.0).abs() < 0.8, "{before} {after}");
+    assert!(
+        (before - 16.0).abs() < 0.8 && (after - 8.0).abs() < 0.8,
+        "served work: {before} s before, {after} s after the change"
+    );
 }
 
 #[test]
@@ -272,7 +286,7 @@
     simulation.run_until(200.0);
     assert!(
         simulation.served_work[1] > 190.0 && simulation.queue.refills.len() <= 1,
-        "{}",
+        "scheduled refills: {}",
         simulation.queue.refills.len()
     );
 }
@@ -310,7 +324,10 @@
         served_requests[tenant] += 1.0;
         queue.attempt_ended(tenant, if tenant == 1 { 0.1 } else { 1.0 }, 1.0, now);
     }
-    assert!((served_requests[1] / served_requests[2] - 1.0).abs() < 0.05, "{served_requests:?}");
+    assert!(
+        (served_requests[1] / served_requests[2] - 1.0).abs() < 0.05,
+        "served requests: {served_requests:?}"
+    );
 }
 
 #[test]
--- a/crates/tenant-queue/src/wait_estimates.rs
+++ b/crates/tenant-queue/src/wait_estimates.rs
@@ -12,6 +12,7 @@
 /// Maximum number of remembered estimates.
 const MAX_REMEMBERED: usize = 100_000;
 /// Waits shorter than this many seconds are one turn of the event loop rather than a wait, and are not compared.
+/// Also the lower limit of the expected wait as a divisor.
 const MIN_WAIT: f64 = 0.005;
 /// An estimate is accurate if its error is at most this fraction of the actual wait.
 const ACCURATE_RATIO: f64 = 0.2;
@@ -48,11 +49,11 @@
 }
 
 /// The inputs of an estimate.
-pub(crate) struct WorkAhead {
+pub(crate) struct EstimateInputs {
     /// Work ahead of the request in its tenant's queue, in seconds.
-    pub ahead: f64,
+    pub work_ahead: f64,
     /// All work in that queue, in seconds.
-    pub queue: f64,
+    pub queued_work: f64,
     /// The tenant's share of all served work.
     pub share: f64,
 }
@@ -170,25 +171,27 @@
         }
     }
 
-    /// Estimates the wait of a request with this much work; `None` if the overall service rate is not known.
+    /// Estimates the wait of a request with this much work; `None` if the tenant is unknown or the overall service rate is not
+    /// known.
     pub(crate) fn estimate(
         &self,
         tenant: usize,
         work: f64,
-        ahead: &WorkAhead,
+        inputs: &EstimateInputs,
         now: f64,
     ) -> Option<WaitEstimate> {
         let overall_rate = self.overall_rate.per_second(now)?;
         let tenant = self.tenants.get(tenant)?;
-        // The tenant's own recent rate is a better predictor than its weight. If it is not known, its share of the overall
+        // The tenant's recent rate while it had queued requests is a better predictor than its weight. If it is not known, its share of the overall
         // rate is used.
-        let rate = tenant.rate.per_second(now).unwrap_or(overall_rate * ahead.share.max(MIN_SHARE));
-        let queue_section = (ahead.ahead / ahead.queue.max(MIN_QUEUED_WORK) * QUEUE_SECTIONS as f64) as usize;
+        let rate = tenant.rate.per_second(now).unwrap_or(overall_rate * inputs.share.max(MIN_SHARE));
+        let queue_section =
+            (inputs.work_ahead / inputs.queued_work.max(MIN_QUEUED_WORK) * QUEUE_SECTIONS as f64) as usize;
         let queue_section = queue_section.min(QUEUE_SECTIONS - 1);
         let errors = &tenant.errors[queue_section];
         // The request is dispatched once the work ahead is done and its tenant's turn has come, for which half of its own
         // work is added.
-        let uncorrected = (ahead.ahead + 0.5 * work) / rate;
+        let uncorrected = (inputs.work_ahead + 0.5 * work) / rate;
         let expected = uncorrected * errors.bias.with_prior(BIAS_PRIOR).exp();
         let spread = (errors.spread.sum + SPREAD_PRIOR) / (errors.spread.weight + 1.0);
         let factor = (FOUR_IN_FIVE_DEVIATIONS * spread).exp();
--- a/crates/tenant-queue/tests/model.rs
+++ b/crates/tenant-queue/tests/model.rs
@@ -16,7 +16,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A request of tenant 1 plus this number is received and queued.
+    /// A request is received and queued: of tenant 1 (value 0) or tenant 2 (value 1). Requests with even numbers belong to
+    /// tenant 1, those with odd numbers to tenant 2.
     Receive(usize),
     /// The next request is offered and dispatched.
     Dispatch,
