--- a/crates/recovery/src/look_back.rs
+++ b/crates/recovery/src/look_back.rs
@@ -2,8 +2,8 @@
 
 use crate::{IdempotencyRecord, SentWork, Snapshot};
 
-/// The windows of the past that the retry budget, slow start and deduplication take into account, in seconds, as configured for
-/// the deployment.
+/// The windows of the past that the retry budget, slow start and deduplication take into account, in seconds, as
+/// configured for the deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LookBack {
     /// The window of the retry budget.
@@ -15,15 +15,16 @@
 }
 
 impl LookBack {
-    /// Seconds after which nothing that a former incarnation did matters, except for its idempotency records. Lost idempotency
-    /// records are not waited for: a request that is sent again then counts as one that was never attempted.
+    /// Seconds after which nothing that a former incarnation did matters, except for its idempotency records. Lost
+    /// idempotency records are not waited for: a request that is sent again then counts as one that was never
+    /// attempted.
     pub(crate) fn longest(&self) -> f64 {
         self.retries.max(self.slow_start)
     }
 
-    /// Seconds for which idempotency records are kept: twice the deduplication window. Within the window engines recognize a
-    /// request that is sent again; after it they do not, and the record is kept for a second window so that the request is
-    /// refused instead of running a second time.
+    /// Seconds for which idempotency records are kept: twice the deduplication window. Within the window engines
+    /// recognize a request that is sent again; after it they do not, and the record is kept for a second window so that
+    /// the request is refused instead of running a second time.
     pub fn idempotency_records(&self) -> f64 {
         2.0 * self.deduplication
     }
@@ -49,8 +50,8 @@
     pub idempotency_records: Vec<IdempotencyRecord>,
 }
 
-/// The part of a snapshot taken `passed` seconds ago that is still valid. Retries that may have been made after the snapshot
-/// count as made just now: the process may have continued without a working disk until a moment ago.
+/// The part of a snapshot taken `passed` seconds ago that is still valid. Retries that may have been made after the
+/// snapshot count as made just now: the process may have continued without a working disk until a moment ago.
 pub fn valid_history(snapshot: &Snapshot, passed: f64, look_back: &LookBack) -> ValidHistory {
     let age_within = |age: f64, window: f64| Some(age + passed).filter(|age| *age < window);
     let persisted = snapshot.retries.iter().filter_map(|age| age_within(*age, look_back.retries));
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -14,8 +14,8 @@
 pub enum Phase {
     /// The store has not reported its contents yet.
     Reading,
-    /// A snapshot was found; peers are asked for the latest epoch that they were shown, to find out whether a later snapshot
-    /// was written.
+    /// A snapshot was found; peers are asked for the latest epoch that they were shown, to find out whether a later
+    /// snapshot was written.
     Proving,
     /// The history is lost. The worst case stays assumed until no window reaches back beyond the start.
     Settling,
@@ -66,8 +66,9 @@
 /// A step for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The decision core is to assume the worst case of the unknown history: the retry budget counts as used up just now. This
-    /// is the first step, and holds until [`Step::RestoreHistory`] replaces it or no window reaches back beyond the start.
+    /// The decision core is to assume the worst case of the unknown history: the retry budget counts as used up just
+    /// now. This is the first step, and holds until [`Step::RestoreHistory`] replaces it or no window reaches back
+    /// beyond the start.
     AssumeLostHistory,
     /// The decision core is to replace the assumed worst case by this history.
     RestoreHistory(ValidHistory),
@@ -111,8 +112,8 @@
 }
 
 impl Recovery {
-    /// Starts recovery at `now`, in seconds of any clock that can't be set. `has_peers`: whether there are peers that can
-    /// confirm the epoch.
+    /// Starts recovery at `now`, in seconds of any clock that can't be set. `has_peers`: whether there are peers that
+    /// can confirm the epoch.
     pub fn new(look_back: LookBack, has_peers: bool, now: f64) -> Recovery {
         Recovery {
             look_back,
@@ -162,8 +163,8 @@
         self.enter(Phase::Proving, now);
     }
 
-    /// A peer reports the latest epoch of this router's store that it was shown; 0 if none. Reports have no effect once the
-    /// phase [`Phase::Proving`] has ended.
+    /// A peer reports the latest epoch of this router's store that it was shown; 0 if none. Reports have no effect once
+    /// the phase [`Phase::Proving`] has ended.
     pub fn peer_saw_epoch(&mut self, epoch: u64) {
         self.epoch_seen = Some(self.epoch_seen.unwrap_or(0).max(epoch));
     }
@@ -179,8 +180,8 @@
         std::mem::take(&mut self.steps)
     }
 
-    /// Discards the snapshot if a peer was shown a later epoch or if its time is in the future. Otherwise restores it once any
-    /// peer has reported, or if there are no peers, or after [`EPOCH_TIMEOUT`].
+    /// Discards the snapshot if a peer was shown a later epoch or if its time is in the future. Otherwise restores it
+    /// once any peer has reported, or if there are no peers, or after [`EPOCH_TIMEOUT`].
     fn restore_if_confirmed(&mut self, now: f64, time: &SnapshotTime) {
         let Some((epoch, snapshot)) = &self.found else { return self.discard(LossReason::NoSnapshot, now) };
         let skips_check = self.injected == InjectedFault::EpochNotChecked;
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -22,7 +22,8 @@
 /// Encoded pieces by their numbers, as the store holds them.
 pub type Pieces = BTreeMap<u32, Vec<u8>>;
 
-/// Work that was sent to an engine in slow start within its window. The order of the fields is part of the stored format.
+/// Work that was sent to an engine in slow start within its window. The order of the fields is part of the stored
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SentWork {
     /// A hash of the engine's name.
@@ -58,8 +59,8 @@
 }
 
 impl Snapshot {
-    /// Encodes the snapshot as pieces for the store. Of retries and idempotency records above their maximum, the oldest are
-    /// left out; of engines in slow start, the last in the list.
+    /// Encodes the snapshot as pieces for the store. Of retries and idempotency records above their maximum, the oldest
+    /// are left out; of engines in slow start, the last in the list.
     pub fn to_pieces(&self) -> Pieces {
         let retries = newest(&self.retries, MAX_RETRIES);
         let slow_start = &self.slow_start[..self.slow_start.len().min(MAX_SLOW_START_ENGINES)];
@@ -80,8 +81,8 @@
         snapshot.is_valid().then_some(snapshot)
     }
 
-    /// Whether all lengths and the number of unpersisted retries are within their maxima, all times are finite, and all ages and
-    /// amounts of work are finite and not negative.
+    /// Whether all lengths and the number of unpersisted retries are within their maxima, all times are finite, and all
+    /// ages and amounts of work are finite and not negative.
     fn is_valid(&self) -> bool {
         let is_possible = |value: f64| value.is_finite() && value >= 0.0;
         self.retries.len() <= MAX_RETRIES
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -23,8 +23,8 @@
     Some((epoch, snapshot(at).to_pieces()))
 }
 
-/// Runs recovery from 100.0 s to `until`, with these contents of the store and these epochs reported by peers. Returns the
-/// recovery and all its steps.
+/// Runs recovery from 100.0 s to `until`, with these contents of the store and these epochs reported by peers. Returns
+/// the recovery and all its steps.
 fn recover(
     contents: StoreContents,
     has_peers: bool,
@@ -93,8 +93,8 @@
     assert_eq!(recovery.phase(), Phase::Settling, "contents reported after the time limit are ignored");
 }
 
-/// Guards against wrong ages when the Unix clock is set while the router is down: within one boot only the clock since boot
-/// counts.
+/// Guards against wrong ages when the Unix clock is set while the router is down: within one boot only the clock since
+/// boot counts.
 #[test]
 fn ages_within_one_boot_ignore_the_unix_clock() {
     let now = SnapshotTime { unix: 5.0, ..time(100.0) };
@@ -104,8 +104,8 @@
     assert_eq!(time(98.0).elapsed_until(&SnapshotTime { unix: 1e9, ..rebooted }), None);
 }
 
-/// Guards against running a deduplicated request twice: it was dispatched 3 s before the snapshot was taken, and is sent again
-/// 1 s and 13 s after it.
+/// Guards against running a deduplicated request twice: it was dispatched 3 s before the snapshot was taken, and is
+/// sent again 1 s and 13 s after it.
 #[test]
 fn idempotency_records_are_valid_for_twice_their_window() {
     let age = |passed: f64| {
--- a/crates/recovery/src/write_schedule.rs
+++ b/crates/recovery/src/write_schedule.rs
@@ -58,9 +58,10 @@
     /// How many further retries may be made now. `retries` are the times of the retries made so far; those within the
     /// `window` that are not persisted yet reduce the allowance.
     ///
-    /// No retry may be made before a write of this incarnation is on the disk. Otherwise the next incarnation could find a
-    /// snapshot of the incarnation before this one, which allows for the unpersisted retries of only one incarnation, while
-    /// both had made some. This holds for one window at most; after that the retries of former incarnations no longer count.
+    /// No retry may be made before a write of this incarnation is on the disk. Otherwise the next incarnation could
+    /// find a snapshot of the incarnation before this one, which allows for the unpersisted retries of only one
+    /// incarnation, while both had made some. This holds for one window at most; after that the retries of former
+    /// incarnations no longer count.
     pub fn retry_allowance(&self, retries: impl Iterator<Item = f64>, window: f64, now: f64) -> u32 {
         if self.last_persisted.is_none() && now < self.created + window {
             return 0;
@@ -72,7 +73,8 @@
         MAX_UNPERSISTED_RETRIES.saturating_sub(unpersisted as u32)
     }
 
-    /// Returns `Some(true)` once when the write in progress has become slow, and `Some(false)` once when it no longer is.
+    /// Returns `Some(true)` once when the write in progress has become slow, and `Some(false)` once when it no longer
+    /// is.
     pub fn slow_changed(&mut self, now: f64) -> Option<bool> {
         let slow = self.in_progress.is_some_and(|since| now - since > SLOW_WRITE);
         let changed = std::mem::replace(&mut self.slow, slow) != slow;
--- a/crates/recovery/tests/golden_bytes.rs
+++ b/crates/recovery/tests/golden_bytes.rs
@@ -1,5 +1,5 @@
-//! Compares the pieces of a snapshot with those that an earlier version wrote. A router that is replaced by a newer version
-//! must be able to read what its predecessor has written.
+//! Compares the pieces of a snapshot with those that an earlier version wrote. A router that is replaced by a newer
+//! version must be able to read what its predecessor has written.
 
 use cleatgw_recovery::{IdempotencyRecord, Pieces, SentWork, Snapshot, SnapshotTime};
 use expect_test::expect_file;
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -163,7 +163,8 @@
         state.file = state.pending.take();
         state.first_file = state.file.clone();
         state.schedule.finished(true);
-        // Second initial state: it has made retries since, and a peer was shown the epoch of the write that contains them.
+        // Second initial state: it has made retries since, and a peer was shown the epoch of the write that contains
+        // them.
         let mut busy = state.clone();
         busy.now += 1.0;
         (busy.made, busy.counted) = (vec![busy.now; 3], vec![busy.now; 3]);
--- a/crates/snapshot-store/src/error.rs
+++ b/crates/snapshot-store/src/error.rs
@@ -16,7 +16,8 @@
     /// The snapshot has this format, which is newer than [`FORMAT`].
     #[error("the snapshot has format {0}, which is newer than the supported format {FORMAT}")]
     NewerFormat(u32),
-    /// The piece of this number is missing, truncated, damaged or of another snapshot; `u32::MAX` stands for the header.
+    /// The piece of this number is missing, truncated, damaged or of another snapshot; `u32::MAX` stands for the
+    /// header.
     #[error("{}", describe_damage(*.0))]
     Damaged(u32),
 }
--- a/crates/snapshot-store/src/format.rs
+++ b/crates/snapshot-store/src/format.rs
@@ -1,5 +1,5 @@
-//! The byte format in the storage engine: each piece is sealed with a checksum over its owner, its number, its snapshot's epoch
-//! and its body; a header lists the pieces of the snapshot.
+//! The byte format in the storage engine: each piece is sealed with a checksum over its owner, its number, its
+//! snapshot's epoch and its body; a header lists the pieces of the snapshot.
 
 use crate::error::QuarantineReason;
 use crate::snapshot::{StoredSnapshot, FORMAT, HEADER, MAX_PIECES};
--- a/crates/snapshot-store/src/snapshot.rs
+++ b/crates/snapshot-store/src/snapshot.rs
@@ -3,8 +3,8 @@
 use crate::QuarantineReason;
 use std::collections::BTreeMap;
 
-/// Version of the stored format. A store with a higher version is not read. When the version is raised, stores with a lower one
-/// are to be migrated or quarantined; `read_header` accepts them unchanged today, as there is none.
+/// Version of the stored format. A store with a higher version is not read. When the version is raised, stores with a
+/// lower one are to be migrated or quarantined; `read_header` accepts them unchanged today, as there is none.
 pub const FORMAT: u32 = 1;
 /// Maximum length of a piece in bytes.
 pub const MAX_PIECE_BYTES: usize = 1 << 20;
@@ -34,8 +34,8 @@
     Empty,
     /// One complete snapshot.
     Complete(StoredSnapshot),
-    /// The stored contents can't be used, for this reason. [`Store::open_file`](crate::Store::open_file) has renamed the file
-    /// and created a new one; after [`Store::open`](crate::Store::open) the store can't be written to.
+    /// The stored contents can't be used, for this reason. [`Store::open_file`](crate::Store::open_file) has renamed
+    /// the file and created a new one; after [`Store::open`](crate::Store::open) the store can't be written to.
     Quarantined(QuarantineReason),
 }
 
--- a/crates/snapshot-store/src/store.rs
+++ b/crates/snapshot-store/src/store.rs
@@ -1,4 +1,5 @@
-//! The store of one owner. The storage engine may panic on damaged files, so panics are caught around every call into it.
+//! The store of one owner. The storage engine may panic on damaged files, so panics are caught around every call into
+//! it.
 
 use crate::error::{QuarantineReason, StoreError};
 use crate::file::{self, MAX_FILE_BYTES};
@@ -26,8 +27,8 @@
 }
 
 impl Store {
-    /// Opens a storage for this owner. If its contents can't be used, the store can't be written to either, and the caller has
-    /// to open a new storage ([`Store::open_file`] does that with files).
+    /// Opens a storage for this owner. If its contents can't be used, the store can't be written to either, and the
+    /// caller has to open a new storage ([`Store::open_file`] does that with files).
     pub fn open(storage: impl StorageBackend, owner: u64) -> (Store, LoadOutcome) {
         let opened = catch_unwind(AssertUnwindSafe(|| open_engine(storage, owner)));
         let panicked =
@@ -47,14 +48,14 @@
         }
     }
 
-    /// Opens a file. A file that can't be used is renamed to [`quarantine_path`](crate::quarantine_path) and a new one is
-    /// created. A file longer than [`MAX_FILE_BYTES`] is replaced in the same way, but without a report:
+    /// Opens a file. A file that can't be used is renamed to [`quarantine_path`](crate::quarantine_path) and a new one
+    /// is created. A file longer than [`MAX_FILE_BYTES`] is replaced in the same way, but without a report:
     /// [`LoadOutcome::Empty`] is returned.
     ///
     /// # Errors
-    /// [`StoreError::Disk`] or [`StoreError::Engine`]: the file can't be opened, renamed or newly created, for example because
-    /// the folder is missing, read-only or full. [`StoreError::NewFileUnusable`] or [`StoreError::NewFileNotEmpty`]: the newly
-    /// created file can't be used, or already holds a snapshot.
+    /// [`StoreError::Disk`] or [`StoreError::Engine`]: the file can't be opened, renamed or newly created, for example
+    /// because the folder is missing, read-only or full. [`StoreError::NewFileUnusable`] or
+    /// [`StoreError::NewFileNotEmpty`]: the newly created file can't be used, or already holds a snapshot.
     pub fn open_file(path: &Path, owner: u64) -> Result<(Store, LoadOutcome), StoreError> {
         let (store, outcome) = Store::open(file::open(path)?, owner);
         if store.engine.is_some() {
@@ -104,9 +105,9 @@
         Ok(epoch)
     }
 
-    /// Releases the space of earlier snapshots if the file, of this `length` in bytes, has grown beyond a threshold and enough
-    /// writes were made since the last compaction. After an error, also a panic, the engine stays open; a later write shows
-    /// whether it is still usable.
+    /// Releases the space of earlier snapshots if the file, of this `length` in bytes, has grown beyond a threshold and
+    /// enough writes were made since the last compaction. After an error, also a panic, the engine stays open; a later
+    /// write shows whether it is still usable.
     ///
     /// # Errors
     /// The storage engine reports an error or panics.
@@ -137,8 +138,8 @@
     Ok((engine, outcome))
 }
 
-/// Closes the engine and ignores a panic: the engine writes to the file when it is closed, and may panic if the file is damaged in
-/// a part that was not read before.
+/// Closes the engine and ignores a panic: the engine writes to the file when it is closed, and may panic if the file is
+/// damaged in a part that was not read before.
 impl Drop for Store {
     fn drop(&mut self) {
         self.drop_engine();
--- a/crates/snapshot-store/src/tests.rs
+++ b/crates/snapshot-store/src/tests.rs
@@ -120,8 +120,8 @@
     Store::open(RecordingStorage::with_bytes(bytes), OWNER).1
 }
 
-/// Runs a test without printing the panics of the storage engine: panics on damaged files are expected here and would fill the
-/// output.
+/// Runs a test without printing the panics of the storage engine: panics on damaged files are expected here and would
+/// fill the output.
 fn hiding_engine_panics<T>(test: impl FnOnce() -> T) -> T {
     let former_hook = std::panic::take_hook();
     // Panics of the tests themselves are still printed.
@@ -155,8 +155,8 @@
     ));
 }
 
-/// Guards against a crash at any operation in which the operations after the last sync are lost, applied in part, or applied in
-/// another order.
+/// Guards against a crash at any operation in which the operations after the last sync are lost, applied in part, or
+/// applied in another order.
 #[test]
 fn crash_at_any_operation_leaves_one_complete_snapshot() {
     hiding_engine_panics(|| {
@@ -189,7 +189,8 @@
                 match load(bytes) {
                     LoadOutcome::Complete(snapshot) => {
                         assert!(is_complete(&snapshot), "{snapshot:?} after {count} operations");
-                        // Once the last sync is done, the loaded epoch no longer falls: no acknowledged snapshot is lost.
+                        // Once the last sync is done, the loaded epoch no longer falls: no acknowledged snapshot is
+                        // lost.
                         assert!(
                             snapshot.epoch >= min_epoch,
                             "epoch {} after epoch {min_epoch}, {count} operations",
@@ -213,8 +214,8 @@
     });
 }
 
-/// Guards against a disk that loses or tears acknowledged and synced writes at random, then crashes: 600 times, or as many times
-/// as the environment variable `STORE_KILLS` says.
+/// Guards against a disk that loses or tears acknowledged and synced writes at random, then crashes: 600 times, or as
+/// many times as the environment variable `STORE_KILLS` says.
 #[test]
 fn disk_that_loses_acknowledged_writes_yields_one_complete_snapshot_or_none() {
     hiding_engine_panics(|| {
@@ -271,8 +272,8 @@
         let mut detected = 0;
         for _ in 0..1500 {
             let mut damaged = bytes.clone();
-            // Most bytes of a file are unused and 0. A byte of 0 is only chosen with a probability of 0.1, so that about
-            // half of the flips hit used bytes.
+            // Most bytes of a file are unused and 0. A byte of 0 is only chosen with a probability of 0.1, so that
+            // about half of the flips hit used bytes.
             let position = loop {
                 let position = rng.random_range(0..damaged.len());
                 if damaged[position] != 0 || rng.random::<f64>() < 0.1 {
--- a/crates/snapshot-store/src/transaction.rs
+++ b/crates/snapshot-store/src/transaction.rs
@@ -10,8 +10,8 @@
 /// Reads the stored snapshot of this owner.
 ///
 /// # Errors
-/// The engine can't read the file, the snapshot has another owner or a newer format, or a piece is missing, damaged or of
-/// another snapshot.
+/// The engine can't read the file, the snapshot has another owner or a newer format, or a piece is missing, damaged or
+/// of another snapshot.
 pub(crate) fn read(engine: &Database, owner: u64) -> Result<LoadOutcome, QuarantineReason> {
     let transaction = engine.begin_read().map_err(QuarantineReason::unreadable)?;
     let table = match transaction.open_table(TABLE) {
@@ -63,8 +63,8 @@
     transaction.commit().map_err(StoreError::engine)
 }
 
-/// Removes stored pieces that the new snapshot does not have. Entries that can't be read are skipped: on loading, pieces that
-/// the header does not list are ignored.
+/// Removes stored pieces that the new snapshot does not have. Entries that can't be read are skipped: on loading,
+/// pieces that the header does not list are ignored.
 fn remove_stale(table: &mut Table<u32, &'static [u8]>, pieces: &Pieces) -> Result<(), StoreError> {
     let stored = table.iter().map_err(StoreError::engine)?;
     let numbers = stored.filter_map(Result::ok).map(|(number, _)| number.value());
--- a/crates/snapshot-store/tests/golden_file.rs
+++ b/crates/snapshot-store/tests/golden_file.rs
@@ -1,5 +1,5 @@
-//! Opens a store file that an earlier version (1b8dd66) wrote: two snapshots of three pieces each, then compacted. The last
-//! snapshot must be loaded complete, and the next one must continue its epoch.
+//! Opens a store file that an earlier version (1b8dd66) wrote: two snapshots of three pieces each, then compacted. The
+//! last snapshot must be loaded complete, and the next one must continue its epoch.
 
 use cleatgw_snapshot_store::{LoadOutcome, Pieces, Store, StoredSnapshot};
 use std::path::{Path, PathBuf};
--- a/crates/tenant-queue/src/config.rs
+++ b/crates/tenant-queue/src/config.rs
@@ -3,7 +3,8 @@
 /// Index of the root group, which contains all tenants.
 pub const ROOT: usize = 0;
 
-/// A tenant's budget of work. A tenant that has exceeded its budget is served after its siblings that are within theirs.
+/// A tenant's budget of work. A tenant that has exceeded its budget is served after its siblings that are within
+/// theirs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Seconds of work that are earned per second.
@@ -21,8 +22,8 @@
     pub weight: f64,
     /// The budget of work. `None`: there is no budget that could be exceeded.
     pub budget: Option<Budget>,
-    /// Maximum number of queued requests; in the root the maximum over all tenants, ignored in other groups. Above it the
-    /// last request that cannot have run is displaced.
+    /// Maximum number of queued requests; in the root the maximum over all tenants, ignored in other groups. Above it
+    /// the last request that cannot have run is displaced.
     pub max_queued: usize,
     /// Maximum queued work in seconds; ignored in groups. Above it the last request that cannot have run is displaced.
     pub max_queued_work: f64,
--- a/crates/tenant-queue/src/limits.rs
+++ b/crates/tenant-queue/src/limits.rs
@@ -41,10 +41,10 @@
         (ordered_bits(node.queued_work / node.config.weight), tenant)
     }
 
-    /// The request to displace if a queue is over its limit; `None` if there is none. Only requests that cannot have run
-    /// are displaced. If the limit over all tenants is exceeded, it is the last such request of the tenant with the most
-    /// queued work relative to its weight that has one; otherwise it is the last such request of a tenant that exceeds
-    /// its own limit. The request stays queued until [`TenantQueue::remove`].
+    /// The request to displace if a queue is over its limit; `None` if there is none. Only requests that cannot have
+    /// run are displaced. If the limit over all tenants is exceeded, it is the last such request of the tenant with the
+    /// most queued work relative to its weight that has one; otherwise it is the last such request of a tenant that
+    /// exceeds its own limit. The request stays queued until [`TenantQueue::remove`].
     pub fn next_to_displace(&self) -> Option<usize> {
         let last_displaceable =
             |tenant: usize| self.nodes[tenant].displaceable.last().map(|rank| rank.request);
--- a/crates/tenant-queue/src/node.rs
+++ b/crates/tenant-queue/src/node.rs
@@ -5,7 +5,8 @@
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeSet;
 
-/// The rank of a node among its siblings, lowest first: nodes within their budget before those over it, then by start tag.
+/// The rank of a node among its siblings, lowest first: nodes within their budget before those over it, then by start
+/// tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SiblingRank {
     over_budget: bool,
@@ -20,8 +21,9 @@
     pub active: BTreeSet<(SiblingRank, usize)>,
     /// The highest start tag at which a child was served; children that become active start here at least.
     pub virtual_time: f64,
-    /// Start tag of start-time fair queueing: grows by the node's charged work divided by its weight, and is raised to the
-    /// parent's `virtual_time` when an idle node becomes active. The active node with the lowest tag is served first.
+    /// Start tag of start-time fair queueing: grows by the node's charged work divided by its weight, and is raised to
+    /// the parent's `virtual_time` when an idle node becomes active. The active node with the lowest tag is served
+    /// first.
     pub start_tag: f64,
     /// Its rank in the parent's `active` set; `None` while it is not in that set.
     pub rank: Option<SiblingRank>,
--- a/crates/tenant-queue/src/queue.rs
+++ b/crates/tenant-queue/src/queue.rs
@@ -1,5 +1,5 @@
-//! The queue of all tenants. A queued request is offered, then either dispatched or returned to the queue; when an attempt
-//! ends, the charge for its work is corrected.
+//! The queue of all tenants. A queued request is offered, then either dispatched or returned to the queue; when an
+//! attempt ends, the charge for its work is corrected.
 
 use crate::config::{TenantConfig, ROOT};
 use crate::node::Node;
@@ -67,8 +67,8 @@
     /// A queue for these tenants.
     ///
     /// # Panics
-    /// If a parent does not precede its child, or if a weight is not finite and greater than 0. The host checks its teams
-    /// file for both beforehand.
+    /// If a parent does not precede its child, or if a weight is not finite and greater than 0. The host checks its
+    /// teams file for both beforehand.
     pub fn new(tenants: Vec<TenantConfig>, now: f64) -> TenantQueue {
         for (index, config) in tenants.iter().enumerate() {
             let parent_is_earlier = config.parent < index || index == ROOT && config.parent == ROOT;
@@ -130,8 +130,8 @@
         })
     }
 
-    /// The tenant itself. An index out of range stands for the last tenant; the host lists the leaves for requests of unknown
-    /// tenants last.
+    /// The tenant itself. An index out of range stands for the last tenant; the host lists the leaves for requests of
+    /// unknown tenants last.
     fn known_tenant(&self, tenant: usize) -> usize {
         tenant.min(self.nodes.len() - 1)
     }
@@ -171,11 +171,11 @@
         self.count_removed(queued);
     }
 
-    /// Removes a request that no longer waits: it was answered, or its client has disconnected. If the request is on offer,
-    /// all requests on offer are put back into the queue.
+    /// Removes a request that no longer waits: it was answered, or its client has disconnected. If the request is on
+    /// offer, all requests on offer are put back into the queue.
     pub fn remove(&mut self, request: usize) {
-        // Putting it back into the queue refunds its charge. The present time is not known here; with negative infinity the
-        // budgets are refunded, but earn nothing.
+        // Putting it back into the queue refunds its charge. The present time is not known here; with negative infinity
+        // the budgets are refunded, but earn nothing.
         if self.offers.iter().any(|offer| offer.queued.request == request) {
             self.return_offers(f64::NEG_INFINITY);
         }
@@ -210,8 +210,8 @@
         Some(request)
     }
 
-    /// Records that a request on offer was dispatched. Its charge stays, and the virtual time of each ancestor advances to
-    /// the start tag at which the child was served.
+    /// Records that a request on offer was dispatched. Its charge stays, and the virtual time of each ancestor advances
+    /// to the start tag at which the child was served.
     pub fn dispatched(&mut self, request: usize, now: f64) {
         let Some(index) = self.offers.iter().position(|offer| offer.queued.request == request) else {
             return;
@@ -246,9 +246,9 @@
         self.update_ranks(tenant);
     }
 
-    /// Records the end of an attempt of the tenant, and corrects the charge from `charged`, the work in seconds with which the
-    /// request was queued, to the work that the attempt `needed`, in seconds: a tenant whose requests need more than they were charged is charged the rest, one whose requests need less
-    /// is refunded.
+    /// Records the end of an attempt of the tenant, and corrects the charge from `charged`, the work in seconds with
+    /// which the request was queued, to the work that the attempt `needed`, in seconds: a tenant whose requests need
+    /// more than they were charged is charged the rest, one whose requests need less is refunded.
     pub fn attempt_ended(&mut self, tenant: usize, charged: f64, needed: f64, now: f64) {
         let tenant = self.known_tenant(tenant);
         let correction = needed - charged;
@@ -258,8 +258,8 @@
             let virtual_time = self.nodes[parent].virtual_time;
             let former_start_tag = self.nodes[node].start_tag;
             self.charge(node, correction, now);
-            // A refund must not lower the start tag below the parent's virtual time: the node would go before siblings that
-            // were served in the meantime.
+            // A refund must not lower the start tag below the parent's virtual time: the node would go before siblings
+            // that were served in the meantime.
             let charged = &mut self.nodes[node];
             charged.start_tag = charged.start_tag.max(former_start_tag.min(virtual_time));
             node = parent;
--- a/crates/tenant-queue/src/tests.rs
+++ b/crates/tenant-queue/src/tests.rs
@@ -74,8 +74,8 @@
             }
             self.now = self.now.max(self.free_at);
             let Some(request) = self.queue.next(self.now) else {
-                // Nothing can be offered until the next request is added: tenants over their budgets are served too, so a
-                // refill would not add an offer.
+                // Nothing can be offered until the next request is added: tenants over their budgets are served too, so
+                // a refill would not add an offer.
                 self.now = until;
                 return;
             };
@@ -500,8 +500,8 @@
 }
 
 proptest! {
-    /// In any sequence of operations no request is lost or offered twice, the counts add up, and in the end every queued
-    /// request can be offered.
+    /// In any sequence of operations no request is lost or offered twice, the counts add up, and in the end every
+    /// queued request can be offered.
     #[test]
     fn no_request_is_lost_or_offered_twice(steps in proptest::collection::vec((0u8..6, 0usize..5, 1u32..100), 1..300)) {
         let mut configs = tenants(&[1.0, 2.0]);
--- a/crates/tenant-queue/src/token_bucket.rs
+++ b/crates/tenant-queue/src/token_bucket.rs
@@ -26,8 +26,8 @@
         self.refilled_to = self.refilled_to.max(now);
     }
 
-    /// Spends work. Work beyond the saved-up amount is owed: a budget smaller than one request still admits one request,
-    /// and then stays used up until that request's work has been earned.
+    /// Spends work. Work beyond the saved-up amount is owed: a budget smaller than one request still admits one
+    /// request, and then stays used up until that request's work has been earned.
     pub fn spend(&mut self, work: f64, now: f64) {
         self.refill(now);
         self.level = (self.level - work).min(self.budget.burst);
--- a/crates/tenant-queue/src/wait_estimates.rs
+++ b/crates/tenant-queue/src/wait_estimates.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Records that a request is queued. If it is the first queued request of its tenant, or of all tenants, the idle time
-    /// before it is not counted in the respective rate.
+    /// Records that a request is queued. If it is the first queued request of its tenant, or of all tenants, the idle
+    /// time before it is not counted in the respective rate.
     pub(crate) fn request_queued(
         &mut self,
         tenant: usize,
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Estimates the wait of a request with this much work; `None` if the tenant is unknown or the overall service rate is not
-    /// known.
+    /// Estimates the wait of a request with this much work; `None` if the tenant is unknown or the overall service rate
+    /// is not known.
     pub(crate) fn estimate(
         &self,
         tenant: usize,
@@ -182,15 +182,15 @@
     ) -> Option<WaitEstimate> {
         let overall_rate = self.overall_rate.per_second(now)?;
         let tenant = self.tenants.get(tenant)?;
-        // The tenant's recent rate while it had queued requests is a better predictor than its weight. If it is not known, its share of the overall
-        // rate is used.
+        // The tenant's recent rate while it had queued requests is a better predictor than its weight. If it is not
+        // known, its share of the overall rate is used.
         let rate = tenant.rate.per_second(now).unwrap_or(overall_rate * inputs.share.max(MIN_SHARE));
         let queue_section =
             (inputs.work_ahead / inputs.queued_work.max(MIN_QUEUED_WORK) * QUEUE_SECTIONS as f64) as usize;
         let queue_section = queue_section.min(QUEUE_SECTIONS - 1);
         let errors = &tenant.errors[queue_section];
-        // The request is dispatched once the work ahead is done and its tenant's turn has come, for which half of its own
-        // work is added.
+        // The request is dispatched once the work ahead is done and its tenant's turn has come, for which half of its
+        // own work is added.
         let uncorrected = (inputs.work_ahead + 0.5 * work) / rate;
         let expected = uncorrected * errors.bias.with_prior(BIAS_PRIOR).exp();
         let spread = (errors.spread.sum + SPREAD_PRIOR) / (errors.spread.weight + 1.0);
--- a/crates/tenant-queue/tests/model.rs
+++ b/crates/tenant-queue/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking (stateright) of the tenant queue itself: requests are queued, offered, dispatched, ended and displaced in
-//! any order.
+//! Model checking (stateright) of the tenant queue itself: requests are queued, offered, dispatched, ended and
+//! displaced in any order.
 
 use cleatgw_tenant_queue::{QueuedRequest, TenantConfig, TenantQueue};
 use stateright::{Checker, Model, Property};
@@ -16,8 +16,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A request is received and queued: of tenant 1 (value 0) or tenant 2 (value 1). Requests with even numbers belong to
-    /// tenant 1, those with odd numbers to tenant 2.
+    /// A request is received and queued: of tenant 1 (value 0) or tenant 2 (value 1). Requests with even numbers belong
+    /// to tenant 1, those with odd numbers to tenant 2.
     Receive(usize),
     /// The next request is offered and dispatched.
     Dispatch,
