--- a/crates/router/tests/capacity.rs
+++ b/crates/router/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Scale tests leave no process behind, whatever ends them.
+//! Checks that the scale tests of the test bed leave no process behind, whichever signal ends them.
 
 use cleatgw_testbed::capacity::{measure, Ask};
 use cleatgw_testbed::stand_ins::GENEROUS;
@@ -7,117 +7,122 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Names a run; what is started in it inherits this.
-const MARK: &str = "CAPACITY_TEST_RUN";
-/// What it asks.
-const WHAT: &str = "CAPACITY_TEST_WHAT";
+/// Environment variable with the identifier of a scale test run; every process started by the run inherits it.
+const RUN_VARIABLE: &str = "CAPACITY_TEST_RUN";
+/// Environment variable with the name of the measurement that the run performs.
+const MEASUREMENT_VARIABLE: &str = "CAPACITY_TEST_WHAT";
 
-/// Processes that still run and carry the mark, by id and name.
-fn marked(mark: &str) -> Vec<(i32, String)> {
-    let carries = format!("{MARK}={mark}");
+/// Process ids and names of the processes of this run that still exist.
+fn processes_of_run(run_id: &str) -> Vec<(i32, String)> {
+    let assignment = format!("{RUN_VARIABLE}={run_id}");
     let processes = std::fs::read_dir("/proc")
         .unwrap()
         .filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok());
-    let marked = processes.filter(|process: &i32| {
+    let of_run = processes.filter(|process: &i32| {
         let environment = std::fs::read(format!("/proc/{process}/environ")).unwrap_or_default();
-        environment.split(|&byte| byte == 0).any(|one| one == carries.as_bytes())
+        environment.split(|&byte| byte == 0).any(|variable| variable == assignment.as_bytes())
     });
-    let named = marked.map(|process| {
+    let with_names = of_run.map(|process| {
         let name = std::fs::read_to_string(format!("/proc/{process}/comm")).unwrap_or_default();
         (process, name.trim_end().to_string())
     });
-    named.collect()
+    with_names.collect()
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < GENEROUS, "{what}");
+/// Waits until the condition holds; panics with the message after [`GENEROUS`].
+fn wait_until(failure: &str, condition: impl Fn() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < GENEROUS, "{failure}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The run that the others interrupt: this test file as a process of its own. Without the mark there is nothing to do.
+/// The run that the other tests interrupt. They start this test binary as a separate process with only this test;
+/// without the environment variable the test does nothing.
 #[test]
 fn a_run_to_be_interrupted() {
-    if std::env::var_os(MARK).is_none() {
+    if std::env::var_os(RUN_VARIABLE).is_none() {
         return;
     }
     let program = env!("CARGO_BIN_EXE_cleatgw").into();
     let ask = Ask { seed: 1, sizes: Some(vec![5.0, 10.0]), plays: 5, program };
-    let what = std::env::var(WHAT).unwrap();
-    if let Err(why) = measure(&what, &ask) {
+    let measurement = std::env::var(MEASUREMENT_VARIABLE).unwrap();
+    if let Err(why) = measure(&measurement, &ask) {
         panic!("{why}");
     }
 }
 
-fn started(mark: &str, what: &str) -> Child {
+/// Starts a run in its own process group and waits until one of its routers exists.
+fn start_run(run_id: &str, measurement: &str) -> Child {
     let run = Command::new(std::env::current_exe().unwrap())
         .args(["--exact", "a_run_to_be_interrupted", "--nocapture"])
-        .env(MARK, mark)
-        .env(WHAT, what)
+        .env(RUN_VARIABLE, run_id)
+        .env(MEASUREMENT_VARIABLE, measurement)
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .process_group(0)
         .spawn()
         .unwrap();
-    until("the run has no router", || marked(mark).iter().any(|(_, name)| name == "cleatgw"));
+    wait_until("the run started no router", || {
+        processes_of_run(run_id).iter().any(|(_, name)| name == "cleatgw")
+    });
     run
 }
 
-/// All that the run has left behind is over in moments, the router among it.
-fn leaves_nothing(mark: &str) {
-    let begun = Instant::now();
-    while !marked(mark).is_empty() && begun.elapsed() < GENEROUS / 4 {
+/// Asserts that all processes of the run, its routers included, end within a quarter of [`GENEROUS`].
+fn assert_no_process_left(run_id: &str) {
+    let start = Instant::now();
+    while !processes_of_run(run_id).is_empty() && start.elapsed() < GENEROUS / 4 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let left = marked(mark);
+    let left = processes_of_run(run_id);
     for (process, _) in &left {
-        // No later test is to meet it.
+        // Later tests must not run beside this process.
         let _ = kill_process(Pid::from_raw(*process).unwrap(), Signal::KILL);
     }
-    assert_eq!(left, [], "left behind");
+    assert_eq!(left, [], "processes left behind");
 }
 
-/// Ended by a signal to the run alone.
-fn interrupted_by(signal: Signal, what: &str) {
-    let mark = format!("{}-{}-{what}", std::process::id(), signal.as_raw());
-    let mut run = started(&mark, what);
+/// Sends the signal to the run's first process alone and asserts that no process of the run is left.
+fn assert_signal_leaves_no_process(signal: Signal, measurement: &str) {
+    let run_id = format!("{}-{}-{measurement}", std::process::id(), signal.as_raw());
+    let mut run = start_run(&run_id, measurement);
     kill_process(Pid::from_child(&run), signal).unwrap();
-    assert_eq!(run.wait().unwrap().signal(), Some(signal.as_raw()), "the signal has ended it");
-    leaves_nothing(&mark);
+    assert_eq!(run.wait().unwrap().signal(), Some(signal.as_raw()), "the run was not ended by the signal");
+    assert_no_process_left(&run_id);
 }
 
 #[test]
 fn a_run_that_is_killed_leaves_no_process() {
-    interrupted_by(Signal::KILL, "clients");
+    assert_signal_leaves_no_process(Signal::KILL, "clients");
 }
 
 #[test]
 fn a_run_that_is_interrupted_leaves_no_process() {
-    interrupted_by(Signal::INT, "clients");
+    assert_signal_leaves_no_process(Signal::INT, "clients");
 }
 
 #[test]
-fn a_run_that_is_failed_leaves_no_process() {
-    interrupted_by(Signal::TERM, "clients");
+fn a_run_that_is_terminated_leaves_no_process() {
+    assert_signal_leaves_no_process(Signal::TERM, "clients");
 }
 
-/// Also where the terminal's Ctrl-C reaches the whole group.
+/// Ctrl-C in a terminal sends SIGINT to the whole process group.
 #[test]
 fn a_run_whose_group_is_interrupted_leaves_no_process() {
-    let mark = format!("{}-group", std::process::id());
-    let mut run = started(&mark, "clients");
+    let run_id = format!("{}-group", std::process::id());
+    let mut run = start_run(&run_id, "clients");
     rustix::process::kill_process_group(Pid::from_child(&run), Signal::INT).unwrap();
     assert_eq!(run.wait().unwrap().signal(), Some(Signal::INT.as_raw()));
-    leaves_nothing(&mark);
+    assert_no_process_left(&run_id);
 }
 
-/// Those that start routers as the stories do.
+/// The measurements `lists` and `links` start their routers in the same way as the scenario tests.
 #[test]
-fn runs_of_lists_and_links_that_are_killed_or_failed_leave_no_process() {
-    for what in ["lists", "links"] {
-        interrupted_by(Signal::KILL, what);
-        interrupted_by(Signal::TERM, what);
+fn runs_of_lists_and_links_that_are_killed_or_terminated_leave_no_process() {
+    for measurement in ["lists", "links"] {
+        assert_signal_leaves_no_process(Signal::KILL, measurement);
+        assert_signal_leaves_no_process(Signal::TERM, measurement);
     }
 }
