--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -1,17 +1,18 @@
-//! What a change of configuration costs a router must not grow with what it knows: counts, not clocks, so that every
-//! machine gives the same verdict. Engines are known by the hundred and few are there.
+//! Checks that the cost of a configuration change for a router does not grow with the number of engines that it knows.
+//! The tests count events instead of measuring time, so that they give the same result on every machine. The router
+//! knows hundreds of engines, of which only one exists.
 
 use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
-/// What reloads did to a router, in counts.
+/// What the router did because of the reloads, in counts.
 #[derive(Debug, PartialEq)]
-struct Counted {
-    /// By each kind of line: how many the log had.
+struct ReloadCosts {
+    /// Number of log lines of each kind.
     lines: [usize; 4],
-    /// How often the discovery service was called, the first call aside.
+    /// Calls of the discovery services, without the first call.
     calls: usize,
     connections: usize,
     attempts: u64,
@@ -22,32 +23,35 @@
     refused: u64,
 }
 
-/// A discovery service's entries for so many engines; one alone is there.
-fn entries(engine: &Engine, count: usize) -> Vec<String> {
-    let far = |at: usize| {
-        let (host, port) = (at / 250 + 1, at % 250 + 1);
+/// `count` entries of an engine list: the given engine, and draining engines that do not exist.
+fn list_entries(engine: &Engine, count: usize) -> Vec<String> {
+    let absent_engine = |number: usize| {
+        let (host, port) = (number / 250 + 1, number % 250 + 1);
         format!(
-            r#"{{"uid":"far{at}","endpoint":"127.0.9.{host}:{port}","az":"east","model":"std","state":"draining"}}"#
+            r#"{{"uid":"far{number}","endpoint":"127.0.9.{host}:{port}","az":"east","model":"std","state":"draining"}}"#
         )
     };
-    (1..count).map(far).chain([engine.entry("ready")]).collect()
+    (1..count).map(absent_engine).chain([engine.entry("ready")]).collect()
 }
 
-/// Three SIGHUPs without a change, then one for a changed limit and one for another discovery service, with so many engines known.
-fn reloads(count: usize) -> Counted {
+/// The costs of four reloads of a router that knows `count` engines: three without a change, then one with another memory
+/// limit and another discovery service.
+fn reload_costs(count: usize) -> ReloadCosts {
     let engine = Engine::start("e");
     let discovery = Discovery::start();
-    discovery.tell(true, &entries(&engine, count));
+    discovery.tell(true, &list_entries(&engine, count));
     let router = Router::with(PROGRAM, &discovery, 256, &[]);
     let mut client = Client::new(&router);
     assert!(matches!(client.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let before = client.counters("delivered", 1);
-    // A log has so many lines a second: those on hundreds of engines at the start are not to hide what comes now.
+    // The log drops lines beyond a number per second. Wait, so that the lines on hundreds of engines at the start do not
+    // cause lines of the reloads to be dropped.
     std::thread::sleep(std::time::Duration::from_millis(1200));
     router.log.forget();
-    let all = entries(&engine, count).join(",");
-    let known = format!(r#"{{"notices":[{{"rev":1,"pool":{{"rev":1,"all":true,"targets":[{all}]}}}}]}}"#);
-    let text = router.configuration(&discovery, &known);
+    let all_entries = list_entries(&engine, count).join(",");
+    let known_engines =
+        format!(r#"{{"notices":[{{"rev":1,"pool":{{"rev":1,"all":true,"targets":[{all_entries}]}}}}]}}"#);
+    let text = router.configuration(&discovery, &known_engines);
     router.reload(&text);
     let reloaded = client.counters("reloads", 1);
     assert_eq!(counter(&reloaded, "reloads_refused"), 0);
@@ -55,45 +59,48 @@
         router.signal(Signal::HUP);
         client.counters("reloads", number);
     }
-    let at_rest = router.log.all();
-    let about = |line: &&String| {
+    let lines_without_change = router.log.all();
+    let is_about_engines_or_settings = |line: &&String| {
         ["engine ", "discovery service", "can't change"].iter().any(|word| line.contains(word))
     };
     assert_eq!(
-        at_rest.iter().filter(about).collect::<Vec<_>>(),
+        lines_without_change.iter().filter(is_about_engines_or_settings).collect::<Vec<_>>(),
         Vec::<&String>::new(),
-        "nothing was changed"
+        "lines logged although nothing was changed"
     );
     let moved = discovery.moved();
-    router.reload(&router.configuration(&moved, &known).replace("\"memory_mb\":192", "\"memory_mb\":99"));
+    router.reload(
+        &router.configuration(&moved, &known_engines).replace("\"memory_mb\":192", "\"memory_mb\":99"),
+    );
     moved.seen.wait("watch 1", 1);
     router.log.wait("discovery service connected", 1);
     let after = client.counters("reloads", 4);
-    let grown = |name: &str| counter(&after, name) - counter(&before, name);
-    // The session is still there and is served, on the connection that was there.
+    let increase = |name: &str| counter(&after, name) - counter(&before, name);
+    // The existing session is still served, over the existing connection to the engine.
     assert!(matches!(client.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let lines = router.log.all();
-    let count_of = |words: &str| lines.iter().filter(|line| line.contains(words)).count();
-    Counted {
+    let lines_with = |text: &str| lines.iter().filter(|line| line.contains(text)).count();
+    ReloadCosts {
         lines: ["engine ", "discovery service is", "can't change while running", "connected; last event 1"]
-            .map(count_of),
+            .map(lines_with),
         calls: discovery.seen.all().len() + moved.seen.all().len() - 1,
         connections: engine.seen.all().iter().filter(|line| line.starts_with("connection")).count(),
-        attempts: grown("pushes"),
-        sessions: grown("sessions"),
-        links: grown("links"),
-        events: grown("board_events"),
-        reloads: grown("reloads"),
-        refused: grown("reloads_refused"),
+        attempts: increase("pushes"),
+        sessions: increase("sessions"),
+        links: increase("links"),
+        events: increase("board_events"),
+        reloads: increase("reloads"),
+        refused: increase("reloads_refused"),
     }
 }
 
-/// Guards against a reload that takes all engines anew (lines, attempts, connections and calls by engines).
+/// Guards against a reload that sets up all engines again, which would add log lines, attempts, connections and calls for
+/// each engine.
 #[test]
-fn a_reload_touches_what_was_changed_whatever_the_number_of_engines_known() {
-    let (few, many) = (reloads(30), reloads(690));
+fn a_reload_affects_only_what_was_changed_for_any_number_of_known_engines() {
+    let (few, many) = (reload_costs(30), reload_costs(690));
     assert_eq!(few, many, "30 and 690 engines known");
-    let expected = Counted {
+    let expected = ReloadCosts {
         lines: [0, 1, 1, 1],
         calls: 1,
         connections: 1,
@@ -107,9 +114,10 @@
     assert_eq!(many, expected);
 }
 
-/// Guards against reloads that pile up: what one hand writes while a router is away is taken once, the last of it.
+/// Guards against reloads that pile up: if the configuration file is written several times while the router process is
+/// stopped, the router reloads once and applies the last version.
 #[test]
-fn changes_that_come_while_a_router_stands_still_are_put_in_force_by_one_reload() {
+fn changes_that_come_while_a_router_is_stopped_are_applied_by_one_reload() {
     let engine = Engine::start("e");
     let discovery = Discovery::start();
     discovery.tell(true, &[engine.entry("ready")]);
@@ -117,8 +125,8 @@
     let mut client = Client::new(&router);
     let discoveries: Vec<Discovery> = (0..20).map(|_| discovery.moved()).collect();
     router.stop_for(std::time::Duration::from_millis(50), || {
-        let text = |discovery| router.configuration(discovery, r#"{"rev":1,"notices":[]}"#);
-        discoveries.iter().for_each(|discovery| router.reload(&text(discovery)));
+        let configuration_with = |discovery| router.configuration(discovery, r#"{"rev":1,"notices":[]}"#);
+        discoveries.iter().for_each(|discovery| router.reload(&configuration_with(discovery)));
     });
     let last = discoveries.last().unwrap();
     last.seen.wait("watch 1", 1);
@@ -127,6 +135,6 @@
     assert_eq!(router.log.wait("discovery service is", 1).len(), 1);
     assert!(
         discoveries[..19].iter().all(|discovery| discovery.seen.all().is_empty()),
-        "one that was passed over was called"
+        "the router called a discovery service of a superseded configuration"
     );
 }
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program that are killed and come back, with stores that are whole, lost, old, damaged, exchanged or
-//! on a disk that hangs, fails or lies: one story for each.
+//! Scenario tests of routers that are killed and restarted, with stores that are intact, lost, outdated, damaged, exchanged
+//! or on a disk that hangs, fails or lies. One test covers each scenario; the routers are processes of the real program.
 
 use cleatgw_testbed::checkers::request_rules::{Outcome, Stated};
 use cleatgw_testbed::clients::load::{outcome, Load};
@@ -12,8 +12,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
-/// Routers with a budget of four retries in ten seconds, and none more for requests taken.
-fn tight(routers: usize, seed: u64, keeps: bool) -> Plan {
+/// A plan for routers whose budget is four retries in ten seconds, without further retries per accepted request. With
+/// `keeps` the routers keep their stores across restarts.
+fn small_budget_plan(routers: usize, seed: u64, keeps: bool) -> Plan {
     let rules = r#""settings":{"rules":{"look-back-us":10000000,"spare-attempts":4,"budget-share":0.0},"#;
     let changes = vec![(r#""settings":{"#.to_string(), rules.to_string())];
     let stated = Stated { spare: 4.0, share: 0.0, ..Stated::default() };
@@ -21,55 +22,60 @@
     Plan { routers, seed, keeps, changes, stated, more, ..Plan::default() }
 }
 
-fn start(plan: Plan) -> Cluster {
+fn start_cluster(plan: Plan) -> Cluster {
     Cluster::planned(Path::new(PROGRAM), plan)
 }
 
-fn says(cluster: &Cluster, router: usize, words: &str) -> bool {
-    cluster.router(router).log.all().iter().any(|line| line.contains(words))
+/// Whether the router's log has a line with the text.
+fn has_logged(cluster: &Cluster, router: usize, text: &str) -> bool {
+    cluster.router(router).log.all().iter().any(|line| line.contains(text))
 }
 
-/// Waits until the router has come back.
-fn full(cluster: &Cluster, router: usize) {
+/// Waits until the router's recovery is complete (state `full`).
+fn wait_until_recovered(cluster: &Cluster, router: usize) {
     cluster.router(router).log.wait("recovery: full", 1);
 }
 
-/// Hard case: the attempt budget is used up just before the kill, and an engine is still silent after it.
+/// The attempt budget is used up just before the kill, and an engine is still silent after it. Guards against a restart
+/// that makes the whole budget available again although the store was kept.
 #[test]
-fn further_attempts_before_a_kill_count_after_it_where_a_store_is_kept_and_only_there() {
+fn retries_before_a_kill_count_against_the_budget_after_it_only_if_the_store_is_kept() {
     for keeps in [true, false] {
-        let mut cluster = start(Plan { knows: false, ..tight(1, 1, keeps) });
+        let mut cluster = start_cluster(Plan { knows: false, ..small_budget_plan(1, 1, keeps) });
         cluster.engines[0].silent(true);
-        // Many clients, so that those that wait for the silent engine do not stop the others.
+        // Many clients, so that requests still arrive while some clients wait for the silent engine.
         let clients = [(0, cluster.address(0)); 16];
         let load = Load::at(&clients, 20.0, 2.0, cluster.relays.began);
         std::thread::sleep(Duration::from_secs(4));
         cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 4.0);
         let tally = load.tally(&cluster);
-        // Judged as if kept in either case.
+        // The checker applies the rule for kept stores in both cases.
         let check_result = cluster.check_result(&tally.asked, true);
-        let over = check_result.attempts_over_budget;
+        let over_budget = check_result.attempts_over_budget;
         match keeps {
             true => {
                 assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
-                assert!(says(&cluster, 0, "still count"));
+                assert!(has_logged(&cluster, 0, "still count"));
             }
-            false => assert!(over == 0 && !says(&cluster, 0, "recovery"), "judged by each life alone"),
+            false => assert!(
+                over_budget == 0 && !has_logged(&cluster, 0, "recovery"),
+                "without a store each incarnation has a budget of its own"
+            ),
         }
-        let without = cluster.retries(&tally.asked, 0, 10.0);
-        assert_eq!(without > 4, !keeps, "{without} in ten seconds");
+        let retries = cluster.retries(&tally.asked, 0, 10.0);
+        assert_eq!(retries > 4, !keeps, "{retries} retries in ten seconds");
     }
 }
 
-/// Hard case: a deduplicated request is dispatched just before the kill; its client repeats it 1 s and 13 s after the start. Its estimate
-/// is so large that no time-out falls into the silence before the kill, nor on an answer that a busy machine holds up: either
-/// would use up the budget of retries, which is another story's.
+/// A deduplicated request is dispatched just before the kill; its client repeats it 1 s and 13 s after the restart. The
+/// work estimate is so large that no attempt times out, neither while the engines are silent before the kill nor when a
+/// busy machine delays an answer: a time-out would use up the retry budget, which another test covers.
 #[test]
-fn a_deduplicated_request_that_may_have_run_is_repeated_within_its_window_and_failed_after_it() {
-    let mut cluster = start(Plan { knows: false, ..tight(1, 2, true) });
-    full(&cluster, 0);
+fn a_deduplicated_request_that_may_have_run_is_dispatched_again_within_its_window_and_failed_after_it() {
+    let mut cluster = start_cluster(Plan { knows: false, ..small_budget_plan(1, 2, true) });
+    wait_until_recovered(&cluster, 0);
     cluster.engines.iter().for_each(|engine| engine.silent(true));
-    let ask = |cluster: &Cluster, call: u64| {
+    let send_request = |cluster: &Cluster, call: u64| {
         let text = format!(
             "/* op=load,call={call:016x},ttl=3000,dedupe=receipt,work=400,mb=10 */ work 2 FROM sales_1.t"
         );
@@ -77,57 +83,60 @@
         client.send(&text);
         client
     };
-    let ran = |cluster: &Cluster| cluster.engines.iter().map(|engine| engine.ran().len()).sum::<usize>();
-    let asked = std::time::Instant::now();
-    let _waits = ask(&cluster, 1);
-    while ran(&cluster) == 0 {
-        assert!(asked.elapsed() < GENEROUS, "no push came to an engine");
+    let attempts_run =
+        |cluster: &Cluster| cluster.engines.iter().map(|engine| engine.ran().len()).sum::<usize>();
+    let sent_at = std::time::Instant::now();
+    let _waiting_client = send_request(&cluster, 1);
+    while attempts_run(&cluster) == 0 {
+        assert!(sent_at.elapsed() < GENEROUS, "no attempt reached an engine");
         std::thread::sleep(Duration::from_millis(5));
     }
-    // What was dispatched is kept by then.
+    // Within this time the router stores the record of the dispatched attempt.
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(ran(&cluster), 1);
+    assert_eq!(attempts_run(&cluster), 1);
     cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 0.0);
     cluster.engines.iter().for_each(|engine| engine.silent(false));
-    full(&cluster, 0);
+    wait_until_recovered(&cluster, 0);
     std::thread::sleep(Duration::from_secs(1));
-    let soon = ask(&cluster, 2).answer();
-    assert!(matches!(soon, Answered::Rows(_)), "{soon:?}");
-    assert_eq!(ran(&cluster), 2, "within the window it is pushed again");
+    let answer_within_window = send_request(&cluster, 2).answer();
+    assert!(matches!(answer_within_window, Answered::Rows(_)), "{answer_within_window:?}");
+    assert_eq!(attempts_run(&cluster), 2, "not dispatched again within the window");
     std::thread::sleep(Duration::from_secs(12));
-    let asked = std::time::Instant::now();
-    let late = ask(&cluster, 3).answer();
-    assert_eq!(outcome(&late), Outcome::Failed, "{late:?}");
-    assert!(asked.elapsed() < Duration::from_millis(500), "at once");
-    assert_eq!(ran(&cluster), 2, "past the window it is not");
+    let sent_at = std::time::Instant::now();
+    let answer_after_window = send_request(&cluster, 3).answer();
+    assert_eq!(outcome(&answer_after_window), Outcome::Failed, "{answer_after_window:?}");
+    assert!(sent_at.elapsed() < Duration::from_millis(500), "the refusal took 500 ms or longer");
+    assert_eq!(attempts_run(&cluster), 2, "dispatched again after the window");
     assert_eq!(counter(&Client::at(cluster.address(0)).unwrap().counters_now(), "marks_met"), 2);
-    // Another idempotency key is served.
+    // A request with another idempotency key is served.
     let text =
         "/* op=load,call=00000000000000aa,ttl=3000,dedupe=another,work=2,mb=10 */ work 2 FROM sales_1.t";
     assert!(matches!(Client::at(cluster.address(0)).unwrap().ask(text), Answered::Rows(_)));
 }
 
-/// Hard cases: the file is lost, garbage, cut, has flipped bits, or is another router's; each time it is said, and served.
+/// The store file is lost, has other content, is cut off, or belongs to another router. Each time the router logs the
+/// fault and serves requests.
 #[test]
-fn a_store_that_can_not_be_used_is_set_aside_and_said_so_and_requests_are_served() {
-    let mut cluster = start(Plan { knows: false, ..tight(2, 3, true) });
-    let settled = |cluster: &Cluster, router: usize| cluster.router(router).log.wait("recovery: settling", 1);
-    full(&cluster, 0);
-    full(&cluster, 1);
+fn a_store_that_can_not_be_used_is_set_aside_and_logged_and_requests_are_served() {
+    let mut cluster = start_cluster(Plan { knows: false, ..small_budget_plan(2, 3, true) });
+    let wait_until_settling =
+        |cluster: &Cluster, router: usize| cluster.router(router).log.wait("recovery: settling", 1);
+    wait_until_recovered(&cluster, 0);
+    wait_until_recovered(&cluster, 1);
     let load = Load::start(&cluster, 50.0);
     std::thread::sleep(Duration::from_secs(1));
-    let restart = |cluster: &mut Cluster, meanwhile: &dyn Fn(&Path)| {
+    let restart = |cluster: &mut Cluster, change_store: &dyn Fn(&Path)| {
         cluster.act(&FaultAction::Kill(0));
         std::thread::sleep(Duration::from_millis(100));
-        meanwhile(&cluster.store(0));
+        change_store(&cluster.store(0));
         cluster.act(&FaultAction::Start(0));
     };
     restart(&mut cluster, &|path| std::fs::remove_file(path).unwrap());
-    settled(&cluster, 0);
-    assert!(says(&cluster, 0, "recovery without stored history: the store holds no snapshot"));
+    wait_until_settling(&cluster, 0);
+    assert!(has_logged(&cluster, 0, "recovery without stored history: the store holds no snapshot"));
     restart(&mut cluster, &|path| std::fs::write(path, [7; 9000]).unwrap());
     cluster.router(0).log.wait("is set aside as", 1);
-    settled(&cluster, 0);
+    wait_until_settling(&cluster, 0);
     std::thread::sleep(Duration::from_millis(300));
     restart(&mut cluster, &|path| {
         let bytes = std::fs::read(path).unwrap();
@@ -135,48 +144,54 @@
     });
     cluster.router(0).log.wait("is set aside as", 1);
     std::thread::sleep(Duration::from_millis(300));
-    // Another router's file: a copy of what the second one keeps.
-    let other = cluster.store(1);
-    restart(&mut cluster, &|path| assert!(std::fs::copy(&other, path).unwrap() > 0));
+    // Put a copy of the second router's store in place.
+    let other_store = cluster.store(1);
+    restart(&mut cluster, &|path| assert!(std::fs::copy(&other_store, path).unwrap() > 0));
     cluster.router(0).log.wait("the snapshot belongs to another router", 1);
-    settled(&cluster, 0);
+    wait_until_settling(&cluster, 0);
     let tally = load.tally(&cluster);
     let check_result = cluster.check_result(&tally.asked, true);
-    assert!(tally.answered > 30 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
+    assert!(
+        tally.answered > 30 && tally.unanswered == 0,
+        "{} answered, {} unanswered",
+        tally.answered,
+        tally.unanswered
+    );
     assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
 }
 
-/// Hard case: yesterday's copy of the whole file is put back. Peers were shown a later epoch.
+/// An older copy of the whole store file is restored. The router has already announced a later epoch to its peers, which
+/// shows that the copy is outdated.
 #[test]
-fn an_older_copy_that_is_put_back_is_found_by_what_peers_were_shown() {
-    let mut cluster = start(tight(3, 4, true));
+fn a_restored_older_copy_is_detected_by_the_epoch_that_peers_were_shown() {
+    let mut cluster = start_cluster(small_budget_plan(3, 4, true));
     (0..3).for_each(|router| cluster.stands(router, "whole"));
-    full(&cluster, 0);
-    let copy = cluster.folder.join("copy");
+    wait_until_recovered(&cluster, 0);
+    let older_copy = cluster.folder.join("copy");
     std::thread::sleep(Duration::from_millis(500));
     cluster.act(&FaultAction::Kill(0));
     std::thread::sleep(Duration::from_millis(200));
-    std::fs::copy(cluster.store(0), &copy).unwrap();
+    std::fs::copy(cluster.store(0), &older_copy).unwrap();
     cluster.act(&FaultAction::Start(0));
-    full(&cluster, 0);
-    assert!(says(&cluster, 0, "still count"), "the last one is taken up");
+    wait_until_recovered(&cluster, 0);
+    assert!(has_logged(&cluster, 0, "still count"), "the latest snapshot was not used");
     cluster.stands(0, "whole");
     std::thread::sleep(Duration::from_secs(1));
     cluster.act(&FaultAction::Kill(0));
     std::thread::sleep(Duration::from_millis(200));
-    std::fs::copy(&copy, cluster.store(0)).unwrap();
+    std::fs::copy(&older_copy, cluster.store(0)).unwrap();
     cluster.act(&FaultAction::Start(0));
     cluster.router(0).log.wait("without stored history: peers were shown a later epoch", 1);
 }
 
-/// Hard cases: the disk hangs from the first second, or later, fails, or is full. The loop does not wait for it.
+/// The disk hangs while the router runs or from its start on, or fails. The event loop must not wait for the disk.
 #[test]
-fn a_disk_that_hangs_or_fails_costs_no_request_its_answer_and_no_turn_its_time() {
+fn a_disk_that_hangs_or_fails_leaves_no_request_unanswered_and_lengthens_no_turn() {
     let environment = InterposedLibrary::environment();
-    let mut cluster = start(Plan { knows: false, environment, ..tight(2, 5, true) });
+    let mut cluster = start_cluster(Plan { knows: false, environment, ..small_budget_plan(2, 5, true) });
     let shims = InterposedLibrary::of(&cluster.folder);
-    full(&cluster, 0);
-    full(&cluster, 1);
+    wait_until_recovered(&cluster, 0);
+    wait_until_recovered(&cluster, 1);
     let load = Load::start(&cluster, 50.0);
     shims.disk(0, b'h');
     shims.disk(1, b'f');
@@ -187,65 +202,81 @@
     shims.disk(0, 0);
     shims.disk(1, 0);
     cluster.router(0).log.wait("the disk answers again", 1);
-    // And from the first second on.
+    // The disk hangs from the start of the process on.
     shims.disk(0, b'h');
     cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 2.0);
     cluster.router(0).log.wait("the store did not answer within 1 s", 1);
     let tally = load.tally(&cluster);
     let check_result = cluster.check_result(&tally.asked, true);
-    assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
+    assert!(
+        tally.answered > 50 && tally.unanswered == 0,
+        "{} answered, {} unanswered",
+        tally.answered,
+        tally.unanswered
+    );
     assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
     for router in 0..2 {
-        let longest =
+        let longest_turn_us =
             counter(&Client::at(cluster.address(router)).unwrap().counters_now(), "longest_turn_us");
-        assert!(longest < 150_000, "{longest} us");
+        assert!(longest_turn_us < 150_000, "{longest_turn_us} us");
     }
     shims.disk(0, 0);
 }
 
-/// Hard case: killed again and again in whatever phase of its coming back it is.
+/// A router is killed repeatedly in different phases of its recovery. Guards against a retry budget that starts anew with
+/// each restart.
 #[test]
-fn a_router_that_is_killed_ten_times_while_it_comes_back_keeps_its_budget_and_one_without_a_store_does_not() {
-    let play = |keeps: bool| {
-        let mut cluster = start(tight(3, 6, keeps));
+fn a_router_killed_ten_times_during_recovery_keeps_its_budget_and_one_without_a_store_does_not() {
+    let retries_after_kills = |keeps: bool| {
+        let mut cluster = start_cluster(small_budget_plan(3, 6, keeps));
         (0..3).for_each(|router| cluster.stands(router, "whole"));
         cluster.engines[0].silent(true);
-        // Many clients, so that those that wait for the silent engine do not stop the others.
+        // Many clients, so that requests still arrive while some clients wait for the silent engine.
         let clients: Vec<_> = (0..24).map(|client| (client % 3, cluster.address(client % 3))).collect();
         let load = Load::at(&clients, 20.0, 2.0, cluster.relays.began);
         std::thread::sleep(Duration::from_secs(2));
         for round in 0..10 {
-            let lives = 0.05 + 0.2 * f64::from(round % 5);
-            cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.05, FaultAction::Start(0))], lives);
+            let run_seconds = 0.05 + 0.2 * f64::from(round % 5);
+            cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.05, FaultAction::Start(0))], run_seconds);
         }
         std::thread::sleep(Duration::from_secs(2));
         cluster.engines[0].silent(false);
         let tally = load.tally(&cluster);
         let check_result = cluster.check_result(&tally.asked, true);
         assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
-        assert!(tally.answered > 50 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
+        assert!(
+            tally.answered > 50 && tally.unanswered == 0,
+            "{} answered, {} unanswered",
+            tally.answered,
+            tally.unanswered
+        );
         cluster.retries(&tally.asked, 0, 10.0)
     };
-    let (with, without) = (play(true), play(false));
-    assert!(with <= 4 && without > 4, "{with} further pushes with a store, {without} without");
+    let (with, without) = (retries_after_kills(true), retries_after_kills(false));
+    assert!(with <= 4 && without > 4, "{with} retries with a store, {without} without");
 }
 
-/// Hard case: seven in ten are killed at once under load and come back together.
+/// Seven of ten routers are killed at once under load and restarted together.
 #[test]
-fn seven_of_ten_that_come_back_together_break_no_rule_and_are_full_soon() {
-    let mut cluster = start(Plan { engines: 6, ..tight(10, 7, true) });
+fn seven_of_ten_routers_restarted_together_break_no_rule_and_recover_soon() {
+    let mut cluster = start_cluster(Plan { engines: 6, ..small_budget_plan(10, 7, true) });
     (0..10).for_each(|router| cluster.stands(router, "whole"));
     cluster.engines[0].silent(true);
     let load = Load::start(&cluster, 30.0);
     std::thread::sleep(Duration::from_secs(2));
-    let acts = (3..10).map(|router| (0.0, FaultAction::Kill(router)));
-    let acts: Vec<_> = acts.chain((3..10).map(|router| (0.3, FaultAction::Start(router)))).collect();
+    let kills = (3..10).map(|router| (0.0, FaultAction::Kill(router)));
+    let acts: Vec<_> = kills.chain((3..10).map(|router| (0.3, FaultAction::Start(router)))).collect();
     cluster.play(&acts, 4.0);
-    (3..10).for_each(|router| full(&cluster, router));
+    (3..10).for_each(|router| wait_until_recovered(&cluster, router));
     (0..10).for_each(|router| cluster.stands(router, "whole"));
     cluster.engines[0].silent(false);
     let tally = load.tally(&cluster);
     let check_result = cluster.check_result(&tally.asked, true);
     assert_eq!(check_result.breaks(), 0, "{:#?}", check_result.finds);
-    assert!(tally.answered > 100 && tally.unanswered == 0, "{} {}", tally.answered, tally.unanswered);
+    assert!(
+        tally.answered > 100 && tally.unanswered == 0,
+        "{} answered, {} unanswered",
+        tally.answered,
+        tally.unanswered
+    );
 }
