--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,12 +1,18 @@
-//! A host for one gateway: it hands events to the gateway on a clock of its own, and records the actions that are written.
+//! A test host for one gateway: it delivers events on a simulated clock and records the actions that the gateway writes.
 
-#![allow(dead_code, reason = "each test file uses a part of the helpers")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use cleatgw::*;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum WrittenAction {
-    Attempt { request: usize, engine: usize, grant: f64, lane: u8 },
+    /// A dispatched attempt; `grant` is in MB.
+    Attempt {
+        request: usize,
+        engine: usize,
+        grant: f64,
+        lane: u8,
+    },
     Cancel(usize),
     Reject(usize),
     Fail(usize),
@@ -15,15 +21,18 @@
 
 #[derive(Default)]
 pub struct ActionRecorder {
+    /// Each action with the time at which it was written, in seconds.
     pub actions: Vec<(f64, WrittenAction)>,
     pub log: Vec<String>,
-    /// Of each attempt.
+    /// Time-out of each attempt, in order of dispatch.
     pub time_outs: Vec<Option<f64>>,
+    /// Time by which each attempt must have been sent, in order of dispatch.
     pub leave_by: Vec<f64>,
-    /// Of each request rejected.
+    /// Retry-after advice in seconds given with each rejection, in order.
     pub retry_after: Vec<Option<f64>>,
     now: f64,
-    terms: (u8, f64),
+    /// Priority lane and memory grant in MB for the next dispatch.
+    priority_and_grant: (u8, f64),
 }
 
 impl ActionRecorder {
@@ -34,12 +43,12 @@
 
 impl ActionWriter for ActionRecorder {
     fn set_priority_and_memory(&mut self, _request: usize, lane: u8, memory_mb: f64) {
-        self.terms = (lane, memory_mb);
+        self.priority_and_grant = (lane, memory_mb);
     }
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, leave_by: f64) {
         self.time_outs.push(time_out);
         self.leave_by.push(leave_by);
-        let (lane, grant) = self.terms;
+        let (lane, grant) = self.priority_and_grant;
         self.record(WrittenAction::Attempt { request, engine, grant, lane });
     }
     fn cancel(&mut self, request: usize, _attempt: u32) {
@@ -65,9 +74,9 @@
     }
 }
 
-pub fn class(credit: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
+pub fn class(value: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        value: credit,
+        value,
         late_value_share: 0.0,
         latency_objective: 2.0,
         max_wait: f64::INFINITY,
@@ -82,7 +91,7 @@
     }
 }
 
-/// One gateway; light requests are class 0, heavy ones 1, both pure.
+/// A deployment with one gateway and two idempotent classes: 0 for light requests, 1 for heavy ones.
 pub fn two_class_deployment() -> Deployment {
     Deployment {
         gateways: 1.0,
@@ -109,6 +118,7 @@
         TestHost::seeded(deployment, engines, 7)
     }
 
+    /// A host whose gateway starts at second 100 with `engines` listed engines.
     pub fn seeded(deployment: Deployment, engines: usize, seed: u64) -> TestHost {
         let gateway = Gateway::new(deployment, seed, 100.0);
         let mut host = TestHost { gateway, recorder: ActionRecorder::default(), now: 100.0, next_request: 0 };
@@ -117,19 +127,20 @@
         host
     }
 
+    /// Hands a new request to the gateway, after `change` has adjusted its defaults, and returns its number.
     pub fn request(&mut self, class: usize, change: impl Fn(&mut IncomingRequest)) -> usize {
         let cost = Some(if class == 0 { 0.1 } else { 4.0 });
         let memory_mb = Some(if class == 0 { 50.0 } else { 1000.0 });
         let deadline = self.now + 10.0;
-        let mut taken = IncomingRequest {
+        let mut incoming = IncomingRequest {
             class,
             estimated_work: cost,
             estimated_memory_mb: memory_mb,
             deadline,
             ..IncomingRequest::default()
         };
-        change(&mut taken);
-        self.gateway.request_received(self.now, self.next_request, taken);
+        change(&mut incoming);
+        self.gateway.request_received(self.now, self.next_request, incoming);
         self.next_request += 1;
         self.next_request - 1
     }
@@ -139,7 +150,7 @@
         self.gateway.round(self.now, &mut self.recorder);
     }
 
-    /// Lets time pass in small rounds.
+    /// Advances the clock, with a round of the gateway at least every 50 ms.
     pub fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end - 1e-9 {
@@ -148,72 +159,79 @@
         }
     }
 
-    pub fn attempt_ended(&mut self, request: usize, ending: AttemptOutcome, spent: f64) {
-        self.end(request, ending, spent, None, LoadReport::default());
+    /// Reports the end of the request's last attempt, without load or measured cost.
+    pub fn attempt_ended(&mut self, request: usize, outcome: AttemptOutcome, elapsed: f64) {
+        self.end_last_attempt(request, outcome, elapsed, None, LoadReport::default());
     }
 
-    /// Completed by an engine that tells how many requests it holds.
-    pub fn completed_with_load(&mut self, request: usize, spent: f64, requests: f64) {
-        self.end(
+    /// Completes the request's last attempt, with the engine's report of how many requests it holds.
+    pub fn completed_with_load(&mut self, request: usize, elapsed: f64, requests: f64) {
+        self.end_last_attempt(
             request,
             AttemptOutcome::Completed,
-            spent,
+            elapsed,
             None,
             LoadReport { requests: Some(requests), ..LoadReport::default() },
         );
     }
 
-    /// Completed, and told what it needed.
-    pub fn completed_with_cost(&mut self, request: usize, spent: f64, work: f64, memory: f64) {
-        self.end(
+    /// Completes the request's last attempt, with the measured work and memory.
+    pub fn completed_with_cost(&mut self, request: usize, elapsed: f64, work: f64, memory: f64) {
+        self.end_last_attempt(
             request,
             AttemptOutcome::Completed,
-            spent,
+            elapsed,
             Some(MeasuredCost { work, memory_mb: memory }),
             LoadReport::default(),
         );
     }
 
-    fn end(
+    fn end_last_attempt(
         &mut self,
         request: usize,
-        ending: AttemptOutcome,
-        spent: f64,
+        outcome: AttemptOutcome,
+        elapsed: f64,
         measured: Option<MeasuredCost>,
         load: LoadReport,
     ) {
-        let engine = self.engines_of(request).pop().expect("it was pushed");
-        let request_done = ending == AttemptOutcome::Completed;
-        let end =
-            AttemptEnd { request, engine, outcome: ending, request_done, elapsed: spent, measured, load };
+        let engine = self.engines_of(request).pop().expect("the request was dispatched");
+        let request_done = outcome == AttemptOutcome::Completed;
+        let end = AttemptEnd { request, engine, outcome, request_done, elapsed, measured, load };
         self.gateway.attempt_ended(self.now, &end);
     }
 
-    /// Where a request was dispatched, in turn.
+    /// The engines to which a request was dispatched, in order.
     pub fn engines_of(&self, id: usize) -> Vec<usize> {
-        let of = |what: &WrittenAction| match *what {
+        let engine_of = |action: &WrittenAction| match *action {
             WrittenAction::Attempt { request, engine, .. } if request == id => Some(engine),
             _ => None,
         };
-        self.recorder.actions.iter().filter_map(|(_, what)| of(what)).collect()
+        self.recorder.actions.iter().filter_map(|(_, action)| engine_of(action)).collect()
     }
 
+    /// Memory in MB granted to the request's last attempt.
     pub fn grant_of(&self, id: usize) -> f64 {
-        let of = |what: &WrittenAction| match *what {
+        let grant_of = |action: &WrittenAction| match *action {
             WrittenAction::Attempt { request, grant, .. } if request == id => Some(grant),
             _ => None,
         };
-        self.recorder.actions.iter().rev().find_map(|(_, what)| of(what)).expect("it was pushed")
+        self.recorder
+            .actions
+            .iter()
+            .rev()
+            .find_map(|(_, action)| grant_of(action))
+            .expect("the request was dispatched")
     }
 
-    /// The answers a request got from us, with their times.
+    /// The rejections and failures with which the gateway answered a request, with their times.
     pub fn answers(&self, request: usize) -> Vec<(f64, WrittenAction)> {
-        let ends = [WrittenAction::Reject(request), WrittenAction::Fail(request)];
-        self.recorder.actions.iter().filter(|(_, what)| ends.contains(what)).cloned().collect()
+        let answers = [WrittenAction::Reject(request), WrittenAction::Fail(request)];
+        self.recorder.actions.iter().filter(|(_, action)| answers.contains(action)).cloned().collect()
     }
 
-    pub fn logged(&self, words: &str) -> bool {
-        self.recorder.log.iter().any(|line| line.contains(words))
+    /// Whether a log line contains the text.
+    pub fn logged(&self, text: &str) -> bool {
+        self.recorder.log.iter().any(|line| line.contains(text))
     }
 }
 
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,4 +1,5 @@
-//! A seeded scenario around one gateway: arrivals, engines with faults, and a record of all that the gateway writes.
+//! Seeded scenarios that run one gateway against simulated arrivals and faulty engines, and hash every action that the
+//! gateway writes. The strings passed to `line` and to `hash.update` are hashed: changing one changes the golden hashes.
 
 use cleatgw::queue::{Budget, TenantConfig, TenantQueue, WaitEstimate};
 use cleatgw::Gateway;
@@ -13,29 +14,32 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Seconds between two rounds.
+/// Seconds between two rounds of the gateway.
 const STEP_S: f64 = 0.025;
+/// Clock reading in seconds at which a scenario starts.
 const START_S: f64 = 1000.0;
-const LENGTH_S: f64 = 60.0;
-/// Arrivals are this many times as frequent within the burst.
-const BURST: f64 = 4.0;
+/// Simulated seconds in a scenario.
+const DURATION_S: f64 = 60.0;
+/// Factor by which the arrival rate is multiplied during the burst (seconds 16 to 30).
+const BURST_FACTOR: f64 = 4.0;
 
-/// What kind of deployment a scenario plays.
+/// The deployment that a scenario simulates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Variant {
     FewGateways,
     ManyGateways,
     Restarted,
-    /// No retries: what an engine in doubt does not answer is cancelled.
+    /// One attempt per request, so no retries: attempts that an ejected engine does not answer are cancelled.
     SingleAttempt,
 }
 
-/// What took place, so that a test can tell that its scenario reached what it is for.
+/// Event counts of a scenario, with which a test checks that the scenario exercised the intended behaviour.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub requests: usize,
     pub attempts: usize,
     pub retries: usize,
+    /// Attempts whose memory grant was below half of what the request needs.
     pub quarter_grants: usize,
     pub cancelled_attempts: usize,
     pub rejected: usize,
@@ -43,20 +47,25 @@
     pub announced_waits: usize,
 }
 
-/// Everything that the gateway wrote in one round.
+/// Records the actions that the gateway writes in one round. `counts` and `grants` cover the whole scenario.
 #[derive(Default)]
 struct Recorder {
+    /// One line per action, to be hashed.
     text: String,
+    /// Request, engine and time-out of each dispatched attempt.
     attempts: Vec<(usize, usize, Option<f64>)>,
+    /// Request and attempt number of each cancelled attempt.
     cancelled: Vec<(usize, u32)>,
+    /// Requests that the gateway rejected or failed.
     ended: Vec<usize>,
     counts: Counts,
+    /// Last memory grant in MB, by request.
     grants: BTreeMap<usize, f64>,
 }
 
 impl Recorder {
     fn line(&mut self, line: std::fmt::Arguments) {
-        writeln!(self.text, "{line}").expect("a string takes all");
+        writeln!(self.text, "{line}").expect("writing to a String cannot fail");
     }
 }
 
@@ -110,18 +119,18 @@
     fn log(&mut self, _line: &str) {}
 }
 
-/// How an engine misbehaves.
+/// How a simulated engine misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Fault {
     #[default]
     None,
-    /// Answers nothing.
+    /// Never answers an attempt.
     Silent,
-    /// Fails every other attempt.
+    /// Fails an attempt with probability one half.
     Failing,
-    /// Takes ten times as long.
+    /// Takes ten times as long as usual.
     Slow,
-    /// Rejects what it is sent.
+    /// Rejects every attempt as full.
     Full,
     /// Accepts no connection.
     Unreachable,
@@ -131,6 +140,7 @@
 struct Engine {
     listing: EngineListing,
     fault: Fault,
+    /// Threads of the attempts that run on the engine.
     running: f64,
 }
 
@@ -140,11 +150,11 @@
     number: u32,
     sent: f64,
     ends_at: f64,
-    ending: AttemptOutcome,
+    outcome: AttemptOutcome,
 }
 
-/// What a request really needs, which the gateway is not told.
-struct Truth {
+/// What a request actually needs, which may differ from the estimates that the gateway receives.
+struct ActualNeed {
     class: usize,
     work: f64,
     memory: f64,
@@ -159,7 +169,7 @@
     random: ChaCha8Rng,
     recorder: Recorder,
     engines: Vec<Engine>,
-    requests: BTreeMap<usize, Truth>,
+    requests: BTreeMap<usize, ActualNeed>,
     attempts: Vec<Attempt>,
     next_request: usize,
     now: f64,
@@ -185,7 +195,7 @@
 }
 
 fn classes() -> Vec<RequestClass> {
-    let everywhere = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 3.0 };
+    let all_engines = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 3.0 };
     let in_zone = Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: 4.0 };
     let in_cell = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 2.0 };
     vec![
@@ -195,7 +205,7 @@
             waits_for_table_locks: true,
             ..class(6.0, 4.0, Idempotency::Idempotent)
         },
-        class(2.0, 1.0, everywhere),
+        class(2.0, 1.0, all_engines),
         class(2.0, 1.0, in_zone),
         RequestClass { in_key_order: true, ..class(3.0, 1.0, Idempotency::NonIdempotent) },
         RequestClass { latency_objective: 3.0, locks_tables: true, ..class(4.0, 2.0, in_cell) },
@@ -245,7 +255,7 @@
     }
 }
 
-/// Two tenants of a group and one beside it, all with small queues.
+/// The root, a group, two tenants in the group, and one tenant directly under the root; all with small queues.
 fn tenants() -> Vec<TenantConfig> {
     let root = TenantConfig { max_queued: 400, ..TenantConfig::default() };
     let group = TenantConfig { parent: 0, weight: 2.0, ..TenantConfig::default() };
@@ -266,6 +276,7 @@
     vec![root, group, first, second, third]
 }
 
+/// Indexes in `tenants()` of the tenants that have requests.
 const LEAF_TENANTS: [usize; 3] = [2, 3, 4];
 
 impl Scenario {
@@ -291,41 +302,45 @@
         scenario
     }
 
-    /// A number from 0 up to 1.
-    fn chance(&mut self) -> f64 {
+    /// Draws a number uniformly from [0, 1).
+    fn uniform(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn below(&mut self, bound: usize) -> usize {
-        (self.chance() * bound as f64) as usize
+    /// Draws an integer uniformly from [0, bound).
+    fn uniform_below(&mut self, bound: usize) -> usize {
+        (self.uniform() * bound as f64) as usize
     }
 
+    /// SHA-256, in hexadecimal, of all that was recorded.
     pub fn hash(&self) -> String {
         self.hash.clone().finalize().iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    pub fn play(&mut self) {
-        self.list(true);
+    /// Simulates the whole scenario.
+    pub fn run(&mut self) {
+        self.list_engines(true);
         if self.variant == Variant::Restarted {
             self.gateway.assume_lost_history(self.now);
         }
-        let steps = (LENGTH_S / STEP_S) as usize;
+        let steps = (DURATION_S / STEP_S) as usize;
         for step in 0..steps {
             self.now = START_S + STEP_S * step as f64;
-            self.change_fleet(step);
-            self.end_attempts();
-            self.arrive();
-            self.note();
-            self.hear_peers(step);
+            self.apply_scheduled_events(step);
+            self.end_due_attempts();
+            self.receive_arrivals();
+            self.report_attempt_status();
+            self.exchange_peer_evidence(step);
             self.round();
         }
     }
 
+    /// Runs one round of the gateway, carries out its actions and hashes their record.
     fn round(&mut self) {
         self.gateway.round(self.now, &mut self.recorder);
         let attempts = std::mem::take(&mut self.recorder.attempts);
         for (request, engine, time_out) in attempts {
-            self.begin(request, engine, time_out);
+            self.start_attempt(request, engine, time_out);
         }
         for (request, number) in std::mem::take(&mut self.recorder.cancelled) {
             self.cancel(request, Some(number));
@@ -343,21 +358,23 @@
         self.hash.update(format!("round {:?}\n{text}", self.now));
     }
 
-    /// Lists all engines, or those alone that this step changed.
-    fn list(&mut self, complete: bool) {
+    /// Sends the listings of all engines to the gateway; `complete` says that engines not listed are gone.
+    fn list_engines(&mut self, complete: bool) {
         let listings: Vec<EngineListing> = self.engines.iter().map(|engine| engine.listing).collect();
         self.gateway.engines_listed(self.now, &listings, complete);
     }
 
-    fn list_one(&mut self, index: usize) {
+    /// Sends the listing of one engine to the gateway.
+    fn list_engine(&mut self, index: usize) {
         let listing = self.engines[index].listing;
         self.gateway.engines_listed(self.now, &[listing], false);
     }
 
-    /// What happens to the fleet and to this gateway, each at its time.
-    fn change_fleet(&mut self, step: usize) {
-        let at = |seconds: f64| step == (seconds / STEP_S) as usize;
-        if at(2.0) && self.variant == Variant::Restarted {
+    /// Applies the events that are scheduled for this step: restored history, tenants, faults, engines that join, drain,
+    /// go and come back, a lost engine list, and the drain of the gateway.
+    fn apply_scheduled_events(&mut self, step: usize) {
+        let is_at = |seconds: f64| step == (seconds / STEP_S) as usize;
+        if is_at(2.0) && self.variant == Variant::Restarted {
             let sent = [
                 SlowStartWork { engine: 3, sent_at: self.now - 1.0, work: 0.5 },
                 SlowStartWork { engine: 5, sent_at: self.now - 0.5, work: 1.5 },
@@ -365,7 +382,7 @@
             self.gateway.restore_history(&[self.now - 4.0, self.now - 0.7], &sent);
             self.gateway.limit_unpersisted_retries(40);
         }
-        if at(3.0) && self.variant != Variant::ManyGateways {
+        if is_at(3.0) && self.variant != Variant::ManyGateways {
             self.gateway
                 .set_tenants(self.now, TenantQueue::new(tenants(), self.now), &|id| LEAF_TENANTS[id % 3]);
         }
@@ -384,148 +401,153 @@
             (46.0, 8, Fault::Failing),
         ];
         for (time, engine, fault) in faults {
-            if at(time) {
+            if is_at(time) {
                 self.engines[engine].fault = fault;
             }
         }
         for joined in 0..6 {
-            if at(15.0 + joined as f64) {
+            if is_at(15.0 + joined as f64) {
                 let index = self.engines.len();
                 let since = Some(self.now - 0.2);
                 let listing = EngineListing { started_at: since, ..first_listing(index) };
                 self.engines.push(Engine { listing, ..Engine::default() });
-                self.list_one(index);
+                self.list_engine(index);
             }
         }
         for (draining, index) in (5..9).enumerate() {
-            if at(24.0 + draining as f64) {
+            if is_at(24.0 + draining as f64) {
                 self.engines[index].listing.stage = EngineStage::Draining;
-                self.list_one(index);
+                self.list_engine(index);
             }
-            if at(27.0 + draining as f64) {
+            if is_at(27.0 + draining as f64) {
                 self.engines[index].listing.stage = EngineStage::Gone;
-                self.list_one(index);
+                self.list_engine(index);
             }
-            if at(36.0 + 0.5 * draining as f64) {
-                // It comes back, started anew.
+            if is_at(36.0 + 0.5 * draining as f64) {
+                // The engine comes back after a restart.
                 self.engines[index].listing.stage = EngineStage::Ready;
                 self.engines[index].listing.started_at = Some(self.now);
-                self.list_one(index);
+                self.list_engine(index);
             }
         }
-        if at(40.0) {
+        if is_at(40.0) {
             self.gateway.engine_list_failed(self.now);
         }
-        if at(42.0) {
-            self.list(true);
+        if is_at(42.0) {
+            self.list_engines(true);
         }
-        if at(50.0) && self.variant == Variant::Restarted {
+        if is_at(50.0) && self.variant == Variant::Restarted {
             let until = self.gateway.drain(self.now);
             self.hash.update(format!("drains {until:?}\n"));
             self.gateway.stop_at(self.now + 6.0);
         }
     }
 
-    fn arrive(&mut self) {
+    /// Receives the requests that arrive in this step.
+    fn receive_arrivals(&mut self) {
         let second = self.now - START_S;
-        let burst = if (16.0..30.0).contains(&second) { BURST } else { 1.0 };
+        let burst = if (16.0..30.0).contains(&second) { BURST_FACTOR } else { 1.0 };
         let rate = if self.variant == Variant::ManyGateways { 40.0 } else { 70.0 };
         let expected = rate * burst * STEP_S;
-        let mut left = expected.floor() as usize;
-        left += usize::from(self.chance() < expected.fract());
-        for _ in 0..left {
-            self.request();
+        let mut arrivals = expected.floor() as usize;
+        arrivals += usize::from(self.uniform() < expected.fract());
+        for _ in 0..arrivals {
+            self.receive_request();
         }
     }
 
-    fn request(&mut self) {
+    /// Draws a request and hands it to the gateway.
+    fn receive_request(&mut self) {
         let id = self.next_request;
         self.next_request += 1;
         self.counts.requests += 1;
-        let class = [0, 0, 0, 0, 1, 2, 2, 3, 4, 4, 5, 6][self.below(12)];
+        let class = [0, 0, 0, 0, 1, 2, 2, 3, 4, 4, 5, 6][self.uniform_below(12)];
         let threads = self.deployment.classes[class].threads;
         let scale = [0.05, 1.5, 0.1, 0.1, 0.08, 0.4, 0.1][class];
-        let work = scale * (0.4 + 2.0 * self.chance() * self.chance());
-        let memory = 120.0 * threads * (0.2 + 2.0 * self.chance());
-        let estimated = self.variant != Variant::Restarted || self.chance() < 0.7;
-        let off = 0.5 + self.chance();
-        let deadline = self.now + 2.0 + 6.0 * self.chance();
-        let key = (self.chance() < 0.5).then(|| self.below(9) as u64);
-        let earlier = (self.chance() < 0.02).then_some(self.now - 1.0);
-        let taken = IncomingRequest {
+        let work = scale * (0.4 + 2.0 * self.uniform() * self.uniform());
+        let memory = 120.0 * threads * (0.2 + 2.0 * self.uniform());
+        let estimated = self.variant != Variant::Restarted || self.uniform() < 0.7;
+        let estimate_error = 0.5 + self.uniform();
+        let deadline = self.now + 2.0 + 6.0 * self.uniform();
+        let key = (self.uniform() < 0.5).then(|| self.uniform_below(9) as u64);
+        let earlier = (self.uniform() < 0.02).then_some(self.now - 1.0);
+        let incoming = IncomingRequest {
             class,
             key,
-            table_group: self.below(40).min(self.below(40)) as u64,
-            estimated_work: estimated.then_some(work * off),
-            estimated_memory_mb: estimated.then_some(memory * off),
+            table_group: self.uniform_below(40).min(self.uniform_below(40)) as u64,
+            estimated_work: estimated.then_some(work * estimate_error),
+            estimated_memory_mb: estimated.then_some(memory * estimate_error),
             deadline,
             tenant: if self.now < START_S + 3.0 { 0 } else { LEAF_TENANTS[id % 3] },
             earlier_attempt_at: earlier,
         };
-        self.requests.insert(id, Truth { class, work, memory, deadline, attempts: 0 });
-        self.gateway.request_received(self.now, id, taken);
+        self.requests.insert(id, ActualNeed { class, work, memory, deadline, attempts: 0 });
+        self.gateway.request_received(self.now, id, incoming);
     }
 
-    /// An attempt reaches its engine: how it will end, and when.
-    fn begin(&mut self, request: usize, engine: usize, time_out: Option<f64>) {
-        let Some(truth) = self.requests.get_mut(&request) else { return };
-        let number = truth.attempts;
-        truth.attempts += 1;
-        let (class, work, memory, deadline) = (truth.class, truth.work, truth.memory, truth.deadline);
+    /// Starts an attempt on its engine and determines how and when it will end.
+    fn start_attempt(&mut self, request: usize, engine: usize, time_out: Option<f64>) {
+        let Some(need) = self.requests.get_mut(&request) else { return };
+        let number = need.attempts;
+        need.attempts += 1;
+        let (class, work, memory, deadline) = (need.class, need.work, need.memory, need.deadline);
         self.counts.attempts += 1;
         self.counts.retries += usize::from(number > 0);
         let threads = self.deployment.classes[class].threads;
         let grant = self.recorder.grants.get(&request).copied().unwrap_or(memory);
-        let short = grant > 0.0 && grant < 0.5 * memory;
-        self.counts.quarter_grants += usize::from(short);
-        let noise = 0.8 + 0.6 * self.chance();
-        let coin = self.chance();
+        let is_short = grant > 0.0 && grant < 0.5 * memory;
+        self.counts.quarter_grants += usize::from(is_short);
+        let noise = 0.8 + 0.6 * self.uniform();
+        let outcome_draw = self.uniform();
         let model = &mut self.engines[engine];
         model.running += threads;
         let cores = self.deployment.engine_kinds[model.listing.kind].cores;
-        let crowded = (model.running / cores).max(1.0);
-        let took = work / threads * noise * crowded * if short { 2.5 } else { 1.0 };
-        let (ending, took) = match model.fault {
-            Fault::None if coin < 0.004 => (AttemptOutcome::ConnectionLost, took / 2.0),
-            Fault::None | Fault::Slow => {
-                (AttemptOutcome::Completed, if model.fault == Fault::Slow { 10.0 * took } else { took })
-            }
+        let overload = (model.running / cores).max(1.0);
+        let duration = work / threads * noise * overload * if is_short { 2.5 } else { 1.0 };
+        let (outcome, duration) = match model.fault {
+            Fault::None if outcome_draw < 0.004 => (AttemptOutcome::ConnectionLost, duration / 2.0),
+            Fault::None | Fault::Slow => (
+                AttemptOutcome::Completed,
+                if model.fault == Fault::Slow { 10.0 * duration } else { duration },
+            ),
             Fault::Silent => (AttemptOutcome::TimedOut, f64::INFINITY),
-            Fault::Failing if coin < 0.5 => (AttemptOutcome::EngineError, 0.01),
-            Fault::Failing => (AttemptOutcome::Completed, took),
+            Fault::Failing if outcome_draw < 0.5 => (AttemptOutcome::EngineError, 0.01),
+            Fault::Failing => (AttemptOutcome::Completed, duration),
             Fault::Full => (AttemptOutcome::EngineFull, 0.005),
             Fault::Unreachable => (AttemptOutcome::Unreachable, 0.2),
         };
         let limit = time_out.unwrap_or(f64::INFINITY).min(deadline - self.now);
-        let (ending, took) = if took > limit { (AttemptOutcome::TimedOut, limit) } else { (ending, took) };
-        let ends_at = self.now + took;
-        self.attempts.push(Attempt { request, engine, number, sent: self.now, ends_at, ending });
+        let (outcome, duration) =
+            if duration > limit { (AttemptOutcome::TimedOut, limit) } else { (outcome, duration) };
+        let ends_at = self.now + duration;
+        self.attempts.push(Attempt { request, engine, number, sent: self.now, ends_at, outcome });
     }
 
-    /// Ends the attempts of a request soon: all, or the one with this number.
+    /// Cancels the attempts of a request, or only the one with the given number; they end within 10 ms.
     fn cancel(&mut self, request: usize, number: Option<u32>) {
-        let soon = self.now + 0.01;
+        let latest_end = self.now + 0.01;
         for attempt in &mut self.attempts {
             if attempt.request == request && number.is_none_or(|number| number == attempt.number) {
-                attempt.ending = AttemptOutcome::Cancelled;
-                attempt.ends_at = attempt.ends_at.min(soon);
+                attempt.outcome = AttemptOutcome::Cancelled;
+                attempt.ends_at = attempt.ends_at.min(latest_end);
             }
         }
     }
 
-    fn end_attempts(&mut self) {
+    /// Ends the attempts that are due, and lets some clients abandon their requests.
+    fn end_due_attempts(&mut self) {
         let now = self.now;
         let attempts = std::mem::take(&mut self.attempts);
         let (ended, open): (Vec<_>, Vec<_>) =
             attempts.into_iter().partition(|attempt| attempt.ends_at <= now);
         self.attempts = open;
         for attempt in ended {
-            self.end(attempt);
+            self.end_attempt(attempt);
         }
-        // Some clients give up.
-        if self.chance() < 0.05 {
-            let open = self.requests.len();
-            let index = self.below(open.max(1));
+        // With probability 0.05 per step, a client abandons its request.
+        if self.uniform() < 0.05 {
+            let request_count = self.requests.len();
+            let index = self.uniform_below(request_count.max(1));
             if let Some(&request) = self.requests.keys().nth(index) {
                 self.requests.remove(&request);
                 self.gateway.request_finished(request);
@@ -534,84 +556,87 @@
         }
     }
 
-    fn end(&mut self, attempt: Attempt) {
-        let Attempt { request, engine, ending, sent, .. } = attempt;
-        let truth = self.requests.get(&request);
-        let (class, work, memory) =
-            truth.map_or((0, 0.1, 10.0), |truth| (truth.class, truth.work, truth.memory));
+    /// Reports the end of an attempt to the gateway.
+    fn end_attempt(&mut self, attempt: Attempt) {
+        let Attempt { request, engine, outcome, sent, .. } = attempt;
+        let need = self.requests.get(&request);
+        let (class, work, memory) = need.map_or((0, 0.1, 10.0), |need| (need.class, need.work, need.memory));
         let model = &mut self.engines[engine];
         model.running = (model.running - self.deployment.classes[class].threads).max(0.0);
         let running = model.running;
-        let known = self.variant != Variant::ManyGateways;
-        let completed = ending == AttemptOutcome::Completed;
+        let reports_measurements = self.variant != Variant::ManyGateways;
+        let completed = outcome == AttemptOutcome::Completed;
         if completed {
             self.requests.remove(&request);
             self.cancel(request, None);
         }
-        let reports = known && engine.is_multiple_of(2);
+        let reports_load = reports_measurements && engine.is_multiple_of(2);
         let load = LoadReport {
-            requests: (reports && completed).then_some(running / 1.5 + 1.0),
-            memory_waits: (reports && completed).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
-            granted_memory_share: (known && completed && engine % 3 == 0)
+            requests: (reports_load && completed).then_some(running / 1.5 + 1.0),
+            memory_waits: (reports_load && completed).then_some(if running > 20.0 { 1.0 } else { 0.0 }),
+            granted_memory_share: (reports_measurements && completed && engine % 3 == 0)
                 .then_some((running / 24.0).min(1.0)),
         };
         let end = AttemptEnd {
             request,
             engine,
-            outcome: ending,
+            outcome,
             request_done: !self.requests.contains_key(&request),
             elapsed: self.now - sent,
-            measured: (known && completed && engine % 5 != 0)
+            measured: (reports_measurements && completed && engine % 5 != 0)
                 .then_some(MeasuredCost { work, memory_mb: memory }),
             load,
         };
         self.gateway.attempt_ended(self.now, &end);
     }
 
-    /// Some attempts tell of themselves.
-    fn note(&mut self) {
-        if self.attempts.is_empty() || self.chance() >= 0.2 {
+    /// With probability 0.2, reports a random status of a random attempt.
+    fn report_attempt_status(&mut self) {
+        if self.attempts.is_empty() || self.uniform() >= 0.2 {
             return;
         }
-        let index = self.below(self.attempts.len());
+        let index = self.uniform_below(self.attempts.len());
         let request = self.attempts[index].request;
-        let notes = [
+        let statuses = [
             AttemptStatus::Progress(0.5),
             AttemptStatus::Spills,
             AttemptStatus::WaitsForMemory,
             AttemptStatus::WaitsForLoad,
         ];
-        let note = notes[self.below(4)];
-        self.gateway.attempt_status_received(self.now, request, note);
+        let status = statuses[self.uniform_below(4)];
+        self.gateway.attempt_status_received(self.now, request, status);
     }
 
-    /// Four times a second peers tell of some engines; what this gateway would tell them is part of the record.
-    fn hear_peers(&mut self, step: usize) {
+    /// Four times a second, delivers peers' evidence on some engines. The evidence that this gateway would send to its
+    /// peers, its count of usable engines and its retries are hashed.
+    fn exchange_peer_evidence(&mut self, step: usize) {
         if !step.is_multiple_of(10) {
             return;
         }
         for engine in 0..self.engines.len() {
-            if self.chance() < 0.3 {
-                let bad = if self.engines[engine].fault == Fault::None { 0.0 } else { 4.0 * self.chance() };
-                let met = EngineEvidence {
-                    successes: 3.0 * self.chance(),
-                    failures: bad,
-                    slow_start_work: 0.4 * self.chance(),
+            if self.uniform() < 0.3 {
+                let failures =
+                    if self.engines[engine].fault == Fault::None { 0.0 } else { 4.0 * self.uniform() };
+                let evidence = EngineEvidence {
+                    successes: 3.0 * self.uniform(),
+                    failures,
+                    slow_start_work: 0.4 * self.uniform(),
                 };
-                self.gateway.peer_evidence_received(engine, met);
+                self.gateway.peer_evidence_received(engine, evidence);
             }
-            if let Some(EngineEvidence { successes: good, failures: bad, slow_start_work: sent }) =
+            if let Some(EngineEvidence { successes, failures, slow_start_work }) =
                 self.gateway.evidence(engine, self.now)
             {
-                self.hash.update(format!("met {engine} {good:?} {bad:?} {sent:?}\n"));
+                self.hash.update(format!("met {engine} {successes:?} {failures:?} {slow_start_work:?}\n"));
             }
         }
         self.hash.update(format!("sound {}\n", self.gateway.usable_engines()));
-        let repeats: Vec<f64> = self.gateway.retries().collect();
-        self.hash.update(format!("repeats {repeats:?}\n"));
+        let retries: Vec<f64> = self.gateway.retries().collect();
+        self.hash.update(format!("repeats {retries:?}\n"));
     }
 }
 
+/// The listing with which an engine first appears.
 fn first_listing(index: usize) -> EngineListing {
     EngineListing {
         engine: index,
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -1,17 +1,17 @@
-//! Golden decisions: long seeded scenarios whose every action is hashed. A change of shape or of names leaves the hashes
-//! as they are; a change of a decision changes them, and says so in its commit.
+//! Golden decisions: long seeded scenarios in which every action of the gateway is hashed. Refactoring and renaming must
+//! leave the hashes unchanged; a commit that changes a decision updates them and says so.
 //!
-//! Log lines are left out: their text may change. Random numbers are ChaCha8's, hashes SHA-256, so that the
-//! expectation depends on published algorithms alone.
+//! Log lines are not hashed, since their text may change. Random numbers come from ChaCha8 and the hashes are SHA-256, so
+//! that the expected values depend on published algorithms only.
 
 mod golden;
 
 use golden::{Counts, Scenario, Variant};
 
-fn check(variant: Variant, seed: u64, wanted: &str) -> Counts {
+fn check(variant: Variant, seed: u64, expected: &str) -> Counts {
     let mut scenario = Scenario::new(variant, seed);
-    scenario.play();
-    assert_eq!(scenario.hash(), wanted, "{:?}", scenario.counts);
+    scenario.run();
+    assert_eq!(scenario.hash(), expected, "{:?}", scenario.counts);
     scenario.counts
 }
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn decisions_of_many_gateways_whose_engines_tell_no_work_are_unchanged() {
+fn decisions_of_many_gateways_whose_engines_report_no_work_are_unchanged() {
     let counts =
         check(Variant::ManyGateways, 2, "7fbdce9a9ad8663478a4d0a43cd8c7a509b926500e05e4e3bd37e87ea0ec6025");
     assert!(counts.requests > 2000 && counts.attempts > 2000, "{counts:?}");
