--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -1,5 +1,6 @@
-//! Each request that the router has read gets its one final answer in time: whatever becomes of its connection's moment, of
-//! its server, or of other clients. The real program between stand-ins.
+//! Runs the router program between simulated engines, clients and a discovery service, and checks that each request
+//! that the router has read gets exactly one final answer in time. Neither the moment at which the request arrives, nor a
+//! fault of its engine, nor the behavior of other clients may prevent it.
 
 use cleatgw_testbed::stand_ins::*;
 use std::collections::VecDeque;
@@ -21,30 +22,31 @@
     (discovery, router)
 }
 
-/// Connects, and writes login and request at once; nothing is read yet.
-fn newcomer(router: &Router) -> Client {
-    newcomer_with(router, &request("look", 5000, "new"))
+/// Connects and writes the login and a request at once, without reading anything.
+fn connect_and_send(router: &Router) -> Client {
+    connect_and_send_text(router, &request("look", 5000, "new"))
 }
 
-fn newcomer_with(router: &Router, text: &str) -> Client {
+fn connect_and_send_text(router: &Router, text: &str) -> Client {
     let mut stream = TcpStream::connect(router.address).unwrap();
     stream.set_read_timeout(Some(GENEROUS)).unwrap();
     stream.write_all(&[login(), query(text)].concat()).unwrap();
     Client { stream, session: 0 }
 }
 
-/// What a newcomer got: its greeting, its login's answer and its request's.
-fn had(client: &mut Client) -> Option<Answered> {
+/// Reads the greeting, the answer to the login, and the answer to the request of [`connect_and_send`]. Returns the answer to
+/// the request, or `None` if the connection ended before it.
+fn read_first_answer(client: &mut Client) -> Option<Answered> {
     client.packet()?;
     assert_eq!(client.try_answer()?, Answered::Ok);
     client.try_answer()
 }
 
-/// All of them stay until the last has its answer.
-fn all_answered(mut clients: Vec<Client>, when: &str) {
-    let had = clients.iter_mut().map(had).collect::<Vec<_>>();
-    let rows = had.iter().filter(|answer| **answer == Some(row())).count();
-    assert_eq!(rows, clients.len(), "{when}: {had:?}");
+/// Requires that every client gets the row. All connections stay open until the last answer has been read.
+fn assert_all_answered(mut clients: Vec<Client>, case: &str) {
+    let answers = clients.iter_mut().map(read_first_answer).collect::<Vec<_>>();
+    let answered = answers.iter().filter(|answer| **answer == Some(row())).count();
+    assert_eq!(answered, clients.len(), "{case}: {answers:?}");
 }
 
 #[test]
@@ -53,52 +55,52 @@
     let (_discovery, mut router) = with_engine(&engine, 256);
     let mut clients = Vec::new();
     router.stop_for(Duration::ZERO, || {
-        clients.extend((0..10).map(|_| newcomer(&router)));
+        clients.extend((0..10).map(|_| connect_and_send(&router)));
         router.fail();
-        clients.extend((0..10).map(|_| newcomer(&router)));
+        clients.extend((0..10).map(|_| connect_and_send(&router)));
     });
-    all_answered(clients, "with the signal");
+    assert_all_answered(clients, "accepted in the turn that reads the stop signal");
     let (code, counters) = router.ended();
     assert_eq!((code, counter(&counters, "taken"), counter(&counters, "delivered")), (Some(0), 20, 20));
 }
 
-/// The router has no turn from before its sessions are to be ended until after: what came meanwhile, on new connections and
-/// on those that rest, it reads in the turn that would end them.
+/// The router process is stopped from before until after the time at which a planned stop ends the sessions. The requests
+/// that arrive meanwhile, on new and on idle connections, are read in the same turn that would end those sessions.
 #[test]
-fn requests_are_answered_that_are_read_in_the_turn_that_would_end_their_sessions() {
+fn requests_read_in_the_turn_that_would_end_their_sessions_are_answered() {
     let engine = Engine::start("e");
     let (_discovery, mut router) = with_engine(&engine, 256);
-    let mut rest: Vec<Client> = (0..10).map(|_| Client::new(&router)).collect();
+    let mut idle: Vec<Client> = (0..10).map(|_| Client::new(&router)).collect();
     router.fail();
     router.log.wait("stopping", 1);
     let mut clients = Vec::new();
     router.stop_for(Duration::from_millis(900), || {
-        clients.extend((0..10).map(|_| newcomer(&router)));
-        rest.iter_mut().for_each(|client| client.send(&request("look", 5000, "rests")));
+        clients.extend((0..10).map(|_| connect_and_send(&router)));
+        idle.iter_mut().for_each(|client| client.send(&request("look", 5000, "idle")));
     });
-    all_answered(clients, "at the end");
-    for client in &mut rest {
+    assert_all_answered(clients, "read in the turn that ends the sessions");
+    for client in &mut idle {
         assert_eq!(client.try_answer(), Some(row()));
     }
-    drop(rest);
+    drop(idle);
     let (code, counters) = router.ended();
     assert_eq!((code, counter(&counters, "taken"), counter(&counters, "delivered")), (Some(0), 20, 20));
 }
 
 #[test]
-fn requests_on_new_connections_are_answered_where_room_has_to_be_made_for_each() {
+fn requests_on_new_connections_are_answered_when_each_needs_an_idle_session_closed_for_its_descriptor() {
     let engine = Engine::start("e");
     let descriptors = 24;
     let (_discovery, router) = with_engine(&engine, descriptors);
-    let mut rest: Vec<Client> = (0..descriptors / 2).map(|_| Client::new(&router)).collect();
+    let mut idle: Vec<Client> = (0..descriptors / 2).map(|_| Client::new(&router)).collect();
     let mut clients = Vec::new();
     router.stop_for(Duration::ZERO, || {
-        clients.extend((0..60).map(|_| newcomer(&router)));
-        // Half of those that could be closed for room have just asked.
-        rest.iter_mut().step_by(2).for_each(|client| client.send(&request("look", 5000, "rests")));
+        clients.extend((0..60).map(|_| connect_and_send(&router)));
+        // Half of the idle sessions, which may be closed to free descriptors, have just sent a request.
+        idle.iter_mut().step_by(2).for_each(|client| client.send(&request("look", 5000, "idle")));
     });
-    all_answered(clients, "for room");
-    for client in rest.iter_mut().step_by(2) {
+    assert_all_answered(clients, "accepted while descriptors run short");
+    for client in idle.iter_mut().step_by(2) {
         assert_eq!(client.try_answer(), Some(row()));
     }
     let counters = Client::new(&router).counters("open", 0);
@@ -107,27 +109,28 @@
 }
 
 const TTL: u64 = 1000;
-/// The final answer comes this much after its time at the latest.
+/// How long after the deadline of a request its final answer may still arrive.
 const GRACE: Duration = Duration::from_millis(500);
 const CLASSES: [&str; 3] = ["look", "load", "once"];
 
-/// What goes wrong at an engine that has several requests; tells how often it took effect.
-type Trouble = fn(&Engine, &str) -> usize;
+/// Causes a fault at an engine that holds several requests; the text is the id of one of them. Returns on how many
+/// connections the fault took effect.
+type Fault = fn(&Engine, &str) -> usize;
 
-const TROUBLES: [(&str, Trouble); 11] = [
+const FAULTS: [(&str, Fault); 11] = [
     ("no answer at all", |_, _| 1),
-    ("words that are no answer", |engine, _| engine.say(b"what is this\r\n")),
-    ("a line without end", |engine, _| engine.say(&[b'x'; 3000])),
+    ("text that is not an answer", |engine, _| engine.say(b"what is this\r\n")),
+    ("a line without an end", |engine, _| engine.say(&[b'x'; 3000])),
     ("a row without its columns", |engine, call| {
         engine.say(format!("{call} DONE work=5,peak=7,parts=1 3\r\nabc\r\n").as_bytes())
     }),
-    ("a page that was not asked for", |engine, call| {
+    ("a page that was not requested", |engine, call| {
         engine.say(
             format!("{call} DONE work=5,peak=7,parts=3 6\r\na\tb\tc\n\r\n{call} MORE part_no=9 0\r\n\r\n")
                 .as_bytes(),
         )
     }),
-    ("an answer that stops short", |engine, call| {
+    ("a truncated answer", |engine, call| {
         engine.say(format!("{call} DONE work=5,peak=7,parts=1 9000\r\na\tb\tc\n").as_bytes())
     }),
     ("an answer that never ends", |engine, call| {
@@ -141,13 +144,13 @@
     ("a second answer", |engine, call| {
         engine.say(format!("{call} DONE work=5,peak=7,parts=1 6\r\na\tb\tc\n\r\n").repeat(2).as_bytes())
     }),
-    ("a second answer that comes late and tells otherwise", |engine, call| {
+    ("a late second answer that contradicts the first", |engine, call| {
         let first = engine.say(format!("{call} BROKE - 0\r\n\r\n").as_bytes());
         std::thread::sleep(Duration::from_millis(20));
         first.min(engine.say(format!("{call} DONE work=5,peak=7,parts=1 6\r\na\tb\tc\n\r\n").as_bytes()))
     }),
-    ("a reset", |engine, _| engine.reset()),
-    ("answers to nobody's requests", |engine, _| {
+    ("a connection reset", |engine, _| engine.reset()),
+    ("answers to unknown requests", |engine, _| {
         (0..200)
             .map(|call| {
                 engine.say(format!("{call:016x} DONE work=5,peak=7,parts=1 6\r\na\tb\tc\n\r\n").as_bytes())
@@ -157,9 +160,9 @@
     }),
 ];
 
-/// Clients of each class, and one more whose request the trouble is about, all at one engine; then each has had one answer
-/// in its time, and its session serves on.
-fn all_have_their_answers_beside(name: &str, trouble: Trouble, router: &Router, engine: &Engine) {
+/// Sends one request of each class and one more, which the fault concerns, to the same engine. Requires that each gets one
+/// answer by its deadline plus [`GRACE`], and that its session then serves another request.
+fn assert_all_answered_despite(name: &str, fault: Fault, router: &Router, engine: &Engine) {
     let mut target = Client::new(router);
     let text = request("look", TTL, "hold").replace("work=5.0", "work=800");
     let call = text.split_once("call=").unwrap().1[..16].to_string();
@@ -170,11 +173,11 @@
         client.send(&request(class, TTL, "hold").replace("work=5.0", "work=800"));
     }
     engine.seen.wait("GET", 4);
-    assert!(trouble(engine, &call) > 0, "{name}: it took no effect");
+    assert!(fault(engine, &call) > 0, "{name}: the fault took no effect");
     beside.push(target);
     for client in &mut beside {
         let answer = client.try_answer();
-        assert!(answer.is_some(), "{name}: an end and no answer");
+        assert!(answer.is_some(), "{name}: the connection ended without an answer");
         assert!(
             sent.elapsed() < Duration::from_millis(TTL) + GRACE,
             "{name}: {answer:?} after {:?}",
@@ -183,26 +186,26 @@
     }
     for client in &mut beside {
         let next = client.ask(&request("look", 5000, "x"));
-        assert_eq!(next, row(), "{name}: nothing came behind the answer");
+        assert_eq!(next, row(), "{name}: the next request on the session was not answered with its own row");
     }
     let counters = beside[0].counters("open", 0);
     assert_eq!((counter(&counters, "taken"), counter(&counters, "panics")), (8, 0), "{name}");
 }
 
 #[test]
-fn trouble_at_a_server_costs_no_request_there_its_one_final_answer() {
+fn an_engine_fault_costs_no_request_at_that_engine_its_one_final_answer() {
     std::thread::scope(|scope| {
-        for (name, trouble) in TROUBLES {
+        for (name, fault) in FAULTS {
             scope.spawn(move || {
                 let engine = Engine::start("e");
                 let (_discovery, router) = with_engine(&engine, 256);
-                all_have_their_answers_beside(name, trouble, &router, &engine);
+                assert_all_answered_despite(name, fault, &router, &engine);
             });
         }
     });
 }
 
-/// What other clients write, again and again.
+/// The bytes that the clients of each kind of flood write on every connection.
 fn floods() -> [Vec<u8>; 5] {
     [
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
@@ -213,12 +216,13 @@
     ]
 }
 
-/// Connects and writes, and goes once others have come after it; tells how many came.
-fn flood(router: &Router, bytes: &[u8], over: &AtomicBool, came: &AtomicU64) {
+/// Opens connections and writes `bytes` on each until `over` is set, keeping the newest eight open. Counts the connections
+/// on which the write succeeded in `opened`.
+fn flood(router: &Router, bytes: &[u8], over: &AtomicBool, opened: &AtomicU64) {
     let mut open = VecDeque::new();
     while !over.load(Relaxed) {
         if let Ok(mut stream) = TcpStream::connect(router.address) {
-            came.fetch_add(u64::from(stream.write_all(bytes).is_ok()), Relaxed);
+            opened.fetch_add(u64::from(stream.write_all(bytes).is_ok()), Relaxed);
             open.push_back(stream);
         }
         if open.len() > 8 {
@@ -228,14 +232,14 @@
     }
 }
 
-/// What the floods leave behind in the router's counters.
+/// The counters of the router that the floods increase.
 const FLOOD_COUNTERS: [&str; 3] = ["sessions_malformed", "unusable", "withdrawn"];
 
-/// Each kind of flood has been met several times; not so where the counters could not be had.
-fn floods_were_met(counters: &str) -> bool {
-    let is_there =
+/// Whether each of [`FLOOD_COUNTERS`] is at least 5. False if a counter is missing, as when the counters could not be read.
+fn floods_counted(counters: &str) -> bool {
+    let is_present =
         |name: &str| counters.contains(&format!("{name}:")) || counters.contains(&format!("{name}="));
-    FLOOD_COUNTERS.iter().all(|name| is_there(name) && counter(counters, name) >= 5)
+    FLOOD_COUNTERS.iter().all(|name| is_present(name) && counter(counters, name) >= 5)
 }
 
 #[test]
@@ -243,29 +247,34 @@
     let engine = Engine::start("e");
     let (_discovery, router) = with_engine(&engine, 256);
     let (over, floods) = (AtomicBool::new(false), floods());
-    let came = [const { AtomicU64::new(0) }; 5];
+    let opened = [const { AtomicU64::new(0) }; 5];
     std::thread::scope(|scope| {
-        let _ends = Ends(&over);
-        for (bytes, came) in floods.iter().zip(&came) {
+        let _stop = StopOnDrop(&over);
+        for (bytes, opened) in floods.iter().zip(&opened) {
             let (over, router) = (&over, &router);
-            scope.spawn(move || flood(router, bytes, over, came));
+            scope.spawn(move || flood(router, bytes, over, opened));
         }
         let begun = Instant::now();
-        while came.iter().any(|came| came.load(Relaxed) < 20) {
-            assert!(begun.elapsed() < GENEROUS, "no flood: {came:?}");
+        while opened.iter().any(|count| count.load(Relaxed) < 20) {
+            assert!(
+                begun.elapsed() < GENEROUS,
+                "fewer than 20 connections of a flood were opened: {opened:?}"
+            );
             std::thread::sleep(Duration::from_millis(1));
         }
         let mut rounds = 0;
-        // The flood of requests uses one id, so few of its requests are open at a time: the floods go on until enough were met.
-        while rounds < 10 || !floods_were_met(&Client::new(&router).counters_now()) {
-            assert!(begun.elapsed() < GENEROUS, "the floods are not met");
+        // The flood of requests repeats one id, so few of its requests are open at a time. The rounds go on until the counters
+        // show that the router has handled enough of each flood.
+        while rounds < 10 || !floods_counted(&Client::new(&router).counters_now()) {
+            assert!(begun.elapsed() < GENEROUS, "the counters do not show the floods");
             rounds += 1;
             let sent = Instant::now();
-            // A session that rests between two requests may be closed for room; one that comes with its request may not.
-            let clients = CLASSES.map(|class| newcomer_with(&router, &request(class, TTL, "x")));
+            // A session that is idle between two requests may be closed to free its descriptor. One whose request arrives
+            // together with its login may not.
+            let clients = CLASSES.map(|class| connect_and_send_text(&router, &request(class, TTL, "x")));
             for mut client in clients {
-                let answer = had(&mut client);
-                assert!(answer.is_some(), "an end and no answer");
+                let answer = read_first_answer(&mut client);
+                assert!(answer.is_some(), "the connection ended without an answer");
                 assert!(
                     sent.elapsed() < Duration::from_millis(TTL) + GRACE,
                     "{answer:?} after {:?}",
@@ -275,14 +284,14 @@
         }
     });
     let counters = Client::new(&router).counters("open", 0);
-    assert!(floods_were_met(&counters), "{counters}");
+    assert!(floods_counted(&counters), "{counters}");
     assert_eq!(counter(&counters, "panics"), 0);
 }
 
-/// Ends the floods, also where the test fails.
-struct Ends<'a>(&'a AtomicBool);
+/// Stops the floods when it is dropped, so that they end even if the test fails.
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Ends<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Relaxed);
     }
--- a/crates/router/tests/golden_status.rs
+++ b/crates/router/tests/golden_status.rs
@@ -1,5 +1,5 @@
-//! Golden tables: what `SHOW` answers, each number replaced by `#`, as the version before the code was reshaped wrote it.
-//! Operators' programs read these tables.
+//! Compares the tables that `SHOW` answers, with each number replaced by `#`, with golden tables written by the version
+//! before the code was restructured. Operators' programs read these tables.
 
 use cleatgw_testbed::stand_ins::*;
 use expect_test::expect_file;
@@ -17,7 +17,7 @@
 const TEAMS: &str =
     r#"{"teams": [{"name": "greedy", "weight": 1, "most_queued": 20}, {"name": "modest", "weight": 1}]}"#;
 
-/// Each run of digits as `#`, and the states of a session that does not come up as `STATE`.
+/// Replaces each run of digits by `#`, and the states of a BGP session that is not established by `STATE`.
 fn normalized(table: &str) -> String {
     let mut text = String::new();
     for character in table.chars() {
@@ -27,30 +27,30 @@
             other => text.push(other),
         }
     }
-    // The state of a session that no peer answers changes from moment to moment.
-    let session = ["Idle", "Connect", "Active"]
+    // A session whose peer does not answer changes between these states all the time.
+    let with_state = ["Idle", "Connect", "Active"]
         .iter()
         .fold(text, |text, state| text.replace(&format!(",{state},"), ",STATE,"));
-    session.replace("#.#", "#")
+    with_state.replace("#.#", "#")
 }
 
-fn shown(router: &Router, topic: &str) -> String {
+fn show(router: &Router, topic: &str) -> String {
     match Client::new(router).ask(&format!("SHOW {topic}")) {
         Answered::Rows(rows) => rows.join("\n"),
         other => format!("{other:?}"),
     }
 }
 
-fn file(folder: &std::path::Path, name: &str, text: &str) -> PathBuf {
+fn write_file(folder: &std::path::Path, name: &str, text: &str) -> PathBuf {
     let path = folder.join(name);
-    std::fs::write(&path, text).expect("the folder is ours");
+    std::fs::write(&path, text).expect("the test owns the folder");
     path
 }
 
 #[test]
-fn tables_of_every_topic_have_the_words_of_the_former_version() {
+fn tables_of_every_topic_match_those_of_the_former_version() {
     let folder = std::env::temp_dir().join(format!("cleatgw-golden-status-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder of ours");
+    std::fs::create_dir_all(&folder).expect("the test creates its folder");
     let address = vacant();
     let cluster = format!(
         r#"{{"name": "golden", "routers": [{{"name": "n1", "address": "{address}"}}, {{"name": "n2", "address": "127.0.0.1:9"}}],
@@ -58,13 +58,15 @@
     );
     let store = format!(r#"{{"path": "{}"}}"#, folder.join("kept.redb").display());
     let files = [
-        ("--service", file(&folder, "service.json", SERVICE)),
-        ("--teams", file(&folder, "teams.json", TEAMS)),
-        ("--cluster", file(&folder, "cluster.json", &cluster)),
-        ("--store", file(&folder, "store.json", &store)),
+        ("--service", write_file(&folder, "service.json", SERVICE)),
+        ("--teams", write_file(&folder, "teams.json", TEAMS)),
+        ("--cluster", write_file(&folder, "cluster.json", &cluster)),
+        ("--store", write_file(&folder, "store.json", &store)),
     ];
-    let arguments: Vec<&str> =
-        files.iter().flat_map(|(option, path)| [*option, path.to_str().expect("plain text")]).collect();
+    let arguments: Vec<&str> = files
+        .iter()
+        .flat_map(|(option, path)| [*option, path.to_str().expect("the path is UTF-8")])
+        .collect();
     let engine = Engine::start("e");
     let discovery = Discovery::start();
     discovery.tell(true, &[engine.entry("ready")]);
@@ -73,23 +75,26 @@
         text.replace(r#"[{"name":"town"}]"#, names)
     });
     Client::new(&router).ask(&request("look", 5000, "x"));
-    // Until the store and the cluster have come to rest.
+    // Wait until the store has a full snapshot and the cluster's states no longer change.
     let begun = Instant::now();
-    while !shown(&router, "STORE").contains("full") || shown(&router, "CLUSTER").contains("just") {
-        assert!(begun.elapsed() < Duration::from_secs(30), "it does not come to rest");
+    while !show(&router, "STORE").contains("full") || show(&router, "CLUSTER").contains("just") {
+        assert!(
+            begun.elapsed() < Duration::from_secs(30),
+            "the store and the cluster did not settle within 30 s"
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
     std::thread::sleep(Duration::from_secs(3));
     let mut text = String::new();
     for topic in ["TEAMS", "CLUSTER", "DUTIES", "STORE", "ANNOUNCEMENTS"] {
-        text += &format!("{topic}\n{}\n\n", shown(&router, topic));
+        text += &format!("{topic}\n{}\n\n", show(&router, topic));
     }
-    let text = normalized(&text.replace(folder.to_str().expect("plain text"), "FOLDER"));
+    let text = normalized(&text.replace(folder.to_str().expect("the path is UTF-8"), "FOLDER"));
     expect_file!["golden/status.txt"].assert_eq(&text);
-    let none = Router::with(PROGRAM, &discovery, 256, &[]);
+    let bare = Router::with(PROGRAM, &discovery, 256, &[]);
     for topic in ["TEAMS", "CLUSTER", "DUTIES", "STORE", "ANNOUNCEMENTS"] {
-        let answer = shown(&none, topic);
+        let answer = show(&bare, topic);
         assert!(answer.contains("there is nothing of the kind here"), "{topic}: {answer}");
     }
-    std::fs::remove_dir_all(folder).expect("it is ours");
+    std::fs::remove_dir_all(folder).expect("the test owns the folder");
 }
--- a/crates/router/tests/run_form.rs
+++ b/crates/router/tests/run_form.rs
@@ -1,4 +1,5 @@
-//! The program as `run` in the deploy file starts it: what its platform refuses, it never opens.
+//! Checks the router program in the form in which `run` in the deploy file starts it: it never opens anything that the
+//! deployment platform refuses.
 
 use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
@@ -9,25 +10,27 @@
 
 const DEPLOY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-const WRITES: u32 = 0o3;
+/// The access mode bits of the open flags that mean that a file is open for writing.
+const WRITE_FLAGS: u32 = 0o3;
 
-fn numbers(path: &Path) -> Vec<u32> {
+/// The entries of a folder whose names are numbers, such as process, thread or descriptor numbers.
+fn numeric_entries(path: &Path) -> Vec<u32> {
     let entries = fs::read_dir(path).into_iter().flatten().flatten();
     entries.filter_map(|entry| entry.file_name().to_str()?.parse().ok()).collect()
 }
 
-/// The inodes of the sockets of one kind, from the column that holds them.
+/// The inodes of the sockets of one kind, read from the given column of the kind's table in `/proc`.
 fn inodes(process: &Path, kind: &str, column: usize) -> Vec<String> {
     let table = fs::read_to_string(process.join("net").join(kind)).unwrap_or_default();
     table.lines().skip(1).filter_map(|line| Some(line.split_whitespace().nth(column)?.to_string())).collect()
 }
 
-/// What a process has that the platform refuses: threads or processes more, sockets other than TCP over IPv4, files that
-/// are written, rings; and whether it brings its own C library.
+/// Lists what a process has that the platform refuses: additional threads or child processes, sockets other than TCP over
+/// IPv4, files open for writing, io_uring instances, and a C library of its own instead of the system's.
 fn refused(process: u32) -> Vec<String> {
     let process = Path::new("/proc").join(process.to_string());
     let mut found = Vec::new();
-    let threads = numbers(&process.join("task"));
+    let threads = numeric_entries(&process.join("task"));
     if threads.len() != 1 {
         found.push(format!("{} threads", threads.len()));
     }
@@ -35,30 +38,32 @@
         let thread = process.join("task").join(thread.to_string());
         let children = match fs::read_to_string(thread.join("children")) {
             Ok(children) => children,
-            // A thread that has ended meanwhile has none.
+            // The thread has ended since it was listed, so its list of children is gone.
             Err(_) if !thread.exists() => continue,
-            Err(error) => panic!("no list of children: {error}"),
+            Err(error) => panic!("the list of children of a thread cannot be read: {error}"),
         };
         found.extend(children.split_whitespace().map(|child| format!("process {child}")));
     }
-    // By what it must not be: a TCP socket that is just made or closed stands in no table.
+    // Sockets are looked up in the tables of the refused kinds, because a TCP socket that is just being created or closed
+    // is in no table.
     let tables =
         [("unix", 6), ("udp", 9), ("udp6", 9), ("tcp6", 9), ("raw", 9), ("netlink", 9), ("packet", 8)];
-    let others: Vec<(&str, Vec<String>)> =
+    let refused_sockets: Vec<(&str, Vec<String>)> =
         tables.map(|(kind, column)| (kind, inodes(&process, kind, column))).into();
-    for number in numbers(&process.join("fd")).into_iter().filter(|number| *number > 2) {
-        // One that is closed meanwhile is seen the next time or never mattered.
+    for number in numeric_entries(&process.join("fd")).into_iter().filter(|number| *number > 2) {
+        // A descriptor closed since it was listed is skipped. If it is opened again, a later check sees it.
         let Ok(target) = fs::read_link(process.join("fd").join(number.to_string())) else { continue };
         let target = target.to_string_lossy().into_owned();
         let info = fs::read_to_string(process.join("fdinfo").join(number.to_string())).unwrap_or_default();
         let flags = info.lines().find_map(|line| line.strip_prefix("flags:"));
         let flags = flags.and_then(|flags| u32::from_str_radix(flags.trim(), 8).ok()).unwrap_or(0);
         if let Some(inode) = target.strip_prefix("socket:[").map(|inode| inode.trim_end_matches(']')) {
-            let kind = others.iter().find(|(_, known)| known.iter().any(|known| known == inode));
+            let kind =
+                refused_sockets.iter().find(|(_, inodes)| inodes.iter().any(|refused| refused == inode));
             found.extend(kind.map(|(kind, _)| format!("a socket of the kind {kind}")));
         } else if target.contains("io_uring") {
             found.push(target);
-        } else if target.starts_with('/') && flags & WRITES != 0 {
+        } else if target.starts_with('/') && flags & WRITE_FLAGS != 0 {
             found.push(format!("{target} is written"));
         }
     }
@@ -69,10 +74,10 @@
     found
 }
 
-/// Needs the watch itself to see what it looks for.
+/// Checks the check itself: [`refused`] must find what it looks for.
 #[test]
-fn the_watch_sees_a_thread_a_child_a_unix_socket_and_a_file_that_is_written() {
-    let (_near, _far) = UnixStream::pair().unwrap();
+fn the_check_finds_a_thread_a_child_a_unix_socket_a_udp_socket_and_a_file_open_for_writing() {
+    let (_unix_a, _unix_b) = UnixStream::pair().unwrap();
     let _udp = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let path = std::env::temp_dir().join(format!("cleatgw-run-form-{}", std::process::id()));
     let _file = fs::File::create(&path).unwrap();
@@ -81,50 +86,51 @@
     child.kill().unwrap();
     child.wait().unwrap();
     fs::remove_file(&path).unwrap();
-    for words in
+    for expected in
         ["threads", &format!("process {}", child.id()), "a socket of the kind unix", "kind udp", "is written"]
     {
-        assert!(found.contains(words), "{words} is not in {found}");
+        assert!(found.contains(expected), "{expected} is not in {found}");
     }
 }
 
 #[test]
-fn the_deploy_file_ends_in_one_process_and_names_every_folder_of_the_router() {
+fn the_deploy_file_runs_one_process_and_lists_every_source_folder_of_the_router() {
     let deploy = fs::read_to_string(DEPLOY).unwrap();
     let line = |key: &str| deploy.lines().find(|line| line.starts_with(&format!("{key} ="))).unwrap();
     assert_eq!(
         line("run"),
         r#"run = "exec target/release/cleatgw""#,
-        "no other arguments, no shell that stays"
+        "the command must have no other arguments and must replace its shell"
     );
-    let mut reached = vec!["crates/router".to_string()];
-    let mut at = 0;
-    while at < reached.len() {
-        let manifest = fs::read_to_string(Path::new(ROOT).join(&reached[at]).join("Cargo.toml")).unwrap();
-        let used = manifest.split("[dev-dependencies]").next().unwrap();
-        for path in used.lines().filter_map(|line| line.split("path = \"../").nth(1)) {
+    let mut crate_folders = vec!["crates/router".to_string()];
+    let mut next = 0;
+    while next < crate_folders.len() {
+        let manifest =
+            fs::read_to_string(Path::new(ROOT).join(&crate_folders[next]).join("Cargo.toml")).unwrap();
+        let dependencies = manifest.split("[dev-dependencies]").next().unwrap();
+        for path in dependencies.lines().filter_map(|line| line.split("path = \"../").nth(1)) {
             let folder = format!("crates/{}", path.split('"').next().unwrap());
-            if path.starts_with(char::is_alphabetic) && !reached.contains(&folder) {
-                reached.push(folder);
+            if path.starts_with(char::is_alphabetic) && !crate_folders.contains(&folder) {
+                crate_folders.push(folder);
             }
         }
-        at += 1;
+        next += 1;
     }
-    assert!(reached.len() > 4, "{reached:?}");
-    for folder in reached {
+    assert!(crate_folders.len() > 4, "{crate_folders:?}");
+    for folder in crate_folders {
         assert!(line("node").contains(&format!("\"{folder}/src\"")), "{folder} is missing in `node`");
     }
 }
 
-/// Hard case: only for a moment, under load, at a reload or at the end.
+/// Hard case: something refused is opened only for a moment, under load, at a reload or at the end.
 #[test]
-fn as_run_starts_it_the_router_opens_nothing_that_the_platform_refuses() {
+fn the_router_opens_nothing_that_the_platform_refuses() {
     let engine = Engine::start("e");
     let discovery = Discovery::start();
     discovery.tell(true, &[engine.entry("ready")]);
     let mut router = Router::with(env!("CARGO_BIN_EXE_cleatgw"), &discovery, 256, &[]);
     let process = router.process();
-    let looks = |times: u32| {
+    let check = |times: u32| {
         for _ in 0..times {
             assert_eq!(refused(process), Vec::<String>::new());
             std::thread::sleep(Duration::from_millis(2));
@@ -135,7 +141,7 @@
         clients
             .iter_mut()
             .for_each(|client| client.send(&request("look", 5000, &format!("pages {}", 1 + round % 4))));
-        looks(1);
+        check(1);
         for client in &mut clients {
             assert!(matches!(client.answer(), Answered::Rows(_)));
         }
@@ -143,11 +149,11 @@
     discovery.drop_all();
     router.reload(&router.configuration(&discovery, r#"{"rev":0,"notices":[]}"#));
     router.signal(Signal::USR1);
-    looks(20);
+    check(20);
     clients[0].send(&request("look", 1500, "hold"));
     engine.seen.wait("hold", 1);
     router.fail();
-    looks(100);
+    check(100);
     assert!(matches!(clients[0].answer(), Answered::Error(..)));
     assert_eq!(router.ended().0, Some(0));
 }
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -1,5 +1,6 @@
-//! The operators' stricter terms on requests, each forced on the real program between stand-ins: nothing begins for a client
-//! that has left, no server is promised more time than the client has, and no trouble elsewhere costs a request its answer.
+//! Runs the router program between simulated engines and clients, and checks the stricter requirements of the operators
+//! on requests: no attempt begins for a client that has left, and no engine is given a budget longer than the time that
+//! is left to the client's request. A fault elsewhere costs no request its answer.
 
 use cleatgw_testbed::stand_ins::*;
 use std::io::Write;
@@ -7,21 +8,22 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
-/// What a server may be promised beyond what its client has left, in milliseconds.
-const SLACK: f64 = 150.0;
-/// Long enough for an attempt that should not begin to have begun.
-const SOON: Duration = Duration::from_millis(300);
+/// By how many milliseconds the budget given to an engine may exceed the time left to the request.
+const BUDGET_SLACK_MS: f64 = 150.0;
+/// Long enough for a wrongly started attempt to show itself.
+const ATTEMPT_START_TIME: Duration = Duration::from_millis(300);
 
 fn row() -> Answered {
     Answered::Rows(vec!["0,one,two".to_string()])
 }
 
 /// A discovery service that lists these engines, and a router on it.
-fn started(engines: &[&Engine]) -> (Discovery, Router) {
-    changed(engines, |text| text)
+fn start(engines: &[&Engine]) -> (Discovery, Router) {
+    start_with_configuration(engines, |text| text)
 }
 
-fn changed(engines: &[&Engine], change: impl Fn(String) -> String) -> (Discovery, Router) {
+/// The same, with the configuration text changed by `change`.
+fn start_with_configuration(engines: &[&Engine], change: impl Fn(String) -> String) -> (Discovery, Router) {
     let discovery = Discovery::start();
     let entries: Vec<String> = engines.iter().map(|engine| engine.entry("ready")).collect();
     discovery.tell(true, &entries);
@@ -29,82 +31,88 @@
     (discovery, router)
 }
 
-/// Connections may take long to come up.
-fn patient(text: String) -> String {
-    let patient = text.replace("\"connect-timeout-us\":250000", "\"connect-timeout-us\":9000000");
-    assert_ne!(patient, text);
-    patient
+/// Raises the connect timeout to 9 s, so that a late connection does not fail.
+fn with_long_connect_timeout(text: String) -> String {
+    let changed = text.replace("\"connect-timeout-us\":250000", "\"connect-timeout-us\":9000000");
+    assert_ne!(changed, text);
+    changed
 }
 
-/// So heavy that its engine is left to it for long.
-fn heavy(class: &str, ttl: u64, statement: &str) -> String {
+/// A request with so much announced work that the router waits a long time for its attempt.
+fn heavy_request(class: &str, ttl: u64, statement: &str) -> String {
     request(class, ttl, statement).replace("work=5.0", "work=4000")
 }
 
-/// The statements that an engine was given, in order.
-fn given(engine: &Engine) -> Vec<String> {
-    let seen = engine.seen.all();
-    seen.iter().filter_map(|line| Some(line.strip_prefix("GET ")?.split_once(": ")?.1.to_string())).collect()
+/// The statements that an engine has received, in order.
+fn statements_received(engine: &Engine) -> Vec<String> {
+    let lines = engine.seen.all();
+    lines.iter().filter_map(|line| Some(line.strip_prefix("GET ")?.split_once(": ")?.1.to_string())).collect()
 }
 
-/// How a client leaves.
+/// What a client does while its request is open.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
+enum Departure {
+    /// Waits for the answer.
     Stays,
+    /// Closes its connection.
     Closes,
+    /// Cancels the request from its other session.
     Cancels,
-    /// By a session that it opens for this.
-    CancelsAnew,
+    /// Cancels the request from a session that it opens for this purpose.
+    CancelsFromNewSession,
 }
 
-const ALL: [Leaves; 4] = [Leaves::Stays, Leaves::Closes, Leaves::Cancels, Leaves::CancelsAnew];
+const DEPARTURES: [Departure; 4] =
+    [Departure::Stays, Departure::Closes, Departure::Cancels, Departure::CancelsFromNewSession];
 
-/// A client with a request, and another session of its own.
-struct Pair {
-    asks: Client,
+/// The two sessions of a client: one that has sent a request, and another one.
+struct ClientSessions {
+    requesting: Client,
     other: Client,
 }
 
-impl Pair {
-    fn asking(router: &Router, text: &str) -> Pair {
-        let (mut asks, other) = (Client::new(router), Client::new(router));
-        asks.send(text);
-        Pair { asks, other }
+impl ClientSessions {
+    fn with_request(router: &Router, text: &str) -> ClientSessions {
+        let (mut requesting, other) = (Client::new(router), Client::new(router));
+        requesting.send(text);
+        ClientSessions { requesting, other }
     }
 
-    /// Leaves as it does. What is kept is yet to be read, or not to be closed.
-    fn leaves(self, how: Leaves, router: &Router) -> Vec<Client> {
-        let Pair { asks, mut other } = self;
-        let kill = format!("KILL QUERY {}", asks.session);
+    /// Does what `how` says. Returns the sessions that stay open, because their answers are still to be read or because
+    /// closing them would be another way to leave.
+    fn depart(self, how: Departure, router: &Router) -> Vec<Client> {
+        let ClientSessions { requesting, mut other } = self;
+        let kill = format!("KILL QUERY {}", requesting.session);
         match how {
-            Leaves::Stays => vec![asks, other],
-            Leaves::Closes => {
-                drop(asks);
+            Departure::Stays => vec![requesting, other],
+            Departure::Closes => {
+                drop(requesting);
                 vec![other]
             }
-            Leaves::Cancels => {
+            Departure::Cancels => {
                 other.send(&kill);
-                vec![asks, other]
+                vec![requesting, other]
             }
-            Leaves::CancelsAnew => {
-                let mut anew = std::net::TcpStream::connect(router.address).unwrap();
-                anew.write_all(&[login(), query(&kill)].concat()).unwrap();
-                vec![asks, other, Client { stream: anew, session: 0 }]
+            Departure::CancelsFromNewSession => {
+                let mut stream = std::net::TcpStream::connect(router.address).unwrap();
+                stream.write_all(&[login(), query(&kill)].concat()).unwrap();
+                vec![requesting, other, Client { stream, session: 0 }]
             }
         }
     }
 }
 
-/// A client leaves before the turn that can first dispatch its request, in which all of it is read.
+/// The client leaves before the turn that could first dispatch its request. In that turn the router reads both that the
+/// client has left and the event that adds an engine.
 #[test]
 fn no_first_attempt_begins_for_a_client_that_left_before_the_turn_that_brings_an_engine() {
-    for how in ALL {
+    for how in DEPARTURES {
         let engine = Engine::start("e");
         let discovery = Discovery::start();
         discovery.tell(true, &[]);
         let router = Router::with(PROGRAM, &discovery, 256, &[]);
         let mut witness = Client::new(&router);
-        let pair = Pair::asking(&router, &request("look", 20000, "left"));
+        let sessions = ClientSessions::with_request(&router, &request("look", 20000, "left"));
         witness.counters("open", 1);
         discovery.seen.wait("watch", 1);
         let event = format!(
@@ -112,172 +120,194 @@
             engine.entry("ready")
         );
         let mut kept = Vec::new();
-        router.stop_for(SOON, || {
-            kept = pair.leaves(how, &router);
+        router.stop_for(ATTEMPT_START_TIME, || {
+            kept = sessions.depart(how, &router);
             discovery.say(&event);
         });
         router.log.wait("is e at", 1);
-        if how == Leaves::Stays {
-            assert_eq!(kept[0].answer(), row(), "the event alone has it dispatched");
+        if how == Departure::Stays {
+            assert_eq!(kept[0].answer(), row(), "the event that adds an engine must dispatch the request");
             continue;
         }
         witness.counters("withdrawn", 1);
         assert_eq!(witness.ask(&request("look", 5000, "the last")), row());
-        assert_eq!(given(&engine), ["the last"], "{how:?}");
+        assert_eq!(statements_received(&engine), ["the last"], "{how:?}");
     }
 }
 
-/// A client leaves before the turn that reads how its first attempt ended.
+/// The client leaves before the turn in which the router reads how the first attempt ended.
 #[test]
 fn no_further_attempt_begins_for_a_client_that_left_before_the_turn_that_ends_its_attempt() {
-    for how in ALL {
+    for how in DEPARTURES {
         for end in ["WAIT", "BROKE", "reset"] {
             let engines = [Engine::start("a"), Engine::start("b")];
-            let (_discovery, router) = started(&[&engines[0], &engines[1]]);
+            let (_discovery, router) = start(&[&engines[0], &engines[1]]);
             let mut witness = Client::new(&router);
-            let text = heavy("look", 20000, "hold");
+            let text = heavy_request("look", 20000, "hold");
             let call = text.split_once("call=").unwrap().1[..16].to_string();
-            let pair = Pair::asking(&router, &text);
+            let sessions = ClientSessions::with_request(&router, &text);
             witness.counters("pushes", 1);
-            let has = |engine: &&Engine| !given(engine).is_empty();
+            let has_request = |engine: &&Engine| !statements_received(engine).is_empty();
             let begun = Instant::now();
-            while !engines.iter().any(|engine| has(&engine)) {
-                assert!(begun.elapsed() < GENEROUS, "no first attempt");
+            while !engines.iter().any(|engine| has_request(&engine)) {
+                assert!(begun.elapsed() < GENEROUS, "no engine received the first attempt");
                 std::thread::sleep(Duration::from_millis(1));
             }
-            let first = engines.iter().find(has).unwrap();
+            let first = engines.iter().find(has_request).unwrap();
             let mut kept = Vec::new();
-            let mut took = 0;
-            router.stop_for(SOON, || {
-                kept = pair.leaves(how, &router);
-                took = match end {
+            let mut connections = 0;
+            router.stop_for(ATTEMPT_START_TIME, || {
+                kept = sessions.depart(how, &router);
+                connections = match end {
                     "reset" => first.reset(),
                     word => first.say(format!("{call} {word} - 0\r\n\r\n").as_bytes()),
                 };
             });
-            assert_eq!(took, 1, "{end} was said where the attempt was");
-            if how == Leaves::Stays {
+            assert_eq!(connections, 1, "{end} must reach the one connection of the attempt");
+            if how == Departure::Stays {
                 witness.counters("pushes", 2);
                 continue;
             }
             witness.counters("withdrawn", 1);
-            std::thread::sleep(SOON);
+            std::thread::sleep(ATTEMPT_START_TIME);
             let counters = witness.counters("open", 0);
             assert_eq!(counter(&counters, "pushes"), 1, "{how:?}, {end}");
-            assert_eq!(engines.iter().map(|engine| given(engine).len()).sum::<usize>(), 1, "{how:?}, {end}");
+            assert_eq!(
+                engines.iter().map(|engine| statements_received(engine).len()).sum::<usize>(),
+                1,
+                "{how:?}, {end}"
+            );
         }
     }
 }
 
-/// Requests wait for one connection; their clients leave while it is awaited.
+/// Several requests wait for the same connection to an engine, and their clients leave before it is established.
 #[test]
-fn no_attempt_leaves_on_a_late_connection_for_a_client_that_left_while_it_was_awaited() {
+fn no_attempt_is_sent_on_a_late_connection_for_a_client_that_left_before_it_was_established() {
     let (engine, door) = Engine::late("e");
-    let (_discovery, router) = changed(&[&engine], patient);
+    let (_discovery, router) = start_with_configuration(&[&engine], with_long_connect_timeout);
     let mut witness = Client::new(&router);
-    let mut pairs: Vec<Pair> =
-        ALL.map(|how| Pair::asking(&router, &heavy("look", 20000, &format!("{how:?}")))).into();
+    let mut clients: Vec<ClientSessions> = DEPARTURES
+        .map(|how| ClientSessions::with_request(&router, &heavy_request("look", 20000, &format!("{how:?}"))))
+        .into();
     witness.counters("pushes", 4);
-    pairs.reverse();
-    let mut kept: Vec<Vec<Client>> = ALL.map(|how| pairs.pop().unwrap().leaves(how, &router)).into();
+    clients.reverse();
+    let mut kept: Vec<Vec<Client>> = DEPARTURES.map(|how| clients.pop().unwrap().depart(how, &router)).into();
     witness.counters("withdrawn", 3);
     door.open();
-    assert_eq!(kept[0][0].answer(), row(), "the connection came up for the one that stayed");
-    assert_eq!(given(&engine), ["Stays"]);
+    assert_eq!(
+        kept[0][0].answer(),
+        row(),
+        "the request of the client that stayed must be sent on the connection"
+    );
+    assert_eq!(statements_received(&engine), ["Stays"]);
 }
 
-/// The same where the connection comes up and the clients leave while the router has no turn: it reads both in one.
+/// The same, but the connection is established and the clients leave while the router is stopped, so that it reads both in
+/// one turn.
 #[test]
-fn no_attempt_leaves_on_a_late_connection_that_comes_up_in_the_turn_that_reads_its_clients_end() {
+fn no_attempt_is_sent_on_a_late_connection_established_in_the_turn_that_reads_its_clients_departure() {
     let (engine, door) = Engine::late("e");
-    let (_discovery, router) = changed(&[&engine], patient);
+    let (_discovery, router) = start_with_configuration(&[&engine], with_long_connect_timeout);
     let mut witness = Client::new(&router);
-    let mut pairs: Vec<Pair> =
-        ALL.map(|how| Pair::asking(&router, &heavy("look", 20000, &format!("{how:?}")))).into();
+    let mut clients: Vec<ClientSessions> = DEPARTURES
+        .map(|how| ClientSessions::with_request(&router, &heavy_request("look", 20000, &format!("{how:?}"))))
+        .into();
     witness.counters("pushes", 4);
-    pairs.reverse();
+    clients.reverse();
     let mut kept: Vec<Vec<Client>> = Vec::new();
-    router.stop_for(SOON, || {
-        kept = ALL.map(|how| pairs.pop().unwrap().leaves(how, &router)).into();
+    router.stop_for(ATTEMPT_START_TIME, || {
+        kept = DEPARTURES.map(|how| clients.pop().unwrap().depart(how, &router)).into();
         door.open();
         engine.seen.wait("connection 0", 1);
     });
-    assert_eq!(kept[0][0].answer(), row(), "the connection came up for the one that stayed");
+    assert_eq!(
+        kept[0][0].answer(),
+        row(),
+        "the request of the client that stayed must be sent on the connection"
+    );
     witness.counters("withdrawn", 3);
-    assert_eq!(given(&engine), ["Stays"]);
+    assert_eq!(statements_received(&engine), ["Stays"]);
 }
 
-/// When each request came to an engine, and what it was promised, in milliseconds.
+/// The budget that came with each request to an engine, in milliseconds, in the order received.
 #[derive(Clone, Default)]
-struct Promised(Arc<Mutex<Vec<f64>>>);
+struct Budgets(Arc<Mutex<Vec<f64>>>);
 
-impl Promised {
-    fn by(engine: &Engine) -> Promised {
-        let promised = Promised::default();
-        let all = promised.0.clone();
+impl Budgets {
+    fn record(engine: &Engine) -> Budgets {
+        let budgets = Budgets::default();
+        let list = budgets.0.clone();
         engine.seen.follow(move |line| {
             let Some((_, rest)) = line.split_once("budget=") else { return };
-            let digits = rest.split(|each: char| !each.is_ascii_digit()).next().unwrap();
-            all.lock().unwrap().push(digits.parse().unwrap());
+            let digits = rest.split(|character: char| !character.is_ascii_digit()).next().unwrap();
+            list.lock().unwrap().push(digits.parse().unwrap());
         });
-        promised
+        budgets
     }
 
-    /// The last one, which left after so much of the time had passed.
-    fn is_within(&self, count: usize, ttl: u64, passed: Duration) {
-        let all = self.0.lock().unwrap();
-        assert_eq!(all.len(), count, "{all:?}");
+    /// Requires that `count` requests were received, and that the last budget is above 0 and exceeds what is left of `ttl`
+    /// (in milliseconds) after the time `passed` by at most [`BUDGET_SLACK_MS`].
+    fn assert_last_within(&self, count: usize, ttl: u64, passed: Duration) {
+        let budgets = self.0.lock().unwrap();
+        assert_eq!(budgets.len(), count, "{budgets:?}");
         let left = ttl as f64 - passed.as_secs_f64() * 1e3;
-        let promised = *all.last().unwrap();
-        assert!(promised <= left + SLACK && promised > 0.0, "{promised} ms of {left:.1}");
+        let budget = *budgets.last().unwrap();
+        assert!(
+            budget <= left + BUDGET_SLACK_MS && budget > 0.0,
+            "budget of {budget} ms with {left:.1} ms left"
+        );
     }
 }
 
+/// The time to live of the requests, in milliseconds.
 const TTL: u64 = 4000;
+/// How long a request is held up before its budget is checked.
 const LONG: Duration = Duration::from_millis(1000);
 
 #[test]
-fn a_server_is_promised_what_is_left_after_a_long_wait_for_any_engine() {
+fn an_engine_gets_the_time_left_as_budget_after_a_long_wait_for_any_engine() {
     let engine = Engine::start("e");
-    let promised = Promised::by(&engine);
-    // It is worth its while for long.
-    let longer = |text: String| text.replace("\"objective-us\":1000000", "\"objective-us\":20000000");
-    let (discovery, router) = changed(&[], longer);
+    let budgets = Budgets::record(&engine);
+    // A long objective, so that the request still pays off after the wait.
+    let with_long_objective =
+        |text: String| text.replace("\"objective-us\":1000000", "\"objective-us\":20000000");
+    let (discovery, router) = start_with_configuration(&[], with_long_objective);
     let mut client = Client::new(&router);
     let sent = Instant::now();
     let ttl = 5 * TTL;
-    client.send(&heavy("look", ttl, "x"));
+    client.send(&heavy_request("look", ttl, "x"));
     Client::new(&router).counters("open", 1);
     std::thread::sleep(LONG);
     let waited = sent.elapsed();
     discovery.tell(false, &[engine.entry("ready")]);
     assert_eq!(client.answer(), row());
-    promised.is_within(1, ttl, waited);
+    budgets.assert_last_within(1, ttl, waited);
 }
 
 #[test]
-fn a_server_is_promised_what_is_left_after_a_long_wait_for_its_connection() {
+fn an_engine_gets_the_time_left_as_budget_after_a_long_wait_for_its_connection() {
     let (engine, door) = Engine::late("e");
-    let promised = Promised::by(&engine);
-    let (_discovery, router) = changed(&[&engine], patient);
+    let budgets = Budgets::record(&engine);
+    let (_discovery, router) = start_with_configuration(&[&engine], with_long_connect_timeout);
     let mut client = Client::new(&router);
     let sent = Instant::now();
-    client.send(&heavy("look", TTL, "x"));
+    client.send(&heavy_request("look", TTL, "x"));
     Client::new(&router).counters("pushes", 1);
     std::thread::sleep(LONG / 2);
     let waited = sent.elapsed();
     door.open();
     assert_eq!(client.answer(), row());
-    promised.is_within(1, TTL, waited);
+    budgets.assert_last_within(1, TTL, waited);
 }
 
 #[test]
-fn a_server_of_a_later_attempt_is_promised_what_the_earlier_ones_left() {
+fn a_later_attempt_gets_the_time_that_the_earlier_ones_left_as_budget() {
     let engine = Engine::start("e");
-    let promised = Promised::by(&engine);
-    let (_discovery, router) = started(&[&engine]);
+    let budgets = Budgets::record(&engine);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
-    let text = heavy("look", TTL, "hold");
+    let text = heavy_request("look", TTL, "hold");
     let call = text.split_once("call=").unwrap().1[..16].to_string();
     let sent = Instant::now();
     client.send(&text);
@@ -286,17 +316,17 @@
     let waited = sent.elapsed();
     assert_eq!(engine.say(format!("{call} BROKE - 0\r\n\r\n").as_bytes()), 1);
     engine.seen.wait("GET", 2);
-    promised.is_within(2, TTL, waited);
+    budgets.assert_last_within(2, TTL, waited);
 }
 
-/// Its time runs from its last byte, which the router reads late.
+/// The time of a request runs from the arrival of its last byte, even if the router reads that byte late.
 #[test]
-fn a_slow_clients_server_is_promised_what_is_left_since_the_last_byte() {
+fn the_budget_for_a_slow_clients_request_counts_from_its_last_byte() {
     let engine = Engine::start("e");
-    let promised = Promised::by(&engine);
-    let (_discovery, router) = started(&[&engine]);
+    let budgets = Budgets::record(&engine);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
-    let bytes = query(&heavy("look", TTL, "x"));
+    let bytes = query(&heavy_request("look", TTL, "x"));
     let (last, pieces) = bytes.split_last().unwrap();
     for piece in pieces.chunks(pieces.len().div_ceil(8)) {
         client.stream.write_all(piece).unwrap();
@@ -311,25 +341,25 @@
         waited = sent.elapsed();
     });
     assert_eq!(client.answer(), row());
-    promised.is_within(1, TTL, waited);
+    budgets.assert_last_within(1, TTL, waited);
 }
 
-/// A client that sends its next request before it has read the answer to the last.
+/// The client sends its next request before it has read the answer to the previous one.
 #[test]
-fn a_request_sent_behind_another_has_its_time_from_its_own_last_byte() {
+fn the_budget_for_a_pipelined_request_counts_from_its_own_last_byte() {
     let engine = Engine::start("e");
-    let promised = Promised::by(&engine);
-    let (_discovery, router) = started(&[&engine]);
+    let budgets = Budgets::record(&engine);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
-    let first = heavy("once", TTL, "hold");
+    let first = heavy_request("once", TTL, "hold");
     let call = first.split_once("call=").unwrap().1[..16].to_string();
     let sent = Instant::now();
-    client.stream.write_all(&[query(&first), query(&heavy("look", TTL, "x"))].concat()).unwrap();
+    client.stream.write_all(&[query(&first), query(&heavy_request("look", TTL, "x"))].concat()).unwrap();
     engine.seen.wait("GET", 1);
     std::thread::sleep(LONG);
     let waited = sent.elapsed();
     assert_eq!(engine.say(format!("{call} BROKE - 0\r\n\r\n").as_bytes()), 1);
     assert!(matches!(client.answer(), Answered::Error(1105, _)));
     assert_eq!(client.answer(), row());
-    promised.is_within(2, TTL, waited);
+    budgets.assert_last_within(2, TTL, waited);
 }
