--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -1,4 +1,5 @@
-//! The real program between small stand-ins, one story for each thing that must hold.
+//! Runs the router program between simulated engines, clients and a discovery service. Each test checks one requirement
+//! on the whole program.
 
 use cleatgw_testbed::stand_ins::*;
 use std::io::{Read, Write};
@@ -10,12 +11,12 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
 /// A discovery service that lists these engines, and a router on it.
-fn started(engines: &[&Engine]) -> (Discovery, Router) {
-    limited(engines, DESCRIPTORS)
+fn start(engines: &[&Engine]) -> (Discovery, Router) {
+    start_with_descriptors(engines, DESCRIPTORS)
 }
 
-/// The same, with so many descriptors.
-fn limited(engines: &[&Engine], descriptors: u32) -> (Discovery, Router) {
+/// The same, with this limit of file descriptors for the router.
+fn start_with_descriptors(engines: &[&Engine], descriptors: u32) -> (Discovery, Router) {
     let discovery = Discovery::start();
     let entries: Vec<String> = engines.iter().map(|engine| engine.entry("ready")).collect();
     discovery.tell(true, &entries);
@@ -28,45 +29,48 @@
 }
 
 #[test]
-fn login_and_first_query_before_the_greeting_and_a_result_of_many_pages() {
+fn login_and_query_sent_before_the_greeting_get_a_result_of_many_pages() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let first = request("look", 5000, "pages 8 FROM sales_17.t");
     let mut client = Client::early(&router, &[login(), query(&first)].concat());
     assert_eq!((client.answer(), client.answer()), (Answered::Ok, rows(8)));
-    let get = engine.seen.wait("GET", 1).pop().unwrap();
-    assert!(get.contains("queue=look,budget=") && get.ends_with(": pages 8 FROM sales_17.t"), "{get}");
-    // The pages were asked for without waiting, and closed.
+    let get_line = engine.seen.wait("GET", 1).pop().unwrap();
+    assert!(
+        get_line.contains("queue=look,budget=") && get_line.ends_with(": pages 8 FROM sales_17.t"),
+        "{get_line}"
+    );
+    // The router requested the pages without waiting for the client to read, and closed the result at the engine.
     engine.seen.wait("CLOSE", 1);
     assert_eq!(engine.seen.wait("PAGE", 7).len(), 7);
     assert_eq!(client.ask(&request("look", 5000, "pages 1")), rows(1));
 }
 
 #[test]
-fn packets_in_single_bytes_and_several_in_one_write() {
+fn packets_sent_byte_by_byte_and_several_in_one_write_are_answered() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::early(&router, &[]);
     for byte in [login(), query(&request("look", 5000, "x"))].concat() {
         client.stream.write_all(&[byte]).unwrap();
     }
     assert_eq!((client.answer(), client.answer()), (Answered::Ok, rows(1)));
-    let joined =
+    let packets =
         [query("SET NAMES utf8mb4"), packet(0, &[0x0e]), query(&request("look", 5000, "x")), packet(0, &[1])];
-    client.stream.write_all(&joined.concat()).unwrap();
+    client.stream.write_all(&packets.concat()).unwrap();
     assert_eq!((client.answer(), client.answer(), client.answer()), (Answered::Ok, Answered::Ok, rows(1)));
     assert!(client.closed());
 }
 
 #[test]
-fn what_drivers_ask_at_their_start_and_what_no_request_can_be_made_of() {
+fn statements_of_drivers_at_startup_and_unusable_queries_are_answered() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
     assert_eq!(client.ask("SET NAMES utf8mb4"), Answered::Ok);
-    for (text, why) in [
+    for (text, reason) in [
         ("SELECT 1 FROM sales_17.t".to_string(), "no fields comment"),
-        // No engine made a result for these.
+        // Statements that drivers send, for which there is no result of an engine.
         ("SELECT 1".to_string(), "no fields comment"),
         ("SELECT @@version_comment LIMIT 1".to_string(), "no fields comment"),
         ("SHOW WARNINGS".to_string(), "no fields comment"),
@@ -77,8 +81,10 @@
         (request("load", 50, "x").replace("dedupe=", "dupe="), "field dedupe"),
         ("KILL QUERY 999999".to_string(), "unknown connection id"),
     ] {
-        let Answered::Error(_, words) = client.ask(&text) else { panic!("{text} was answered") };
-        assert!(words.contains(why), "{words}");
+        let Answered::Error(_, message) = client.ask(&text) else {
+            panic!("{text} was not answered with an error")
+        };
+        assert!(message.contains(reason), "{message}");
     }
     assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     let counters = client.counters("delivered", 1);
@@ -86,9 +92,9 @@
 }
 
 #[test]
-fn malformed_bytes_end_only_their_connection() {
+fn malformed_bytes_end_only_the_connection_they_came_on() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut good = Client::new(&router);
     for bytes in
         [&b"GET / HTTP/1.1\r\n\r\n"[..], &[1, 0, 0, 1, 0], &[0xff, 0xff, 0xff, 1], &packet(5, b"\x03x")]
@@ -97,23 +103,25 @@
         assert!(matches!(bad.answer(), Answered::Error(..)), "{bytes:?}");
         assert!(bad.closed());
     }
-    let mut half = Client::early(&router, &login()[..20]);
-    half.stream.shutdown(Shutdown::Both).unwrap();
-    assert!(half.closed());
+    let mut incomplete = Client::early(&router, &login()[..20]);
+    incomplete.stream.shutdown(Shutdown::Both).unwrap();
+    assert!(incomplete.closed());
     assert_eq!(good.ask(&request("look", 5000, "x")), rows(1));
     good.counters("sessions_malformed", 4);
 }
 
 #[test]
-fn a_killed_query_has_its_attempt_given_up_and_its_session_goes_on() {
+fn a_killed_query_has_its_attempt_dropped_and_its_session_goes_on() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
     let text = request("look", 20000, "hold");
     client.send(&text);
     engine.seen.wait("GET", 1);
-    let other = Client::new(&router).ask(&text.replace("hold", "x"));
-    assert!(matches!(other, Answered::Error(1064, words) if words.contains("an id that is not in use")));
+    let duplicate = Client::new(&router).ask(&text.replace("hold", "x"));
+    assert!(
+        matches!(duplicate, Answered::Error(1064, message) if message.contains("an id that is not in use"))
+    );
     let mut killer = Client::new(&router);
     assert_eq!(killer.ask(&format!("KILL QUERY {}", client.session)), Answered::Ok);
     engine.seen.wait("DROP", 1);
@@ -123,13 +131,14 @@
 }
 
 #[test]
-fn a_refused_engine_proves_that_nothing_ran_and_a_reset_does_not() {
-    let away = Engine { address: vacant(), ..Engine::start("away") };
-    let (discovery, router) = started(&[&away]);
+fn a_refused_connection_proves_that_nothing_ran_and_a_reset_does_not() {
+    let unreachable = Engine { address: vacant(), ..Engine::start("away") };
+    let (discovery, router) = start(&[&unreachable]);
     let mut client = Client::new(&router);
-    // A non-idempotent request goes on as nothing ran, and is rejected when no engine can be had.
+    // The refused connection proves that the non-idempotent request did not run, so the router may try it again. It rejects
+    // the request when no engine is available.
     assert!(
-        matches!(client.ask(&request("once", 1000, "x")), Answered::Error(1040, words) if words.contains("pushback="))
+        matches!(client.ask(&request("once", 1000, "x")), Answered::Error(1040, message) if message.contains("pushback="))
     );
     let resets = Engine::start("resets");
     discovery.tell(true, &[resets.entry("ready")]);
@@ -141,15 +150,16 @@
 }
 
 #[test]
-fn an_idempotent_request_goes_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_talks_nonsense() {
+fn an_idempotent_request_is_retried_elsewhere_when_its_engine_resets_is_full_loses_a_page_or_answers_garbage()
+{
     for (uid, statement) in
         [("resets", "reset"), ("full", "full"), ("loses", "pages 4"), ("garbage", "garbage")]
     {
         let (bad, good) = (Engine::start(uid), Engine::start("good"));
-        let (_discovery, router) = started(&[&bad, &good]);
+        let (_discovery, router) = start(&[&bad, &good]);
         let mut client = Client::new(&router);
         let expected = if uid == "loses" { rows(4) } else { rows(1) };
-        // Whatever order a group's engines have, some group begins with the bad one.
+        // The order of the engines differs between table groups. For some group the bad engine comes first.
         for group in 0.. {
             let text = format!("{statement} FROM sales_{group}.t");
             assert_eq!(client.ask(&request("look", 5000, &text)), expected, "{uid}");
@@ -162,11 +172,11 @@
 }
 
 #[test]
-fn an_engine_whose_connection_is_mute_is_connected_to_anew() {
+fn an_engine_whose_connection_stops_answering_is_reconnected() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
-    // So heavy that its attempt is waited for long.
+    // Announces so much work that the router waits a long time for the attempt.
     client.send(&request("look", 20000, "mute").replace("work=5.0", "work=4000"));
     engine.seen.wait("PING sign on 0", 1);
     router.log.wait("no answer to a ping", 1);
@@ -176,20 +186,20 @@
 }
 
 #[test]
-fn a_machine_that_vanishes_takes_its_attempts_with_it_and_holds_up_no_other() {
+fn the_attempts_at_a_machine_that_vanishes_end_early_and_delay_no_other_request() {
     let vanished = Engine::vanished("v");
-    let (discovery, router) = started(&[&vanished]);
+    let (discovery, router) = start(&[&vanished]);
     let mut client = Client::new(&router);
-    // So heavy that their attempts would be waited for long.
-    let heavy = |class: &str| request(class, 20000, "x").replace("work=5.0", "work=4000");
-    client.send(&heavy("look"));
+    // Announces so much work that the router would wait a long time for the attempts.
+    let heavy_request = |class: &str| request(class, 20000, "x").replace("work=5.0", "work=4000");
+    client.send(&heavy_request("look"));
     vanished.seen.wait("GET", 1);
     let mut other = Client::new(&router);
-    other.send(&heavy("once"));
+    other.send(&heavy_request("once"));
     vanished.seen.wait("queue=once", 1);
     let good = Engine::start("good");
     discovery.tell(false, &[good.entry("ready")]);
-    // What is pure goes elsewhere, what is non-idempotent may have run.
+    // The idempotent request is retried elsewhere. The non-idempotent one may have run, so it gets an error.
     assert_eq!(client.answer(), rows(1));
     assert!(matches!(other.answer(), Answered::Error(1105, _)));
     router.log.wait("engine unreachable, with 2 attempts", 1);
@@ -198,34 +208,38 @@
 }
 
 #[test]
-fn the_discovery_may_drop_talk_nonsense_and_replace_engines_at_their_address() {
+fn the_discovery_service_may_disconnect_send_garbage_and_replace_an_engine_at_its_address() {
     let first = Engine::start("first");
-    let (discovery, router) = started(&[&first]);
+    let (discovery, router) = start(&[&first]);
     let mut client = Client::new(&router);
     assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     discovery.drop_all();
-    // It comes again with the last event that it holds.
+    // The router connects again, from the last event that it has.
     assert_eq!(discovery.seen.wait("watch 1", 2).len(), 2);
     discovery.say("{\"rev\":\n");
     router.log.wait("discovery service lost: malformed", 1);
     discovery.seen.wait("watch 1", 3);
-    // The old list stood; now another engine has the old one's address.
+    // The list from before stayed in effect. Now another engine has the address of the old one.
     let second = Engine { uid: "second".to_string(), ..first.clone() };
     discovery.tell(false, &[first.entry("gone"), second.entry("ready")]);
     router.log.wait("is second", 1);
     assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
-    assert_eq!(first.seen.wait("connection", 2).len(), 2, "it shares no connection with the old one");
+    assert_eq!(
+        first.seen.wait("connection", 2).len(),
+        2,
+        "the new engine must not share a connection with the old one"
+    );
 }
 
 #[test]
-fn clients_that_are_idle_or_read_nothing_hold_up_nobody() {
+fn clients_that_are_idle_or_do_not_read_delay_no_other_client() {
     let engine = Engine::start("e");
-    let (_discovery, router) = limited(&[&engine], 64);
-    // More than the descriptors allow: the idle ones make room.
+    let (_discovery, router) = start_with_descriptors(&[&engine], 64);
+    // More sessions than the descriptors allow: idle ones are closed to free descriptors.
     let mut idle: Vec<Client> = (0..100).map(|_| Client::new(&router)).collect();
-    let mut deaf = Client::new(&router);
+    let mut not_reading = Client::new(&router);
     let text = request("look", 5000, "pages 8");
-    deaf.stream.write_all(&query(&text).repeat(2000)).unwrap_or(());
+    not_reading.stream.write_all(&query(&text).repeat(2000)).unwrap_or(());
     assert_eq!(idle.last_mut().unwrap().ask(&request("look", 5000, "x")), rows(1));
     let counters = idle.last_mut().unwrap().counters("open", 0);
     assert!(counter(&counters, "sessions_closed_for_room") > 0);
@@ -233,64 +247,64 @@
 }
 
 #[test]
-fn who_dawdles_is_closed_soon_and_who_asked_once_may_stay() {
+fn a_slow_login_or_packet_is_closed_soon_and_a_session_that_has_sent_a_request_stays() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut stays = Client::new(&router);
     assert_eq!(stays.ask(&request("look", 5000, "x")), rows(1));
     let begun = Instant::now();
     let mut silent = Client::early(&router, &[]);
-    let mut half = Client::new(&router);
-    half.stream.write_all(&query("SELECT")[..5]).unwrap();
-    // A byte now and then keeps nothing open.
+    let mut incomplete = Client::new(&router);
+    incomplete.stream.write_all(&query("SELECT")[..5]).unwrap();
+    // A byte every 100 ms does not keep a connection open.
     let mut trickles = Client::early(&router, &[]);
-    let mut far = trickles.stream.try_clone().unwrap();
+    let mut writer = trickles.stream.try_clone().unwrap();
     std::thread::spawn(move || {
-        while far.write_all(&[1]).is_ok() {
+        while writer.write_all(&[1]).is_ok() {
             std::thread::sleep(Duration::from_millis(100));
         }
     });
-    assert!(silent.closed() && half.closed() && trickles.closed());
+    assert!(silent.closed() && incomplete.closed() && trickles.closed());
     assert!(begun.elapsed() < GENEROUS / 2, "{:?}", begun.elapsed());
     assert_eq!(stays.ask(&request("look", 5000, "x")), rows(1));
 }
 
 #[test]
-fn strangers_that_say_nothing_make_room_before_clients_that_have_asked() {
+fn connections_without_a_login_are_closed_for_descriptors_before_clients_that_have_sent_requests() {
     let engine = Engine::start("e");
-    let (_discovery, router) = limited(&[&engine], 64);
-    let mut stay: Vec<Client> = (0..8).map(|_| Client::new(&router)).collect();
-    let half = &login()[..9];
+    let (_discovery, router) = start_with_descriptors(&[&engine], 64);
+    let mut clients: Vec<Client> = (0..8).map(|_| Client::new(&router)).collect();
+    let partial_login = &login()[..9];
     for _ in 0..2 {
-        let _silent: Vec<Client> = (0..23).map(|_| Client::early(&router, half)).collect();
-        // By now they dawdle.
+        let _silent: Vec<Client> = (0..23).map(|_| Client::early(&router, partial_login)).collect();
+        // Long enough for the router to count these connections as slow.
         std::thread::sleep(Duration::from_millis(700));
-        let _more: Vec<Client> = (0..23).map(|_| Client::early(&router, half)).collect();
-        for client in &mut stay {
+        let _more: Vec<Client> = (0..23).map(|_| Client::early(&router, partial_login)).collect();
+        for client in &mut clients {
             assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
         }
     }
 }
 
 #[test]
-fn what_is_asked_while_the_router_stands_still_is_answered_in_its_clients_time() {
+fn a_request_sent_while_the_router_process_is_stopped_is_answered_by_its_deadline() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
     router.stop_for(Duration::from_millis(1500), || client.send(&request("look", 2000, "hold")));
-    let asked = Instant::now() - Duration::from_millis(1500);
+    let sent = Instant::now() - Duration::from_millis(1500);
     assert!(matches!(client.answer(), Answered::Error(1040, _)));
-    assert!(asked.elapsed() < Duration::from_millis(3000), "{:?}", asked.elapsed());
+    assert!(sent.elapsed() < Duration::from_millis(3000), "{:?}", sent.elapsed());
 }
 
 #[test]
-fn answers_that_are_read_late_are_whole_all_the_same() {
+fn answers_that_the_client_reads_late_are_complete() {
     let engine = Engine::start("wide");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut slow = Client::new(&router);
-    // Several times what the system buffers between the two; the queries wait in turn.
-    let text: Vec<Vec<u8>> = (0..300).map(|_| query(&request("look", 30000, "pages 8"))).collect();
-    slow.stream.write_all(&text.concat()).unwrap();
+    // The answers are several times what the system buffers between router and client. The queries are run one by one.
+    let queries: Vec<Vec<u8>> = (0..300).map(|_| query(&request("look", 30000, "pages 8"))).collect();
+    slow.stream.write_all(&queries.concat()).unwrap();
     let mut other = Client::new(&router);
     assert!(matches!(other.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let row = |page: usize| format!("{page},{},two", "x".repeat(5900));
@@ -300,10 +314,10 @@
 }
 
 #[test]
-fn running_out_of_descriptors_costs_idle_sessions_only() {
+fn running_out_of_descriptors_closes_idle_sessions_only() {
     let engine = Engine::start("e");
-    // Fewer than the router's shares for clients and engines and what it needs itself.
-    let (_discovery, router) = limited(&[&engine], 20);
+    // Fewer descriptors than the router's shares for clients and engines and its own needs together.
+    let (_discovery, router) = start_with_descriptors(&[&engine], 20);
     let mut open = Client::new(&router);
     open.send(&request("look", 20000, "hold"));
     engine.seen.wait("GET", 1);
@@ -311,60 +325,63 @@
     let last = idle.last_mut().unwrap();
     assert_eq!(last.ask(&request("look", 5000, "x")), rows(1));
     assert_eq!(last.ask(&format!("KILL QUERY {}", open.session)), Answered::Ok);
-    assert!(matches!(open.answer(), Answered::Error(1317, _)), "it was not closed for room");
+    assert!(
+        matches!(open.answer(), Answered::Error(1317, _)),
+        "a session with an open request must not be closed to free descriptors"
+    );
     let counters = last.counters("withdrawn", 1);
     assert!(counter(&counters, "sessions_closed_for_room") > 15 && counter(&counters, "turns") < 2000);
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_up_nothing() {
+fn a_log_that_nobody_reads_does_not_delay_requests() {
     let engine = Engine::start("e");
-    let (_discovery, router) = started(&[&engine]);
+    let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
     let started_at = Instant::now();
     let unread = router.reading.lock().unwrap();
-    // Each makes a line of thousands of bytes; a pipe holds few of them.
-    let loud = request("look", 50, "x").replace("ttl=50", &format!("ttl={}", "x".repeat(5000)));
+    // Each of these requests causes a log line of thousands of bytes. A pipe holds only a few such lines.
+    let long_line_request = request("look", 50, "x").replace("ttl=50", &format!("ttl={}", "x".repeat(5000)));
     for _ in 0..100 {
-        assert!(matches!(client.ask(&loud), Answered::Error(1064, _)));
+        assert!(matches!(client.ask(&long_line_request), Answered::Error(1064, _)));
     }
     assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
     drop(unread);
-    // Told with the first line that gets through again.
+    // The loss is logged with the first line that can be written again.
     while !router.log.all().iter().any(|line| line.contains("log lines lost")) {
-        assert!(started_at.elapsed() < GENEROUS, "not told");
-        client.ask(&loud);
+        assert!(started_at.elapsed() < GENEROUS, "the loss of log lines was not logged");
+        client.ask(&long_line_request);
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn a_planned_stop_serves_what_still_comes_and_answers_every_request() {
+fn a_planned_stop_serves_requests_that_still_arrive_and_answers_every_request() {
     let engine = Engine::start("e");
-    let (_discovery, mut router) = started(&[&engine]);
-    let mut long = Client::new(&router);
-    long.send(&request("load", 20000, "hold"));
+    let (_discovery, mut router) = start(&[&engine]);
+    let mut long_request = Client::new(&router);
+    long_request.send(&request("load", 20000, "hold"));
     engine.seen.wait("GET", 1);
     let mut open = Client::new(&router);
     router.fail();
     router.log.wait("stopping", 1);
     assert_eq!(Client::new(&router).ask(&request("look", 5000, "pages 2")), rows(2));
     assert_eq!(open.ask(&request("look", 5000, "x")), rows(1));
-    // Its deadline lies far beyond the end.
-    assert!(matches!(long.answer(), Answered::Error(1040, _)));
+    // The deadline of this request lies far beyond the end of the process.
+    assert!(matches!(long_request.answer(), Answered::Error(1040, _)));
     let (code, counters) = router.ended();
     assert_eq!(code, Some(0));
-    let ends =
+    let outcomes =
         ["delivered", "turned_back", "terminated", "withdrawn", "open"].map(|name| counter(&counters, name));
-    assert_eq!((counter(&counters, "taken"), ends), (3, [2, 1, 0, 0, 0]));
+    assert_eq!((counter(&counters, "taken"), outcomes), (3, [2, 1, 0, 0, 0]));
 }
 
 #[test]
-fn a_bad_configuration_is_named_by_its_field_in_one_line() {
+fn an_error_in_the_configuration_names_its_field_in_one_line() {
     let file = std::env::temp_dir().join(format!("cleatgw-{}-bad.json", std::process::id()));
     let at = |port| ([127, 0, 0, 1], port).into();
     let good = configuration(at(6565), at(9092), r#"{"rev":0,"notices":[]}"#, 64);
-    for (was, is, field) in [
+    for (original, replacement, error) in [
         (
             "\"listen\":\"127.0.0.1:6565\"",
             "\"listen\":7",
@@ -376,15 +393,15 @@
         ("\"settings\":", "\"setting\":", "field settings: expected an object"),
         ("{\"name\"", "\"name\"", "expected JSON"),
     ] {
-        let text = good.replace(was, is);
-        assert_ne!(text, good, "{was}");
+        let text = good.replace(original, replacement);
+        assert_ne!(text, good, "{original}");
         std::fs::write(&file, text).unwrap();
         for command in [vec!["check"], vec![]] {
             let mut run = Command::new(env!("CARGO_BIN_EXE_cleatgw"));
             let output = run.args(&command).env("BALANCER_CONFIG", &file).output().unwrap();
-            let words = String::from_utf8(output.stderr).unwrap();
-            assert!(!output.status.success() && words.contains(field), "{words}");
-            assert_eq!(words.lines().count(), 1, "{words}");
+            let message = String::from_utf8(output.stderr).unwrap();
+            assert!(!output.status.success() && message.contains(error), "{message}");
+            assert_eq!(message.lines().count(), 1, "{message}");
         }
     }
     std::fs::write(&file, &good).unwrap();
@@ -411,23 +428,23 @@
 }
 
 #[test]
-fn a_discovery_that_is_away_costs_no_turns() {
+fn an_unreachable_discovery_service_costs_few_turns() {
     let engine = Engine::start("e");
     let mut discovery = Discovery::start();
     discovery.address = vacant();
     discovery.tell(true, &[engine.entry("ready")]);
     let router = Router::with(PROGRAM, &discovery, DESCRIPTORS, &[]);
     let mut client = Client::new(&router);
-    // Half a second passes while this waits for its deadline.
+    // The request waits half a second until its deadline.
     assert!(matches!(client.ask(&request("look", 500, "hold")), Answered::Error(1040, _)));
     let turns = counter(&client.counters("turned_back", 1), "turns");
     assert!(turns < 300, "{turns} turns");
 }
 
 #[test]
-fn a_new_configuration_moves_the_discovery_and_one_that_is_no_use_changes_nothing() {
+fn a_new_configuration_changes_the_discovery_address_and_an_invalid_one_changes_nothing() {
     let (first, second, third) = (Engine::start("first"), Engine::start("second"), Engine::start("third"));
-    let (old, mut router) = started(&[&first]);
+    let (old, mut router) = start(&[&first]);
     let mut client = Client::new(&router);
     client.send(&request("look", 20000, "hold"));
     first.seen.wait("GET", 1);
@@ -442,7 +459,7 @@
         format!(r#"{{"rev":9,"notices":[{{"rev":{number},"pool":{{"all":false,"targets":[{entry}]}}}}]}}"#)
     };
     let new = old.moved();
-    // An event that is newer is taken from the file, one behind a gap is left to the discovery service.
+    // An event that directly follows the last known one is taken from the file. One behind a gap is left to the discovery service.
     let text = router.configuration(&new, &known(2, second.entry("ready")));
     old.tell(false, &[second.entry("ready")]);
     router.reload(&text.replace("\"memory_mb\":192", "\"memory_mb\":99"));
@@ -454,7 +471,7 @@
     router.log.wait("is third", 1);
     assert_eq!(Client::new(&router).ask(&request("look", 5000, "x")), rows(1));
     assert_eq!(first.seen.all().iter().filter(|line| line.starts_with("GET")).count(), 1);
-    // While stopping too; the request that was open all along has its answer.
+    // A reload works during a stop as well. The request that was open all the time gets its answer.
     router.fail();
     router.log.wait("stopping", 1);
     router.reload(&text);
