--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -1,6 +1,6 @@
 //! Runs the router program between simulated engines, clients and a discovery service, and checks that each request
-//! that the router has read gets exactly one final answer in time. Neither the moment at which the request arrives, nor a
-//! fault of its engine, nor the behavior of other clients may prevent it.
+//! that the router has read gets exactly one final answer in time. Neither the moment at which the request arrives,
+//! nor a fault of its engine, nor the behavior of other clients may prevent it.
 
 use cleatgw_testbed::stand_ins::*;
 use std::collections::VecDeque;
@@ -34,8 +34,8 @@
     Client { stream, session: 0 }
 }
 
-/// Reads the greeting, the answer to the login, and the answer to the request of [`connect_and_send`]. Returns the answer to
-/// the request, or `None` if the connection ended before it.
+/// Reads the greeting, the answer to the login, and the answer to the request of [`connect_and_send`]. Returns the
+/// answer to the request, or `None` if the connection ended before it.
 fn read_first_answer(client: &mut Client) -> Option<Answered> {
     client.packet()?;
     assert_eq!(client.try_answer()?, Answered::Ok);
@@ -64,8 +64,9 @@
     assert_eq!((code, counter(&counters, "taken"), counter(&counters, "delivered")), (Some(0), 20, 20));
 }
 
-/// The router process is stopped from before until after the time at which a planned stop ends the sessions. The requests
-/// that arrive meanwhile, on new and on idle connections, are read in the same turn that would end those sessions.
+/// The router process is stopped from before until after the time at which a planned stop ends the sessions. The
+/// requests that arrive meanwhile, on new and on idle connections, are read in the same turn that would end those
+/// sessions.
 #[test]
 fn requests_read_in_the_turn_that_would_end_their_sessions_are_answered() {
     let engine = Engine::start("e");
@@ -160,8 +161,8 @@
     }),
 ];
 
-/// Sends one request of each class and one more, which the fault concerns, to the same engine. Requires that each gets one
-/// answer by its deadline plus [`GRACE`], and that its session then serves another request.
+/// Sends one request of each class and one more, which the fault concerns, to the same engine. Requires that each
+/// gets one answer by its deadline plus [`GRACE`], and that its session then serves another request.
 fn assert_all_answered_despite(name: &str, fault: Fault, router: &Router, engine: &Engine) {
     let mut target = Client::new(router);
     let text = request("look", TTL, "hold").replace("work=5.0", "work=800");
@@ -216,8 +217,8 @@
     ]
 }
 
-/// Opens connections and writes `bytes` on each until `over` is set, keeping the newest eight open. Counts the connections
-/// on which the write succeeded in `opened`.
+/// Opens connections and writes `bytes` on each until `over` is set, keeping the newest eight open. Counts the
+/// connections on which the write succeeded in `opened`.
 fn flood(router: &Router, bytes: &[u8], over: &AtomicBool, opened: &AtomicU64) {
     let mut open = VecDeque::new();
     while !over.load(Relaxed) {
@@ -235,7 +236,8 @@
 /// The counters of the router that the floods increase.
 const FLOOD_COUNTERS: [&str; 3] = ["sessions_malformed", "unusable", "withdrawn"];
 
-/// Whether each of [`FLOOD_COUNTERS`] is at least 5. False if a counter is missing, as when the counters could not be read.
+/// Whether each of [`FLOOD_COUNTERS`] is at least 5. False if a counter is missing, as when the counters could not be
+/// read.
 fn floods_counted(counters: &str) -> bool {
     let is_present =
         |name: &str| counters.contains(&format!("{name}:")) || counters.contains(&format!("{name}="));
@@ -263,14 +265,14 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         let mut rounds = 0;
-        // The flood of requests repeats one id, so few of its requests are open at a time. The rounds go on until the counters
-        // show that the router has handled enough of each flood.
+        // The flood of requests repeats one id, so few of its requests are open at a time. The rounds go on until the
+        // counters show that the router has handled enough of each flood.
         while rounds < 10 || !floods_counted(&Client::new(&router).counters_now()) {
             assert!(begun.elapsed() < GENEROUS, "the counters do not show the floods");
             rounds += 1;
             let sent = Instant::now();
-            // A session that is idle between two requests may be closed to free its descriptor. One whose request arrives
-            // together with its login may not.
+            // A session that is idle between two requests may be closed to free its descriptor. One whose request
+            // arrives together with its login may not.
             let clients = CLASSES.map(|class| connect_and_send_text(&router, &request(class, TTL, "x")));
             for mut client in clients {
                 let answer = read_first_answer(&mut client);
--- a/crates/router/tests/run_form.rs
+++ b/crates/router/tests/run_form.rs
@@ -25,8 +25,8 @@
     table.lines().skip(1).filter_map(|line| Some(line.split_whitespace().nth(column)?.to_string())).collect()
 }
 
-/// Lists what a process has that the platform refuses: additional threads or child processes, sockets other than TCP over
-/// IPv4, files open for writing, io_uring instances, and a C library of its own instead of the system's.
+/// Lists what a process has that the platform refuses: additional threads or child processes, sockets other than TCP
+/// over IPv4, files open for writing, io_uring instances, and a C library of its own instead of the system's.
 fn refused(process: u32) -> Vec<String> {
     let process = Path::new("/proc").join(process.to_string());
     let mut found = Vec::new();
@@ -44,8 +44,8 @@
         };
         found.extend(children.split_whitespace().map(|child| format!("process {child}")));
     }
-    // Sockets are looked up in the tables of the refused kinds, because a TCP socket that is just being created or closed
-    // is in no table.
+    // Sockets are looked up in the tables of the refused kinds, because a TCP socket that is just being created or
+    // closed is in no table.
     let tables =
         [("unix", 6), ("udp", 9), ("udp6", 9), ("tcp6", 9), ("raw", 9), ("netlink", 9), ("packet", 8)];
     let refused_sockets: Vec<(&str, Vec<String>)> =
@@ -74,7 +74,7 @@
     found
 }
 
-/// Checks the check itself: [`refused`] must find what it looks for.
+/// Checks that [`refused`] finds what it looks for.
 #[test]
 fn the_check_finds_a_thread_a_child_a_unix_socket_a_udp_socket_and_a_file_open_for_writing() {
     let (_unix_a, _unix_b) = UnixStream::pair().unwrap();
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -1,5 +1,5 @@
-//! Runs the router program between simulated engines, clients and BGP peers, and checks that it announces and withdraws its
-//! service addresses as its state changes, without a loss of requests.
+//! Runs the router program between simulated engines, clients and BGP peers, and checks that it announces and
+//! withdraws its service addresses as its state changes, without a loss of requests.
 
 use cleatgw_bgp::{CeaseSubcode, MessageType, Notification, GRACEFUL_SHUTDOWN};
 use cleatgw_testbed::routers::bgp_peer::Saw;
@@ -69,7 +69,7 @@
     peering.noted().iter().filter(|(_, event)| matches!(event, Saw::Announced(..))).count()
 }
 
-/// The NOTIFICATION with which the last ended session ended, if there was one.
+/// The last NOTIFICATION that ended a session of the peer, if there was one.
 fn last_notification(peering: &Peering) -> Option<Notification> {
     peering.noted().into_iter().rev().find_map(|(_, event)| match event {
         Saw::Ended(notification) => notification,
@@ -157,7 +157,8 @@
         }
         let announced_before = announcements(&peering);
         if mode != Mode::Well {
-            // The peer works normally again as soon as the drain has begun. The router must not announce anything to it.
+            // The peer works normally again as soon as the drain has begun. The router must not announce anything to
+            // it.
             peering.mode(Mode::Well);
         }
         std::thread::sleep(Duration::from_millis(1000).saturating_sub(drain_start.elapsed()));
@@ -328,7 +329,8 @@
     assert!(line.starts_with('{') && line.contains("\"new_work_ends_in\":0.9"), "{line}");
 }
 
-/// A service file that adds or removes an address ends no BGP session, so clients of the other addresses are not affected.
+/// A service file that adds or removes an address ends no BGP session, so clients of the other addresses are not
+/// affected.
 #[test]
 fn an_address_added_or_removed_by_a_new_file_ends_no_session() {
     let peering = Peering::start(open(false));
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -1,6 +1,6 @@
-//! Runs the router program between simulated engines and clients, and checks the stricter requirements of the operators
-//! on requests: no attempt begins for a client that has left, and no engine is given a budget longer than the time that
-//! is left to the client's request. A fault elsewhere costs no request its answer.
+//! Runs the router program between simulated engines and clients, and checks the stricter requirements of the
+//! operators on requests: no attempt begins for a client that has left, and no engine is given a budget longer than
+//! the time that is left to the client's request. A fault elsewhere costs no request its answer.
 
 use cleatgw_testbed::stand_ins::*;
 use std::io::Write;
@@ -78,8 +78,8 @@
         ClientSessions { requesting, other }
     }
 
-    /// Does what `how` says. Returns the sessions that stay open, because their answers are still to be read or because
-    /// closing them would be another way to leave.
+    /// Does what `how` says. Returns the sessions that stay open, because their answers are still to be read or
+    /// because closing them would be another way to leave.
     fn depart(self, how: Departure, router: &Router) -> Vec<Client> {
         let ClientSessions { requesting, mut other } = self;
         let kill = format!("KILL QUERY {}", requesting.session);
@@ -102,8 +102,8 @@
     }
 }
 
-/// The client leaves before the turn that could first dispatch its request. In that turn the router reads both that the
-/// client has left and the event that adds an engine.
+/// The client leaves before the turn that could first dispatch its request. In that turn the router reads both that
+/// the client has left and the event that adds an engine.
 #[test]
 fn no_first_attempt_begins_for_a_client_that_left_before_the_turn_that_brings_an_engine() {
     for how in DEPARTURES {
@@ -203,8 +203,8 @@
     assert_eq!(statements_received(&engine), ["Stays"]);
 }
 
-/// The same, but the connection is established and the clients leave while the router is stopped, so that it reads both in
-/// one turn.
+/// The same, but the connection is established and the clients leave while the router is stopped, so that it reads
+/// both in one turn.
 #[test]
 fn no_attempt_is_sent_on_a_late_connection_established_in_the_turn_that_reads_its_clients_departure() {
     let (engine, door) = Engine::late("e");
@@ -246,8 +246,8 @@
         budgets
     }
 
-    /// Requires that `count` requests were received, and that the last budget is above 0 and exceeds what is left of `ttl`
-    /// (in milliseconds) after the time `passed` by at most [`BUDGET_SLACK_MS`].
+    /// Requires that `count` requests were received, and that the last budget is above 0 and exceeds what is left of
+    /// `ttl` (in milliseconds) after the time `passed` by at most [`BUDGET_SLACK_MS`].
     fn assert_last_within(&self, count: usize, ttl: u64, passed: Duration) {
         let budgets = self.0.lock().unwrap();
         assert_eq!(budgets.len(), count, "{budgets:?}");
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -1,5 +1,5 @@
-//! Runs the router program with a file of tenants between simulated engines and clients, and checks how tenants share the
-//! engines, what a reload of the file does, and what `SHOW TEAMS` answers.
+//! Runs the router program with a file of tenants between simulated engines and clients, and checks how tenants share
+//! the engines, what a reload of the file does, and what `SHOW TEAMS` answers.
 
 use cleatgw_testbed::engines::shared_engine::Shared;
 use cleatgw_testbed::stand_ins::*;
@@ -19,7 +19,8 @@
     file: PathBuf,
 }
 
-/// Starts an engine with `cores` cores, a discovery service that lists it, and a router with `text` as its file of tenants.
+/// Starts an engine with `cores` cores, a discovery service that lists it, and a router with `text` as its file of
+/// tenants.
 fn start(text: &str, cores: f64) -> Fixture {
     let number = FILES.fetch_add(1, Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("cleatgw-teams-{}-{number}.json", std::process::id()));
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -1,5 +1,5 @@
-//! Runs the router program between simulated engines, clients and a discovery service. Each test checks one requirement
-//! on the whole program.
+//! Runs the router program between simulated engines, clients and a discovery service. Each test checks one
+//! requirement on the whole program.
 
 use cleatgw_testbed::stand_ins::*;
 use std::io::{Read, Write};
@@ -135,8 +135,8 @@
     let unreachable = Engine { address: vacant(), ..Engine::start("away") };
     let (discovery, router) = start(&[&unreachable]);
     let mut client = Client::new(&router);
-    // The refused connection proves that the non-idempotent request did not run, so the router may try it again. It rejects
-    // the request when no engine is available.
+    // The refused connection proves that the non-idempotent request did not run, so the router may try it again. It
+    // rejects the request when no engine is available.
     assert!(
         matches!(client.ask(&request("once", 1000, "x")), Answered::Error(1040, message) if message.contains("pushback="))
     );
@@ -459,7 +459,8 @@
         format!(r#"{{"rev":9,"notices":[{{"rev":{number},"pool":{{"all":false,"targets":[{entry}]}}}}]}}"#)
     };
     let new = old.moved();
-    // An event that directly follows the last known one is taken from the file. One behind a gap is left to the discovery service.
+    // An event that directly follows the last known one is taken from the file. One behind a gap is left to the
+    // discovery service.
     let text = router.configuration(&new, &known(2, second.entry("ready")));
     old.tell(false, &[second.entry("ready")]);
     router.reload(&text.replace("\"memory_mb\":192", "\"memory_mb\":99"));
