--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -11,11 +11,13 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
+/// The answer of an engine to a statement without a special meaning.
 fn row() -> Answered {
     Answered::Rows(vec!["0,one,two".to_string()])
 }
 
-fn with_engine(engine: &Engine, descriptors: u32) -> (Discovery, Router) {
+/// Starts a discovery service that lists the engine, and a router with this limit of file descriptors.
+fn start_with_engine(engine: &Engine, descriptors: u32) -> (Discovery, Router) {
     let discovery = Discovery::start();
     discovery.tell(true, &[engine.entry("ready")]);
     let router = Router::with(PROGRAM, &discovery, descriptors, &[]);
@@ -52,7 +54,7 @@
 #[test]
 fn requests_on_new_connections_are_answered_when_a_stop_is_read_in_the_turn_that_accepts_them() {
     let engine = Engine::start("e");
-    let (_discovery, mut router) = with_engine(&engine, 256);
+    let (_discovery, mut router) = start_with_engine(&engine, 256);
     let mut clients = Vec::new();
     router.stop_for(Duration::ZERO, || {
         clients.extend((0..10).map(|_| connect_and_send(&router)));
@@ -70,7 +72,7 @@
 #[test]
 fn requests_read_in_the_turn_that_would_end_their_sessions_are_answered() {
     let engine = Engine::start("e");
-    let (_discovery, mut router) = with_engine(&engine, 256);
+    let (_discovery, mut router) = start_with_engine(&engine, 256);
     let mut idle: Vec<Client> = (0..10).map(|_| Client::new(&router)).collect();
     router.fail();
     router.log.wait("stopping", 1);
@@ -92,7 +94,7 @@
 fn requests_on_new_connections_are_answered_when_each_needs_an_idle_session_closed_for_its_descriptor() {
     let engine = Engine::start("e");
     let descriptors = 24;
-    let (_discovery, router) = with_engine(&engine, descriptors);
+    let (_discovery, router) = start_with_engine(&engine, descriptors);
     let mut idle: Vec<Client> = (0..descriptors / 2).map(|_| Client::new(&router)).collect();
     let mut clients = Vec::new();
     router.stop_for(Duration::ZERO, || {
@@ -109,6 +111,7 @@
     assert_eq!((counter(&counters, "taken"), counter(&counters, "delivered")), (66, 66));
 }
 
+/// The time to live of the requests, in milliseconds.
 const TTL: u64 = 1000;
 /// How long after the deadline of a request its final answer may still arrive.
 const GRACE: Duration = Duration::from_millis(500);
@@ -118,6 +121,7 @@
 /// connections the fault took effect.
 type Fault = fn(&Engine, &str) -> usize;
 
+/// The faults, each with its name.
 const FAULTS: [(&str, Fault); 11] = [
     ("no answer at all", |_, _| 1),
     ("text that is not an answer", |engine, _| engine.say(b"what is this\r\n")),
@@ -167,16 +171,16 @@
     let mut target = Client::new(router);
     let text = request("look", TTL, "hold").replace("work=5.0", "work=800");
     let call = text.split_once("call=").unwrap().1[..16].to_string();
-    let mut beside: Vec<Client> = CLASSES.map(|_| Client::new(router)).into();
+    let mut clients: Vec<Client> = CLASSES.map(|_| Client::new(router)).into();
     let sent = Instant::now();
     target.send(&text);
-    for (client, class) in beside.iter_mut().zip(CLASSES) {
+    for (client, class) in clients.iter_mut().zip(CLASSES) {
         client.send(&request(class, TTL, "hold").replace("work=5.0", "work=800"));
     }
     engine.seen.wait("GET", 4);
     assert!(fault(engine, &call) > 0, "{name}: the fault took no effect");
-    beside.push(target);
-    for client in &mut beside {
+    clients.push(target);
+    for client in &mut clients {
         let answer = client.try_answer();
         assert!(answer.is_some(), "{name}: the connection ended without an answer");
         assert!(
@@ -185,11 +189,11 @@
             sent.elapsed()
         );
     }
-    for client in &mut beside {
+    for client in &mut clients {
         let next = client.ask(&request("look", 5000, "x"));
         assert_eq!(next, row(), "{name}: the next request on the session was not answered with its own row");
     }
-    let counters = beside[0].counters("open", 0);
+    let counters = clients[0].counters("open", 0);
     assert_eq!((counter(&counters, "taken"), counter(&counters, "panics")), (8, 0), "{name}");
 }
 
@@ -199,7 +203,7 @@
         for (name, fault) in FAULTS {
             scope.spawn(move || {
                 let engine = Engine::start("e");
-                let (_discovery, router) = with_engine(&engine, 256);
+                let (_discovery, router) = start_with_engine(&engine, 256);
                 assert_all_answered_despite(name, fault, &router, &engine);
             });
         }
@@ -247,7 +251,7 @@
 #[test]
 fn floods_from_other_clients_cost_no_request_its_final_answer() {
     let engine = Engine::start("e");
-    let (_discovery, router) = with_engine(&engine, 256);
+    let (_discovery, router) = start_with_engine(&engine, 256);
     let (over, floods) = (AtomicBool::new(false), floods());
     let opened = [const { AtomicU64::new(0) }; 5];
     std::thread::scope(|scope| {
--- a/crates/router/tests/golden_status.rs
+++ b/crates/router/tests/golden_status.rs
@@ -34,6 +34,7 @@
     with_state.replace("#.#", "#")
 }
 
+/// The rows that `SHOW` answers for the topic, one a line, or the error in its debug form.
 fn show(router: &Router, topic: &str) -> String {
     match Client::new(router).ask(&format!("SHOW {topic}")) {
         Answered::Rows(rows) => rows.join("\n"),
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -15,6 +15,7 @@
 /// How many service files this process has written; it numbers their names.
 static FILES: AtomicU32 = AtomicU32::new(0);
 
+/// One engine, a discovery service that lists it, and a router with a service file. The file is removed on drop.
 struct Fixture {
     engine: Engine,
     discovery: Discovery,
@@ -77,6 +78,7 @@
     })
 }
 
+/// The rows of `SHOW ANNOUNCEMENTS`, one a line.
 fn show_announcements(fixture: &Fixture) -> String {
     match Client::new(&fixture.router).ask("SHOW ANNOUNCEMENTS") {
         Answered::Rows(rows) => rows.join("\n"),
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -13,11 +13,12 @@
 /// Long enough for a wrongly started attempt to show itself.
 const ATTEMPT_START_TIME: Duration = Duration::from_millis(300);
 
+/// The answer of an engine to a statement without a special meaning.
 fn row() -> Answered {
     Answered::Rows(vec!["0,one,two".to_string()])
 }
 
-/// A discovery service that lists these engines, and a router on it.
+/// Starts a discovery service that lists these engines, and a router that uses it.
 fn start(engines: &[&Engine]) -> (Discovery, Router) {
     start_with_configuration(engines, |text| text)
 }
@@ -67,6 +68,7 @@
 
 /// The two sessions of a client: one that has sent a request, and another one.
 struct ClientSessions {
+    /// The session that has sent the request.
     requesting: Client,
     other: Client,
 }
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -12,6 +12,7 @@
 /// How many tenant files this process has written; it numbers their names.
 static FILES: AtomicU32 = AtomicU32::new(0);
 
+/// One engine, a discovery service that lists it, and a router with a file of tenants. The file is removed on drop.
 struct Fixture {
     engine: Shared,
     _discovery: Discovery,
@@ -55,6 +56,7 @@
 const TWO_TENANTS: &str =
     r#"{"teams":[{"name":"greedy","weight":1,"most_queued":20},{"name":"modest","weight":1}]}"#;
 
+/// The rows of `SHOW TEAMS`, one a line.
 fn show_teams(fixture: &Fixture) -> String {
     match Client::new(&fixture.router).ask("SHOW TEAMS") {
         Answered::Rows(rows) => rows.join("\n"),
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -10,7 +10,7 @@
 const DESCRIPTORS: u32 = 256;
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 
-/// A discovery service that lists these engines, and a router on it.
+/// Starts a discovery service that lists these engines, and a router that uses it.
 fn start(engines: &[&Engine]) -> (Discovery, Router) {
     start_with_descriptors(engines, DESCRIPTORS)
 }
@@ -24,6 +24,7 @@
     (discovery, router)
 }
 
+/// The answer of an engine to a statement with `count` pages, each of one row.
 fn rows(count: usize) -> Answered {
     Answered::Rows((0..count).map(|page| format!("{page},one,two")).collect())
 }
@@ -287,7 +288,7 @@
 }
 
 #[test]
-fn a_request_sent_while_the_router_process_is_stopped_is_answered_by_its_deadline() {
+fn a_request_sent_while_the_router_process_is_stopped_is_answered_in_its_clients_time() {
     let engine = Engine::start("e");
     let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
@@ -339,14 +340,14 @@
     let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
     let started_at = Instant::now();
-    let unread = router.reading.lock().unwrap();
+    let log_reader_lock = router.reading.lock().unwrap();
     // Each of these requests causes a log line of thousands of bytes. A pipe holds only a few such lines.
     let long_line_request = request("look", 50, "x").replace("ttl=50", &format!("ttl={}", "x".repeat(5000)));
     for _ in 0..100 {
         assert!(matches!(client.ask(&long_line_request), Answered::Error(1064, _)));
     }
     assert_eq!(client.ask(&request("look", 5000, "x")), rows(1));
-    drop(unread);
+    drop(log_reader_lock);
     // The loss is logged with the first line that can be written again.
     while !router.log.all().iter().any(|line| line.contains("log lines lost")) {
         assert!(started_at.elapsed() < GENEROUS, "the loss of log lines was not logged");
