--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -248,7 +248,8 @@
         self.tenants.as_ref().map_or(0, |tenants| tenants.names.index_of(statement.tenant.as_deref()))
     }
 
-    /// The hash of the statement's idempotency key. `None` if the class is not deduplicated, which requires no key.
+    /// The hash of the statement's idempotency key. A deduplicated class requires a key; for any other class the result
+    /// is `None`.
     fn idempotency_key(
         &self,
         class: usize,
