--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -25,7 +25,8 @@
 }
 
 counters! {
-    /// Requests that were accepted. `taken` = `completed` + `rejected` + `failed` + `withdrawn` + `open`.
+    /// Requests that were accepted, or ended before routing handled them: the sum of `completed`, `rejected`, `failed`,
+    /// `withdrawn` and `open`.
     taken: "taken",
     completed: "delivered",
     rejected: "turned_back",
@@ -57,11 +58,15 @@
     engine_connections: "links",
     engine_connections_open: "links_open",
     engine_connections_failed: "links_failed",
+    /// Connections to engines that were closed because the engine's bytes do not follow the protocol.
     engine_connections_malformed: "links_malformed",
     /// Connections that were not made or accepted for lack of a file descriptor.
     descriptor_shortages: "descriptors_short",
+    /// New events from the discovery service.
     discovery_events: "board_events",
+    /// Connections to the discovery service that were established.
     discovery_connects: "board_connects",
+    /// Malformed lines from the discovery service.
     discovery_malformed: "board_malformed",
     /// Reloads of the configuration.
     reloads: "reloads",
@@ -77,17 +82,17 @@
     bgp_notifications_in: "bgp_notifications_in",
     /// Learned routes that were treated as withdrawn (RFC 7606).
     bgp_treated_as_withdrawn: "bgp_treated_as_withdrawn",
-    /// Learned routes that were ignored.
+    /// Learned routes that were ignored because they are not within a service prefix.
     bgp_ignored: "bgp_passed_over",
     /// Learned routes that were not stored because the table was full.
     bgp_over_limit: "bgp_left_out",
-    /// Changes of how a service address is announced.
+    /// Changes of the level at which a service address is announced.
     announce_changes: "announce_changes",
-    /// Changes that the guard of the last announcer held back.
+    /// Changes that were held back, each counted once, because no healthy path of another instance is seen.
     announce_guarded: "announce_guarded",
-    /// Changes that damping held back.
+    /// Changes that damping held back, each counted once.
     announce_damped: "announce_damped",
-    /// Changes that the cap on changes held back.
+    /// Changes that the cap on changes held back, each counted once.
     announce_capped: "announce_capped",
     /// Wait estimates that were compared with the actual wait.
     waits_compared: "waits_compared",
@@ -127,7 +132,8 @@
     cluster_new_incarnations: "cluster_new_lives",
     /// Reports that a router is down that were overruled because this router still heard it.
     cluster_contradicted: "cluster_contradicted",
-    /// Pauses of this process that the cluster protocol noticed.
+    /// Pauses of this process: turns or datagrams that the cluster protocol handled more than 0.75 s after its next
+    /// turn was due.
     cluster_pauses: "cluster_pauses",
     /// Snapshots that were written to the disk.
     store_writes: "store_puts",
--- a/crates/router/src/routing/engine_registry.rs
+++ b/crates/router/src/routing/engine_registry.rs
@@ -28,7 +28,7 @@
     pub is_complete: bool,
 }
 
-/// The listed engines by their indices.
+/// All engines that were listed, by their indices. An engine that is gone stays until its index is reused.
 #[derive(Default)]
 pub struct EngineRegistry {
     engines: Vec<RegisteredEngine>,
--- a/crates/router/src/routing/history.rs
+++ b/crates/router/src/routing/history.rs
@@ -26,8 +26,9 @@
         }
     }
 
-    /// Starts without a record of what this router sent before it was restarted, and assumes the worst case for it. The
-    /// history is persisted from now on.
+    /// Starts without a record of what this router sent before it was restarted, and assumes the worst case: the retry
+    /// budget and the slow-start budgets count as used up until their windows have passed. The history is persisted
+    /// from now on.
     pub fn assume_lost_history(&mut self, now: f64) {
         self.state.records = Some(IdempotencyRecords::default());
         self.gateway.assume_lost_history(now);
@@ -49,13 +50,14 @@
         records.restore(&history.idempotency_records, now);
     }
 
-    /// A number that grows with every change of the history that is persisted.
+    /// A number that grows with every retry and every new idempotency record. Other changes of the persisted history
+    /// are not counted.
     pub fn persisted_changes(&self) -> u64 {
         self.state.persisted_changes
     }
 
-    /// The history to be persisted, with ages at `now`. `taken_at` is the same time on the clocks that a snapshot is
-    /// dated with.
+    /// The history to be persisted, with ages at `now`. `taken_at` is the same moment as Unix time and as the time
+    /// since the boot.
     pub fn snapshot(&mut self, now: f64, taken_at: SnapshotTime) -> Snapshot {
         let look_back = self.look_back();
         let ages = self.gateway.retries().map(|at| (now - at).max(0.0));
@@ -71,6 +73,7 @@
         Snapshot {
             taken_at,
             retries,
+            // As many retries may be made until the next snapshot is written. A restored history counts them as made.
             unpersisted_retries: MAX_UNPERSISTED_RETRIES,
             slow_start,
             idempotency_records: records.ages(now),
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,6 +1,6 @@
 //! Routing: the engines, the requests and their attempts. In each turn, routing reports all events to the decision
 //! core, runs one round of it, and carries out its actions. It decides nothing itself; it only checks that an action is
-//! legal.
+//! legal. Times are seconds on the Unix clock, see `WallClock` in the transport.
 
 mod action_executor;
 mod counters;
@@ -40,7 +40,7 @@
     /// The sessions whose statements arrived in this turn and have not been reported to the decision core yet. If the
     /// core panics, they are answered as failed.
     unreported_sessions: VecDeque<SessionId>,
-    /// Absent if the tenants are not configured.
+    /// Absent without a teams file.
     tenants: Option<Tenants>,
     /// The index of the next request.
     next_request: usize,
@@ -202,13 +202,15 @@
         let now = self.state.now;
         let received_at = received_since.unwrap_or(now);
         let configured = &self.state.deployment.classes[class];
-        // A time to live above the class's maximum is cut to the maximum, because it would distort what the decision
-        // core learns from the usual ones.
+        // A time to live above the class's maximum is cut to the maximum. The decision core learns the longest one of
+        // each class and counts requests with less time left as older, so usual requests would count as far too old.
         let gives_up_at = received_at + statement.time_to_live.min(configured.max_wait);
         let objective_at = received_at + configured.objective_for(statement.work.unwrap_or(0.0));
         let incoming = IncomingRequest {
             class,
             key: None,
+            // The decision core only compares table groups. As in the simulator's adapter, the bits of a floating-point
+            // number stand for the group.
             table_group: statement.table_group.map_or(0, |group| (group as f64).to_bits()),
             estimated_work: statement.work,
             estimated_memory_mb: statement.memory_mb,
@@ -216,14 +218,15 @@
             tenant: self.tenant_of(&statement),
             earlier_attempt_at,
         };
-        let id = self.next_request;
+        let index = self.next_request;
         self.next_request += 1;
         let deadline = gives_up_at.min(self.stops_at);
         let request = Request::new(statement, session, deadline, objective_at, idempotency_key);
-        self.state.requests.insert(id, request);
+        self.state.requests.insert(index, request);
         self.state.counters.taken += 1;
+        // From here on the request is in the table, where `fail_all` finds it if the decision core panics.
         self.unreported_sessions.pop_front();
-        self.gateway.request_received(now, id, incoming);
+        self.gateway.request_received(now, index, incoming);
         Ok(())
     }
 
@@ -233,7 +236,8 @@
         class.ok_or_else(|| StatementError::unknown_class(name, &self.names.classes))
     }
 
-    /// Refuses a statement with the name of an unknown tenant if tenants are configured: the engines would fail it.
+    /// Refuses a statement with the name of an unknown tenant if the deployment names its tenants: the engines would
+    /// fail it.
     fn check_tenant(&self, statement: &ParsedStatement) -> Result<(), StatementError> {
         let known = &self.names.tenants;
         match statement.tenant.as_deref().map(normalize_name) {
@@ -317,8 +321,8 @@
         }
     }
 
-    /// Replaces the decision core after a panic. All open requests fail, and the new core starts from the engine list
-    /// alone.
+    /// Replaces the decision core after a panic. All open requests fail. The new core gets the engine list, the teams
+    /// file, and the planned stop or drain, and has no record of former requests.
     fn restart_decision_core(&mut self, connections: &mut dyn Connections) {
         let open = self.open_requests();
         log::error!(requests = open; "the decision core panicked: failing {open} open requests and restarting the core");
@@ -327,6 +331,7 @@
         self.state.ended_in_round.clear();
         self.state.requests = request_table::RequestTable::default();
         let now = self.state.now;
+        // The new core must not draw the random numbers of the former one again.
         self.seed = self.seed.wrapping_add(1);
         self.gateway = Gateway::new(self.state.deployment.clone(), self.seed, now);
         // The attempts sent before still count towards the limits, but the new core has no record of them.
@@ -337,6 +342,7 @@
         }
         if let Some(tenants) = &self.tenants {
             let (queue, _) = tenants.file.tenant_queue(now, &self.names.classes);
+            // No requests have to be moved to the new queues, because the new core has none.
             self.gateway.set_tenants(now, queue, &|_| 0);
         }
         self.gateway.engines_listed(now, &self.state.engines.listings(), true);
@@ -346,12 +352,12 @@
     /// Fails every open request, cancels and ends every attempt in flight, and fails the statements that were not
     /// reported to the decision core.
     fn fail_all(&mut self, connections: &mut dyn Connections) {
-        for id in self.state.requests.ids() {
-            for attempt in self.state.requests.attempts_in_flight(id) {
+        for index in self.state.requests.indices() {
+            for attempt in self.state.requests.attempts_in_flight(index) {
                 self.state.cancel(attempt, AttemptOutcome::Cancelled, connections);
                 self.state.close_attempt(attempt, AttemptOutcome::ConnectionLost);
             }
-            self.state.answer(id, Answer::Failed, connections);
+            self.state.answer(index, Answer::Failed, connections);
         }
         for session in std::mem::take(&mut self.unreported_sessions) {
             self.state.counters.taken += 1;
--- a/crates/router/src/routing/request_table.rs
+++ b/crates/router/src/routing/request_table.rs
@@ -1,5 +1,6 @@
 //! The table of this router's requests, each with its attempts. A request stays in it until it has its final answer and
-//! none of its attempts is in flight.
+//! none of its attempts is in flight. A request is identified by its index in the table, which is not the id that its
+//! client chose.
 
 use super::types::{Answer, AttemptId, SessionId};
 use crate::protocol::statement::ParsedStatement;
@@ -34,7 +35,7 @@
     pub deadline: f64,
     /// The latest time at which an answer meets the latency objective.
     pub objective_at: f64,
-    /// The priority lane of the request's attempts.
+    /// The priority lane, 0 to 3; a higher lane is faster. 1 until the decision core sets it.
     pub lane: u8,
     /// The memory that an attempt is granted, in megabytes. 0 leaves the memory to the engine.
     pub grant_mb: f64,
@@ -100,12 +101,12 @@
 }
 
 impl RequestTable {
-    pub fn get(&self, id: usize) -> Option<&Request> {
-        self.requests.get(&id)
+    pub fn get(&self, index: usize) -> Option<&Request> {
+        self.requests.get(&index)
     }
 
-    pub fn get_mut(&mut self, id: usize) -> Option<&mut Request> {
-        self.requests.get_mut(&id)
+    pub fn get_mut(&mut self, index: usize) -> Option<&mut Request> {
+        self.requests.get_mut(&index)
     }
 
     /// The number of open requests.
@@ -123,12 +124,12 @@
         self.by_session.get(&session).copied()
     }
 
-    pub fn insert(&mut self, id: usize, request: Request) {
+    pub fn insert(&mut self, index: usize, request: Request) {
         if let Stage::Open { session } = request.stage {
-            self.by_session.insert(session, id);
+            self.by_session.insert(session, index);
         }
         self.open_ids.insert(request.statement.id.clone());
-        self.requests.insert(id, request);
+        self.requests.insert(index, request);
     }
 
     /// Cuts later deadlines to this time.
@@ -149,11 +150,11 @@
     }
 
     /// The attempts of a request that are in flight.
-    pub fn attempts_in_flight(&self, id: usize) -> Vec<AttemptId> {
-        let attempts = self.requests.get(&id).map_or(&[][..], |request| &request.attempts);
+    pub fn attempts_in_flight(&self, index: usize) -> Vec<AttemptId> {
+        let attempts = self.requests.get(&index).map_or(&[][..], |request| &request.attempts);
         let in_flight =
             attempts.iter().enumerate().filter(|(_, state)| matches!(state, AttemptState::InFlight { .. }));
-        in_flight.map(|(number, _)| AttemptId { request: id, number: number as u32 }).collect()
+        in_flight.map(|(number, _)| AttemptId { request: index, number: number as u32 }).collect()
     }
 
     /// Adds an attempt. `has_time_out` says whether the attempt is to be cancelled at `times_out_at`. It is false for
@@ -184,8 +185,9 @@
         *state = AttemptState::Ended;
         self.time_outs.remove(&(order_key(times_out_at), attempt));
         // A cancelled attempt that ends without an answer has the reason of its cancellation as its outcome. If it
-        // never left the router, its outcome is `Unreachable` instead, whatever the reason, so that it counts as never
-        // run. An answer that arrived despite the cancellation counts as it is.
+        // ended as `NeverSent`, which includes the engine's answer that the deadline had passed, its outcome is
+        // `Unreachable` instead, whatever the reason: both count as never run, and `Unreachable` also counts as a
+        // failure of the engine. Any other answer that arrived despite the cancellation counts as it is.
         let outcome = match (cancelled_for, outcome) {
             (Some(reason), AttemptOutcome::ConnectionLost) => reason,
             (Some(_), AttemptOutcome::NeverSent) => AttemptOutcome::Unreachable,
@@ -225,8 +227,8 @@
 
     /// Marks a request as answered. Returns the session that the answer goes to, or `None` if the request is unknown or
     /// has been answered before.
-    pub fn answer(&mut self, id: usize, answer: &Answer, now: f64) -> Option<AnsweredRequest> {
-        let request = self.requests.get_mut(&id)?;
+    pub fn answer(&mut self, index: usize, answer: &Answer, now: f64) -> Option<AnsweredRequest> {
+        let request = self.requests.get_mut(&index)?;
         let Stage::Open { session } = std::mem::replace(&mut request.stage, Stage::Answered) else {
             return None;
         };
@@ -237,18 +239,18 @@
     }
 
     /// Removes a request that has its answer and no attempt in flight.
-    pub fn remove_if_done(&mut self, id: usize) {
+    pub fn remove_if_done(&mut self, index: usize) {
         let is_done = self
             .requests
-            .get(&id)
+            .get(&index)
             .is_some_and(|request| !request.is_open() && !request.has_attempt_in_flight());
         if is_done {
-            self.requests.remove(&id);
+            self.requests.remove(&index);
         }
     }
 
     /// The indices of all requests.
-    pub fn ids(&self) -> Vec<usize> {
+    pub fn indices(&self) -> Vec<usize> {
         self.requests.keys().copied().collect()
     }
 }
--- a/crates/router/src/routing/state.rs
+++ b/crates/router/src/routing/state.rs
@@ -8,7 +8,7 @@
 use cleatgw::{AttemptOutcome, Deployment};
 
 /// An attempt that has ended, as it is reported to the decision core.
-pub struct EndedAttemptState {
+pub struct AttemptEndReport {
     pub outcome: AttemptOutcome,
     /// The index of the engine.
     pub engine: usize,
@@ -30,24 +30,21 @@
     pub wake_at: f64,
     /// The first attempts of deduplicated requests. Absent unless the router persists its history over restarts.
     pub records: Option<IdempotencyRecords>,
-    /// Incremented with every change of the history that is persisted.
+    /// Incremented with every retry and every new idempotency record. Other changes of the persisted history are not
+    /// counted.
     pub persisted_changes: u64,
 }
 
 impl RoutingState {
     /// Marks an attempt as ended. Returns `None` if the attempt is not in flight.
-    pub fn close_attempt(
-        &mut self,
-        attempt: AttemptId,
-        outcome: AttemptOutcome,
-    ) -> Option<EndedAttemptState> {
+    pub fn close_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Option<AttemptEndReport> {
         let closed = self.requests.close_attempt(attempt, outcome)?;
         if closed.outcome.never_ran() {
             self.forget_record(attempt, closed.sent_at);
         }
         self.count_outcome(closed.outcome);
         let elapsed = (self.now - closed.sent_at).max(0.0);
-        Some(EndedAttemptState { outcome: closed.outcome, engine: closed.engine, elapsed })
+        Some(AttemptEndReport { outcome: closed.outcome, engine: closed.engine, elapsed })
     }
 
     /// Removes the idempotency record of an attempt that never ran, so that a request which is sent again under the
@@ -79,6 +76,7 @@
         if let (Some(records), Some(key)) = (&mut self.records, idempotency_key) {
             self.persisted_changes += u64::from(records.record_attempt(key, self.now));
         }
+        // An attempt after the first one is a retry.
         self.persisted_changes += u64::from(attempt.number > 0);
         self.counters.attempts += 1;
     }
@@ -91,8 +89,9 @@
     }
 
     /// Sends the final answer to a request, unless the request has been answered before.
-    pub fn answer(&mut self, id: usize, answer: Answer, connections: &mut dyn Connections) {
-        let Some(AnsweredRequest { session, in_time }) = self.requests.answer(id, &answer, self.now) else {
+    pub fn answer(&mut self, index: usize, answer: Answer, connections: &mut dyn Connections) {
+        let Some(AnsweredRequest { session, in_time }) = self.requests.answer(index, &answer, self.now)
+        else {
             return;
         };
         let counters = &mut self.counters;
@@ -105,6 +104,6 @@
         *counter += 1;
         counters.in_time += u64::from(in_time);
         connections.answer(session, answer);
-        self.requests.remove_if_done(id);
+        self.requests.remove_if_done(index);
     }
 }
--- a/crates/router/src/routing/tenants.rs
+++ b/crates/router/src/routing/tenants.rs
@@ -20,8 +20,8 @@
     pub fn set_tenants(&mut self, file: TeamsFile) {
         let (queue, names) = file.tenant_queue(self.state.now, &self.names.classes);
         let requests = &self.state.requests;
-        let tenant_of = |id: usize| {
-            let request = requests.get(id);
+        let tenant_of = |index: usize| {
+            let request = requests.get(index);
             names.index_of(request.and_then(|request| request.statement.tenant.as_deref()))
         };
         self.gateway.set_tenants(self.state.now, queue, &tenant_of);
--- a/crates/router/src/routing/tests.rs
+++ b/crates/router/src/routing/tests.rs
@@ -348,7 +348,8 @@
     );
     harness.end_last_attempt(completed());
     assert!(matches!(harness.connections.answers[..], [(4, Answer::Completed(_))]));
-    // A client whose request crossed the closing of its session sends it again.
+    // The session of a client closes while its request is open, and the client sends the request again in a new session
+    // under the same id.
     harness.send(6, first.clone());
     harness.turn(TurnInput { withdrawn: vec![6], ..TurnInput::default() });
     harness.send(7, first);
@@ -362,7 +363,8 @@
     harness.send(4, ParsedStatement { time_to_live: 80_000.0, ..statement("look") });
     harness.send(5, ParsedStatement { time_to_live: 28.0, work: Some(2.0), ..statement("look") });
     harness.now += 0.01;
-    // If the day counted towards what is learned of the class, the second request would already be past its time.
+    // The decision core counts a request with less time left than others of its class as that much older. If the day
+    // were not cut, the second request would count as a day old and as long past its latency objective.
     harness.turn(TurnInput::default());
     assert!(harness.connections.answers.is_empty());
     harness.now += 30.0;
@@ -370,7 +372,7 @@
     assert_eq!(
         (harness.connections.answers.len(), harness.routing.open_requests()),
         (2, 0),
-        "the time to live of a day is cut to that of the class"
+        "the time to live of a day was not cut to the max_wait of the class"
     );
 }
 
@@ -387,6 +389,7 @@
     for number in 4..200 {
         harness.turn(input(list(number, true, vec![entry("c", 1), entry(&format!("d{number}"), 2)])));
     }
+    // They are `c`, the engine of the last list, and the one that it replaced.
     assert_eq!(harness.routing.state.engines.len(), 3);
     harness.end_last_attempt(completed());
     assert_eq!(harness.connections.answers.len(), 1);
@@ -423,7 +426,7 @@
     assert_eq!(
         harness.connections.attempts.last().unwrap().1,
         3,
-        "the list of the turn that panicked is in use"
+        "the engine list that arrived in the turn of the panic was lost"
     );
     harness.end_last_attempt(completed());
     assert!(matches!(harness.connections.answers[3], (7, Answer::Completed(_))));
@@ -438,13 +441,15 @@
     let mut executor =
         ActionExecutor { state: &mut harness.routing.state, connections: &mut harness.connections };
     let lane = executor.state.requests.get(0).unwrap().lane;
+    // Lanes are 0 to 3.
+    let other_lane = 3 - lane;
     executor.set_priority_and_memory(0, lane, 64.0);
-    executor.set_priority_and_memory(0, 3 - lane, 64.0);
+    executor.set_priority_and_memory(0, other_lane, 64.0);
     executor.cancel(0, 0);
     executor.cancel(0, 0);
     assert_eq!(
         (&harness.connections.lane_changes[..], harness.connections.cancelled.len()),
-        (&[3 - lane][..], 1)
+        (&[other_lane][..], 1)
     );
     harness.turn(TurnInput::default());
     assert_eq!(harness.routing.counters().attempts_cancelled, 1);
@@ -457,7 +462,8 @@
     harness.send(4, statement("look"));
     let mut executor =
         ActionExecutor { state: &mut harness.routing.state, connections: &mut harness.connections };
-    // One attempt is in flight and hedging is not allowed; the other two name an unknown request and an unknown engine.
+    // The first is illegal because an attempt is in flight and hedging is not allowed. The second names an unknown
+    // request, the third an unknown engine.
     executor.dispatch(0, 1, None, f64::INFINITY);
     executor.dispatch(9, 0, None, f64::INFINITY);
     executor.dispatch(0, 9, None, f64::INFINITY);
--- a/crates/router/src/routing/types.rs
+++ b/crates/router/src/routing/types.rs
@@ -12,7 +12,7 @@
 /// The id of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request that the attempt belongs to.
+    /// The index of the attempt's request in the request table.
     pub request: usize,
     /// The attempt's number among the attempts of its request, from 0.
     pub number: u32,
@@ -72,7 +72,7 @@
     },
     /// The request was not completed, and it may have run.
     Failed,
-    /// The client withdrew the request, so that it expects no answer.
+    /// The client withdrew the request. If its session is still open, it gets the error of a killed query.
     Withdrawn,
 }
 
@@ -87,7 +87,7 @@
     pub leave_by: f64,
 }
 
-/// The connections to clients and engines, as routing uses them.
+/// The connections to clients and engines, as routing uses them. Engines are identified by `RegisteredEngine::number`.
 pub trait Connections {
     /// Sends the final answer to a request to its session.
     fn answer(&mut self, session: SessionId, answer: Answer);
@@ -101,11 +101,11 @@
     /// Closes the idle connections to an engine.
     fn close_idle(&mut self, engine: u64);
     /// Ends the attempts that still wait for a connection to an engine, without sending them: the engine drains or is
-    /// gone.
+    /// gone. Their requests stay open; this has nothing to do with requests that clients withdraw.
     fn withdraw_unsent(&mut self, engine: u64);
 }
 
-/// A request and the session that sent it.
+/// A statement and the session that sent it.
 pub struct SessionStatement {
     pub session: SessionId,
     pub statement: ParsedStatement,
@@ -135,7 +135,7 @@
     pub error: StatementError,
 }
 
-/// What the event loop does after a turn.
+/// What a turn leaves for the event loop to do.
 pub struct TurnOutput {
     /// The statements whose sessions get an error as their answer.
     pub refused: Vec<RefusedStatement>,
--- a/crates/simulator-adapter/src/engine_list.rs
+++ b/crates/simulator-adapter/src/engine_list.rs
@@ -12,6 +12,7 @@
     pub zone: String,
     pub kind: String,
     pub stage: EngineStage,
+    /// The group of engines that may recognise repeats of each other's requests.
     pub cell: u64,
     /// When the engine started. Absent if the entry does not state it.
     pub started_at: Option<f64>,
@@ -92,6 +93,6 @@
         other => return Err(fields.error("stage-state", "Ready, Terminating or Gone", other)),
     };
     let cell = fields.optional_integer("group")?.unwrap_or(0);
-    fields.number("heft")?;
+    fields.optional_number("heft")?;
     Ok(EngineEntry { address, zone, kind, stage, cell, started_at })
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -7,7 +7,8 @@
 /// The maximum number of characters of a malformed field that an error quotes.
 const MAX_QUOTED_CHARS: usize = 40;
 
-/// The fields of one line. Each method that reads a field reads the next one; `field` is its name for errors.
+/// The fields of one line. Each method that reads a field reads the next one; `field` is its name for errors. These
+/// methods fail if the field is malformed, and, unless it is optional, if it is missing.
 pub struct Fields<'a> {
     /// The number of the line, from 1.
     line: u64,
@@ -81,7 +82,7 @@
         self.optional(field, "a whole number")
     }
 
-    pub fn number(&mut self, field: &'static str) -> Result<Option<f64>, WireError> {
+    pub fn optional_number(&mut self, field: &'static str) -> Result<Option<f64>, WireError> {
         match self.optional::<f64>(field, "a number")? {
             Some(number) if !number.is_finite() => {
                 Err(self.error(field, "a finite number", &number.to_string()))
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The messages that are events of one instance, whose name is their first field.
+/// The messages that are events of one instance. Their first field is the instance's name.
 const INSTANCE_EVENTS: [&str; 11] = [
     "BEGIN",
     "KILLED",
@@ -71,8 +71,8 @@
     ///
     /// # Errors
     /// A line that is malformed or not allowed here.
-    pub fn read_line(&mut self, number: u64, text: &str) -> Result<Option<String>, WireError> {
-        let mut fields = Fields::new(number, text);
+    pub fn read_line(&mut self, line_number: u64, text: &str) -> Result<Option<String>, WireError> {
+        let mut fields = Fields::new(line_number, text);
         let message = fields.message();
         self.lists.check_expected(&fields)?;
         match (message, self.in_batch) {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -14,11 +14,11 @@
 use cleatgw_deployment_config::{index_of, name_hash, read_deployment, NamedDeployment, Names, Settings};
 use cleatgw_operator_config::{TeamsFile, TenantNames};
 
-/// The bit of `state-bits` in a `CALL` line that says that the estimated cost is to be used.
+/// Set in `state-bits` of a `CALL` line if `plan-cost-us` states an estimate of the cost.
 const COST_IS_STATED: u64 = 1;
 /// A measured cost is one number: the work in whole milliseconds times this factor, plus the memory in units of
 /// [`MB_PER_MEMORY_UNIT`].
-const MEASURED_MEMORY_UNITS: u64 = 4096;
+const MEASURED_WORK_FACTOR: u64 = 4096;
 const MB_PER_MEMORY_UNIT: f64 = 4.0;
 const MS_PER_S: f64 = 1e3;
 
@@ -50,6 +50,7 @@
         let mut gateway = Gateway::new(deployment, seed, now);
         let tenants = teams.map(|file| {
             let (queue, tenants) = file.tenant_queue(now, &names.classes);
+            // The decision core has no requests yet that would have to be moved to the queues.
             gateway.set_tenants(now, queue, &|_| 0);
             tenants
         });
@@ -58,7 +59,7 @@
         Ok(Instance { gateway, names, identities: Identities::default(), tenants, digests })
     }
 
-    /// Handles one event. Events that the decision core has no use for are only checked.
+    /// Handles one event. Events and fields that the decision core has no use for are only checked.
     ///
     /// # Errors
     /// A field that is missing or malformed, an unknown class, or an engine list that was not sent.
@@ -72,6 +73,8 @@
             "HEALTH" => self.probe_answered(fields),
             "PEER" => self.digest_received(now, fields),
             "OPENED" => connection_opened(fields),
+            // `DEADLINE_HIT`: a time at which the decision core asked for a round. The round at the end of the batch is
+            // all that it needs.
             _ => fields.required("tag", "a token").map(drop),
         }
     }
@@ -140,8 +143,8 @@
         let tenant = self.tenants.as_ref().map_or(0, |tenants| tenants.index_of(tenant));
         let key = read_key(fields)?;
         let class = fields.required("tier-class", "a class")?;
-        let memory = fields.number("mem-mb")?;
-        let table_group = fields.number("schema-no")?.unwrap_or(0.0);
+        let memory = fields.optional_number("mem-mb")?;
+        let table_group = fields.optional_number("schema-no")?.unwrap_or(0.0);
         let state_bits = fields.optional_integer("state-bits")?.unwrap_or(0);
         let deadline = seconds(fields.integer("valid-until-us")?);
         let Some(class) = self.names.classes.iter().position(|name| name == class) else {
@@ -152,6 +155,7 @@
         let incoming = IncomingRequest {
             class,
             key,
+            // The decision core only compares table groups. The wire allows any number, whose bits stand for the group.
             table_group: table_group.to_bits(),
             estimated_work: cost.filter(|&cost| is_cost_stated && cost > 0).map(seconds),
             estimated_memory_mb: memory.filter(|&memory| memory > 0.0),
@@ -195,7 +199,9 @@
         fields.integer("hop")?;
         fields.required("engine", "an address")?;
         let kind = fields.integer("kind")?;
-        let value = fields.number("x")?.unwrap_or(0.0);
+        let value = fields.optional_number("x")?.unwrap_or(0.0);
+        // Kind 1 is progress, 2 is spilling to disk, and 3 is a wait: for the engine's load if the value is 2, else for
+        // memory.
         let status = match kind {
             1 => AttemptStatus::Progress(value),
             2 => AttemptStatus::Spills,
@@ -218,6 +224,7 @@
     }
 
     fn digest_received(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
+        // An index that does not fit into 16 bits is taken as the highest one.
         let sender = u16::try_from(fields.integer("author")?).unwrap_or(u16::MAX);
         let content = fields.text().unwrap_or("");
         let bytes = PeerDigests::decode(content).ok_or_else(|| fields.error("content", "base64", content))?;
@@ -277,7 +284,7 @@
 
 fn measured_cost(cost: u64) -> MeasuredCost {
     MeasuredCost {
-        work: (cost / MEASURED_MEMORY_UNITS) as f64 / MS_PER_S,
-        memory_mb: (cost % MEASURED_MEMORY_UNITS) as f64 * MB_PER_MEMORY_UNIT,
+        work: (cost / MEASURED_WORK_FACTOR) as f64 / MS_PER_S,
+        memory_mb: (cost % MEASURED_WORK_FACTOR) as f64 * MB_PER_MEMORY_UNIT,
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -41,21 +41,21 @@
 /// Answers the batches of the input until its end.
 fn serve(input: &mut dyn BufRead, output: &mut dyn Write, mut host: Host) -> Result<(), AdapterError> {
     let mut bytes = Vec::new();
-    let mut number = 0;
+    let mut line_number = 0;
     loop {
         bytes.clear();
         if input.read_until(b'\n', &mut bytes).map_err(AdapterError::Reading)? == 0 {
             break;
         }
-        number += 1;
-        let text = std::str::from_utf8(&bytes).map_err(|_| AdapterError::NotUtf8(number))?;
-        if let Some(reply) = host.read_line(number, text.trim_end_matches(['\n', '\r']))? {
+        line_number += 1;
+        let text = std::str::from_utf8(&bytes).map_err(|_| AdapterError::NotUtf8(line_number))?;
+        if let Some(reply) = host.read_line(line_number, text.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes()).map_err(AdapterError::Writing)?;
             output.flush().map_err(AdapterError::Writing)?;
         }
     }
     if host.in_batch() {
-        return Err(AdapterError::UnfinishedBatch(number));
+        return Err(AdapterError::UnfinishedBatch(line_number));
     }
     Ok(())
 }
--- a/crates/simulator-adapter/src/peer_digests.rs
+++ b/crates/simulator-adapter/src/peer_digests.rs
@@ -32,6 +32,8 @@
     pub fn engines_listed(&mut self, listings: &[EngineListing]) {
         for listing in listings {
             let incarnation = engine_incarnation(listing);
+            // Indices in between belong to engines that only an `OUTCOME` line has named so far. They have this
+            // incarnation until they are listed.
             let length = self.incarnations.len().max(listing.engine + 1);
             self.incarnations.resize(length, incarnation);
             self.incarnations[listing.engine] = incarnation;
--- a/crates/simulator-adapter/src/reply_writer.rs
+++ b/crates/simulator-adapter/src/reply_writer.rs
@@ -25,8 +25,8 @@
         write_line(self.reply, format_args!("PROVIDE {} {id} {lane} {:.1}", self.instance, memory_mb));
     }
 
-    /// The time by which the attempt must have left is ignored: on this wire it leaves at once. A time-out of 0 stands
-    /// for none.
+    /// `_leave_by` is ignored, because an attempt leaves at once on this wire. A time-out of 0 on the wire stands for
+    /// none.
     fn dispatch(&mut self, request: usize, engine: usize, time_out: Option<f64>, _leave_by: f64) {
         let Some(id) = self.identities.request_id(request) else { return };
         self.identities.attempt_sent(request);
@@ -42,6 +42,7 @@
 
     fn reject(&mut self, request: usize, retry_after: Option<f64>) {
         let Some(id) = self.identities.request_id(request) else { return };
+        // A wait of 0 also stands for none.
         let wait = retry_after.map_or(0, micros);
         write_line(self.reply, format_args!("NOT_NOW {} {id} {wait}", self.instance));
         self.identities.answered(request);
