--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A test host for one gateway: it delivers events on a simulated clock and records the actions that the gateway writes.
+//! A test host for one gateway: it delivers events on a simulated clock and records the actions that the gateway
+//! writes.
 
 #![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
--- a/tests/engine_list.rs
+++ b/tests/engine_list.rs
@@ -1,4 +1,4 @@
-//! The engine list: engines that drain, go, come anew or are not listed (rule 3).
+//! The engine list: engines that drain, leave, are replaced or are not listed (rule 3).
 
 mod common;
 
@@ -6,17 +6,17 @@
 use common::{listing, two_class_deployment, TestHost, WrittenAction};
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_engine() {
+fn no_new_request_goes_to_a_draining_or_gone_engine() {
     let mut host = TestHost::new(two_class_deployment(), 2);
     let draining = EngineListing { stage: EngineStage::Draining, ..listing(0) };
     host.gateway.engines_listed(100.0, &[draining, listing(1)], true);
     for group in 0..20 {
-        let request = host.request(0, |taken| taken.table_group = group);
+        let request = host.request(0, |incoming| incoming.table_group = group);
         host.advance(0.1);
         assert_eq!(host.engines_of(request), [1]);
         host.attempt_ended(request, AttemptOutcome::Completed, 0.1);
     }
-    // Missing from a whole list is gone.
+    // An engine that is missing from a complete list is gone.
     host.gateway.engines_listed(host.now, &[draining], true);
     let request = host.request(0, |_| ());
     host.advance(1.0);
@@ -24,33 +24,33 @@
 }
 
 #[test]
-fn a_lost_list_is_asked_for_again() {
+fn a_lost_engine_list_is_watched_again() {
     let mut deployment = two_class_deployment();
     deployment.max_list_age = Some(10.0);
     let mut host = TestHost::new(deployment, 1);
     host.round();
     host.gateway.engine_list_failed(host.now);
     host.advance(2.0);
-    let asked = host.recorder.actions.iter().filter(|(_, what)| *what == WrittenAction::Watch).count();
-    assert_eq!(asked, 2);
+    let watches = host.recorder.actions.iter().filter(|(_, action)| *action == WrittenAction::Watch).count();
+    assert_eq!(watches, 2);
     assert!(host.logged("engine list unavailable"));
 }
 
 #[test]
-fn a_list_may_be_empty_and_grow_fivefold_and_start_cold() {
+fn an_engine_list_may_start_empty_and_grow_fivefold_with_cold_engines() {
     let mut deployment = two_class_deployment();
     deployment.gateways = 500.0;
     let mut host = TestHost::new(deployment, 0);
     let early = host.request(0, |_| ());
     host.advance(0.5);
     for count in [2, 10] {
-        let since = Some(host.now);
+        let started_at = Some(host.now);
         let cold: Vec<EngineListing> =
-            (0..count).map(|at| EngineListing { started_at: since, ..listing(at) }).collect();
+            (0..count).map(|at| EngineListing { started_at, ..listing(at) }).collect();
         host.gateway.engines_listed(host.now, &cold, true);
         host.advance(30.0);
         let warm: Vec<usize> =
-            (0..40).map(|group| host.request(0, |taken| taken.table_group = group)).collect();
+            (0..40).map(|group| host.request(0, |incoming| incoming.table_group = group)).collect();
         host.round();
         let mut used: Vec<usize> = warm.iter().flat_map(|&request| host.engines_of(request)).collect();
         used.sort_unstable();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_engine_under_an_old_ones_index_has_none_of_its_history() {
+fn a_new_engine_that_reuses_an_index_inherits_no_history() {
     let mut host = TestHost::new(two_class_deployment(), 1);
     for _ in 0..8 {
         let request = host.request(0, |_| ());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Combined behaviour of many gateways, each of which acts on its own observations only: the slow-start budget of a cold
-//! engine (rule 4), new engines beside overloaded ones, and a hot table group.
+//! Combined behaviour of many gateways, each of which acts on its own observations only: the slow-start budget of a
+//! cold engine (rule 4), new engines beside overloaded ones, and a hot table group.
 
 mod common;
 
@@ -30,8 +30,8 @@
     seed: u64,
 }
 
-/// Runs the scenario and returns the worst values over all windows for the cold engine: its work in excess of the budget
-/// and of random scatter, in requests of mean work, and the largest share of the budget that was used.
+/// Runs the scenario and returns the worst values over all windows for the cold engine: its work in excess of the
+/// budget and of random scatter, in requests of mean work, and the largest share of the budget that was used.
 fn worst_window(scenario: &ColdEngineScenario) -> (f64, f64) {
     const SHARES: [f64; 2] = [0.9, 0.1];
     let mean = scenario.work[0] * SHARES[0] + scenario.work[1] * SHARES[1];
@@ -122,8 +122,8 @@
     worst
 }
 
-/// Mean work of a light and a heavy request: the light one is a sixtieth of the heavy one, which is too large to pass the
-/// slow-start lottery.
+/// Mean work of a light and a heavy request: the light one is a sixtieth of the heavy one, which is too large to pass
+/// the slow-start lottery.
 const UNEVEN_WORK: [f64; 2] = [0.1, 6.0];
 
 #[test]
@@ -160,8 +160,8 @@
     }
 }
 
-/// Every request is small enough to pass the slow-start lottery, and every gateway has a request for each of its draws, so
-/// that only the lottery limits what is sent.
+/// Every request is small enough to pass the slow-start lottery, and every gateway has a request for each of its draws,
+/// so that only the lottery limits what is sent.
 #[test]
 fn gateways_that_use_every_lottery_draw_keep_a_cold_engines_budget() {
     for gateways in [30, 120, 300] {
@@ -300,8 +300,8 @@
     }
 }
 
-/// Each gateway has too few requests to overload an engine by itself, so a hot group is spread because of its share of the
-/// work.
+/// Each gateway has too few requests to overload an engine by itself, so a hot group is spread because of its share of
+/// the work.
 #[test]
 fn a_hot_table_group_is_spread_over_as_many_engines_as_its_work_needs() {
     const GATEWAYS: usize = 100;
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,5 +1,6 @@
 //! Seeded scenarios that run one gateway against simulated arrivals and faulty engines, and hash every action that the
-//! gateway writes. The strings passed to `line` and to `hash.update` are hashed: changing one changes the golden hashes.
+//! gateway writes. The strings passed to `line` and to `hash.update` are hashed: changing one changes the golden
+//! hashes.
 
 use cleatgw::queue::{Budget, TenantConfig, TenantQueue, WaitEstimate};
 use cleatgw::Gateway;
@@ -370,8 +371,8 @@
         self.gateway.engines_listed(self.now, &[listing], false);
     }
 
-    /// Applies the events that are scheduled for this step: restored history, tenants, faults, engines that join, drain,
-    /// go and come back, a lost engine list, and the drain of the gateway.
+    /// Applies the events that are scheduled for this step: restored history, tenants, faults, engines that join,
+    /// drain, go and come back, a lost engine list, and the drain of the gateway.
     fn apply_scheduled_events(&mut self, step: usize) {
         let is_at = |seconds: f64| step == (seconds / STEP_S) as usize;
         if is_at(2.0) && self.variant == Variant::Restarted {
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -1,8 +1,8 @@
-//! Golden decisions: long seeded scenarios in which every action of the gateway is hashed. Refactoring and renaming must
-//! leave the hashes unchanged; a commit that changes a decision updates them and says so.
+//! Golden decisions: long seeded scenarios in which every action of the gateway is hashed. Refactoring and renaming
+//! must leave the hashes unchanged; a commit that changes a decision updates them and says so.
 //!
-//! Log lines are not hashed, since their text may change. Random numbers come from ChaCha8 and the hashes are SHA-256, so
-//! that the expected values depend on published algorithms only.
+//! Log lines are not hashed, since their text may change. Random numbers come from ChaCha8 and the hashes are SHA-256,
+//! so that the expected values depend on published algorithms only.
 
 mod golden;
 
--- a/tests/peer_load.rs
+++ b/tests/peer_load.rs
@@ -1,4 +1,4 @@
-//! What other gateways do on the engines, as far as this one can tell.
+//! Estimates of the load that other gateways put on engines.
 
 mod common;
 
@@ -6,20 +6,21 @@
 use common::{two_class_deployment, TestHost, WrittenAction};
 
 #[test]
-fn news_of_one_engine_counts_for_those_that_told_nothing() {
+fn a_load_report_of_one_engine_is_applied_to_engines_without_reports() {
     let mut deployment = two_class_deployment();
     deployment.gateways = 200.0;
     let mut host = TestHost::new(deployment, 8);
     for _ in 0..20 {
-        let light = host.request(0, |taken| taken.table_group = 1);
+        let light = host.request(0, |incoming| incoming.table_group = 1);
         host.round();
         host.completed_with_load(light, 0.1, 15.0);
     }
     host.advance(0.3);
-    let heavy: Vec<usize> = (0..20).map(|group| host.request(1, |taken| taken.table_group = group)).collect();
+    let heavy: Vec<usize> =
+        (0..20).map(|group| host.request(1, |incoming| incoming.table_group = group)).collect();
     host.round();
     assert!(heavy.iter().all(|&request| host.engines_of(request).is_empty()));
-    // The news fades: in time engines are tried again.
+    // The effect of the report decays, and engines are tried again after some time.
     host.advance(15.0);
     let later = host.request(1, |_| ());
     host.round();
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_busy_gateway_among_many_fills_engines_that_tell_nothing() {
+fn a_busy_gateway_among_many_uses_engines_that_report_nothing() {
     let mut deployment = two_class_deployment();
     deployment.gateways = 200.0;
     let mut host = TestHost::new(deployment, 2);
@@ -41,25 +42,27 @@
     assert!(burst.iter().all(|&request| host.engines_of(request).len() == 1));
 }
 
-/// Hard case: answers tell no work, and the estimates of light requests are far too low, single ones by twenty times. Six
-/// gateways before engines that stand all but idle must not believe in a crowd there and turn the heavy requests back.
+/// Answers report no measured work, and the estimates of light requests are far too low, some by a factor of twenty.
+/// With six gateways and almost idle engines, a gateway must not infer from this that peers load the engines, and
+/// reject heavy requests.
 #[test]
-fn few_gateways_see_no_crowd_in_estimates_that_no_answer_corrects() {
+fn few_gateways_infer_no_peer_load_from_low_estimates_that_no_answer_corrects() {
     let mut deployment = two_class_deployment();
     deployment.gateways = 6.0;
     deployment.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 32000.0 }];
     deployment.classes[1].threads = 3.0;
     let mut host = TestHost::new(deployment, 4);
-    let off = [0.05, 0.6, 0.1, 0.3];
+    let estimate_ratios = [0.05, 0.6, 0.1, 0.3];
     let mut heavy = Vec::new();
     for round in 0..200 {
-        // A light request that needs 0.3 s, whatever is said of it; now and then a heavy one that is said to need 3 s, and does.
+        // A light request that needs 0.3 s whatever its estimate; every twentieth round also a heavy one whose estimate
+        // of 3 s is right.
         let group = round as u64 % 40;
-        let light = host.request(0, |taken| {
-            (taken.estimated_work, taken.table_group) = (Some(0.3 * off[round % 4]), group)
+        let light = host.request(0, |incoming| {
+            (incoming.estimated_work, incoming.table_group) = (Some(0.3 * estimate_ratios[round % 4]), group)
         });
         heavy.extend((round % 20 == 19).then(|| {
-            host.request(1, |taken| (taken.estimated_work, taken.table_group) = (Some(3.0), group))
+            host.request(1, |incoming| (incoming.estimated_work, incoming.table_group) = (Some(3.0), group))
         }));
         host.round();
         host.now += 0.3;
@@ -68,32 +71,33 @@
         }
         host.advance(0.1);
         for request in heavy.clone() {
-            let out = host.engines_of(request).len() == 1;
-            let since = host.recorder.actions.iter().find(
-                |(_, what)| matches!(what, WrittenAction::Attempt { request: of, .. } if *of == request),
+            let dispatched = host.engines_of(request).len() == 1;
+            let dispatch = host.recorder.actions.iter().find(
+                |(_, action)| matches!(action, WrittenAction::Attempt { request: id, .. } if *id == request),
             );
-            if out && since.is_some_and(|(at, _)| host.now >= at + 1.2) {
+            if dispatched && dispatch.is_some_and(|(at, _)| host.now >= at + 1.2) {
                 host.attempt_ended(request, AttemptOutcome::Completed, 1.2);
                 heavy.retain(|other| *other != request);
             }
         }
     }
     let rejected =
-        host.recorder.actions.iter().filter(|(_, what)| matches!(what, WrittenAction::Reject(_))).count();
-    assert_eq!(rejected, 0, "of 200 light jobs and 10 heavy ones");
+        host.recorder.actions.iter().filter(|(_, action)| matches!(action, WrittenAction::Reject(_))).count();
+    assert_eq!(rejected, 0, "rejections among 200 light and 10 heavy requests");
 }
 
-/// Thirty-two gateways before eight engines of sixteen cores. No answer tells work, and what requests are said to need is a
-/// tenth of what they take: by the first answers a crowd stands on every engine.
-fn many_that_feel_a_crowd() -> TestHost {
+/// One of 32 gateways, with eight engines of 16 cores. Answers report no measured work, and the estimates of requests
+/// are a tenth or less of the time they take, so that after the first answers the gateway infers peer load on every
+/// engine.
+fn host_that_infers_peer_load() -> TestHost {
     let mut deployment = two_class_deployment();
     deployment.gateways = 32.0;
     deployment.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 32000.0 }];
     deployment.classes[1].threads = 3.0;
     let mut host = TestHost::new(deployment, 8);
     for group in 0..40 {
-        let request =
-            host.request(0, |taken| (taken.estimated_work, taken.table_group) = (Some(0.002), group));
+        let request = host
+            .request(0, |incoming| (incoming.estimated_work, incoming.table_group) = (Some(0.002), group));
         host.round();
         if !host.engines_of(request).is_empty() {
             host.now += 0.022;
@@ -105,40 +109,43 @@
     host
 }
 
-/// Hard case: all thirty-two stand still before idle engines, each for what it feels of the others.
+/// Guards against the case in which all 32 gateways send nothing to idle engines, each because of the load that it
+/// infers of the others.
 #[test]
-fn many_gateways_that_feel_a_crowd_which_nothing_proves_still_use_their_even_part() {
-    let mut host = many_that_feel_a_crowd();
-    let (mut dispatched, mut of) = (0, 0);
+fn many_gateways_that_infer_unmeasured_peer_load_still_use_their_fair_share() {
+    let mut host = host_that_infers_peer_load();
+    let (mut dispatched, mut total) = (0, 0);
     for round in 0..100 {
         let heavy = usize::from(round % 10 == 9);
-        let (said, takes) = if heavy == 1 { (1.0, 1.2) } else { (0.002, 0.022) };
-        let request =
-            host.request(heavy, |taken| (taken.estimated_work, taken.table_group) = (Some(said), round));
+        let (estimate, duration) = if heavy == 1 { (1.0, 1.2) } else { (0.002, 0.022) };
+        let request = host.request(heavy, |incoming| {
+            (incoming.estimated_work, incoming.table_group) = (Some(estimate), round)
+        });
         host.advance(0.05);
-        (dispatched, of) = (dispatched + host.engines_of(request).len(), of + 1);
-        host.now += takes;
+        (dispatched, total) = (dispatched + host.engines_of(request).len(), total + 1);
+        host.now += duration;
         if !host.engines_of(request).is_empty() {
-            host.attempt_ended(request, AttemptOutcome::Completed, takes);
+            host.attempt_ended(request, AttemptOutcome::Completed, duration);
         }
     }
-    assert_eq!((dispatched, of), (100, 100));
+    assert_eq!((dispatched, total), (100, 100));
 }
 
-/// If all gateways take their even part, each core has a thread: four light requests here, or one heavy one.
+/// If all gateways use their fair share, each core has one thread. The share is four light requests here, or one heavy
+/// one.
 #[test]
-fn the_even_part_is_no_more_than_a_thread_a_core_from_all_gateways_together() {
-    for (class, said, even) in [(0, 0.002, 4), (1, 1.0, 1)] {
-        let mut host = many_that_feel_a_crowd();
+fn the_fair_shares_of_all_gateways_together_are_no_more_than_one_thread_per_core() {
+    for (class, estimate, fair_share) in [(0, 0.002, 4), (1, 1.0, 1)] {
+        let mut host = host_that_infers_peer_load();
         let requests: Vec<usize> = (0..30)
             .map(|group| {
-                host.request(class, |taken| {
-                    (taken.estimated_work, taken.table_group) = (Some(said), 100 + group)
+                host.request(class, |incoming| {
+                    (incoming.estimated_work, incoming.table_group) = (Some(estimate), 100 + group)
                 })
             })
             .collect();
         host.advance(0.1);
         let dispatched = requests.iter().filter(|request| !host.engines_of(**request).is_empty()).count();
-        assert_eq!(dispatched, even, "category {class}");
+        assert_eq!(dispatched, fair_share, "class {class}");
     }
 }
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Requests have one final answer, in time, whatever becomes of their attempts and of this gateway.
+//! Every request gets exactly one final answer in time, whatever happens to its attempts and to the gateway.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::{listing, two_class_deployment, TestHost, WrittenAction};
 
 #[test]
-fn a_request_that_no_engine_can_take_is_answered_once_before_its_deadline() {
+fn a_request_for_which_there_is_no_engine_is_answered_once_before_its_deadline() {
     let mut host = TestHost::new(two_class_deployment(), 0);
     let request = host.request(0, |_| ());
     host.advance(20.0);
@@ -27,50 +27,51 @@
 }
 
 #[test]
-fn what_came_and_passed_while_we_had_no_turn_is_handled_at_once() {
+fn requests_and_expiries_of_a_pause_of_the_gateway_are_handled_in_the_next_round() {
     let mut host = TestHost::new(two_class_deployment(), 2);
-    let passed = host.request(1, |taken| taken.deadline -= 9.0);
+    let expired = host.request(1, |incoming| incoming.deadline -= 9.0);
     host.round();
     host.now += 2.0;
     let draining = EngineListing { stage: EngineStage::Draining, ..listing(0) };
-    let new: Vec<usize> = (0..6).map(|group| host.request(0, |taken| taken.table_group = group)).collect();
+    let new: Vec<usize> =
+        (0..6).map(|group| host.request(0, |incoming| incoming.table_group = group)).collect();
     host.gateway.engines_listed(host.now, &[draining], false);
     host.round();
-    assert_eq!(host.answers(passed).len(), 1);
+    assert_eq!(host.answers(expired).len(), 1);
     assert!(new.iter().all(|&request| host.engines_of(request) == [1]));
 }
 
 #[test]
-fn an_instance_that_ends_answers_every_request_before() {
+fn an_instance_that_stops_answers_every_request_before_its_end() {
     let mut host = TestHost::new(two_class_deployment(), 2);
-    let out = host.request(0, |_| ());
+    let in_flight = host.request(0, |_| ());
     host.round();
     host.gateway.stop_at(host.now + 3.0);
     let late = host.request(0, |_| ());
     host.round();
     assert_eq!(host.engines_of(late).len(), 1);
     host.advance(3.05);
-    let answered = [out, late].map(|request| host.answers(request));
+    let answered = [in_flight, late].map(|request| host.answers(request));
     assert!(answered.iter().all(|answers| answers.len() == 1 && answers[0].0 < 103.1), "{answered:?}");
 }
 
 #[test]
-fn an_instance_that_drains_turns_back_what_comes_too_late_and_finishes_the_rest() {
+fn a_draining_instance_rejects_requests_that_arrive_too_late_and_finishes_the_others() {
     let mut host = TestHost::new(two_class_deployment(), 3);
-    let out = host.request(0, |_| ());
+    let in_flight = host.request(0, |_| ());
     host.round();
     assert!(host.gateway.drain(host.now) < host.now + 1.0);
     host.advance(0.9);
-    let just = host.request(0, |_| ());
+    let in_time = host.request(0, |_| ());
     host.round();
-    assert_eq!(host.engines_of(just).len(), 1);
+    assert_eq!(host.engines_of(in_time).len(), 1);
     host.advance(0.2);
     let late = host.request(0, |_| ());
     host.round();
     assert_eq!((host.engines_of(late).len(), host.answers(late).len()), (0, 1));
     assert_eq!(host.answers(late)[0].1, WrittenAction::Reject(late));
-    // What was taken before may be dispatched again.
-    host.attempt_ended(out, AttemptOutcome::Unreachable, 0.1);
+    // A request that was accepted before the limit may be retried.
+    host.attempt_ended(in_flight, AttemptOutcome::Unreachable, 0.1);
     host.advance(0.05);
-    assert_eq!((host.engines_of(out).len(), host.answers(out).len()), (2, 0));
+    assert_eq!((host.engines_of(in_flight).len(), host.answers(in_flight).len()), (2, 0));
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: what may run again, how often, and by when (rules 2 and 7).
+//! Retries: which requests may be repeated, how often, and until when (rules 2 and 7).
 
 mod common;
 
@@ -15,7 +15,7 @@
     host.attempt_ended(request, AttemptOutcome::ConnectionLost, 0.1);
     host.advance(0.05);
     assert_eq!(host.engines_of(request).len(), 1);
-    assert_eq!(host.answers(request).last().map(|(_, what)| what), Some(&WrittenAction::Fail(request)));
+    assert_eq!(host.answers(request).last().map(|(_, action)| action), Some(&WrittenAction::Fail(request)));
 }
 
 #[test]
@@ -54,11 +54,11 @@
     assert_eq!(host.answers(late)[0].1, WrittenAction::Fail(late));
 }
 
-/// Rule 2 at the very edge of a short window: a repeat is made only where it can still be there in time, its host is told
-/// by when it must have left, and where it did not, the request has its answer at once. All counts from the first attempt that
-/// may have run.
+/// Rule 2 at the end of a short window: a repeat is dispatched only if it can still reach its engine within the window,
+/// and the host is told the time by which it must have been sent. If it was not sent by then, the request is answered
+/// at once. The window starts with the first attempt that may have run.
 #[test]
-fn a_repeat_at_the_edge_of_its_window_leaves_in_time_or_not_at_all() {
+fn a_repeat_at_the_end_of_its_window_is_sent_in_time_or_not_at_all() {
     let mut deployment = two_class_deployment();
     deployment.classes[0].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
@@ -66,22 +66,26 @@
     let mut host = TestHost::new(deployment, 6);
     let requests: Vec<usize> = (0..3).map(|_| host.request(0, |_| ())).collect();
     host.round();
-    let begun = host.now;
+    let start = host.now;
     assert_eq!(host.recorder.leave_by, [f64::INFINITY; 3], "nothing has run before");
-    // The first of these never ran: only the second one's time counts.
-    host.now = begun + 0.4;
+    // The first attempt of this request never ran, so the window starts with its second attempt.
+    host.now = start + 0.4;
     host.attempt_ended(requests[0], AttemptOutcome::Unreachable, 0.4);
     host.round();
     assert_eq!(host.recorder.leave_by[3], f64::INFINITY);
-    host.now = begun + 0.5;
+    host.now = start + 0.5;
     host.attempt_ended(requests[0], AttemptOutcome::ConnectionLost, 0.1);
     host.attempt_ended(requests[1], AttemptOutcome::ConnectionLost, 0.5);
     host.round();
-    let mut by = host.recorder.leave_by[4..].to_vec();
-    by.sort_by(f64::total_cmp);
-    assert!((by[0] - (begun + 0.98)).abs() < 1e-9 && (by[1] - (begun + 1.38)).abs() < 1e-9, "{by:?}");
-    // Its connection did not come up in time; and one whose attempt ends when a repeat could not be there any more.
-    host.now = begun + 0.985;
+    let mut leave_by = host.recorder.leave_by[4..].to_vec();
+    leave_by.sort_by(f64::total_cmp);
+    assert!(
+        (leave_by[0] - (start + 0.98)).abs() < 1e-9 && (leave_by[1] - (start + 1.38)).abs() < 1e-9,
+        "{leave_by:?}"
+    );
+    // The connection for the repeat of request 1 was not established in time. The attempt of request 2 ends when a
+    // repeat could no longer reach an engine in time.
+    host.now = start + 0.985;
     host.attempt_ended(requests[1], AttemptOutcome::NeverSent, 0.485);
     host.attempt_ended(requests[2], AttemptOutcome::ConnectionLost, 0.985);
     host.round();
@@ -92,7 +96,7 @@
 #[test]
 fn a_request_has_no_more_attempts_than_are_allowed() {
     let mut host = TestHost::new(two_class_deployment(), 3);
-    let request = host.request(0, |taken| taken.deadline += 50.0);
+    let request = host.request(0, |incoming| incoming.deadline += 50.0);
     for _ in 0..3 {
         host.round();
         host.attempt_ended(request, AttemptOutcome::EngineFull, 0.0);
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn retries_stay_within_the_retry_budget() {
     let mut deployment = two_class_deployment();
     deployment.retry_budget = Some(RetryBudget { base: 2.0, per_request: 0.1, window: 10.0 });
     let mut host = TestHost::new(deployment, 6);
@@ -113,32 +117,36 @@
         host.attempt_ended(request, AttemptOutcome::EngineError, 0.0);
     }
     host.advance(1.0);
-    let further: usize = requests.iter().map(|&request| host.engines_of(request).len() - 1).sum();
-    assert!(further <= 3);
+    let retries: usize = requests.iter().map(|&request| host.engines_of(request).len() - 1).sum();
+    assert!(retries <= 3);
 }
 
 #[test]
-fn the_gate_alone_keeps_a_request_from_a_second_effect_a_second_copy_and_one_attempt_too_many() {
+fn may_attempt_alone_prevents_a_second_effect_a_second_copy_and_more_than_the_allowed_attempts() {
     let mut deployment = two_class_deployment();
-    let window = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
+    let deduplicated = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
     deployment.classes = vec![
         class(1.0, 1.0, Idempotency::NonIdempotent),
-        class(1.0, 1.0, window),
+        class(1.0, 1.0, deduplicated),
         class(1.0, 1.0, Idempotency::Idempotent),
     ];
     deployment.max_attempts = 2;
     let mut host = TestHost::new(deployment, 2);
     let requests = [0, 1, 2].map(|class| host.request(class, |_| ()));
     host.round();
-    let gate =
+    let may_attempt =
         |host: &TestHost, request| (0..2).any(|engine| host.gateway.may_attempt(request, engine, host.now));
-    assert_eq!(requests.map(|request| gate(&host, request)), [false; 3], "one is out");
+    assert_eq!(
+        requests.map(|request| may_attempt(&host, request)),
+        [false; 3],
+        "an attempt of each request is in flight"
+    );
     host.now += 0.9;
     requests.iter().for_each(|&request| host.attempt_ended(request, AttemptOutcome::ConnectionLost, 0.9));
-    assert_eq!(requests.map(|request| gate(&host, request)), [false, true, true]);
+    assert_eq!(requests.map(|request| may_attempt(&host, request)), [false, true, true]);
     host.now += 0.2;
-    assert!(!gate(&host, requests[1]), "its window is over");
+    assert!(!may_attempt(&host, requests[1]), "the deduplication window is over");
     host.round();
     host.attempt_ended(requests[2], AttemptOutcome::EngineError, 0.1);
-    assert!(!gate(&host, requests[2]), "it has had two");
+    assert!(!may_attempt(&host, requests[2]), "the request has had both allowed attempts");
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a cold engine is sent, by one gateway and by all together (rule 4).
+//! Slow start: the work that one gateway, and all gateways together, send to a cold engine (rule 4).
 
 mod common;
 
@@ -6,10 +6,10 @@
 use common::{listing, two_class_deployment, TestHost};
 
 #[test]
-fn a_cold_engine_gets_no_more_than_our_share_of_what_it_stands() {
+fn a_cold_engine_gets_no_more_than_this_gateways_share_of_its_slow_start_budget() {
     let mut deployment = two_class_deployment();
     deployment.gateways = 2.0;
-    let cold = deployment.slow_start;
+    let slow_start = deployment.slow_start;
     let mut host = TestHost::new(deployment, 0);
     host.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(99.9), ..listing(0) }], true);
     for step in 0..100 {
@@ -24,61 +24,63 @@
     }
     let mut sent: Vec<f64> = host.recorder.actions.iter().map(|(at, _)| *at).collect();
     sent.dedup();
-    let warmth = cold.initial_share + 0.7 * 0.2;
-    let stands = cold.overload_multiple * 8.0 * warmth * cold.window / 2.0;
+    let warmth = slow_start.initial_share + 0.7 * 0.2;
+    let budget = slow_start.overload_multiple * 8.0 * warmth * slow_start.window / 2.0;
     let attempts = (0..host.next_request).map(|request| host.engines_of(request).len()).sum::<usize>();
-    assert!(attempts as f64 * 0.1 <= stands);
+    assert!(attempts as f64 * 0.1 <= budget);
     // Many heavy requests at once: most of them wait.
     let heavy: Vec<usize> = (0..20).map(|_| host.request(1, |_| ())).collect();
     host.advance(0.05);
     let dispatched = heavy.iter().filter(|&&request| !host.engines_of(request).is_empty()).count();
-    assert!(dispatched as f64 * 4.0 <= stands);
+    assert!(dispatched as f64 * 4.0 <= budget);
 }
 
 #[test]
-fn without_estimates_a_cold_engine_is_spared_by_what_requests_took() {
+fn without_estimates_the_slow_start_budget_is_applied_to_the_usual_run_time_of_requests() {
     let mut deployment = two_class_deployment();
     deployment.gateways = 2.0;
     let mut host = TestHost::new(deployment, 2);
-    let bare = |taken: &mut IncomingRequest| (taken.estimated_work, taken.estimated_memory_mb) = (None, None);
+    let without_estimates = |incoming: &mut IncomingRequest| {
+        (incoming.estimated_work, incoming.estimated_memory_mb) = (None, None)
+    };
     for _ in 0..20 {
-        let request = host.request(1, bare);
+        let request = host.request(1, without_estimates);
         host.advance(0.1);
         host.attempt_ended(request, AttemptOutcome::Completed, 2.0);
     }
-    // Eight seconds of work each: our share of what a cold engine stands is under six in its window.
+    // Each request is 8 s of work, and this gateway's share of the cold engine's budget is less than 6 s in one window.
     let gone = |engine| EngineListing { stage: EngineStage::Gone, ..listing(engine) };
     let cold = EngineListing { started_at: Some(host.now), ..listing(5) };
     host.gateway.engines_listed(host.now, &[gone(0), gone(1), cold], false);
-    let request = host.request(1, bare);
+    let request = host.request(1, without_estimates);
     host.advance(0.5);
     assert_eq!(host.engines_of(request), []);
 }
 
 #[test]
-fn hundreds_of_gateways_together_spare_a_cold_engine_but_use_it() {
+fn hundreds_of_gateways_together_use_a_cold_engine_but_stay_within_half_its_budget() {
     let mut deployment = two_class_deployment();
     deployment.gateways = 300.0;
-    let SlowStart { initial_share: from, overload_multiple: multiple, window, .. } = deployment.slow_start;
-    let stands = multiple * 8.0 * from * window;
-    let mut work = 0.0;
+    let SlowStart { initial_share, overload_multiple, window, .. } = deployment.slow_start;
+    let budget = overload_multiple * 8.0 * initial_share * window;
+    let mut sent_work = 0.0;
     for seed in 0..300 {
         let mut host = TestHost::seeded(deployment.clone(), 0, seed);
         host.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(100.0), ..listing(0) }], true);
         let requests: Vec<usize> = (0..4).map(|at| host.request(usize::from(at == 3), |_| ())).collect();
         host.advance(window / 2.0);
-        work += requests
+        sent_work += requests
             .iter()
             .map(|&request| host.engines_of(request).len() as f64 * [0.1, 4.0][request / 3])
             .sum::<f64>();
     }
-    assert!(work > 0.0 && work < stands / 2.0, "{work} of {stands}");
+    assert!(sent_work > 0.0 && sent_work < budget / 2.0, "{sent_work} of {budget}");
 }
 
-/// Rule 4, all gateways together: what peers tell that they sent leaves less room, and a word that is too small, or gone,
-/// gives back no more than our own share.
+/// Rule 4 for all gateways together: work that peers report to have sent reduces what this gateway may send. A report
+/// that is too small, or missing, never allows it more than its own share.
 #[test]
-fn what_peers_sent_a_cold_engine_leaves_less_room_for_us_and_never_more_than_our_share() {
+fn work_that_peers_sent_to_a_cold_engine_reduces_this_gateways_budget_and_never_raises_it_above_its_share() {
     let attempts_with = |sent: f64| {
         let mut host = TestHost::new(Deployment { gateways: 2.0, ..two_class_deployment() }, 0);
         host.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(99.9), ..listing(0) }], true);
@@ -90,10 +92,10 @@
         host.advance(0.05);
         (0..host.next_request).map(|request| host.engines_of(request).len()).sum::<usize>()
     };
-    let ours = attempts_with(0.0);
-    assert!(ours > 5 && attempts_with(-5.0) == ours, "{ours}");
-    assert_eq!(attempts_with(1.0), ours, "they stayed within their own share");
-    let some = attempts_with(6.2);
-    assert!(some > 0 && some < ours, "{some} of {ours}");
+    let without_peers = attempts_with(0.0);
+    assert!(without_peers > 5 && attempts_with(-5.0) == without_peers, "{without_peers}");
+    assert_eq!(attempts_with(1.0), without_peers, "peers stayed within their own share");
+    let reduced = attempts_with(6.2);
+    assert!(reduced > 0 && reduced < without_peers, "{reduced} of {without_peers}");
     assert_eq!(attempts_with(50.0), 0);
 }
