--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -184,7 +184,8 @@
     cluster.router(0).log.wait("without stored history: peers were shown a later epoch", 1);
 }
 
-/// The disk hangs while the router runs or from its start on, or fails. The event loop must not wait for the disk.
+/// The disk hangs while the router runs or from its start on, or its writes fail, as on a full disk. The event loop must
+/// not wait for the disk.
 #[test]
 fn a_disk_that_hangs_or_fails_leaves_no_request_unanswered_and_lengthens_no_turn() {
     let environment = InterposedLibrary::environment();
