--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -217,7 +217,10 @@
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     std::fs::remove_file(&file).unwrap();
     assert!(!output.status.success());
-    assert!(message.contains("field routers[0].address: expected one in the `networks`"), "{message}");
+    assert!(
+        message.contains("field routers[0].address: expected an address in one of the `networks`"),
+        "{message}"
+    );
 }
 
 /// Seven of ten routers are killed at once. The other three report that they are a minority, keep serving, and accept the
