--- a/crates/operator-config/src/service.rs
+++ b/crates/operator-config/src/service.rs
@@ -87,6 +87,7 @@
 /// The attributes of a path, by which peers prefer one path to another.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
+#[schemars(rename = "DearPart")]
 pub struct PathPreferencePart {
     /// MULTI_EXIT_DISC; a lower one is preferred.
     pub med: Option<u32>,
@@ -102,6 +103,7 @@
 /// The health checks.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields, default)]
+#[schemars(rename = "SignsPart")]
 pub struct HealthChecksPart {
     /// Whether clients can connect. `bound` has no meaning and must be 0.
     pub listening: HealthCheckPart,
@@ -118,6 +120,7 @@
 /// When a health check fails, how fast its state follows the readings, and its effect.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
+#[schemars(rename = "SignPart")]
 pub struct HealthCheckPart {
     /// What happens to the addresses while the check fails. `ignore`: nothing. `deprefer`: they are announced with the
     /// attributes of `depreferred`. `withdraw`: they are announced with those of `last_resort` and then withdrawn,
--- a/crates/operator-config/src/teams.rs
+++ b/crates/operator-config/src/teams.rs
@@ -40,6 +40,7 @@
 /// One tenant, or a group of tenants.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
+#[schemars(rename = "TeamPart")]
 pub struct TenantPart {
     /// The name of the tenant, as in `org`: 1 to 64 printable ASCII characters other than space, `=` and `,`.
     pub name: String,
