--- a/crates/router/tests/final_answers.rs
+++ b/crates/router/tests/final_answers.rs
@@ -1,6 +1,9 @@
 //! Runs the router program between simulated engines, clients and a discovery service, and checks that each request
 //! that the router has read gets exactly one final answer in time. Neither the moment at which the request arrives,
 //! nor a fault of its engine, nor the behavior of other clients may prevent it.
+//!
+//! A turn is one pass of the router's event loop: it reads all ready sources, then processes what it has read as one
+//! batch.
 
 use cleatgw_testbed::stand_ins::*;
 use std::collections::VecDeque;
@@ -66,9 +69,9 @@
     assert_eq!((code, counter(&counters, "taken"), counter(&counters, "delivered")), (Some(0), 20, 20));
 }
 
-/// The router process is stopped from before until after the time at which a planned stop ends the sessions. The
-/// requests that arrive meanwhile, on new and on idle connections, are read in the same turn that would end those
-/// sessions.
+/// The router process is stopped from before until after the time at which a planned stop ends the sessions, 750 ms
+/// after its signal (`REQUEST_ARRIVAL_WINDOW`); hence the 900 ms. The requests that arrive meanwhile, on new and on idle
+/// connections, are read in the same turn that would end those sessions.
 #[test]
 fn requests_read_in_the_turn_that_would_end_their_sessions_are_answered() {
     let engine = Engine::start("e");
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn requests_on_new_connections_are_answered_when_each_needs_an_idle_session_closed_for_its_descriptor() {
+fn requests_on_new_connections_are_answered_when_an_idle_session_must_be_closed_for_each() {
     let engine = Engine::start("e");
     let descriptors = 24;
     let (_discovery, router) = start_with_engine(&engine, descriptors);
@@ -107,7 +110,10 @@
         assert_eq!(client.try_answer(), Some(row()));
     }
     let counters = Client::new(&router).counters("open", 0);
+    // Client sessions may take half of the descriptors, so at most that many of the 60 new connections are accepted
+    // without a session being closed for them.
     assert!(counter(&counters, "sessions_closed_for_room") >= 60 - u64::from(descriptors) / 2, "{counters}");
+    // 60 requests on new connections, and 6 from half of the 12 idle sessions.
     assert_eq!((counter(&counters, "taken"), counter(&counters, "delivered")), (66, 66));
 }
 
@@ -190,6 +196,7 @@
         );
     }
     for client in &mut clients {
+        // A second answer to the first request would be read here in place of the row.
         let next = client.ask(&request("look", 5000, "x"));
         assert_eq!(next, row(), "{name}: the next request on the session was not answered with its own row");
     }
--- a/crates/router/tests/golden_status.rs
+++ b/crates/router/tests/golden_status.rs
@@ -17,7 +17,8 @@
 const TEAMS: &str =
     r#"{"teams": [{"name": "greedy", "weight": 1, "most_queued": 20}, {"name": "modest", "weight": 1}]}"#;
 
-/// Replaces each run of digits by `#`, and the states of a BGP session that is not established by `STATE`.
+/// Replaces each run of digits by `#`, a decimal number by one `#` (so that two numbers joined by a point, as in an
+/// address, become one `#` as well), and the states of a BGP session that is not established by `STATE`.
 fn normalized(table: &str) -> String {
     let mut text = String::new();
     for character in table.chars() {
@@ -76,7 +77,7 @@
         text.replace(r#"[{"name":"town"}]"#, names)
     });
     Client::new(&router).ask(&request("look", 5000, "x"));
-    // Wait until the store has a full snapshot and the cluster's states no longer change.
+    // Wait until the store has a full snapshot, and no row of the cluster says `just` (as in `just started`).
     let begun = Instant::now();
     while !show(&router, "STORE").contains("full") || show(&router, "CLUSTER").contains("just") {
         assert!(
@@ -85,6 +86,9 @@
         );
         std::thread::sleep(Duration::from_millis(100));
     }
+    // The golden row of the service address says `announced`. By default the address reaches that level only after a
+    // start delay of 1 s, random delays of up to 5 s and 5 s at the depreferred level, which may take longer than the
+    // wait above.
     std::thread::sleep(Duration::from_secs(3));
     let mut text = String::new();
     for topic in ["TEAMS", "CLUSTER", "DUTIES", "STORE", "ANNOUNCEMENTS"] {
@@ -92,9 +96,9 @@
     }
     let text = normalized(&text.replace(folder.to_str().expect("the path is UTF-8"), "FOLDER"));
     expect_file!["golden/status.txt"].assert_eq(&text);
-    let bare = Router::with(PROGRAM, &discovery, 256, &[]);
+    let without_files = Router::with(PROGRAM, &discovery, 256, &[]);
     for topic in ["TEAMS", "CLUSTER", "DUTIES", "STORE", "ANNOUNCEMENTS"] {
-        let answer = show(&bare, topic);
+        let answer = show(&without_files, topic);
         assert!(answer.contains("there is nothing of the kind here"), "{topic}: {answer}");
     }
     std::fs::remove_dir_all(folder).expect("the test owns the folder");
--- a/crates/router/tests/run_form.rs
+++ b/crates/router/tests/run_form.rs
@@ -1,5 +1,5 @@
-//! Checks the router program in the form in which `run` in the deploy file starts it: it never opens anything that the
-//! deployment platform refuses.
+//! Checks that the router, started as the deploy file's `run` starts it, opens nothing that the deployment platform
+//! refuses.
 
 use cleatgw_testbed::stand_ins::*;
 use rustix::process::Signal;
@@ -51,7 +51,8 @@
     let refused_sockets: Vec<(&str, Vec<String>)> =
         tables.map(|(kind, column)| (kind, inodes(&process, kind, column))).into();
     for number in numeric_entries(&process.join("fd")).into_iter().filter(|number| *number > 2) {
-        // A descriptor closed since it was listed is skipped. If it is opened again, a later check sees it.
+        // A descriptor closed since it was listed is not examined: a later check sees it if it is opened again. What is
+        // open only between two checks can be missed.
         let Ok(target) = fs::read_link(process.join("fd").join(number.to_string())) else { continue };
         let target = target.to_string_lossy().into_owned();
         let info = fs::read_to_string(process.join("fdinfo").join(number.to_string())).unwrap_or_default();
@@ -122,12 +123,14 @@
     }
 }
 
-/// Hard case: something refused is opened only for a moment, under load, at a reload or at the end.
+/// Hard case: something refused is opened only for a short time, under load, at a reload or at the end. For this reason
+/// the checks at the reload and at the end are 2 ms apart.
 #[test]
 fn the_router_opens_nothing_that_the_platform_refuses() {
     let engine = Engine::start("e");
     let discovery = Discovery::start();
     discovery.tell(true, &[engine.entry("ready")]);
+    // Starts the program as `run` does: without arguments, and by an `exec` that replaces the shell.
     let mut router = Router::with(env!("CARGO_BIN_EXE_cleatgw"), &discovery, 256, &[]);
     let process = router.process();
     let check = |times: u32| {
--- a/crates/router/tests/speaker.rs
+++ b/crates/router/tests/speaker.rs
@@ -60,12 +60,16 @@
     }
 }
 
+/// The identifier of the router in the service file, 192.0.2.1, which marks the paths it announces.
+const ROUTER_IDENTIFIER: u32 = 0xc0000201;
+
 /// Whether the peer has a route to the service address.
 fn has_route(peering: &Peering) -> bool {
     peering.table().iter().any(|(net, _)| *net == service())
 }
 
-/// How many announcements the peer has received.
+/// How many announcements the peer has received. After the start of the router an address is announced twice: first at
+/// the depreferred level (`Level::Depreferred`), then at its normal level (`Level::Announced`).
 fn announcements(peering: &Peering) -> usize {
     peering.noted().iter().filter(|(_, event)| matches!(event, Saw::Announced(..))).count()
 }
@@ -91,7 +95,7 @@
     let peering = Peering::start(open(false));
     let mut fixture = Fixture::new(&service_file(&[&peering], ""));
     peering.wait("announced at its normal level", |peering| announcements(peering) == 2);
-    assert_eq!(peering.table()[0].1.large_communities, [mark(0xc0000201, true)]);
+    assert_eq!(peering.table()[0].1.large_communities, [mark(ROUTER_IDENTIFIER, true)]);
     fixture.assert_serves();
     let shown = show_announcements(&fixture);
     assert!(shown.contains("address 198.51.100.7/32,announced,well, for"), "{shown}");
@@ -184,9 +188,10 @@
 #[test]
 fn a_drain_that_begins_without_a_session_reconnects_to_a_peer_that_keeps_routes_and_clears_them() {
     let peering = Peering::start(open(true));
-    let text =
-        service_file(&[&peering], "").replace("\"hold_s\":9", "\"hold_s\":9,\"graceful_restart_s\":120");
-    let mut fixture = Fixture::new(&text);
+    let text = |peering: &Peering| {
+        service_file(&[peering], "").replace("\"hold_s\":9", "\"hold_s\":9,\"graceful_restart_s\":120")
+    };
+    let mut fixture = Fixture::new(&text(&peering));
     peering.wait("announced at its normal level", |peering| announcements(peering) == 2);
     peering.mode(Mode::Resets);
     peering.reset();
@@ -200,9 +205,7 @@
     assert_eq!(announcements(&peering), 2);
     // A healthy session ends with a hard reset, so that the peer keeps no route.
     let peering = Peering::start(open(true));
-    let mut fixture = Fixture::new(
-        &text.replace(&text[text.find("127.0.0.1:").unwrap()..][..15], &peering.address.to_string()[..]),
-    );
+    let mut fixture = Fixture::new(&text(&peering));
     peering.wait("announced at its normal level", |peering| announcements(peering) == 2);
     fixture.router.fail();
     assert_eq!(fixture.router.ended().0, Some(0));
@@ -221,7 +224,7 @@
     peering.wait("announced at its normal level", |peering| announcements(peering) == 2);
     fixture.discovery.tell(false, &[fixture.engine.entry("draining")]);
     let is_last_resort = |peering: &Peering| {
-        peering.table().iter().any(|(_, path)| path.large_communities == [mark(0xc0000201, false)])
+        peering.table().iter().any(|(_, path)| path.large_communities == [mark(ROUTER_IDENTIFIER, false)])
     };
     peering.wait("announced as last resort", is_last_resort);
     fixture.router.log.wait("held back by the guard of the last announcer", 1);
@@ -243,7 +246,7 @@
     fixture.assert_serves();
 }
 
-/// Hard case: the session flaps repeatedly and ends in a different way each time, over four ways.
+/// Hard case: the session flaps 12 times. Four ways to end it take turns.
 #[test]
 fn a_flapping_peer_gets_the_route_again_after_each_flap_and_no_request_is_lost() {
     let peering = Peering::start(open(false));
@@ -253,6 +256,7 @@
         match flap % 4 {
             0 => peering.reset(),
             1 => peering.cease(),
+            // A message header with an invalid marker.
             2 => peering.say(|out| out.extend([0; 19])),
             // Part of a message header, then a reset.
             _ => {
@@ -415,6 +419,7 @@
         let (_, path) = table.iter().find(|(net, _)| *net == ipv6_address)?;
         path.next_hop
     };
+    // Two announcements for each of the two addresses.
     peering.wait("announced at its normal level", |peering| announcements(peering) == 4);
     assert_eq!(next_hop(&peering), Some("2001:db8::1".parse().unwrap()));
     fixture.router.fail();
--- a/crates/router/tests/strict_terms.rs
+++ b/crates/router/tests/strict_terms.rs
@@ -1,6 +1,9 @@
-//! Runs the router program between simulated engines and clients, and checks the stricter requirements of the
-//! operators on requests: no attempt begins for a client that has left, and no engine is given a budget longer than
-//! the time that is left to the client's request. A fault elsewhere costs no request its answer.
+//! Runs the router program between simulated engines and clients, and checks two strict requirements on requests: no
+//! attempt begins for a client that has left, and no engine is given a budget longer than the time that is left to the
+//! client's request. That a fault elsewhere costs no request its answer is checked in `final_answers.rs`.
+//!
+//! A turn is one pass of the router's event loop: it reads all ready sources, then processes what it has read as one
+//! batch.
 
 use cleatgw_testbed::stand_ins::*;
 use std::io::Write;
@@ -10,8 +13,9 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
 /// By how many milliseconds the budget given to an engine may exceed the time left to the request.
 const BUDGET_SLACK_MS: f64 = 150.0;
-/// Long enough for a wrongly started attempt to show itself.
-const ATTEMPT_START_TIME: Duration = Duration::from_millis(300);
+/// How long the router is stopped, and how long a test waits for an attempt that must not begin: long enough for a
+/// wrongly started attempt to show itself.
+const ATTEMPT_START_LIMIT: Duration = Duration::from_millis(300);
 
 /// The answer of an engine to a statement without a special meaning.
 fn row() -> Answered {
@@ -52,7 +56,7 @@
 
 /// What a client does while its request is open.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Departure {
+enum ClientAction {
     /// Waits for the answer.
     Stays,
     /// Closes its connection.
@@ -63,8 +67,8 @@
     CancelsFromNewSession,
 }
 
-const DEPARTURES: [Departure; 4] =
-    [Departure::Stays, Departure::Closes, Departure::Cancels, Departure::CancelsFromNewSession];
+const CLIENT_ACTIONS: [ClientAction; 4] =
+    [ClientAction::Stays, ClientAction::Closes, ClientAction::Cancels, ClientAction::CancelsFromNewSession];
 
 /// The two sessions of a client: one that has sent a request, and another one.
 struct ClientSessions {
@@ -82,20 +86,20 @@
 
     /// Does what `how` says. Returns the sessions that stay open, because their answers are still to be read or
     /// because closing them would be another way to leave.
-    fn depart(self, how: Departure, router: &Router) -> Vec<Client> {
+    fn perform(self, how: ClientAction, router: &Router) -> Vec<Client> {
         let ClientSessions { requesting, mut other } = self;
         let kill = format!("KILL QUERY {}", requesting.session);
         match how {
-            Departure::Stays => vec![requesting, other],
-            Departure::Closes => {
+            ClientAction::Stays => vec![requesting, other],
+            ClientAction::Closes => {
                 drop(requesting);
                 vec![other]
             }
-            Departure::Cancels => {
+            ClientAction::Cancels => {
                 other.send(&kill);
                 vec![requesting, other]
             }
-            Departure::CancelsFromNewSession => {
+            ClientAction::CancelsFromNewSession => {
                 let mut stream = std::net::TcpStream::connect(router.address).unwrap();
                 stream.write_all(&[login(), query(&kill)].concat()).unwrap();
                 vec![requesting, other, Client { stream, session: 0 }]
@@ -108,7 +112,7 @@
 /// the client has left and the event that adds an engine.
 #[test]
 fn no_first_attempt_begins_for_a_client_that_left_before_the_turn_that_brings_an_engine() {
-    for how in DEPARTURES {
+    for how in CLIENT_ACTIONS {
         let engine = Engine::start("e");
         let discovery = Discovery::start();
         discovery.tell(true, &[]);
@@ -122,12 +126,12 @@
             engine.entry("ready")
         );
         let mut kept = Vec::new();
-        router.stop_for(ATTEMPT_START_TIME, || {
-            kept = sessions.depart(how, &router);
+        router.stop_for(ATTEMPT_START_LIMIT, || {
+            kept = sessions.perform(how, &router);
             discovery.say(&event);
         });
         router.log.wait("is e at", 1);
-        if how == Departure::Stays {
+        if how == ClientAction::Stays {
             assert_eq!(kept[0].answer(), row(), "the event that adds an engine must dispatch the request");
             continue;
         }
@@ -140,7 +144,7 @@
 /// The client leaves before the turn in which the router reads how the first attempt ended.
 #[test]
 fn no_further_attempt_begins_for_a_client_that_left_before_the_turn_that_ends_its_attempt() {
-    for how in DEPARTURES {
+    for how in CLIENT_ACTIONS {
         for end in ["WAIT", "BROKE", "reset"] {
             let engines = [Engine::start("a"), Engine::start("b")];
             let (_discovery, router) = start(&[&engines[0], &engines[1]]);
@@ -158,20 +162,20 @@
             let first = engines.iter().find(has_request).unwrap();
             let mut kept = Vec::new();
             let mut connections = 0;
-            router.stop_for(ATTEMPT_START_TIME, || {
-                kept = sessions.depart(how, &router);
+            router.stop_for(ATTEMPT_START_LIMIT, || {
+                kept = sessions.perform(how, &router);
                 connections = match end {
                     "reset" => first.reset(),
                     word => first.say(format!("{call} {word} - 0\r\n\r\n").as_bytes()),
                 };
             });
             assert_eq!(connections, 1, "{end} must reach the one connection of the attempt");
-            if how == Departure::Stays {
+            if how == ClientAction::Stays {
                 witness.counters("pushes", 2);
                 continue;
             }
             witness.counters("withdrawn", 1);
-            std::thread::sleep(ATTEMPT_START_TIME);
+            std::thread::sleep(ATTEMPT_START_LIMIT);
             let counters = witness.counters("open", 0);
             assert_eq!(counter(&counters, "pushes"), 1, "{how:?}, {end}");
             assert_eq!(
@@ -189,16 +193,18 @@
     let (engine, door) = Engine::late("e");
     let (_discovery, router) = start_with_configuration(&[&engine], with_long_connect_timeout);
     let mut witness = Client::new(&router);
-    let mut clients: Vec<ClientSessions> = DEPARTURES
+    let clients: Vec<ClientSessions> = CLIENT_ACTIONS
         .map(|how| ClientSessions::with_request(&router, &heavy_request("look", 20000, &format!("{how:?}"))))
         .into();
     witness.counters("pushes", 4);
-    clients.reverse();
-    let mut kept: Vec<Vec<Client>> = DEPARTURES.map(|how| clients.pop().unwrap().depart(how, &router)).into();
+    let mut kept: Vec<Vec<Client>> =
+        CLIENT_ACTIONS.into_iter().zip(clients).map(|(how, client)| client.perform(how, &router)).collect();
     witness.counters("withdrawn", 3);
     door.open();
+    // The client of the first action stays; its first session has sent the request.
+    let stayed = &mut kept[0][0];
     assert_eq!(
-        kept[0][0].answer(),
+        stayed.answer(),
         row(),
         "the request of the client that stayed must be sent on the connection"
     );
@@ -212,19 +218,24 @@
     let (engine, door) = Engine::late("e");
     let (_discovery, router) = start_with_configuration(&[&engine], with_long_connect_timeout);
     let mut witness = Client::new(&router);
-    let mut clients: Vec<ClientSessions> = DEPARTURES
+    let clients: Vec<ClientSessions> = CLIENT_ACTIONS
         .map(|how| ClientSessions::with_request(&router, &heavy_request("look", 20000, &format!("{how:?}"))))
         .into();
     witness.counters("pushes", 4);
-    clients.reverse();
     let mut kept: Vec<Vec<Client>> = Vec::new();
-    router.stop_for(ATTEMPT_START_TIME, || {
-        kept = DEPARTURES.map(|how| clients.pop().unwrap().depart(how, &router)).into();
+    router.stop_for(ATTEMPT_START_LIMIT, || {
+        kept = CLIENT_ACTIONS
+            .into_iter()
+            .zip(clients)
+            .map(|(how, client)| client.perform(how, &router))
+            .collect();
         door.open();
         engine.seen.wait("connection 0", 1);
     });
+    // The client of the first action stays; its first session has sent the request.
+    let stayed = &mut kept[0][0];
     assert_eq!(
-        kept[0][0].answer(),
+        stayed.answer(),
         row(),
         "the request of the client that stayed must be sent on the connection"
     );
@@ -264,23 +275,26 @@
 
 /// The time to live of the requests, in milliseconds.
 const TTL: u64 = 4000;
-/// How long a request is held up before its budget is checked.
-const LONG: Duration = Duration::from_millis(1000);
+/// How long a request is held up before its budget is checked. The wait for a connection is half as long.
+const HOLD_UP: Duration = Duration::from_millis(1000);
 
 #[test]
 fn an_engine_gets_the_time_left_as_budget_after_a_long_wait_for_any_engine() {
     let engine = Engine::start("e");
     let budgets = Budgets::record(&engine);
     // A long objective, so that the request still pays off after the wait.
-    let with_long_objective =
-        |text: String| text.replace("\"objective-us\":1000000", "\"objective-us\":20000000");
+    let with_long_objective = |text: String| {
+        let changed = text.replace("\"objective-us\":1000000", "\"objective-us\":20000000");
+        assert_ne!(changed, text);
+        changed
+    };
     let (discovery, router) = start_with_configuration(&[], with_long_objective);
     let mut client = Client::new(&router);
     let sent = Instant::now();
     let ttl = 5 * TTL;
     client.send(&heavy_request("look", ttl, "x"));
     Client::new(&router).counters("open", 1);
-    std::thread::sleep(LONG);
+    std::thread::sleep(HOLD_UP);
     let waited = sent.elapsed();
     discovery.tell(false, &[engine.entry("ready")]);
     assert_eq!(client.answer(), row());
@@ -296,7 +310,7 @@
     let sent = Instant::now();
     client.send(&heavy_request("look", TTL, "x"));
     Client::new(&router).counters("pushes", 1);
-    std::thread::sleep(LONG / 2);
+    std::thread::sleep(HOLD_UP / 2);
     let waited = sent.elapsed();
     door.open();
     assert_eq!(client.answer(), row());
@@ -314,7 +328,7 @@
     let sent = Instant::now();
     client.send(&text);
     engine.seen.wait("GET", 1);
-    std::thread::sleep(LONG);
+    std::thread::sleep(HOLD_UP);
     let waited = sent.elapsed();
     assert_eq!(engine.say(format!("{call} BROKE - 0\r\n\r\n").as_bytes()), 1);
     engine.seen.wait("GET", 2);
@@ -339,7 +353,7 @@
     router.stop_for(Duration::ZERO, || {
         sent = Instant::now();
         client.stream.write_all(&[*last]).unwrap();
-        std::thread::sleep(LONG);
+        std::thread::sleep(HOLD_UP);
         waited = sent.elapsed();
     });
     assert_eq!(client.answer(), row());
@@ -358,7 +372,7 @@
     let sent = Instant::now();
     client.stream.write_all(&[query(&first), query(&heavy_request("look", TTL, "x"))].concat()).unwrap();
     engine.seen.wait("GET", 1);
-    std::thread::sleep(LONG);
+    std::thread::sleep(HOLD_UP);
     let waited = sent.elapsed();
     assert_eq!(engine.say(format!("{call} BROKE - 0\r\n\r\n").as_bytes()), 1);
     assert!(matches!(client.answer(), Answered::Error(1105, _)));
--- a/crates/router/tests/teams.rs
+++ b/crates/router/tests/teams.rs
@@ -31,7 +31,12 @@
     discovery.tell(true, &[engine.entry()]);
     let names = r#"[{"name":"greedy"},{"name":"modest"}]"#;
     let change = |text: String| {
-        text.replace(r#"[{"name":"town"}]"#, names).replace("\"cores-by-kind\":[8]", "\"cores-by-kind\":[2]")
+        let with_tenants = text.replace(r#"[{"name":"town"}]"#, names);
+        assert_ne!(with_tenants, text);
+        let changed =
+            with_tenants.replace("\"cores-by-kind\":[8]", &format!("\"cores-by-kind\":[{cores:.0}]"));
+        assert_ne!(changed, with_tenants);
+        changed
     };
     let arguments = ["--teams", file.to_str().unwrap()];
     let router = Router::changed(PROGRAM, &discovery, 512, &arguments, change);
@@ -76,7 +81,7 @@
     assert!(shown.contains("team greedy") && shown.contains("in line"), "{shown}");
     let mut modest = Client::new(&fixture.router);
     assert_eq!(modest.ask(&tenant_request("modest", 10.0)), Answered::Rows(vec!["0,one,two".to_string()]));
-    // The request did not wait for the queue of the other tenant: most of that queue is still open.
+    // The request did not wait for the queue of the other tenant: at least 5 of its requests are still open.
     let counters = Client::new(&fixture.router).counters_now();
     assert!(counter(&counters, "turned_back") >= 20, "{counters}");
     assert!(counter(&counters, "open") >= 5, "{counters}");
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -1,5 +1,6 @@
 //! Runs the router program between simulated engines, clients and a discovery service. Each test checks one
-//! requirement on the whole program.
+//! requirement on the whole program. A turn is one pass of the router's event loop: it reads all ready sources, then
+//! processes what it has read as one batch.
 
 use cleatgw_testbed::stand_ins::*;
 use std::io::{Read, Write};
@@ -71,7 +72,7 @@
     assert_eq!(client.ask("SET NAMES utf8mb4"), Answered::Ok);
     for (text, reason) in [
         ("SELECT 1 FROM sales_17.t".to_string(), "no fields comment"),
-        // Statements that drivers send, for which there is no result of an engine.
+        // Drivers send these statements. The router has no result of its own to answer them with, so they get an error.
         ("SELECT 1".to_string(), "no fields comment"),
         ("SELECT @@version_comment LIMIT 1".to_string(), "no fields comment"),
         ("SHOW WARNINGS".to_string(), "no fields comment"),
@@ -244,6 +245,7 @@
     assert_eq!(idle.last_mut().unwrap().ask(&request("look", 5000, "x")), rows(1));
     let counters = idle.last_mut().unwrap().counters("open", 0);
     assert!(counter(&counters, "sessions_closed_for_room") > 0);
+    // Client sessions may take half of the 64 descriptors.
     assert!(counter(&counters, "descriptors_short") == 0 && counter(&counters, "sessions_open") <= 32);
 }
 
@@ -271,7 +273,7 @@
 }
 
 #[test]
-fn connections_without_a_login_are_closed_for_descriptors_before_clients_that_have_sent_requests() {
+fn when_descriptors_run_short_connections_without_a_login_are_closed_before_clients_that_sent_requests() {
     let engine = Engine::start("e");
     let (_discovery, router) = start_with_descriptors(&[&engine], 64);
     let mut clients: Vec<Client> = (0..8).map(|_| Client::new(&router)).collect();
@@ -287,8 +289,10 @@
     }
 }
 
+/// The deadline of 2 s counts from the arrival of the request, not from when the router reads it 1.5 s later. The
+/// bound allows 1 s more; a deadline that counted from the reading would pass 3.5 s after the arrival.
 #[test]
-fn a_request_sent_while_the_router_process_is_stopped_is_answered_in_its_clients_time() {
+fn a_request_sent_while_the_router_process_is_stopped_is_answered_soon_after_its_deadline() {
     let engine = Engine::start("e");
     let (_discovery, router) = start(&[&engine]);
     let mut client = Client::new(&router);
@@ -460,8 +464,8 @@
         format!(r#"{{"rev":9,"notices":[{{"rev":{number},"pool":{{"all":false,"targets":[{entry}]}}}}]}}"#)
     };
     let new = old.moved();
-    // An event that directly follows the last known one is taken from the file. One behind a gap is left to the
-    // discovery service.
+    // An event that directly follows the last known one is taken from the file. An event behind a gap that is not a
+    // complete list is left to the discovery service.
     let text = router.configuration(&new, &known(2, second.entry("ready")));
     old.tell(false, &[second.entry("ready")]);
     router.reload(&text.replace("\"memory_mb\":192", "\"memory_mb\":99"));
