--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -11,6 +11,8 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
+/// The MySQL command byte of a ping.
+const COM_PING: u8 = 0x0e;
 /// Engines in the largest list and routers in the largest configuration that the tests use.
 const MAX_LIST_LENGTH: usize = 1024;
 /// Length in bytes of the longest engine list line that every router accepts, however little memory it has.
@@ -59,6 +61,7 @@
     let mut client = Client::new(&router);
     client.counters("board_events", 1);
     assert_serves(&router, &engine, 40);
+    // The configuration file of a router that starts now states the list that the discovery service has told.
     let second_router = Router::changed(PROGRAM, &discovery, 256, &[], smallest_memory);
     engine.seen.forget();
     assert_serves(&second_router, &engine, 40);
@@ -110,6 +113,7 @@
     discovery.seen.wait("watch 1", 3);
     assert_eq!(client.ask(&request("look", 5000, "x")), expected_row());
     let counters = client.counters("open", 0);
+    // No event was applied: the list that is served comes from the configuration file.
     assert_eq!((counter(&counters, "board_events"), counter(&counters, "panics")), (0, 0));
     // A list from another discovery service is accepted.
     let other_discovery = Discovery::start();
@@ -193,7 +197,7 @@
             let first_bytes = match open_streams.len() % 3 {
                 0 => login(),
                 1 => login()[..9].to_vec(),
-                _ => [login(), packet(0, &[0x0e])].concat(),
+                _ => [login(), packet(0, &[COM_PING])].concat(),
             };
             connected.fetch_add(u64::from(stream.write_all(&first_bytes).is_ok()), Relaxed);
             open_streams.push(stream);
@@ -268,7 +272,7 @@
 fn answers_ping(address: SocketAddr) -> bool {
     let Ok(mut client) = Client::at(address) else { return false };
     client.stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-    client.stream.write_all(&packet(0, &[0x0e])).is_ok() && client.try_answer() == Some(Answered::Ok)
+    client.stream.write_all(&packet(0, &[COM_PING])).is_ok() && client.try_answer() == Some(Answered::Ok)
 }
 
 /// Sends a request, with a new session each time the router closes one before it answers, and returns the counters that
--- a/crates/router/tests/capacity_control.rs
+++ b/crates/router/tests/capacity_control.rs
@@ -10,10 +10,12 @@
 /// What the router did because of the reloads, in counts.
 #[derive(Debug, PartialEq)]
 struct ReloadCosts {
-    /// Number of log lines of each kind.
+    /// Number of log lines: about engines, about a new discovery service, about a setting that can't change while running,
+    /// and about the connection to a discovery service with last event 1.
     lines: [usize; 4],
     /// Calls of the discovery services, without the first call.
     calls: usize,
+    /// All connections to the engine since its start, which includes the one opened before the reloads.
     connections: usize,
     attempts: u64,
     sessions: u64,
@@ -44,7 +46,7 @@
     let mut client = Client::new(&router);
     assert!(matches!(client.ask(&request("look", 5000, "x")), Answered::Rows(_)));
     let before = client.counters("delivered", 1);
-    // The log drops lines beyond a number per second. Wait, so that the lines on hundreds of engines at the start do not
+    // The log drops lines beyond 200 per second. Wait, so that the lines on hundreds of engines at the start do not
     // cause lines of the reloads to be dropped.
     std::thread::sleep(std::time::Duration::from_millis(1200));
     router.log.forget();
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -1,5 +1,8 @@
 //! Scenario tests of clusters of router processes with faults between them. One test covers each scenario. The test bed,
 //! which shares no code with the routers, checks what each router reported about the others.
+//!
+//! A router reports the cluster as `whole` if all routers are present, as `majority`, `half` or `minority` if more than half,
+//! exactly half or fewer than half are, and as `never formed` if it has never seen a majority.
 
 use cleatgw_testbed::checkers::failure_detection::Record;
 use cleatgw_testbed::clients::load::Load;
@@ -23,14 +26,14 @@
     cluster
 }
 
-/// Asserts that no running router was considered failed, that all ended routers were detected within `max_detection_ms`,
+/// Asserts that no running router was considered failed, that all ended routers were considered failed within `max_detection_ms`,
 /// and that the routers' views agreed within 4 s after each change.
 fn assert_detection_correct(record: &Record, max_detection_ms: u64) {
     assert_eq!(record.false_failures(), []);
     let (times, missed) = record.detections();
     assert!(
         missed == 0 && times.max() <= max_detection_ms,
-        "{missed} ended routers not detected, longest detection {} ms",
+        "{missed} times an ended router was not considered failed, longest detection {} ms",
         times.max()
     );
     let agreed = record.agreed_after();
@@ -55,6 +58,7 @@
     assert_served(&cluster, load, 100);
     let record = cluster.record();
     assert_detection_correct(&record, 4000);
+    // Each of the four other routers detects the killed one.
     assert_eq!(record.detections().0.len(), 4);
     cluster.stands(2, "whole");
 }
@@ -94,13 +98,13 @@
 #[test]
 fn no_router_is_considered_failed_with_30_percent_loss_duplicates_damage_and_reordering() {
     let mut cluster = start_whole_cluster(5, 5);
-    let acts = [
+    let actions = [
         FaultAction::Loss(0.3),
         FaultAction::Twice(0.2),
         FaultAction::Damage(0.05),
         FaultAction::Spread(0.05),
     ];
-    cluster.play(&acts.map(|act| (0.0, act)).into(), 10.0);
+    cluster.play(&actions.map(|action| (0.0, action)).into(), 10.0);
     let (lost, damaged, duplicated) = {
         let link_conditions = cluster.relays.link_conditions.lock().unwrap();
         (link_conditions.lost, link_conditions.damaged, link_conditions.twice)
@@ -146,7 +150,8 @@
     }
 }
 
-/// An unknown sender sends datagrams that belong to no member as fast as it can.
+/// A sender whose address is in no cluster file sends datagrams that begin with `cG` and 1 but have invalid content, as
+/// fast as it can.
 #[test]
 fn a_flood_of_datagrams_from_an_unknown_sender_leaves_no_request_unanswered() {
     let cluster = start_whole_cluster(3, 7);
@@ -236,6 +241,7 @@
     assert_served(&cluster, load, 50);
     let record = cluster.record();
     assert_detection_correct(&record, 8500);
+    // Each of the three remaining routers detects seven.
     assert_eq!(record.detections().0.len(), 21);
 }
 
@@ -243,13 +249,13 @@
 fn all_routers_restarted_within_a_second_find_each_other() {
     let mut cluster = start_whole_cluster(6, 12);
     let load = Load::start(&cluster, 20.0);
-    let acts = (0..6).flat_map(|router| {
+    let actions = (0..6).flat_map(|router| {
         let kill_at = router as f64 * 0.15;
         [(kill_at, FaultAction::Kill(router)), (kill_at + 0.05, FaultAction::Start(router))]
     });
-    let mut acts: Vec<_> = acts.collect();
-    acts.sort_by(|one, other| one.0.total_cmp(&other.0));
-    cluster.play(&acts, 7.0);
+    let mut actions: Vec<_> = actions.collect();
+    actions.sort_by(|one, other| one.0.total_cmp(&other.0));
+    cluster.play(&actions, 7.0);
     (0..6).for_each(|router| cluster.stands(router, "whole"));
     assert_served(&cluster, load, 50);
     assert_detection_correct(&cluster.record(), 4000);
@@ -271,11 +277,11 @@
 fn a_partition_that_heals_briefly_and_returns_ten_times_leaves_no_lasting_disagreement() {
     let mut cluster = start_whole_cluster(5, 14);
     let parts = vec![0, 0, 1, 1, 1];
-    let acts = (0..10).flat_map(|round| {
+    let actions = (0..10).flat_map(|round| {
         let cut_at = f64::from(round) * 1.2;
         [(cut_at, FaultAction::Part(parts.clone())), (cut_at + 1.0, FaultAction::Heal)]
     });
-    cluster.play(&acts.collect(), 7.0);
+    cluster.play(&actions.collect(), 7.0);
     assert!(cluster.relays.link_conditions.lock().unwrap().cut > 50);
     (0..5).for_each(|router| cluster.stands(router, "whole"));
     let agreed = cluster.record().agreed_after();
@@ -364,8 +370,11 @@
     cluster.play(&vec![(0.0, FaultAction::LossTo(4, 0.0))], 6.0);
     (0..5).for_each(|router| cluster.stands(router, "whole"));
     let record = cluster.record();
-    let between_others: Vec<_> =
-        record.false_failures().into_iter().filter(|(_, by, of)| *by != 4 && *of != 4).collect();
+    let between_others: Vec<_> = record
+        .false_failures()
+        .into_iter()
+        .filter(|(_, reporter, reported)| *reporter != 4 && *reported != 4)
+        .collect();
     assert_eq!(between_others, []);
     // Check that datagrams to the router were lost and that it did suspect others.
     assert!(cluster.relays.link_conditions.lock().unwrap().lost > 20);
@@ -454,25 +463,31 @@
     let fault_to = |target, fault| FaultAction::Way(None, target, fault);
     cluster.play(
         &vec![
+            // Answers of engine 0 are delayed by 1.5 s.
             (0.0, fault_to(Target::Engine(0), Fault::Back(1.5))),
+            // Connections to engine 1 are reset, and new ones refused for 1.4 s.
             (2.0, fault_to(Target::Engine(1), Fault::Reset)),
             (2.1, fault_to(Target::Engine(1), Fault::Refuse(true))),
             (3.5, fault_to(Target::Engine(1), Fault::Sound)),
+            // Traffic with engine 2 is delayed for 1.5 s.
             (4.0, fault_to(Target::Engine(2), Fault::Delay(0.2))),
             (5.5, fault_to(Target::Engine(2), Fault::Sound)),
+            // What router 0 sends to engine 0 is held back for 2 s.
             (6.0, FaultAction::Way(Some(0), Target::Engine(0), Fault::There(2.0))),
+            // Both directions of the discovery connections are held back for 4 s.
             (6.0, fault_to(Target::Discovery, Fault::Both(4.0))),
         ],
         1.0,
     );
     cluster.engine_is(1, "draining", &[0, 1, 2]);
+    // Wait until the discovery connections work again and the drain is applied.
     std::thread::sleep(Duration::from_secs(5));
     let had_faults = cluster.way(0, Target::Engine(2)).was_rough(0.0, 1e9, 0.0);
     let ran_before = cluster.engines[1].ran().len();
     std::thread::sleep(Duration::from_secs(4));
     assert!(
         had_faults && cluster.engines[1].ran().len() == ran_before,
-        "no fault was applied, or the engine got new attempts after the drain"
+        "no fault between router 0 and engine 2, or engine 1 got new attempts after the drain"
     );
     let counters: Vec<String> =
         (0..3).map(|router| Client::at(cluster.address(router)).unwrap().counters_now()).collect();
@@ -488,9 +503,9 @@
     let mut cluster = start_whole_cluster(5, 23);
     cluster.play(&vec![(0.0, FaultAction::Cut(0, 1))], 10.0);
     assert_eq!(cluster.record().false_failures(), []);
-    for (by, of) in [(0, "r1"), (1, "r0")] {
-        let table = cluster.table(by).join("\n");
-        assert!(table.contains(&format!("router {of},seen by others")), "{table}");
+    for (reporter, reported) in [(0, "r1"), (1, "r0")] {
+        let table = cluster.table(reporter).join("\n");
+        assert!(table.contains(&format!("router {reported},seen by others")), "{table}");
     }
     (0..5).for_each(|router| cluster.stands(router, "whole"));
 }
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -1,5 +1,6 @@
 //! Scenario tests of routers that are killed and restarted, with stores that are intact, lost, outdated, damaged, exchanged
-//! or on a disk that hangs, fails or lies. One test covers each scenario; the routers are processes of the real program.
+//! or on a disk that hangs or fails. One test covers each scenario; the routers are processes of the real program. Plans
+//! with `knows: false` give the routers no cluster file.
 
 use cleatgw_testbed::checkers::request_rules::{Outcome, Stated};
 use cleatgw_testbed::clients::load::{outcome, Load};
@@ -49,7 +50,7 @@
         std::thread::sleep(Duration::from_secs(4));
         cluster.play(&vec![(0.0, FaultAction::Kill(0)), (0.1, FaultAction::Start(0))], 4.0);
         let tally = load.tally(&cluster);
-        // The checker applies the rule for kept stores in both cases.
+        // If the plan keeps no stores, the checker gives each incarnation a budget of its own, whatever is passed here.
         let check_result = cluster.check_result(&tally.asked, true);
         let over_budget = check_result.attempts_over_budget;
         match keeps {
@@ -67,7 +68,8 @@
     }
 }
 
-/// A deduplicated request is dispatched just before the kill; its client repeats it 1 s and 13 s after the restart. The
+/// A deduplicated request is dispatched just before the kill; its client repeats it 1 s and 13 s after the restart; the
+/// `window-us` of its class is 12 s. The
 /// work estimate is so large that no attempt times out, neither while the engines are silent before the kill nor when a
 /// busy machine delays an answer: a time-out would use up the retry budget, which another test covers.
 #[test]
@@ -134,6 +136,7 @@
     restart(&mut cluster, &|path| std::fs::remove_file(path).unwrap());
     wait_until_settling(&cluster, 0);
     assert!(has_logged(&cluster, 0, "recovery without stored history: the store holds no snapshot"));
+    // Overwrite the store with bytes that are no store.
     restart(&mut cluster, &|path| std::fs::write(path, [7; 9000]).unwrap());
     cluster.router(0).log.wait("is set aside as", 1);
     wait_until_settling(&cluster, 0);
@@ -194,6 +197,7 @@
     wait_until_recovered(&cluster, 0);
     wait_until_recovered(&cluster, 1);
     let load = Load::start(&cluster, 50.0);
+    // `h`: the disk hangs; `f`: its writes fail; 0: it works.
     shims.disk(0, b'h');
     shims.disk(1, b'f');
     cluster.router(0).log.wait("the disk does not answer", 1);
@@ -266,8 +270,8 @@
     let load = Load::start(&cluster, 30.0);
     std::thread::sleep(Duration::from_secs(2));
     let kills = (3..10).map(|router| (0.0, FaultAction::Kill(router)));
-    let acts: Vec<_> = kills.chain((3..10).map(|router| (0.3, FaultAction::Start(router)))).collect();
-    cluster.play(&acts, 4.0);
+    let actions: Vec<_> = kills.chain((3..10).map(|router| (0.3, FaultAction::Start(router)))).collect();
+    cluster.play(&actions, 4.0);
     (3..10).for_each(|router| wait_until_recovered(&cluster, router));
     (0..10).for_each(|router| cluster.stands(router, "whole"));
     cluster.engines[0].silent(false);
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -8,6 +8,14 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatgw");
+/// The MySQL command byte of a ping.
+const COM_PING: u8 = 0x0e;
+/// Error code of a request that was rejected and can be tried again without harm.
+const TOO_MANY_CONNECTIONS: u16 = 1040;
+/// Error code of a request that failed and may have run.
+const UNKNOWN_ERROR: u16 = 1105;
+/// Error code of a request that was killed or whose client has left.
+const QUERY_INTERRUPTED: u16 = 1317;
 
 /// A router whose discovery service reports no engine yet, so that requests wait.
 fn router_without_engines() -> (Discovery, Router) {
@@ -46,7 +54,7 @@
     closing_client.send(&request("look", 20000, "closed"));
     let mut resetting_client = Client::new(&router);
     // The client does not read the answer to this ping, so that its close sends a TCP reset.
-    resetting_client.stream.write_all(&packet(0, &[0x0e])).unwrap();
+    resetting_client.stream.write_all(&packet(0, &[COM_PING])).unwrap();
     resetting_client.send(&request("look", 20000, "reset"));
     let mut half_closed_client = Client::new(&router);
     half_closed_client.send(&request("look", 20000, "half-closed"));
@@ -55,7 +63,7 @@
     drop((closing_client, resetting_client));
     half_closed_client.stream.shutdown(Shutdown::Write).unwrap();
     assert!(
-        matches!(half_closed_client.answer(), Answered::Error(1317, _)),
+        matches!(half_closed_client.answer(), Answered::Error(QUERY_INTERRUPTED, _)),
         "a client that still reads must get the error"
     );
     assert!(half_closed_client.closed());
@@ -70,7 +78,8 @@
     let mut half_closed_client = Client::early(&router, &[login(), requests.clone()].concat());
     half_closed_client.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(half_closed_client.answer(), Answered::Ok);
-    (0..20).for_each(|_| assert!(matches!(half_closed_client.answer(), Answered::Error(1317, _))));
+    (0..20)
+        .for_each(|_| assert!(matches!(half_closed_client.answer(), Answered::Error(QUERY_INTERRUPTED, _))));
     assert!(half_closed_client.closed());
     drop(Client::early(&router, &[login(), requests].concat()));
     let mut observer = Client::new(&router);
@@ -114,8 +123,8 @@
     assert_eq!((counter(&counters, "pushes"), counter(&counters, "open")), (1, 0));
 }
 
-/// A kill and its target query arrive in the same turn, in either order, because the router process is stopped while both
-/// are sent.
+/// A kill and its target query arrive in the same turn of the event loop, in either order, because the router process is
+/// stopped while both are sent.
 #[test]
 fn a_kill_ends_the_query_that_is_read_in_the_same_turn_in_either_order() {
     let engine = Engine::start("e");
@@ -134,7 +143,7 @@
             }
         });
         assert_eq!(killer.answer(), Answered::Ok);
-        assert!(matches!(target.answer(), Answered::Error(1317, _)));
+        assert!(matches!(target.answer(), Answered::Error(QUERY_INTERRUPTED, _)));
         assert_eq!(target.ask(&request("look", 5000, "x")), expected_row());
     }
     assert!(!engine.seen.all().iter().any(|line| line.contains("killed")));
@@ -148,14 +157,14 @@
     let mut target = Client::new(&router);
     let mut killer = Client::new(&router);
     let pings = 20;
-    let sent = [packet(0, &[0x0e]).repeat(pings), query(&request("look", 20000, "killed"))].concat();
+    let sent = [packet(0, &[COM_PING]).repeat(pings), query(&request("look", 20000, "killed"))].concat();
     router.stop_for(Duration::ZERO, || {
         target.stream.write_all(&sent).unwrap();
         killer.send(&format!("KILL QUERY {}", target.session));
     });
     assert_eq!(killer.answer(), Answered::Ok);
     (0..pings).for_each(|_| assert_eq!(target.answer(), Answered::Ok));
-    assert!(matches!(target.answer(), Answered::Error(1317, _)));
+    assert!(matches!(target.answer(), Answered::Error(QUERY_INTERRUPTED, _)));
     assert!(!engine.seen.all().iter().any(|line| line.contains("killed")));
 }
 
@@ -178,10 +187,14 @@
     let requests: Vec<u8> = (0..=queued).flat_map(|_| query(&request("look", 500, "hold"))).collect();
     asking_client.stream.write_all(&requests).unwrap();
     engine.seen.wait("GET", 1);
+    // `fail` sends SIGTERM.
     router.fail();
     for index in 0..=queued {
         let answer = asking_client.try_answer();
-        assert!(matches!(answer, Some(Answered::Error(1040, _))), "request {index}: {answer:?}");
+        assert!(
+            matches!(answer, Some(Answered::Error(TOO_MANY_CONNECTIONS, _))),
+            "request {index}: {answer:?}"
+        );
     }
     // Both sessions end with a regular close instead of a reset.
     let mut byte = [0];
@@ -222,12 +235,12 @@
     let shorten_limit = |text: String| text.replace("\"hard-limit-us\":20000000", "\"hard-limit-us\":500000");
     let mut router = Router::changed(PROGRAM, &discovery, 256, &[], shorten_limit);
     let mut pinging_client = Client::new(&router);
-    pinging_client.stream.write_all(&packet(0, &[0x0e])).unwrap();
+    pinging_client.stream.write_all(&packet(0, &[COM_PING])).unwrap();
     let mut asking_client = Client::new(&router);
     asking_client.send(&request("once", 500, "x"));
     Client::new(&router).counters("open", 1);
     router.fail();
-    assert!(matches!(asking_client.answer(), Answered::Error(1040, _)));
+    assert!(matches!(asking_client.answer(), Answered::Error(TOO_MANY_CONNECTIONS, _)));
     assert!(pinging_client.closed());
     drop((pinging_client, asking_client));
     let (code, counters) = router.ended();
@@ -246,10 +259,10 @@
     engine.seen.wait("GET", 3);
     let start = Instant::now();
     router.fail();
-    assert!(matches!(clients[0].answer(), Answered::Error(1040, _)));
-    assert!(matches!(clients[1].answer(), Answered::Error(1040, _)));
+    assert!(matches!(clients[0].answer(), Answered::Error(TOO_MANY_CONNECTIONS, _)));
+    assert!(matches!(clients[1].answer(), Answered::Error(TOO_MANY_CONNECTIONS, _)));
     assert!(
-        matches!(clients[2].answer(), Answered::Error(1105, _)),
+        matches!(clients[2].answer(), Answered::Error(UNKNOWN_ERROR, _)),
         "expected the error for a request that may have run"
     );
     drop(clients);
@@ -314,12 +327,12 @@
     assert_eq!(router.over(), None, "the previous process has ended already");
     next.log.wait("listens on", 1);
     assert!(
-        matches!(waiting_client.answer(), Answered::Error(1040, _)),
+        matches!(waiting_client.answer(), Answered::Error(TOO_MANY_CONNECTIONS, _)),
         "no answer from the previous process"
     );
     let start = Instant::now();
     let mut client = Client::new(&next);
-    client.stream.write_all(&packet(0, &[0x0e])).unwrap();
+    client.stream.write_all(&packet(0, &[COM_PING])).unwrap();
     assert_eq!(client.answer(), Answered::Ok);
     assert!(start.elapsed() < Duration::from_secs(5));
     assert_eq!(router.ended().0, Some(0));
--- a/crates/router/tests/on_call_page.rs
+++ b/crates/router/tests/on_call_page.rs
@@ -231,8 +231,8 @@
     }
 }
 
-/// Guards against a check that accepts every line: lines of former versions, whose words still occur elsewhere in the
-/// code, and a line that never existed have to be reported as unwritten.
+/// Guards against a check that accepts every line: lines that differ from written ones, whose words partly occur
+/// elsewhere in the code, have to be reported as unwritten.
 #[test]
 fn lines_that_no_code_writes_are_reported() {
     let texts = SourceTexts::read(&PATHS_WITHOUT_LOG_TEXT);
