--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -69,9 +69,9 @@
 }
 
 /// A deduplicated request is dispatched just before the kill; its client repeats it 1 s and 13 s after the restart; the
-/// `window-us` of its class is 12 s. The
-/// work estimate is so large that no attempt times out, neither while the engines are silent before the kill nor when a
-/// busy machine delays an answer: a time-out would use up the retry budget, which another test covers.
+/// `window-us` of its class is 12 s. The work estimate is so large that no attempt times out, neither while the engines
+/// are silent before the kill nor when a busy machine delays an answer: a time-out would use up the retry budget, which
+/// another test covers.
 #[test]
 fn a_deduplicated_request_that_may_have_run_is_dispatched_again_within_its_window_and_failed_after_it() {
     let mut cluster = start_cluster(Plan { knows: false, ..small_budget_plan(1, 2, true) });
