--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,7 +25,7 @@
     /// Each action with the time at which it was written, in seconds.
     pub actions: Vec<(f64, WrittenAction)>,
     pub log: Vec<String>,
-    /// Time-out of each attempt, in order of dispatch.
+    /// Time-out in seconds of each attempt, or `None` for no time-out, in order of dispatch.
     pub time_outs: Vec<Option<f64>>,
     /// Time by which each attempt must have been sent, in order of dispatch.
     pub leave_by: Vec<f64>,
@@ -128,14 +128,16 @@
         host
     }
 
-    /// Hands a new request to the gateway, after `change` has adjusted its defaults, and returns its number.
+    /// Hands a new request to the gateway, after `change` has adjusted its defaults, and returns its number. The
+    /// estimates are 0.1 core-seconds and 50 MB for class 0, and 4 core-seconds and 1000 MB for others; the deadline is
+    /// in 10 s.
     pub fn request(&mut self, class: usize, change: impl Fn(&mut IncomingRequest)) -> usize {
-        let cost = Some(if class == 0 { 0.1 } else { 4.0 });
+        let estimated_work = Some(if class == 0 { 0.1 } else { 4.0 });
         let memory_mb = Some(if class == 0 { 50.0 } else { 1000.0 });
         let deadline = self.now + 10.0;
         let mut incoming = IncomingRequest {
             class,
-            estimated_work: cost,
+            estimated_work,
             estimated_memory_mb: memory_mb,
             deadline,
             ..IncomingRequest::default()
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Reports the end of the request's last attempt, without load or measured cost.
+    /// Reports the end of the request's last attempt, after `elapsed` seconds, without load or measured cost. The clock
+    /// does not move.
     pub fn attempt_ended(&mut self, request: usize, outcome: AttemptOutcome, elapsed: f64) {
         self.end_last_attempt(request, outcome, elapsed, None, LoadReport::default());
     }
@@ -176,7 +179,7 @@
         );
     }
 
-    /// Completes the request's last attempt, with the measured work and memory.
+    /// Completes the request's last attempt, with the measured work (core-seconds) and memory (MB).
     pub fn completed_with_cost(&mut self, request: usize, elapsed: f64, work: f64, memory: f64) {
         self.end_last_attempt(
             request,
--- a/tests/engine_list.rs
+++ b/tests/engine_list.rs
@@ -49,10 +49,10 @@
             (0..count).map(|at| EngineListing { started_at, ..listing(at) }).collect();
         host.gateway.engines_listed(host.now, &cold, true);
         host.advance(30.0);
-        let warm: Vec<usize> =
+        let requests: Vec<usize> =
             (0..40).map(|group| host.request(0, |incoming| incoming.table_group = group)).collect();
         host.round();
-        let mut used: Vec<usize> = warm.iter().flat_map(|&request| host.engines_of(request)).collect();
+        let mut used: Vec<usize> = requests.iter().flat_map(|&request| host.engines_of(request)).collect();
         used.sort_unstable();
         used.dedup();
         assert!(used.len() > count / 2, "{used:?} of {count}");
--- a/tests/engine_selection.rs
+++ b/tests/engine_selection.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn table_locking_requests_use_the_second_half_of_the_engine_order_until_they_run_short_of_time() {
+fn table_locking_requests_use_the_second_half_of_their_groups_engine_order_until_they_run_short_of_time() {
     let mut deployment = two_class_deployment();
     let locking_class = RequestClass { locks_tables: true, ..class(9.0, 2.0, Idempotency::Idempotent) };
     deployment.classes.push(RequestClass { latency_objective: 8.0, ..locking_class });
@@ -119,6 +119,7 @@
     let dispatched =
         |host: &TestHost| requests.iter().filter(|&&request| !host.engines_of(request).is_empty()).count();
     host.round();
+    // Half of the six engines.
     assert_eq!(dispatched(&host), 3);
     host.advance(12.0);
     assert_eq!(dispatched(&host), 5);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,8 @@
 //! Combined behaviour of many gateways, each of which acts on its own observations only: the slow-start budget of a
 //! cold engine (rule 4), new engines beside overloaded ones, and a hot table group.
+//!
+//! A gateway whose share of a slow-start budget is too small for a request draws in a lottery, once per window, for a
+//! larger part.
 
 mod common;
 
@@ -33,9 +36,10 @@
 /// Runs the scenario and returns the worst values over all windows for the cold engine: its work in excess of the
 /// budget and of random scatter, in requests of mean work, and the largest share of the budget that was used.
 fn worst_window(scenario: &ColdEngineScenario) -> (f64, f64) {
+    // Shares of light and of heavy requests.
     const SHARES: [f64; 2] = [0.9, 0.1];
     let mean = scenario.work[0] * SHARES[0] + scenario.work[1] * SHARES[1];
-    // Requests take this multiple of their work. It is so short that no gateway infers load from its peers, and only
+    // Seconds of run time per core-second of work. It is so short that no gateway infers load from its peers, and only
     // the cold engine's budget limits them.
     const SECONDS_PER_WORK: f64 = 0.4;
     let (cores, engines) = (16.0, 1);
@@ -54,8 +58,9 @@
     let cold_listing = EngineListing { started_at: Some(start), ..listing(0) };
     hosts.iter_mut().for_each(|host| host.gateway.engines_listed(start, &[cold_listing], false));
     let rate = scenario.demand * engines as f64 * cores / mean / scenario.busy as f64;
+    // End time, number and work of each request in flight, by gateway.
     let mut in_flight: Vec<VecDeque<(f64, usize, f64)>> = vec![VecDeque::new(); scenario.gateways];
-    let mut costs: Vec<Vec<f64>> = vec![Vec::new(); scenario.gateways];
+    let mut work_by_request: Vec<Vec<f64>> = vec![Vec::new(); scenario.gateways];
     let mut sent: VecDeque<(f64, f64)> = VecDeque::new();
     let mut worst: (f64, f64) = (f64::NEG_INFINITY, 0.0);
     let mut restarted = 0;
@@ -72,7 +77,7 @@
                     );
                     host.now = now;
                     host.gateway.engines_listed(now, &[cold_listing], false);
-                    (in_flight[at], costs[at]) = Default::default();
+                    (in_flight[at], work_by_request[at]) = Default::default();
                     restarted += 1;
                 }
             }
@@ -94,14 +99,14 @@
                 host.request(class, |incoming| {
                     (incoming.estimated_work, incoming.table_group) = (estimate, group)
                 });
-                costs[at].push(work);
+                work_by_request[at].push(work);
             }
             let before = host.recorder.actions.len();
             host.round();
             let written = host.recorder.actions[before..].to_vec();
             for (_, action) in written {
                 if let WrittenAction::Attempt { request, engine, .. } = action {
-                    let work = costs[at][request];
+                    let work = work_by_request[at][request];
                     in_flight[at].push_back((now + SECONDS_PER_WORK * work, request, work));
                     if engine == 0 {
                         sent.push_back((now, work));
@@ -109,12 +114,13 @@
                 }
             }
         }
-        sent.retain(|(at, _)| *at > now - slow_start.window);
+        sent.retain(|(sent_at, _)| *sent_at > now - slow_start.window);
         let request_count = sent.iter().map(|(_, work)| work).sum::<f64>() / mean;
         let warmth = (slow_start.initial_share
             + (1.0 - slow_start.initial_share) * (now - start) / slow_start.duration)
             .min(1.0);
         let budget = slow_start.overload_multiple * cores * warmth * slow_start.window / mean;
+        // The allowance for scatter is two standard deviations of a Poisson count, and two requests.
         let excess = request_count - (budget + 2.0 * budget.sqrt() + 2.0);
         worst = (excess.max(worst.0), worst.1.max(request_count / budget));
     }
@@ -189,7 +195,7 @@
 /// A fleet whose work estimates are never corrected by answers, and of whose ten engines six are replaced by cold ones.
 struct ReplacementFleet {
     hosts: Vec<TestHost>,
-    /// End time, number and duration of each request in flight, by gateway.
+    /// End time, number and duration in seconds of each request in flight, by gateway.
     in_flight: Vec<VecDeque<(f64, usize, f64)>>,
     /// Work sent to the new engines, in core-seconds.
     sent_to_new: f64,
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,6 +1,8 @@
 //! Seeded scenarios that run one gateway against simulated arrivals and faulty engines, and hash every action that the
 //! gateway writes. The strings passed to `line` and to `hash.update` are hashed: changing one changes the golden
 //! hashes.
+//! Some of these strings are earlier names: `terms` is the priority and memory grant, `tell` a message to peers, `met`
+//! the evidence on an engine, `sound` the number of usable engines, and `repeats` the times of retries.
 
 use cleatgw::queue::{Budget, TenantConfig, TenantQueue, WaitEstimate};
 use cleatgw::Gateway;
@@ -27,8 +29,11 @@
 /// The deployment that a scenario simulates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Variant {
+    /// Three gateways, with hedged requests and tenants.
     FewGateways,
+    /// Sixty gateways without a retry budget or tenants, whose engines report no measurements.
     ManyGateways,
+    /// A gateway that has lost its history and later drains, with engines that page memory and cannot cancel.
     Restarted,
     /// One attempt per request, so no retries: attempts that an ejected engine does not answer are cancelled.
     SingleAttempt,
@@ -41,11 +46,11 @@
     pub attempts: usize,
     pub retries: usize,
     /// Attempts whose memory grant was below half of what the request needs.
-    pub quarter_grants: usize,
+    pub short_grants: usize,
     pub cancelled_attempts: usize,
     pub rejected: usize,
     pub failed: usize,
-    pub announced_waits: usize,
+    pub wait_estimates: usize,
 }
 
 /// Records the actions that the gateway writes in one round. `counts` and `grants` cover the whole scenario.
@@ -95,7 +100,7 @@
         self.line(format_args!("fail {request}"));
     }
     fn report_wait_estimate(&mut self, request: usize, wait: Option<WaitEstimate>) {
-        self.counts.announced_waits += 1;
+        self.counts.wait_estimates += 1;
         let wait = wait.map(|wait| (wait.expected, wait.lower, wait.upper));
         self.line(format_args!("waits {request} {wait:?}"));
     }
@@ -123,6 +128,7 @@
 /// How a simulated engine misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Fault {
+    /// Works, apart from 0.4 % of attempts that lose their connection.
     #[default]
     None,
     /// Never answers an attempt.
@@ -154,8 +160,9 @@
     outcome: AttemptOutcome,
 }
 
-/// What a request actually needs, which may differ from the estimates that the gateway receives.
-struct ActualNeed {
+/// An open request of the scenario with its actual work (core-seconds) and memory (MB), which may differ from the
+/// estimates that the gateway receives. `deadline` is a clock reading in seconds.
+struct ActualRequest {
     class: usize,
     work: f64,
     memory: f64,
@@ -170,7 +177,7 @@
     random: ChaCha8Rng,
     recorder: Recorder,
     engines: Vec<Engine>,
-    requests: BTreeMap<usize, ActualNeed>,
+    requests: BTreeMap<usize, ActualRequest>,
     attempts: Vec<Attempt>,
     next_request: usize,
     now: f64,
@@ -354,7 +361,7 @@
         self.counts.rejected = recorded.rejected;
         self.counts.failed = recorded.failed;
         self.counts.cancelled_attempts = recorded.cancelled_attempts;
-        self.counts.announced_waits = recorded.announced_waits;
+        self.counts.wait_estimates = recorded.wait_estimates;
         let text = std::mem::take(&mut self.recorder.text);
         self.hash.update(format!("round {:?}\n{text}", self.now));
     }
@@ -482,7 +489,7 @@
             tenant: if self.now < START_S + 3.0 { 0 } else { LEAF_TENANTS[id % 3] },
             earlier_attempt_at: earlier,
         };
-        self.requests.insert(id, ActualNeed { class, work, memory, deadline, attempts: 0 });
+        self.requests.insert(id, ActualRequest { class, work, memory, deadline, attempts: 0 });
         self.gateway.request_received(self.now, id, incoming);
     }
 
@@ -497,13 +504,14 @@
         let threads = self.deployment.classes[class].threads;
         let grant = self.recorder.grants.get(&request).copied().unwrap_or(memory);
         let is_short = grant > 0.0 && grant < 0.5 * memory;
-        self.counts.quarter_grants += usize::from(is_short);
+        self.counts.short_grants += usize::from(is_short);
         let noise = 0.8 + 0.6 * self.uniform();
         let outcome_draw = self.uniform();
         let model = &mut self.engines[engine];
         model.running += threads;
         let cores = self.deployment.engine_kinds[model.listing.kind].cores;
         let overload = (model.running / cores).max(1.0);
+        // A short grant makes an attempt take 2.5 times as long.
         let duration = work / threads * noise * overload * if is_short { 2.5 } else { 1.0 };
         let (outcome, duration) = match model.fault {
             Fault::None if outcome_draw < 0.004 => (AttemptOutcome::ConnectionLost, duration / 2.0),
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -6,12 +6,13 @@
 use common::{two_class_deployment, TestHost};
 
 #[test]
-fn a_request_that_would_complete_too_late_is_rejected_before_its_deadline() {
+fn a_request_that_would_complete_too_late_is_rejected_within_four_seconds() {
     let mut host = TestHost::new(two_class_deployment(), 1);
     let requests: Vec<usize> = (0..12).map(|_| host.request(1, |_| ())).collect();
     host.advance(6.0);
     let rejected = requests.iter().filter(|&&request| host.engines_of(request).is_empty());
     for &request in rejected {
+        // The requests arrive at second 100; their deadline is second 110.
         assert!(host.answers(request)[0].0 < 104.0);
     }
     assert!(host.logged("load shedding started"));
@@ -34,8 +35,8 @@
     let mut deployment = two_class_deployment();
     deployment.classes[1].objective_stretch = 0.0;
     let mut host = TestHost::new(deployment, 1);
-    // The estimates range from a fifth to twice the actual work. Requests with low estimates run, so that all estimates
-    // seem too low.
+    // The estimates range from a fifth to twice the actual work. On average the work exceeds the estimate, so that
+    // all estimates seem too low.
     for step in 0..60 {
         let cost = [0.2, 0.5, 1.0, 2.0][step % 4];
         let request = host.request(1, |incoming| incoming.estimated_work = Some(cost));
--- a/tests/memory_grants.rs
+++ b/tests/memory_grants.rs
@@ -12,7 +12,9 @@
     host.round();
     assert!(host.grant_of(without_pressure) > 999.0);
     host.attempt_ended(without_pressure, AttemptOutcome::Completed, 1.0);
-    // Two periods of work with waits for memory: θ jumps, and requests no longer get half of the memory they ask for.
+    // Requests wait for memory for two update periods of θ: θ jumps, and requests get less than half of the memory that
+    // they ask for.
+    // Grants of a quarter of the request's full grant.
     let mut quarter_grants = 0;
     for step in 0..60 {
         let request = host.request(1, |incoming| {
@@ -81,10 +83,8 @@
         deployment.engine_kinds[0].cores = 64.0;
         deployment.trims_grants = trims;
         let mut host = TestHost::new(deployment, 1);
-        let requests: Vec<usize> = (0..3)
-            .map(|_| host.request(1, |incoming| incoming.estimated_memory_mb = Some(3000.0)))
-            .inspect(|_| ())
-            .collect();
+        let requests: Vec<usize> =
+            (0..3).map(|_| host.request(1, |incoming| incoming.estimated_memory_mb = Some(3000.0))).collect();
         host.round();
         host.gateway.attempt_status_received(host.now, requests[0], AttemptStatus::Spills);
         let next = host.request(1, |incoming| incoming.estimated_memory_mb = Some(3000.0));
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -13,7 +13,9 @@
         let request = host.request(0, |_| ());
         host.advance(0.02);
         let Some(&engine) = host.engines_of(request).last() else { continue };
-        if engine == host.engines_of(0)[0] {
+        // The engine that got the first request fails every request.
+        let failing_engine = host.engines_of(0)[0];
+        if engine == failing_engine {
             failed += 1;
             host.attempt_ended(request, AttemptOutcome::ConnectionLost, 0.001);
         } else {
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn an_engine_on_which_the_gateway_has_no_attempts_is_tried_with_a_light_request() {
+fn an_engine_without_attempts_of_the_gateway_is_tried_with_a_light_request_if_gateways_are_few() {
     for (gateways, tried) in [(3.0, true), (30.0, false)] {
         let mut deployment = two_class_deployment();
         deployment.gateways = gateways;
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn one_peer_failure_ejects_no_engine_and_two_eject_it_until_they_are_outweighed_and_expired() {
+fn the_evidence_of_one_peer_ejects_no_engine_but_that_of_two_does_until_it_is_outweighed_and_expired() {
     let mut host = TestHost::new(two_class_deployment(), 3);
     host.gateway.peer_evidence_received(0, EngineEvidence { failures: 1.0, ..EngineEvidence::default() });
     host.advance(0.5);
@@ -172,6 +174,7 @@
     host.gateway.peer_evidence_received(0, EngineEvidence::default());
     host.advance(0.5);
     assert!(host.logged("engine 0 readmitted"));
+    // Evidence on an unknown engine must not cause a panic.
     host.gateway.peer_evidence_received(99, EngineEvidence { failures: 9.0, ..EngineEvidence::default() });
     host.advance(0.5);
 }
--- a/tests/peer_load.rs
+++ b/tests/peer_load.rs
@@ -44,7 +44,7 @@
 
 /// Answers report no measured work, and the estimates of light requests are far too low, some by a factor of twenty.
 /// With six gateways and almost idle engines, a gateway must not infer from this that peers load the engines, and
-/// reject heavy requests.
+/// so reject heavy requests.
 #[test]
 fn few_gateways_infer_no_peer_load_from_low_estimates_that_no_answer_corrects() {
     let mut deployment = two_class_deployment();
@@ -56,7 +56,7 @@
     let mut heavy = Vec::new();
     for round in 0..200 {
         // A light request that needs 0.3 s whatever its estimate; every twentieth round also a heavy one whose estimate
-        // of 3 s is right.
+        // of 3 core-seconds (1 s on three threads) is about right.
         let group = round as u64 % 40;
         let light = host.request(0, |incoming| {
             (incoming.estimated_work, incoming.table_group) = (Some(0.3 * estimate_ratios[round % 4]), group)
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -13,8 +13,9 @@
     }
 }
 
-/// Rule 2 across a restart: what was dispatched before under another request may be dispatched again only where that is
-/// provably safe. Otherwise it fails at once; it is never answered as if it had not run.
+/// Rule 2 across a restart: a request with an earlier attempt, dispatched before the restart under another request
+/// number, may be dispatched again only where that is provably safe. Otherwise it fails at once; it is never rejected,
+/// since a rejection says that it has not run.
 #[test]
 fn a_request_dispatched_before_the_restart_is_repeated_only_within_its_window_and_otherwise_failed_at_once() {
     let outcome_of = |scope: DeduplicationScope, class: usize, ago: f64| {
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn requests_and_expiries_of_a_pause_of_the_gateway_are_handled_in_the_next_round() {
+fn requests_that_arrive_or_expire_during_a_pause_are_handled_in_the_next_round() {
     let mut host = TestHost::new(two_class_deployment(), 2);
     let expired = host.request(1, |incoming| incoming.deadline -= 9.0);
     host.round();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_instance_that_stops_answers_every_request_before_its_end() {
+fn a_gateway_that_stops_answers_every_request_by_its_stop_time() {
     let mut host = TestHost::new(two_class_deployment(), 2);
     let in_flight = host.request(0, |_| ());
     host.round();
@@ -51,16 +51,18 @@
     host.round();
     assert_eq!(host.engines_of(late).len(), 1);
     host.advance(3.05);
+    // A tenth of a second is allowed for the rounds, which are 50 ms apart.
     let answered = [in_flight, late].map(|request| host.answers(request));
     assert!(answered.iter().all(|answers| answers.len() == 1 && answers[0].0 < 103.1), "{answered:?}");
 }
 
 #[test]
-fn a_draining_instance_rejects_requests_that_arrive_too_late_and_finishes_the_others() {
+fn a_draining_gateway_rejects_requests_that_arrive_too_late_and_finishes_the_others() {
     let mut host = TestHost::new(two_class_deployment(), 3);
     let in_flight = host.request(0, |_| ());
     host.round();
-    assert!(host.gateway.drain(host.now) < host.now + 1.0);
+    let accepts_until = host.gateway.drain(host.now);
+    assert!(accepts_until < host.now + 1.0);
     host.advance(0.9);
     let in_time = host.request(0, |_| ());
     host.round();
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -78,6 +78,7 @@
     host.attempt_ended(requests[1], AttemptOutcome::ConnectionLost, 0.5);
     host.round();
     let mut leave_by = host.recorder.leave_by[4..].to_vec();
+    // The window of 1 s less the delivery margin of 0.02 s, counted from the first attempt that may have run.
     leave_by.sort_by(f64::total_cmp);
     assert!(
         (leave_by[0] - (start + 0.98)).abs() < 1e-9 && (leave_by[1] - (start + 1.38)).abs() < 1e-9,
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn may_attempt_alone_prevents_a_second_effect_a_second_copy_and_more_than_the_allowed_attempts() {
+fn may_attempt_alone_prevents_a_second_run_a_parallel_attempt_and_more_than_the_allowed_attempts() {
     let mut deployment = two_class_deployment();
     let deduplicated = Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 1.0 };
     deployment.classes = vec![
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -22,8 +22,7 @@
             assert!(!host.engines_of(request).is_empty());
         }
     }
-    let mut sent: Vec<f64> = host.recorder.actions.iter().map(|(at, _)| *at).collect();
-    sent.dedup();
+    // Two of ten seconds have passed, in which the share grows from 0.3 to 1; the budget is for one of two gateways.
     let warmth = slow_start.initial_share + 0.7 * 0.2;
     let budget = slow_start.overload_multiple * 8.0 * warmth * slow_start.window / 2.0;
     let attempts = (0..host.next_request).map(|request| host.engines_of(request).len()).sum::<usize>();
@@ -64,6 +63,7 @@
     let SlowStart { initial_share, overload_multiple, window, .. } = deployment.slow_start;
     let budget = overload_multiple * 8.0 * initial_share * window;
     let mut sent_work = 0.0;
+    // Each gateway has three light requests and a heavy one.
     for seed in 0..300 {
         let mut host = TestHost::seeded(deployment.clone(), 0, seed);
         host.gateway.engines_listed(100.0, &[EngineListing { started_at: Some(100.0), ..listing(0) }], true);
@@ -71,7 +71,7 @@
         host.advance(window / 2.0);
         sent_work += requests
             .iter()
-            .map(|&request| host.engines_of(request).len() as f64 * [0.1, 4.0][request / 3])
+            .map(|&request| host.engines_of(request).len() as f64 * [0.1, 4.0][usize::from(request == 3)])
             .sum::<f64>();
     }
     assert!(sent_work > 0.0 && sent_work < budget / 2.0, "{sent_work} of {budget}");
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -5,7 +5,8 @@
 use cleatgw::*;
 use common::{two_class_deployment, TestHost, WrittenAction};
 
-/// Sets two tenants with these weights, each with a queue of at most `max_queued` requests.
+/// Sets tenants 1 and 2 with these weights and moves open requests to the root, tenant 0. Each tenant has a queue of at
+/// most `max_queued` requests.
 fn set_tenants(host: &mut TestHost, weights: [f64; 2], max_queued: usize) {
     set_tenants_and_move(host, weights, max_queued, 0);
 }
@@ -71,7 +72,6 @@
     assert!(host.answers(ran).is_empty());
 }
 
-/// Clients disconnect while their requests are queued.
 #[test]
 fn requests_whose_clients_disconnect_leave_the_queue_and_delay_no_others() {
     let mut host = TestHost::new(two_class_deployment(), 1);
