--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -291,7 +291,7 @@
         fleet.rejected = 0;
         let seconds = 4.0;
         fleet.advance(seconds);
-        // The least work that the new engines can do while they are cold.
+        // The least work that the new engines can do while they are cold: 0.4 is `slow_start.initial_share`.
         let capacity = 0.4 * ReplacementFleet::REPLACED as f64 * ReplacementFleet::CORES * seconds;
         let used = fleet.sent_to_new / capacity;
         assert!(
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -155,7 +155,9 @@
     request: usize,
     engine: usize,
     number: u32,
+    /// Clock reading in seconds at which the attempt was sent.
     sent: f64,
+    /// Clock reading in seconds at which the attempt is due to end.
     ends_at: f64,
     outcome: AttemptOutcome,
 }
--- a/tests/memory_grants.rs
+++ b/tests/memory_grants.rs
@@ -14,7 +14,6 @@
     host.attempt_ended(without_pressure, AttemptOutcome::Completed, 1.0);
     // Requests wait for memory for two update periods of θ: θ jumps, and requests get less than half of the memory that
     // they ask for.
-    // Grants of a quarter of the request's full grant.
     let mut quarter_grants = 0;
     for step in 0..60 {
         let request = host.request(1, |incoming| {
@@ -25,6 +24,7 @@
             continue;
         }
         host.gateway.attempt_status_received(host.now, request, AttemptStatus::WaitsForMemory);
+        // Whether the grant is a quarter of the request's full grant.
         let is_quarter_grant = host.grant_of(request) <= 420.0;
         quarter_grants += usize::from(is_quarter_grant);
         host.attempt_ended(request, AttemptOutcome::Completed, if is_quarter_grant { 2.0 } else { 1.0 });
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -15,7 +15,7 @@
 
 /// Rule 2 across a restart: a request with an earlier attempt, dispatched before the restart under another request
 /// number, may be dispatched again only where that is provably safe. Otherwise it fails at once; it is never rejected,
-/// since a rejection says that it has not run.
+/// since a rejection says that sending it again is harmless.
 #[test]
 fn a_request_dispatched_before_the_restart_is_repeated_only_within_its_window_and_otherwise_failed_at_once() {
     let outcome_of = |scope: DeduplicationScope, class: usize, ago: f64| {
