--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -124,7 +124,7 @@
     /// Successes, weighted in the same way.
     pub successes: f64,
     /// Work that the sources sent to the engine during its slow start, in seconds. It is not reduced with age, as it
-    /// only makes the share smaller that a router may send.
+    /// only makes the amount smaller that this router may send.
     pub slow_start_work: f64,
 }
 
--- a/crates/membership/src/swim/contacts.rs
+++ b/crates/membership/src/swim/contacts.rs
@@ -24,9 +24,9 @@
     /// A router that was heard within this time is alive, whatever others report. Seconds.
     pub(super) const RECENT_CONTACT: f64 = 1.0;
     /// By how much the time in which every live router sends something to this one grows with each router in the
-    /// cluster. Gossip alone goes to three routers every 0.1 s, which makes 0.033 s per router; this is three times
-    /// that. Seconds.
-    const ROUND_PER_ROUTER: f64 = 0.1;
+    /// cluster. Gossip alone goes to `GOSSIP_FANOUT` (3) routers every `GOSSIP_INTERVAL` (0.1 s), which makes 0.033 s
+    /// per router; this is three times that. Seconds.
+    const CONTACT_PERIOD_PER_ROUTER: f64 = 0.1;
 
     pub(super) fn new(routers: usize, enabled: bool, now: f64) -> Contacts {
         Contacts { now, enabled, last: vec![None; routers] }
@@ -45,9 +45,9 @@
     }
 
     /// Whether the router was heard within the time in which every live router sends something to this one.
-    pub(super) fn heard_within_a_round(&self, router: u16) -> bool {
-        let round = (self.last.len() as f64 * Self::ROUND_PER_ROUTER).max(Self::RECENT_CONTACT);
-        self.contact(router).is_some_and(|contact| self.now - contact.at < round)
+    pub(super) fn heard_within_contact_period(&self, router: u16) -> bool {
+        let period = (self.last.len() as f64 * Self::CONTACT_PERIOD_PER_ROUTER).max(Self::RECENT_CONTACT);
+        self.contact(router).is_some_and(|contact| self.now - contact.at < period)
     }
 
     fn contact(&self, router: u16) -> Option<Contact> {
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -249,7 +249,7 @@
     fn probe_ended(&mut self, due: f64) {
         let contacts = self.contacts.borrow();
         let awaited = self.runtime.health.awaited;
-        let target_alive = awaited.is_some_and(|router| contacts.heard_within_a_round(router));
+        let target_alive = awaited.is_some_and(|router| contacts.heard_within_contact_period(router));
         self.runtime.health.probe_ended(ProbeEnd { due, now: self.runtime.now, target_alive });
     }
 
--- a/crates/membership/tests/growth.rs
+++ b/crates/membership/tests/growth.rs
@@ -56,7 +56,7 @@
 /// are spread over some of the routers, and no router asks every other one about all the lost ones. With ten
 /// times as many routers and losses, each remaining router may send less than five times the bytes.
 #[test]
-fn traffic_of_a_router_after_losing_a_zone_does_not_grow_with_the_cluster() {
+fn traffic_of_a_router_after_losing_a_zone_grows_less_than_half_as_much_as_the_cluster() {
     let bytes_per_router = |routers: usize| {
         let mut world = World::started(routers, DetectorSettings::default(), 38);
         world.link_conditions.place((0..routers).map(|router| router % 10).collect(), three_regions());
--- a/crates/membership/tests/lease_model.rs
+++ b/crates/membership/tests/lease_model.rs
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn holder_term_ends_before_grantor_term_at_the_drift_bound() {
+fn holder_term_ends_at_most_1_ms_after_grantor_term_at_the_drift_bound() {
     // In true time, the holder's term on the slowest clock ends at most 1 ms after the grantor's on the fastest. It
     // may end slightly later, as `1 + 2 * DRIFT` is only the first-order value of `(1 + DRIFT) / (1 - DRIFT)`.
     let holder = MAX_TERM / (1.0 + 2.0 * DRIFT) / RATES[0];
--- a/crates/operator-config/src/cluster.rs
+++ b/crates/operator-config/src/cluster.rs
@@ -24,8 +24,8 @@
 pub struct ClusterFile {
     /// The cluster's name: 1 to 64 printable ASCII characters without spaces.
     pub name: String,
-    /// All routers of the cluster, including this one, at most 2000. A majority is more than half of these
-    /// routers, whether they are alive or not.
+    /// All routers of the cluster, including this one, at most 2000. A majority, which is needed to
+    /// grant a lease, is more than half of these routers, whether they are alive or not.
     #[schemars(length(min = 1, max = 2000))]
     pub routers: Vec<RouterPart>,
     /// The UDP address at which this router receives datagrams from the others. Absent: its own address in `routers`.
@@ -89,8 +89,8 @@
 ///
 /// # Errors
 /// The first error found: the file is too long, is not JSON, has an unknown, missing or malformed field, or a field
-/// whose value is not allowed, by itself or together with another field. An error of a field below the top level names
-/// the path of the field.
+/// whose value is not allowed, by itself or together with another field. An error of a field names
+/// the field by its path; a missing field of the top level only by its name.
 pub fn read_cluster(text: &str) -> Result<ClusterFile, OperatorFileError> {
     read_checked(text)
 }
--- a/crates/operator-config/src/service.rs
+++ b/crates/operator-config/src/service.rs
@@ -296,8 +296,8 @@
 ///
 /// # Errors
 /// The first error found: the file is too long, is not JSON, has an unknown, missing or malformed field, or a field
-/// whose value is not allowed, by itself or together with another field. An error of a field below the top level names
-/// the path of the field.
+/// whose value is not allowed, by itself or together with another field. An error of a field names
+/// the field by its path; a missing field of the top level only by its name.
 pub fn read_service(text: &str) -> Result<ServiceFile, OperatorFileError> {
     read_checked(text)
 }
--- a/crates/recovery/src/look_back.rs
+++ b/crates/recovery/src/look_back.rs
@@ -22,9 +22,10 @@
         self.retries.max(self.slow_start)
     }
 
-    /// Seconds for which idempotency records are kept: twice the deduplication window. Within the window engines
-    /// recognize a request that is sent again; after it they do not, and the record is kept for a second window so that
-    /// the request is refused instead of running a second time.
+    /// Seconds for which idempotency records are kept: twice the deduplication window. If all engines share
+    /// deduplication, they recognize within the window a request that is sent again; after it they do not, and the
+    /// record is kept for a second window so that the request is refused instead of running a second time. If they do
+    /// not share it, a request with a record is refused at once.
     pub fn idempotency_records(&self) -> f64 {
         2.0 * self.deduplication
     }
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -66,9 +66,9 @@
 /// A step for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The decision core is to assume the worst case of the unknown history: the retry budget counts as used up just
-    /// now. This is the first step, and holds until [`Step::RestoreHistory`] replaces it or no window reaches back
-    /// beyond the start.
+    /// The decision core is to assume the worst case of the unknown history: the retry budget and the slow-start
+    /// budgets count as used up just now. This is the first step, and holds until [`Step::RestoreHistory`] replaces it
+    /// or no window reaches back beyond the start.
     AssumeLostHistory,
     /// The decision core is to replace the assumed worst case by this history.
     RestoreHistory(ValidHistory),
--- a/crates/router/src/commands/mod.rs
+++ b/crates/router/src/commands/mod.rs
@@ -78,8 +78,8 @@
     read_file(path, read_store)
 }
 
-/// The cluster file and the place in it of the router with this name. The router's incarnation is identified by when it began,
-/// which is now: `born`, in milliseconds of Unix time.
+/// The cluster file and the place in it of the router with this name. The number of the
+/// router's incarnation, `generation`, is the Unix time in milliseconds at which it begins, which is now.
 fn join_cluster(path: &Path, name: &str, seed: u64) -> Result<JoinedCluster, FileError> {
     let file = load_cluster(path)?;
     let place = file.router_index(name).map_err(|error| FileError::new(path, error))?;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -49,7 +49,7 @@
     pub known_events: Vec<Event>,
     /// The deployment as the decision core sees it, with indices in place of names.
     pub deployment: Deployment,
-    /// The names of classes, tenants, zones and engine kinds, by their indices.
+    /// The names of classes, tenants, zones, engine kinds and columns of load reports, by their indices.
     pub names: Names,
     /// Settings that contradict each other. The router warns of them and runs.
     pub contradictions: Vec<Contradiction>,
--- a/crates/router/src/protocol/discovery.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -17,7 +17,7 @@
     pub cell: u64,
     pub stage: EngineStage,
     /// When the engine started, in seconds of Unix time. None if the list omits it or has 0, as it does for
-    /// engines that did not start late.
+    /// engines that started so long ago that it no longer matters.
     pub started_at: Option<f64>,
 }
 
--- a/crates/router/src/protocol/mysql.rs
+++ b/crates/router/src/protocol/mysql.rs
@@ -1,5 +1,5 @@
-//! The server's side of the MySQL client protocol 4.1: packets, login, commands and answers. Result sets are in the form with
-//! EOF packets.
+//! The server's side of the MySQL client protocol 4.1: packets, login, commands and answers. Result sets are in the
+//! form with EOF packets.
 
 /// The server version in the greeting.
 pub const VERSION: &str = "8.0.0-cleatgw";
@@ -118,8 +118,8 @@
         Ok(text)
     }
 
-    /// Bytes with their length before them. Lengths up to 65,535 are accepted. NULL (0xfb) and the longer encodings of lengths
-    /// (0xfd and above) are refused.
+    /// Bytes with their length before them. Lengths up to 65,535 are accepted. NULL (0xfb) and the longer encodings of
+    /// lengths (0xfd and above) are refused.
     fn take_length_prefixed(&mut self) -> Result<&'a [u8], PacketError> {
         let first = self.take(1)?[0];
         let length = match first {
@@ -141,8 +141,8 @@
     if flags & PROTOCOL_41 == 0 {
         return refuse(MALFORMED_PACKET, "protocol 4.1 is needed");
     }
-    // A request for encryption (SSLRequest) has 32 bytes. A client that sets the flag but sends a complete login is accepted and
-    // goes on unencrypted.
+    // A request for encryption (SSLRequest) has 32 bytes. A client that sets the flag but sends a complete login is
+    // accepted and goes on unencrypted.
     if flags & SSL != 0 && body.len() == 32 {
         return refuse(MALFORMED_PACKET, "encryption is not offered");
     }
@@ -224,8 +224,8 @@
     out.extend(text);
 }
 
-/// Writes the greeting of a session, whose id clients know as the connection id. The challenge for the password (`scramble`) is
-/// sent in two parts, of 8 and 12 bytes.
+/// Writes the greeting of a session, whose id clients know as the connection id. The challenge for the password
+/// (`scramble`) is sent in two parts, of 8 and 12 bytes.
 pub fn write_greeting(out: &mut Vec<u8>, session: u32, scramble: [u8; 20]) {
     write_packet(out, &mut 0, |out| {
         // The protocol version.
@@ -300,8 +300,8 @@
             for name in names {
                 write_length_prefixed(out, name);
             }
-            // The length of the fixed fields, the character set (2 bytes), the column length (4 bytes), the type VAR_STRING, the
-            // flags (2 bytes), the decimals, and the reserved bytes (2).
+            // The length of the fixed fields, the character set (2 bytes), the column length (4 bytes), the type
+            // VAR_STRING, the flags (2 bytes), the decimals, and the reserved bytes (2).
             out.extend([0x0c, UTF8MB4, 0, 0xff, 0xff, 0, 0, 0xfd, 0, 0, 0, 0, 0]);
         });
     }
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -1,5 +1,5 @@
-//! Parses statements: requests, which begin with a comment that holds their fields, and the statements that operators and
-//! drivers send besides requests.
+//! Parses statements: requests, which begin with a comment that holds their fields, and the statements that operators
+//! and drivers send besides requests.
 
 mod table_group;
 mod tokens;
@@ -18,8 +18,8 @@
     /// An operator's request for a status table: `SHOW ANNOUNCEMENTS`, `SHOW TEAMS`, `SHOW CLUSTER`, `SHOW DUTIES` or
     /// `SHOW STORE`.
     Show(StatusTopic),
-    /// A statement that would set session or transaction state, such as `SET`, `USE` or `COMMIT`. It is answered with OK, as the
-    /// gateway keeps no such state.
+    /// A statement that would set session or transaction state, such as `SET`, `USE` or `COMMIT`. It is answered with
+    /// OK, as the gateway keeps no such state.
     NoOp,
 }
 
@@ -58,8 +58,8 @@
 pub enum StatementError {
     #[error("the statement is empty")]
     Empty,
-    /// A statement without fields that is not answered by the gateway itself. Not even a constant is answered with a result set,
-    /// since a client could take that for an engine's answer.
+    /// A statement without fields that is not answered by the gateway itself. Not even a constant is answered with a
+    /// result set, since a client could take that for an engine's answer.
     #[error("no fields comment ahead of the statement: a job needs op, call and ttl there")]
     NoFields,
     #[error("KILL: expected a connection id")]
@@ -97,8 +97,8 @@
 /// Parses a statement.
 ///
 /// # Errors
-/// The statement is empty, a field is missing or invalid, a `KILL` has no connection id, or a statement without fields is not
-/// one that the gateway answers itself.
+/// The statement is empty, a field is missing or invalid, a `KILL` has no connection id, or a statement without fields
+/// is not one that the gateway answers itself.
 pub fn parse(statement: &[u8]) -> Result<Statement, StatementError> {
     if let Some((fields, rest)) = fields_comment(statement) {
         return parse_request(fields, rest).map(Statement::Query);
@@ -152,7 +152,8 @@
         StatementError::Field { field, expected: expected.to_string(), got }
     }
 
-    /// The value of a field. None if the field is absent. A field that occurs twice or whose value is not valid is an error.
+    /// The value of a field. None if the field is absent. A field that occurs twice or whose value is not valid is an
+    /// error.
     fn optional(
         &self,
         field: &'static str,
@@ -195,8 +196,8 @@
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Parses a request. Fields with unknown names are ignored. Every known field that is present must be valid: the usual clients
-/// send no invalid fields, and engines would fail such a request.
+/// Parses a request. Fields with unknown names are ignored. Every known field that is present must be valid: the usual
+/// clients send no invalid fields, and engines would fail such a request.
 fn parse_request(fields: &str, text: &[u8]) -> Result<ParsedStatement, StatementError> {
     if text.trim_ascii().is_empty() {
         return Err(StatementError::Empty);
--- a/crates/router/src/routing/counters_tests.rs
+++ b/crates/router/src/routing/counters_tests.rs
@@ -1,5 +1,5 @@
 //! The names of the counters are sent to clients and read by the operators' collectors, so they must not change. The
-//! golden file holds the names of a former version.
+//! golden file was written by the version before the code was restructured.
 
 use super::Counters;
 use expect_test::expect_file;
--- a/crates/router/src/status_query.rs
+++ b/crates/router/src/status_query.rs
@@ -21,8 +21,8 @@
 const ERROR_PACKET: u8 = 0xff;
 /// Bytes of an error packet before its message.
 const ERROR_HEADER: usize = 9;
-/// The first byte of an EOF packet. Such a packet has fewer than `EOF_PACKET_BELOW` bytes; a row that begins with this byte
-/// has more.
+/// The first byte of an EOF packet. Such a packet has fewer than `EOF_PACKET_BELOW` bytes; a row that begins with this
+/// byte has more.
 const EOF_PACKET: u8 = 0xfe;
 const EOF_PACKET_BELOW: usize = 9;
 
@@ -68,8 +68,8 @@
     out.extend(body);
 }
 
-/// Takes the first text off a row. Its length is one byte, or 0xfc and two bytes. None at the end of the row or if the row is
-/// malformed.
+/// Takes the first text off a row. Its length is one byte, or 0xfc and two bytes. None at the end of the row or if the
+/// row is malformed.
 fn take_text<'a>(row: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (&first, rest) = row.split_first()?;
     let (length, rest) = match first {
@@ -96,8 +96,8 @@
 /// The row of a leader role that the router holds now, without its subject: the state and the epoch.
 ///
 /// # Errors
-/// The router does not hold the role or does not know it, or [`table`] fails. If it does not hold the role, the error has the row,
-/// which names the holder if the router knows it.
+/// The router does not hold the role or does not know it, or [`table`] fails. If it does not hold the role, the error
+/// has the row, which names the holder if the router knows it.
 pub fn held_role(address: SocketAddr, role: &str) -> Result<String, StatusError> {
     let table = table(address, "duties")?;
     // `line` joins the cells of a row with two spaces. The state `ours` means that the router itself holds the role.
@@ -112,9 +112,9 @@
 /// The status table of a topic, with one line per row.
 ///
 /// # Errors
-/// There is no such topic, the router can't be reached, it answered with an error, it did not answer within `TIMEOUT`, or its
-/// answer is too long. An error packet in place of the greeting or in answer to the login is not recognised; such a session ends
-/// with the error of the next read.
+/// There is no such topic, the router can't be reached, it answered with an error, it did not answer within `TIMEOUT`,
+/// or its answer is too long. An error packet in place of the greeting or in answer to the login is not recognised;
+/// such a session ends with the error of the next read.
 pub fn table(address: SocketAddr, topic: &str) -> Result<String, StatusError> {
     if !TOPICS.contains(&topic) {
         return Err(StatusError::UnknownTopic(topic.to_string()));
--- a/crates/router/src/transport/discovery_client.rs
+++ b/crates/router/src/transport/discovery_client.rs
@@ -10,15 +10,16 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// The connection counts as lost after this many seconds without a line; the service sends one each second. A router is
-/// held to know the service's events 4 s after the service fell silent, and 2 s after it was lost. Even if the next
-/// connection does not come up and only the one after it does, this time-out keeps well within those 4 s.
+/// A connection on which no line arrives for this many seconds is silent and is re-established; the service sends a
+/// line each second. A router is held to know the service's events 4 s after the service fell silent, and 2 s after it
+/// was lost. Even if the next connection does not come up and only the one after it does, this time-out keeps well
+/// within those 4 s.
 const SILENCE_TIMEOUT: f64 = 1.8;
 /// How long a connection may take to come up, in seconds.
 const CONNECT_TIMEOUT: f64 = 0.5;
 /// The backoff between connection attempts, in seconds. It grows while the service is unavailable, and is randomised so
 /// that many routers that lost the service together do not all reconnect at once. The maximum stays well within the 2 s
-/// of a lost service (see [`SILENCE_TIMEOUT`]).
+/// in which the events are to be known after the service was lost (see [`SILENCE_TIMEOUT`]).
 const INITIAL_BACKOFF: f64 = 0.1;
 const MAX_BACKOFF: f64 = 0.4;
 const BACKOFF_FACTOR: f64 = 1.6;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -224,7 +224,8 @@
     }
 
     fn digest_received(&mut self, now: f64, fields: &mut Fields) -> Result<(), WireError> {
-        // An index that does not fit into 16 bits is taken as the highest one.
+        // An index that does not fit into 16 bits is taken as the highest one; its digest is not dropped, but
+        // replaces the observations of other such senders on the same engines.
         let sender = u16::try_from(fields.integer("author")?).unwrap_or(u16::MAX);
         let content = fields.text().unwrap_or("");
         let bytes = PeerDigests::decode(content).ok_or_else(|| fields.error("content", "base64", content))?;
--- a/crates/snapshot-store/src/tests.rs
+++ b/crates/snapshot-store/src/tests.rs
@@ -189,8 +189,7 @@
                 match load(bytes) {
                     LoadOutcome::Complete(snapshot) => {
                         assert!(is_complete(&snapshot), "{snapshot:?} after {count} operations");
-                        // Once the last sync is done, the loaded epoch no longer falls: no acknowledged snapshot is
-                        // lost.
+                        // After the last sync, no crash leaves an earlier epoch than a crash before it did.
                         assert!(
                             snapshot.epoch >= min_epoch,
                             "epoch {} after epoch {min_epoch}, {count} operations",
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -16,8 +16,8 @@
 };
 use cleatgw_tenant_queue::TenantQueue;
 
-/// How long new requests are still accepted after a drain began, in seconds. A drain promises that requests received
-/// more than one second after its start are not attempted; this is less, to allow for a slow round of the host.
+/// How long new requests are still accepted after a drain began, in seconds. Within one second of its start a drain is
+/// to refuse new requests; this is less, to allow for a slow round of the host.
 const ACCEPTS_WHILE_DRAINING: f64 = 0.95;
 /// How long after a failure the engine list is requested again, in seconds.
 const LIST_RETRY_DELAY: f64 = 1.0;
